--- a/bench/control_by_hand.py
+++ b/bench/control_by_hand.py
@@ -26,6 +26,7 @@
 from honeywharf.simulation import field
 from honeywharf.standins import meshdemo
 
+HERE = Path(__file__).resolve().parents[1]
 UP_S = 10.0
 CALL_S = 2.0
 ALONE_S = 9.0
@@ -55,6 +56,7 @@
         settings["seed-nodes"] = [f"{seed}:{self.port}" for seed in seeds]
         settings["data-directory"] = str(self.folder)
         self.settings, self.file = settings, folder / f"{ip}.yaml"
+        self.checkout = HERE  # whose code it runs
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
@@ -62,11 +64,16 @@
         self.file.write_text(json.dumps(self.settings))
         self.settings["initial-start"] = False
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "honeywharf.programs.control"],
+            [sys.executable, "-P", "-m", "honeywharf.programs.control"],
+            cwd=self.checkout,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
             stdin=subprocess.DEVNULL,
-            env={**os.environ, "HONEYWHARF_SETTINGS": str(self.file)},
+            env={
+                **os.environ,
+                "HONEYWHARF_SETTINGS": str(self.file),
+                "PYTHONPATH": str(self.checkout),
+            },
         )
 
     def send(self, number: int) -> None:
--- /dev/null
+++ b/tests/compatibility/golden_messages.py
@@ -0,0 +1,198 @@
+"""One of each message and stored value that has an object in the code, built from that object.
+
+`write_golden` wrote their bytes once, with the build of 3af6ad9; the tests build them again, and read the old
+bytes with the present code.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+import msgpack  # type: ignore[import-untyped]
+
+from honeywharf.control import messages, repair
+from honeywharf.control.acceptor import AcceptorState
+from honeywharf.control.mesh_state import Member, MeshState
+from honeywharf.control.messages import Ballot, Decided, Heartbeat
+from honeywharf.control.store import read_state, state_bytes
+from honeywharf.control.version_history import MOST_VERSIONS, VersionHistory
+from honeywharf.failure_detector.watch import Watch
+from honeywharf.gossip import entry as gossip_entry
+from honeywharf.gossip.entry import Entry
+from honeywharf.handover import frames as handover_frames
+from honeywharf.handover.frames import Kind
+from honeywharf.mesh_config.configuration import digest
+from honeywharf.transport import frames
+from honeywharf.transport.streams import Ask
+
+ADDRESSES = ("10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620")
+MEMBERS = tuple(
+    Member(address, "first" if zone != "c" else "5eed", zone, zone != "c")
+    for address, zone in zip(ADDRESSES, "abc", strict=True)
+)
+TEXT = b'{"version": "r9", "routes": []}'
+BALLOT, EARLIER = Ballot(12, ADDRESSES[0], 281474976710655), Ballot(11, ADDRESSES[1], 7)
+DECIDED = Decided(3, MEMBERS)
+
+
+def full_history() -> VersionHistory:
+    """A memory of versions that is full and has forgotten some."""
+    records = b"".join(
+        version.to_bytes(8, "big") + b"%016x" % (version * 0x9E3779B97F4A7C15 % (1 << 64))
+        for version in range(1000, 1000 + MOST_VERSIONS)
+    )
+    return VersionHistory(records, 999)
+
+
+def mesh_state(history: VersionHistory | None = None) -> MeshState:
+    """A state after some changes."""
+    some = VersionHistory().add(7, "a" * 32).add(9, digest(TEXT))
+    return MeshState(21, 9, digest(TEXT), {"a": True, "b": False}, MEMBERS, 3, 3, history or some)
+
+
+def acceptor_state(history: VersionHistory | None = None) -> AcceptorState:
+    """What one member has on its disk."""
+    return AcceptorState("first", 3, MEMBERS, BALLOT, BALLOT, mesh_state(history))
+
+
+REGISTER_MESSAGES: dict[str, messages.Request | messages.Answer] = {
+    "register prepare": messages.Prepare("first", DECIDED, BALLOT),
+    "register accept": messages.Accept("first", DECIDED, BALLOT, mesh_state()),
+    "register read": messages.Read("5eed", DECIDED),
+    "register promised": messages.Promised(DECIDED, BALLOT, EARLIER, mesh_state()),
+    "register promised, nothing accepted": messages.Promised(DECIDED, BALLOT, messages.NO_BALLOT, None),
+    "register accepted": messages.Accepted(DECIDED, BALLOT),
+    "register current": messages.Current(DECIDED, BALLOT, mesh_state().without_history()),
+    "register rejected": messages.Rejected(DECIDED, EARLIER, BALLOT),
+    "register newer membership": messages.NewerMembership(DECIDED),
+    "register other disk": messages.OtherDisk(DECIDED),
+    "register text missing": messages.TextMissing(DECIDED, BALLOT),
+}
+HEARTBEAT = Heartbeat(ADDRESSES[1], "first", 3, 21, BALLOT, "b", digest(TEXT))
+REQUEST = Ask(
+    "tile-vault",
+    b"0123456789abcdef",
+    1,
+    1.5,
+    0.25,
+    3,
+    0.125,
+    "10.1.0.8/4711",
+    b"POST",
+    b"/tiles/7?z=1",
+    b"Host: maps.example\r\n",
+    -1,
+    21,
+    b"12345678",
+)
+
+
+def node_entry() -> Entry:
+    """What one node says of itself."""
+    return Entry(0x0A000001, 1700000000123, 42, "a", {"core": True, "disk": "first", "rev": 21})
+
+
+def tombstone() -> Entry:
+    """What is left of a node that has said that it goes."""
+    return Entry(0x0A000002, 1700000000124, 43, "b", None)
+
+
+def failure_detector_heartbeat() -> bytes:
+    """A heartbeat of a node that holds a revision."""
+    watch = Watch("10.0.0.1", "a", {})
+    watch.revision = 70000
+    return watch.beat()
+
+
+def backup() -> bytes:
+    """A backup's file, of a disk with the state and its text."""
+    return repair.Backup(3, 12, mesh_state(), TEXT).pack()
+
+
+class Golden(NamedTuple):
+    """`build` gives the bytes anew; `rewrite` reads old bytes and writes what it has read."""
+
+    build: Callable[[], bytes]
+    rewrite: Callable[[bytes], bytes]
+
+
+def _packed(message: messages.Request | messages.Answer) -> bytes:
+    return frames.encode(messages.pack(message))
+
+
+def _unframed(data: bytes) -> Any:
+    (body,) = frames.FrameReader().feed(data)
+    return body
+
+
+def _rewrite_register(data: bytes) -> bytes:
+    return _packed(messages.unpack(_unframed(data)))
+
+
+def _rewrite_entries(data: bytes) -> bytes:
+    kind, body = data[:1], data[1:]
+    entries = [gossip_entry.element(value) for value in msgpack.unpackb(body)]
+    (datagram,) = gossip_entry.datagrams(kind, [entry.pack(hop) for entry, hop in entries], 1)
+    return datagram
+
+
+def _entries_datagram(kind: bytes) -> bytes:
+    (datagram,) = gossip_entry.datagrams(kind, [node_entry().pack(0), tombstone().pack(2)], 1)
+    return datagram
+
+
+def _pairs_rewritten(data: bytes) -> bytes:
+    return b"".join(
+        key.to_bytes(4, "big") + stamp.to_bytes(4, "big") for key, stamp in gossip_entry.pairs(data).items()
+    )
+
+
+def _register_file(data: bytes) -> bytes:
+    state = read_state(data)
+    assert state is not None
+    return state_bytes(state)
+
+
+def _handover_frame(data: bytes) -> bytes:
+    kind, value = handover_frames.decode(data)
+    return b"".join(handover_frames.encode(kind, value))
+
+
+GOLDEN: dict[str, Golden] = {
+    **{
+        name: Golden(lambda message=message: _packed(message), _rewrite_register)  # type: ignore[misc]
+        for name, message in REGISTER_MESSAGES.items()
+    },
+    "control heartbeat": Golden(
+        lambda: frames.encode(HEARTBEAT), lambda data: frames.encode(Heartbeat.unpack(_unframed(data)))
+    ),
+    "public mesh state": Golden(
+        lambda: frames.encode(mesh_state().pack_public()),
+        lambda data: frames.encode(MeshState.unpack(_unframed(data)).pack_public()),
+    ),
+    "gossip rumour": Golden(lambda: _entries_datagram(gossip_entry.RUMOUR), _rewrite_entries),
+    "gossip hello": Golden(lambda: _entries_datagram(gossip_entry.HELLO), _rewrite_entries),
+    "gossip digest pairs": Golden(
+        lambda: gossip_entry.pairs_of([node_entry(), tombstone()]), _pairs_rewritten
+    ),
+    "failure detector heartbeat": Golden(failure_detector_heartbeat, lambda data: data),
+    "stream open": Golden(
+        lambda: REQUEST.packed(5), lambda data: Ask.unpacked(_unframed(data)).packed(_unframed(data)[1])
+    ),
+    "file register": Golden(lambda: state_bytes(acceptor_state()), _register_file),
+    "file register, full history": Golden(
+        lambda: state_bytes(acceptor_state(full_history())), _register_file
+    ),
+    "file register, empty": Golden(lambda: state_bytes(AcceptorState("5eed")), _register_file),
+    "file backup": Golden(backup, lambda data: repair.opened(data).pack()),
+    **{
+        f"handover {kind.name.lower()}": Golden(
+            lambda kind=kind: b"".join(  # type: ignore[misc]
+                handover_frames.encode(kind, {"out": {"s-1": 17.0}, "evacuated": False})
+            ),
+            _handover_frame,
+        )
+        for kind in Kind
+    },
+}
