--- a/bench/peers.py
+++ b/bench/peers.py
@@ -28,7 +28,7 @@
     b"GET /api/tile HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: %b-%d\r\nX-Service-Class: read\r\n"
     b"X-Time-Left: 5000m\r\n\r\n"
 )
-MOST_ANSWERS = 4_000_000  # that one load process keeps the times of; it ends there
+MAX_ANSWERS = 4_000_000  # that one load process keeps the times of; it ends there
 
 
 class Backend(asyncio.Protocol):
@@ -132,7 +132,7 @@
             load.refused += status in (b"503", b"429")
             load.odd += status not in (b"503", b"429")
         self.came = b""
-        if now < load.ends and len(load.took) < MOST_ANSWERS:
+        if now < load.ends and len(load.took) < MAX_ANSWERS:
             self._ask()
         else:
             self.transport.close()
@@ -141,7 +141,7 @@
         """The last one ends the run."""
         load = self.load
         load.broken = load.broken or (
-            exc is not None or (time.perf_counter() < load.ends and len(load.took) < MOST_ANSWERS)
+            exc is not None or (time.perf_counter() < load.ends and len(load.took) < MAX_ANSWERS)
         )
         load.open -= 1
         if not load.open:
--- a/bench/upgrades.py
+++ b/bench/upgrades.py
@@ -30,7 +30,7 @@
     "group": "cell",
     "windowMs": 7500.0,
 }
-LEAST_MS = 50.0  # of load between two upgrades
+MIN_MS = 50.0  # of load between two upgrades
 
 
 async def play(
@@ -53,7 +53,7 @@
             load.begin()
             took = []
             for _ in range(upgrades):
-                await asyncio.sleep(LEAST_MS / 1000.0)
+                await asyncio.sleep(MIN_MS / 1000.0)
                 if not handover:
                     for left in (Path(folder) / "tmp").iterdir():
                         left.unlink()
--- a/honeywharf/admin/__init__.py
+++ b/honeywharf/admin/__init__.py
@@ -26,7 +26,7 @@
 __all__ = ["AdminPart", "attach"]
 
 PATIENCE_S = 2.0  # for one question and its answer
-MOST_AT_ONCE = 8  # operators; further ones are cut: each holds a descriptor
+MAX_AT_ONCE = 8  # operators; further ones are cut: each holds a descriptor
 
 
 class AdminPart(Part):
@@ -76,7 +76,7 @@
             self.path.unlink(missing_ok=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open >= MOST_AT_ONCE:
+        if self.open >= MAX_AT_ONCE:
             self.cut += 1
             writer.close()
             return
@@ -93,7 +93,7 @@
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> protocol.Answer:
         try:
-            size = protocol.length(await reader.readexactly(protocol.HEAD), protocol.MOST_QUESTION)
+            size = protocol.length(await reader.readexactly(protocol.HEAD), protocol.MAX_QUESTION)
             asked = protocol.question(await reader.readexactly(size))
         except protocol.ProtocolError as fault:
             self.faults += 1
--- a/honeywharf/admin/client.py
+++ b/honeywharf/admin/client.py
@@ -29,7 +29,7 @@
             line.connect(str(path))
             line.sendall(protocol.frame(protocol.Question(do, getpass.getuser(), yes, dict(of or {}))))
             with line.makefile("rb") as read:
-                size = protocol.length(read.read(protocol.HEAD), protocol.MOST_ANSWER)
+                size = protocol.length(read.read(protocol.HEAD), protocol.MAX_ANSWER)
                 answer = protocol.answer(read.read(size))
     except (OSError, protocol.ProtocolError) as fault:
         raise AdminError(str(fault), answered=False) from None
--- a/honeywharf/admin/protocol.py
+++ b/honeywharf/admin/protocol.py
@@ -16,8 +16,8 @@
 import msgspec
 
 VERSION = 1
-MOST_QUESTION = 4 * 1024  # bytes
-MOST_ANSWER = 4 * 1024 * 1024
+MAX_QUESTION = 4 * 1024  # bytes
+MAX_ANSWER = 4 * 1024 * 1024
 HEAD = 4
 
 
@@ -46,8 +46,8 @@
 def frame(value: Question | Answer) -> bytes:
     """The bytes of a frame; an answer over its bound becomes one that says so."""
     data = msgspec.msgpack.encode(value)
-    if len(data) > MOST_ANSWER:
-        words = f"found an answer of {len(data)} bytes, wanted {MOST_ANSWER} at most"
+    if len(data) > MAX_ANSWER:
+        words = f"found an answer of {len(data)} bytes, wanted {MAX_ANSWER} at most"
         data = msgspec.msgpack.encode(Answer(words))
     return len(data).to_bytes(HEAD, "big") + data
 
--- a/honeywharf/admin/views.py
+++ b/honeywharf/admin/views.py
@@ -11,7 +11,7 @@
 from honeywharf.policy.balancer import Balancer
 from honeywharf.policy.endpoints import Server
 
-MOST_ROWS = 5000  # endpoints that are shown; how many there are is told too
+MAX_ROWS = 5000  # endpoints that are shown; how many there are is told too
 
 
 def zones(balancer: Balancer) -> list[dict[str, Any]]:
@@ -80,7 +80,7 @@
         balancer.endpoints.servers.values(),
         key=lambda s: (s.usable_at <= balancer.now, s.endpoint.zone, s.endpoint.id),
     )
-    return {"number": len(servers), "endpoints": [endpoint(s, balancer.now) for s in servers[:MOST_ROWS]]}
+    return {"number": len(servers), "endpoints": [endpoint(s, balancer.now) for s in servers[:MAX_ROWS]]}
 
 
 def status(balancer: Balancer) -> dict[str, Any]:
--- a/honeywharf/admission/intake.py
+++ b/honeywharf/admission/intake.py
@@ -18,13 +18,13 @@
     from collections.abc import Callable
 
 ON_THE_WAY_S = 0.05  # of the link's time, that may be asked for and not come
-LEAST_OUT = 16 * 1024  # all the same: a round trip's worth where processors are slow
+MIN_OUT = 16 * 1024  # all the same: a round trip's worth where processors are slow
 EACH_OUT = 64 * 1024
 FIRST = 8 * 1024  # the first piece that is asked for of each body
 PIECE = 4 * 1024  # the least that is asked for afterwards, but for the rest of a body
 STALL_S = 0.25
-MOST_HELD = 8 << 20  # promised to bodies at a time, over all
-MOST_PLACES = 256
+MAX_HELD = 8 << 20  # promised to bodies at a time, over all
+MAX_PLACES = 256
 UNTOLD = 64 * 1024  # what a body without a length is taken for
 
 
@@ -56,7 +56,7 @@
     def link(self, bytes_s: float) -> None:
         """The machine's link, as its settings tell."""
         self.bytes_s = bytes_s
-        self.most_out = max(float(LEAST_OUT), bytes_s * ON_THE_WAY_S)
+        self.most_out = max(float(MIN_OUT), bytes_s * ON_THE_WAY_S)
         self.each_out = max(float(FIRST), min(float(EACH_OUT), self.most_out / 2))  # two are on the way
 
     def backlog_s(self) -> float:
@@ -69,7 +69,7 @@
         `pump` asks for its first bytes.
         """
         size = length if length >= 0 else UNTOLD
-        if len(self.places) >= MOST_PLACES or self.held + size > MOST_HELD:
+        if len(self.places) >= MAX_PLACES or self.held + size > MAX_HELD:
             return None
         place = Place(now, size, length >= 0, give)
         self.places[place] = None
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -24,7 +24,7 @@
 from honeywharf.mesh_config.routes import Route, Table
 
 REDIRECTS = 2  # as many as the callers of the mesh follow
-MOST_ANSWER = 64 << 20  # bytes of an answer that are read
+MAX_ANSWER = 64 << 20  # bytes of an answer that are read
 OPEN = "What was ordered may be in force, or may not: send it again"
 AGAIN = (408, 429)  # of the statuses that tell nothing for good
 
@@ -266,9 +266,9 @@
 def _read(file: str) -> bytes:
     if file != "-":
         with open(file, "rb") as opened:
-            return opened.read(configuration.MOST_BYTES + 1)
+            return opened.read(configuration.MAX_BYTES + 1)
     if not _input:
-        _input.append(sys.stdin.buffer.read(configuration.MOST_BYTES + 1))
+        _input.append(sys.stdin.buffer.read(configuration.MAX_BYTES + 1))
     return _input[0]
 
 
@@ -358,7 +358,7 @@
     try:
         connection.request(method, path, body, headers)
         answer = connection.getresponse()
-        return answer.status, answer.read(MOST_ANSWER), answer.getheader("Location") or ""
+        return answer.status, answer.read(MAX_ANSWER), answer.getheader("Location") or ""
     except (OSError, http.client.HTTPException) as fault:
         words = f"{to[0]}:{to[1]}: no clear answer: {fault!r}"
         raise WrongError(words if method == "GET" else f"{words}. {OPEN}") from None
--- a/honeywharf/cli/operation.py
+++ b/honeywharf/cli/operation.py
@@ -12,7 +12,7 @@
 import click
 
 WAIT_S = 2.0
-MOST_ANSWER = 64 * 1024
+MAX_ANSWER = 64 * 1024
 
 AT = click.option(
     "--operator",
@@ -40,7 +40,7 @@
         made.settimeout(WAIT_S)
         made.sendall(line.encode() + b"\n")
         data = b""
-        while (part := made.recv(4096)) and len(data) < MOST_ANSWER:
+        while (part := made.recv(4096)) and len(data) < MAX_ANSWER:
             data += part
     return data.decode("utf-8", "replace").strip()
 
--- a/honeywharf/cli/screen.py
+++ b/honeywharf/cli/screen.py
@@ -14,7 +14,7 @@
 from honeywharf.admin.client import AdminError, ask
 
 EACH_S = 1.0
-MOST_OUT = 200  # ejected servers that are listed
+MAX_OUT = 200  # ejected servers that are listed
 ZONES = ("zone", "limit", "in flight", "ready", "ejected", "crowded")
 OUT = ("ejected", "zone", "why", "for, s")
 COUNTS = ("what", "a second", "in all")
@@ -91,7 +91,7 @@
             "out",
             [
                 (e["endpoint"], e["zone"], e["why"], f"{e['out_for_ms'] / 1000.0:.1f}")
-                for e in endpoints["endpoints"][:MOST_OUT]
+                for e in endpoints["endpoints"][:MAX_OUT]
                 if "why" in e
             ],
         )
--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -25,7 +25,7 @@
 from honeywharf.simulation.run import Report, play, run
 
 HASHES = "PYTHONHASHSEED"  # the order of sets of texts belongs to a day
-MOST_JOBS = 512
+MAX_JOBS = 512
 TOLD = 50  # days after which a hunt says how far it is
 
 Shaped = Annotated[
@@ -69,8 +69,8 @@
 
     def __call__(self) -> int:
         """Exit status."""
-        if self.count < 1 or not 0 <= self.jobs <= MOST_JOBS:
-            print(f"found {self.count} days and {self.jobs} jobs, wanted 1 or more, and 0 to {MOST_JOBS}")
+        if self.count < 1 or not 0 <= self.jobs <= MAX_JOBS:
+            print(f"found {self.count} days and {self.jobs} jobs, wanted 1 or more, and 0 to {MAX_JOBS}")
             return 2
         jobs = self.jobs or os.cpu_count() or 1
         return _days(self.first, self.count, jobs, self.shape, self.any_kind, quiet=True)
--- a/honeywharf/coap/backend.py
+++ b/honeywharf/coap/backend.py
@@ -49,7 +49,7 @@
     def __init__(self, node: Node, call: UpstreamRequest) -> None:
         self.node, self.call = node, call
         self.asked: Asked | None = None
-        self.part, self.szx = 0, blocks.MOST_SZX  # of the body
+        self.part, self.szx = 0, blocks.MAX_SZX  # of the body
         self.answer, self.etag = bytearray(), b""
         request = call.request
         if request is None:
--- a/honeywharf/coap/blocks.py
+++ b/honeywharf/coap/blocks.py
@@ -17,12 +17,12 @@
 
 from honeywharf.coap import options
 from honeywharf.codecs import coap
-from honeywharf.core.messages import MAX_BODY
+from honeywharf.core.messages import MAX_BUFFERED_BODY
 
 Peer = tuple[str, int]
 Key = tuple[Peer, bytes]
 
-MOST_SZX = 6  # blocks of 2 ** (6 + 4) = 1024 bytes; 7 is for other transports (2.2)
+MAX_SZX = 6  # blocks of 2 ** (6 + 4) = 1024 bytes; 7 is for other transports (2.2)
 LIFETIME_MS = 247_000.0  # EXCHANGE_LIFETIME: RFC 7959, 2.4, leaves it to the server
 ETAG = 4
 #: What differs between the requests of one transfer.
@@ -65,7 +65,7 @@
     if value is None:
         return None
     figure = coap.uint(value)
-    if len(value) > 3 or figure & 7 > MOST_SZX:
+    if len(value) > 3 or figure & 7 > MAX_SZX:
         raise options.OptionError(coap.BAD_REQUEST, "found a block of a size that there is not")
     return Block(figure >> 4, bool(figure & 8), figure & 7)
 
@@ -92,7 +92,7 @@
     def body(self, key: Key, block: Block, payload: bytes, now: float) -> bytes | None:
         """Add a block; the whole body with its last one, None while more follow.
 
-        OptionError 4.08 for one that is not next, 4.13 for what grows beyond MAX_BODY.
+        OptionError 4.08 for one that is not next, 4.13 for what grows beyond MAX_BUFFERED_BODY.
         """
         if block.more and len(payload) != block.size:
             raise options.OptionError(
@@ -107,9 +107,11 @@
             raise options.OptionError(
                 coap.REQUEST_ENTITY_INCOMPLETE, f"found block {block.number}, wanted the one that is next"
             )
-        if len(begun[1]) + len(payload) > MAX_BODY:
+        if len(begun[1]) + len(payload) > MAX_BUFFERED_BODY:
             self._forget_body(key)
-            raise options.OptionError(coap.REQUEST_ENTITY_TOO_LARGE, f"wanted {MAX_BODY} bytes at most")
+            raise options.OptionError(
+                coap.REQUEST_ENTITY_TOO_LARGE, f"wanted {MAX_BUFFERED_BODY} bytes at most"
+            )
         begun[1].extend(payload)
         self.held_bytes += len(payload)
         if not block.more:
--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -28,7 +28,7 @@
 
 NSTART = 1  # RFC 7252, 4.8
 PROBING_RATE = 1.0  # bytes a second, on the mean, to a node that does not respond; RFC 7252, 4.8
-MOST_WAITING = 256
+MAX_WAITING = 256
 HEARD_MOST = 64  # message ids of the last separate answers: a duplicate is acknowledged again, and no more
 UNSENT_MS = 5.0  # so long before its end what still waits in line is told to be unsent
 
@@ -78,7 +78,7 @@
         send: Callable[[bytes], None],
         seed: int,
         nstart: int = NSTART,
-        most_waiting: int = MOST_WAITING,
+        most_waiting: int = MAX_WAITING,
         probing_rate: float = PROBING_RATE,
     ) -> None:
         self.clock, self.send, self.nstart, self.most_waiting = clock, send, nstart, most_waiting
--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -32,7 +32,7 @@
     Status.CONFLICT: coap.CONFLICT,
     Status.UNPROCESSABLE: coap.UNPROCESSABLE_ENTITY,
 }
-MOST_PEERS = 16384  # that are believed at a time; beyond it the one believed longest has to show itself anew
+MAX_PEERS = 16384  # that are believed at a time; beyond it the one believed longest has to show itself anew
 PEER_MS = 600_000.0  # for which a peer is believed since it last showed it
 ECHO_MS = 10_000.0  # for which an Echo value is good
 AMPLIFICATION = 3  # times what came from an address that is not believed is sent there at most
@@ -46,7 +46,7 @@
     def __init__(self, front: Front, exchange: Exchange, message: coap.Message, request: Request) -> None:
         self.front, self.exchange, self.request = front, exchange, request
         self.key = blocks.key_of(message, exchange.peer)
-        self.wanted = blocks.block_of(message, coap.BLOCK2) or blocks.Block(0, False, blocks.MOST_SZX)
+        self.wanted = blocks.block_of(message, coap.BLOCK2) or blocks.Block(0, False, blocks.MAX_SZX)
         last = message.option(coap.BLOCK1)  # 2.3: told back in the answer to the last block
         self.told: list[tuple[int, bytes]] = [(coap.BLOCK1, last)] if last is not None else []
 
@@ -219,7 +219,7 @@
             return False
         self.peers[peer] = now
         self.peers.move_to_end(peer)
-        while len(self.peers) > MOST_PEERS:
+        while len(self.peers) > MAX_PEERS:
             self.peers.popitem(last=False)
         return True
 
--- a/honeywharf/coap/options.py
+++ b/honeywharf/coap/options.py
@@ -58,7 +58,7 @@
 CONTEXT_BYTES = 26
 CONTEXTS = {b"traceparent": TRACE_PARENT, b"traceresponse": TRACE_RESPONSE}
 METHODS = {coap.GET: b"GET", coap.POST: b"POST"}
-MOST_ID = 128
+MAX_ID = 128
 PLAIN = "!$'()*+,;=:@"  # RFC 3986, pchar, besides what is never escaped; but for `&`, which parts queries
 
 
@@ -176,7 +176,7 @@
 
 
 def _id(value: bytes) -> str:
-    if not 0 < len(value) <= MOST_ID or any(not 0x21 <= byte <= 0x7E for byte in value):
+    if not 0 < len(value) <= MAX_ID or any(not 0x21 <= byte <= 0x7E for byte in value):
         raise OptionError(coap.BAD_OPTION, f"found an id of odd characters or {len(value)} bytes")
     return value.decode("latin-1")
 
--- a/honeywharf/codecs/coap.py
+++ b/honeywharf/codecs/coap.py
@@ -16,7 +16,7 @@
 BLOCK2, BLOCK1, SIZE2, SIZE1, ECHO, REQUEST_TAG = 23, 27, 28, 60, 252, 292
 
 MAX_DATAGRAM = 2048  # a block of 1024 bytes, and room for options
-MOST_OPTIONS = 48
+MAX_OPTIONS = 48
 MAX_TOKEN = 8
 PAYLOAD_MARKER = 0xFF
 VERSION = 1
@@ -108,8 +108,8 @@
         number += delta
         if number > 0xFFFF or at + length > len(data):
             raise MalformedError("found an option that goes beyond the message", mtype, mid)
-        if len(message.options) == MOST_OPTIONS:
-            raise MalformedError(f"found more than {MOST_OPTIONS} options", mtype, mid)
+        if len(message.options) == MAX_OPTIONS:
+            raise MalformedError(f"found more than {MAX_OPTIONS} options", mtype, mid)
         message.options.append((number, data[at : at + length]))
         at += length
     return message
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -21,7 +21,7 @@
 from honeywharf.flow.account import Account
 from honeywharf.flow.pipe import Pipe
 
-MOST_INTERIM = 8  # 1xx answers ahead of one answer
+MAX_INTERIM = 8  # 1xx answers ahead of one answer
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
@@ -268,7 +268,7 @@
     """
 
     def __init__(self, account: Account | None = None) -> None:
-        super().__init__(messages.MOST_BODY)
+        super().__init__(messages.MAX_BODY)
         self.account = account or Account(ALONE)
         self.pipe: Pipe | None = None  # of the request that is being read
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
@@ -353,14 +353,14 @@
             request.expects = request.interim = False  # its expectations are ignored (RFC 9110, 10.1.1)
         # A proxy keeps no connection with a client of HTTP/1.0 (RFC 9112, 9.3), whatever that asks for.
         request.keep = version == "1.1" and self.parser.should_keep_alive()
-        if self.length > messages.MAX_BODY:
+        if self.length > messages.MAX_BUFFERED_BODY:
             self._begin(self.length)
 
     def on_body(self, data: bytes) -> None:
         """A part of the body."""
         if self.pipe is None:
             super().on_body(data)
-            if self.body_bytes > messages.MAX_BODY:  # in chunks: nothing had said so
+            if self.body_bytes > messages.MAX_BUFFERED_BODY:  # in chunks: nothing had said so
                 self._begin(None)
             return
         self.unsaid = -1
@@ -481,7 +481,7 @@
         elif key == b"traceresponse":
             self.response.trace = value
         elif key == b"content-length":
-            most = messages.MOST_BODY if self.whole_most else self.max_body
+            most = messages.MAX_BODY if self.whole_most else self.max_body
             if too_long(value, most):
                 # Guards against reading, up to the cap, what is said to be gigabytes.
                 raise MalformedError(413, "the body is too long")
@@ -505,7 +505,7 @@
             return
         self.unsaid = -1
         self.body_bytes += len(data)
-        if self.body_bytes > messages.MOST_BODY:
+        if self.body_bytes > messages.MAX_BODY:
             raise MalformedError(413, "the body is too long")
         self.pipe.push(data)
 
@@ -542,7 +542,7 @@
         status = self.parser.get_status_code()
         if status < 200:  # an interim answer: the real one follows, and nothing of this one stays
             self.parts, self.interim = [], self.interim + 1
-            if self.interim > MOST_INTERIM or status < 100:
+            if self.interim > MAX_INTERIM or status < 100:
                 raise MalformedError(400, "too many interim answers")
             return
         response, self.interim = self.response, 0
--- a/honeywharf/codecs/mesh.py
+++ b/honeywharf/codecs/mesh.py
@@ -58,8 +58,8 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-MOST_INTERIM = 8  # 1xx answers ahead of one answer
-MOST_ID = 128  # bytes of an attempt id
+MAX_INTERIM = 8  # 1xx answers ahead of one answer
+MAX_ID = 128  # bytes of an attempt id
 
 
 def milliseconds(value: bytes) -> float | None:
@@ -124,7 +124,7 @@
                 raise MalformedError(400, "senseless time left")
         elif key not in OURS:
             if key == ATTEMPT:
-                if message.attempt or not 0 < len(value) <= MOST_ID:
+                if message.attempt or not 0 < len(value) <= MAX_ID:
                     raise MalformedError(400, "two attempt ids, or one of odd length")
                 message.attempt = value
             elif key == b"host":
@@ -269,7 +269,7 @@
         self.in_body = False
         if self.message.status < 200:
             self.interim += 1
-            if self.interim > MOST_INTERIM:
+            if self.interim > MAX_INTERIM:
                 raise MalformedError(400, "too many interim answers")
             return
         self.interim = 0
--- a/honeywharf/config/node.py
+++ b/honeywharf/config/node.py
@@ -13,7 +13,7 @@
 from honeywharf.core.transport import Address, address
 from honeywharf.policy import interface as api
 
-MOST_BYTES = 16 * 1024 * 1024  # of the file, with the known list of a large fleet
+MAX_BYTES = 16 * 1024 * 1024  # of the file, with the known list of a large fleet
 
 
 class ConfigError(Exception):
@@ -45,9 +45,9 @@
         raise ConfigError("NODE_CONFIG is not set")
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
-        if len(data) > MOST_BYTES:
-            raise ConfigError(f"NODE_CONFIG: found over {MOST_BYTES} bytes, wanted less")
+            data = file.read(MAX_BYTES + 1)
+        if len(data) > MAX_BYTES:
+            raise ConfigError(f"NODE_CONFIG: found over {MAX_BYTES} bytes, wanted less")
         raw = orjson.loads(data)
     except OSError as fault:
         raise ConfigError(f"NODE_CONFIG: {fault.strerror or fault}") from None
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -33,7 +33,7 @@
 HESITANT_S = 0.45  # unheard, at which a joiner is asked to come back
 LOST_S = 2.0  # unheard, after which a member leaves a membership that is larger than wanted
 UPKEEP_S = 1.5  # that a change of the membership, or mending, is tried
-MOST_HEARD = 256  # machines whose last heartbeat is remembered
+MAX_HEARD = 256  # machines whose last heartbeat is remembered
 BEHIND_BEATS = 3  # in a row, and up to as many more, before a member that is behind has a round of its own
 ASK_AGAIN = 0.2  # chance by beat that a joiner asks who the members are, though it knows
 
@@ -195,7 +195,7 @@
     def hear(self, key: Key) -> None:
         """A machine has said something."""
         returned = key in self.silent(SILENT_S)
-        if key not in self.heard and len(self.heard) >= MOST_HEARD:
+        if key not in self.heard and len(self.heard) >= MAX_HEARD:
             members = keys(self.voter.state.members)
             oldest = min(self.heard, key=lambda one: (one in members, self.heard[one]))
             del self.heard[oldest]
--- a/honeywharf/control/mesh_state.py
+++ b/honeywharf/control/mesh_state.py
@@ -16,8 +16,8 @@
 
 Key = tuple[str, str]  # a member's address and disk name
 
-MOST_MEMBERS = 15
-MOST_ZONES = 256  # evacuations told apart
+MAX_MEMBERS = 15
+MAX_ZONES = 256  # evacuations told apart
 NO_VERSION = -1  # before the first configuration
 
 
@@ -189,7 +189,7 @@
     def change(state: MeshState) -> tuple[MeshState | None, Any]:
         if state.evacuations.get(zone, False) == begin:
             return None, True
-        if zone not in state.evacuations and len(state.evacuations) >= MOST_ZONES:
+        if zone not in state.evacuations and len(state.evacuations) >= MAX_ZONES:
             return None, False
         return changed(state, evacuations={**state.evacuations, zone: begin}), True
 
@@ -227,7 +227,7 @@
             return with_members(state, _put(members, place, joiner), state.wanted), Admission.MEMBER
         if not joiner.first and len(members) >= state.wanted:
             return None, Admission.STANDBY
-        if len(members) >= MOST_MEMBERS:
+        if len(members) >= MAX_MEMBERS:
             return None, Admission.FULL
         wanted = state.wanted + bool(joiner.first)
         return with_members(state, (*members, joiner), wanted), Admission.MEMBER
--- a/honeywharf/control/messages.py
+++ b/honeywharf/control/messages.py
@@ -11,7 +11,7 @@
 
 from honeywharf.control.mesh_state import Membership, MeshState, unpack_membership
 
-MOST_COUNTER = 1 << 62
+MAX_COUNTER = 1 << 62
 
 
 class Ballot(NamedTuple):
@@ -29,7 +29,7 @@
             isinstance(counter, int)
             and isinstance(proposer, str)
             and isinstance(incarnation, int)
-            and 0 <= counter < MOST_COUNTER
+            and 0 <= counter < MAX_COUNTER
         ):
             raise ValueError(f"found {packed!r}, wanted a ballot")
         return Ballot(counter, proposer, incarnation)
--- a/honeywharf/control/operator.py
+++ b/honeywharf/control/operator.py
@@ -27,7 +27,7 @@
 
 PATIENCE_S = 0.85  # s: the operator moves on after one second of silence
 SIZE_RATE = 20e6  # bytes a second, by which larger bodies get more time
-MOST_FAULT = 4096  # bytes of a refusal's words
+MAX_FAULT = 4096  # bytes of a refusal's words
 RETRY = b"Retry-After: 0.1\r\n"
 LATER = b"Retry-After: 60\r\n"
 FORGOTTEN = b"the version is older than what is remembered: whether it was confirmed is not known"
@@ -124,7 +124,7 @@
     def _replace(self, call: Asked) -> None:
         checked = self.check(call.body)
         if checked.is_err():
-            self._answer(call, 400, str(checked.err()).encode("utf-8", "replace")[:MOST_FAULT])
+            self._answer(call, 400, str(checked.err()).encode("utf-8", "replace")[:MAX_FAULT])
             return
         made = checked.unwrap()
         within = PATIENCE_S + len(call.body) / SIZE_RATE
--- a/honeywharf/control/proposals.py
+++ b/honeywharf/control/proposals.py
@@ -17,8 +17,8 @@
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Host
 
-MOST_WAITING = 64  # changes that wait for the next round
-MOST_READERS = 256
+MAX_WAITING = 64  # changes that wait for the next round
+MAX_READERS = 256
 
 Settled = Callable[[Result, Any], None]  # and the change's answer
 Told = Callable[[MeshState | None], None]
@@ -72,7 +72,7 @@
         self, change: Change, within: float, settled: Settled, text: tuple[str, bytes] = ("", b"")
     ) -> None:
         """Make a change; `settled` is called once, later, in time. `text`: digest and compressed bytes."""
-        if len(self.waiting) >= MOST_WAITING or not self.voter.state.epoch:
+        if len(self.waiting) >= MAX_WAITING or not self.voter.state.epoch:
             self.host.after(0.0, partial(settled, Result.UNREACHABLE, None))
             return
         digest, body = text
@@ -136,7 +136,7 @@
 
     def read(self, within: float, told: Told) -> None:
         """What a majority holds in force; None where there is no majority in time. Told once, later."""
-        if len(self.readers) >= MOST_READERS or not self.voter.state.epoch:
+        if len(self.readers) >= MAX_READERS or not self.voter.state.epoch:
             self.host.after(0.0, partial(told, None))
             return
         self.readers.append(Waiting(self.host, within, lambda result, value: told(value)))
--- a/honeywharf/control/quorum_client.py
+++ b/honeywharf/control/quorum_client.py
@@ -23,7 +23,7 @@
 LINK_RATE = 20e6  # bytes a second of a link whose rate is not known
 LINK_SHARE = 0.5  # of the link's rate, that texts on their way to all members may take
 BYTES_PER_MEGABIT = 125_000.0
-LEAST_WAIT_S = 0.001
+MIN_WAIT_S = 0.001
 
 Over = Callable[[], None]
 
@@ -63,7 +63,7 @@
     def _timer(self, asking: Asking, over: Over) -> Timer:
         if asking.timer is not None:
             asking.timer.cancel()
-        wait = max(LEAST_WAIT_S, asking.due - self.host.now())
+        wait = max(MIN_WAIT_S, asking.due - self.host.now())
         return self.host.after(wait, partial(self._tick, asking, over))
 
     def _tick(self, asking: Asking, over: Over) -> None:
--- a/honeywharf/control/register.py
+++ b/honeywharf/control/register.py
@@ -41,7 +41,7 @@
 RESEND_S = 0.06  # after a lost message, until it is sent again
 STRAGGLERS_S = 0.02  # that a read waits for more answers before it gives up on finding all the same
 BACKOFF_S = 0.02  # mean of the first pause after a refusal
-MOST_DOUBLINGS = 4  # of the pause
+MAX_DOUBLINGS = 4  # of the pause
 
 
 class Result(Enum):
@@ -230,7 +230,7 @@
         self.refused[key] = by_ballot
         left = set(self.quorums.members()) - set(self.refused)
         if self.phase is not Phase.PAUSE and not self.quorums.covered(left):
-            doublings = min(self.tries - 1, MOST_DOUBLINGS)
+            doublings = min(self.tries - 1, MAX_DOUBLINGS)
             pause = BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
             self.phase, self.wake, self.again = Phase.PAUSE, now + pause, {}
         return []
--- a/honeywharf/control/repair.py
+++ b/honeywharf/control/repair.py
@@ -36,7 +36,7 @@
 
 RAISED = 1_000_000  # revisions, epochs and ballots that a return goes ahead: above all that anybody has seen
 PRESSED = 6  # zlib's level
-MOST_TEXT = 80 << 20  # bytes of a configuration, unpacked
+MAX_TEXT = 80 << 20  # bytes of a configuration, unpacked
 
 
 class Report:
@@ -110,7 +110,7 @@
     """A configuration's text; None where it is damaged."""
     packed = unseal(disk.read(name))
     try:
-        return None if packed is None else zlib.decompressobj().decompress(packed, MOST_TEXT)
+        return None if packed is None else zlib.decompressobj().decompress(packed, MAX_TEXT)
     except zlib.error:
         return None
 
@@ -181,7 +181,7 @@
         if body is None:
             raise BackupError("found a damaged file or another one, wanted a backup")
         parts: dict[str, Any] = msgpack.unpackb(body, strict_map_key=False)
-        text = zlib.decompressobj().decompress(parts["text"], MOST_TEXT)
+        text = zlib.decompressobj().decompress(parts["text"], MAX_TEXT)
         value = MeshState.unpack(parts["value"])
         if value.digest and named(text) != value.digest:
             raise BackupError("found a text that is not the one named, wanted a backup")
@@ -203,7 +203,7 @@
     if in_use:
         raise BackupError(f"found {in_use[0]} on the disk, wanted an empty one")
     addresses = [one for one, _ in members]
-    if here not in addresses or len(set(addresses)) != len(members) or len(members) > mesh_state.MOST_MEMBERS:
+    if here not in addresses or len(set(addresses)) != len(members) or len(members) > mesh_state.MAX_MEMBERS:
         raise BackupError(f"found {here} and members {' '.join(addresses)}, wanted it among them, each once")
     name = f"r{zlib.crc32(packed):08x}"  # the same for all: who takes part in this return
     roster = tuple(Member(address, name, zone, True) for address, zone in members)
--- a/honeywharf/control/standby.py
+++ b/honeywharf/control/standby.py
@@ -23,7 +23,7 @@
     from honeywharf.transport.host import Host
 
 FRESH_S = 1.0  # for which a standby counts as there after its last heartbeat
-MOST_STANDBYS = 16
+MAX_STANDBYS = 16
 TRY_S = 0.6  # for one round of a handover
 AGAIN_S = 0.05  # between tries
 
@@ -45,7 +45,7 @@
     def hear(self, heartbeat: Heartbeat, now: float) -> None:
         """A machine that is no member has told of itself; the one unheard for longest gives way."""
         member = Member(heartbeat.address, heartbeat.disk, heartbeat.zone, False)
-        if member.key not in self.heard and len(self.heard) >= MOST_STANDBYS:
+        if member.key not in self.heard and len(self.heard) >= MAX_STANDBYS:
             del self.heard[min(self.heard, key=lambda key: self.heard[key].heard_at)]
         self.heard[member.key] = Standby(member, heartbeat.digest, now)
 
--- a/honeywharf/control/texts.py
+++ b/honeywharf/control/texts.py
@@ -13,7 +13,7 @@
     from honeywharf.transport.rpc import Caller
 
 FETCH_S = 3.0  # that one source of a text has
-MOST_FETCHES = 8  # texts being fetched
+MAX_FETCHES = 8  # texts being fetched
 
 Done = Callable[[bytes | None], None]
 
@@ -29,7 +29,7 @@
     def get(self, digest: str, done: Done) -> None:
         """A configuration's text, compressed; None where nobody has it."""
         here = self.local(digest)
-        if here is not None or (digest not in self.fetches and len(self.fetches) >= MOST_FETCHES):
+        if here is not None or (digest not in self.fetches and len(self.fetches) >= MAX_FETCHES):
             done(here)
             return
         waiting = self.fetches.setdefault(digest, [])
--- a/honeywharf/control/version_history.py
+++ b/honeywharf/control/version_history.py
@@ -1,6 +1,6 @@
 """Which content was confirmed under which version: a bounded memory inside the mesh state. No I/O.
 
-Kept are the highest `MOST_VERSIONS` versions that were confirmed, each with the first digits of its digest,
+Kept are the highest `MAX_VERSIONS` versions that were confirmed, each with the first digits of its digest,
 as records of fixed size in one byte string: it is copied with every message of the register, and searched
 without being unpacked. Below its floor nothing is known any more, and nothing is confirmed there.
 """
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-MOST_VERSIONS = 2048  # 48 KiB
+MAX_VERSIONS = 2048  # 48 KiB
 MARK_SIZE = 16  # digits of a digest that are kept: 64 bits
 VERSION_SIZE = 8
 RECORD_SIZE = VERSION_SIZE + MARK_SIZE
@@ -62,7 +62,7 @@
 
     def is_forgotten(self, version: int) -> bool:
         """Whether a version is too old for this memory: nothing can be said of it, or remembered."""
-        full = len(self) >= MOST_VERSIONS
+        full = len(self) >= MAX_VERSIONS
         return version <= self.floor or (full and version < self._version_at(0))
 
     def add(self, version: int, digest: str) -> VersionHistory:
@@ -70,7 +70,7 @@
         start = self._index(version) * RECORD_SIZE
         record = version.to_bytes(VERSION_SIZE, "big") + mark_of(digest)
         made = VersionHistory(self.records[:start] + record + self.records[start:], self.floor)
-        if len(made) <= MOST_VERSIONS:
+        if len(made) <= MAX_VERSIONS:
             return made
         return VersionHistory(made.records[RECORD_SIZE:], made._version_at(0))
 
--- a/honeywharf/core/messages.py
+++ b/honeywharf/core/messages.py
@@ -12,13 +12,13 @@
 from honeywharf.policy import interface as api
 
 CALLS = b"/api"  # the paths that are passed on
-MAX_BODY = 64 * 1024  # of a request that is held whole; a longer one is passed on as it arrives
+MAX_BUFFERED_BODY = 64 * 1024  # of a request that is held whole; a longer one is passed on as it arrives
 # Of an answer that is held whole, where it can't be passed on as it arrives: for CoAP clients, and for
 # order keys. What is said to be longer is spoilt there. The pool bounds what they hold together.
 MAX_ANSWER = 1024 * 1024
 WHOLE_ANSWER = 64 * 1024  # else: a longer one is passed on as it arrives, and can't be asked for again
-MOST_BODY = 1024**3  # bytes of any body: an answer that is said to be longer is spoilt
-MOST_PAIRS = 32  # figures that one report is read for
+MAX_BODY = 1024**3  # bytes of any body: an answer that is said to be longer is spoilt
+MAX_PAIRS = 32  # figures that one report is read for
 _FIGURE = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
 
 
@@ -58,7 +58,7 @@
 def pairs(value: bytes) -> dict[str, float]:
     """`name=value,name=value` as numbers; what is none is left out."""
     found: dict[str, float] = {}
-    for item in value.split(b",", MOST_PAIRS)[:MOST_PAIRS]:
+    for item in value.split(b",", MAX_PAIRS)[:MAX_PAIRS]:
         name, _, text = item.partition(b"=")
         number = figure(text)
         if number is not None:
--- a/honeywharf/drift/digests.py
+++ b/honeywharf/drift/digests.py
@@ -21,7 +21,7 @@
     Split = tuple[tuple[str, float], ...]
 
 SIZE = 8  # bytes of a digest
-MOST_KEPT = 256  # rules whose digests are held by content
+MAX_KEPT = 256  # rules whose digests are held by content
 ROUTES = "routes/"  # and a host: the name of a branch
 
 
@@ -121,7 +121,7 @@
         )
         found = self.held.get(key)
         if found is None:
-            if len(self.held) >= MOST_KEPT:
+            if len(self.held) >= MAX_KEPT:
                 self.held.clear()
             found = self.held[key] = rule(*key)
         return found
--- a/honeywharf/drift/gather.py
+++ b/honeywharf/drift/gather.py
@@ -28,8 +28,8 @@
 
 BATCH = 16  # sidecars asked at once
 WITHIN_S = 0.8  # for each
-MOST_NODES = 2000
-MOST_PEERS = 64  # registers whose progress is remembered
+MAX_NODES = 2000
+MAX_PEERS = 64  # registers whose progress is remembered
 SECOND_LOOK_S = 1.0  # between looks at our own register's progress
 
 
@@ -87,7 +87,7 @@
 
         Beats may overtake one another, so nothing follows from one here: the peer looks at what it holds.
         """
-        if key not in self.peers and len(self.peers) >= MOST_PEERS:
+        if key not in self.peers and len(self.peers) >= MAX_PEERS:
             self.peers.pop(next(iter(self.peers)))
         highest = self.peers[key] = max(self.peers.get(key, accepted), accepted)
         if accepted < highest:
@@ -144,7 +144,7 @@
                 if entry.say is not None and entry.say.get("s")
             ]
         )
-        _Collecting(self, call, nodes[:MOST_NODES]).go_on()
+        _Collecting(self, call, nodes[:MAX_NODES]).go_on()
 
     def answer(self, call: Asked, views: list[Any], silent: list[str]) -> None:
         """All have told, or have been given up."""
--- a/honeywharf/drift/history.py
+++ b/honeywharf/drift/history.py
@@ -26,11 +26,11 @@
 
 FILE, BESIDE, TEXT = "drift-history", "drift-history.new", "drift-text-"
 MARK = b"hwa1"
-MOST_WORDS, MOST_SLIPS = 64, 256
-MOST_TEXTS, MOST_TEXT_BYTES = 8, 1 << 20  # kept of configurations, compressed
-MOST_CAUSE = 200  # characters of a slip
+MAX_WORDS, MAX_SLIPS = 64, 256
+MAX_TEXTS, MAX_TEXT_BYTES = 8, 1 << 20  # kept of configurations, compressed
+MAX_CAUSE = 200  # characters of a slip
 LATER_S = 0.7  # between something new and the file
-MOST_LINES = 2000  # of a comparison
+MAX_LINES = 2000  # of a comparison
 
 
 class History:
@@ -61,26 +61,26 @@
         """A word is settled. `packed`: its text, compressed, where it is here."""
         evacuated = sorted(zone for zone, on in state.evacuations.items() if on)
         row = [self.host.wall(), state.revision, state.version, state.digest, evacuated]
-        self.words = [*self.words[1 - MOST_WORDS :], row]
+        self.words = [*self.words[1 - MAX_WORDS :], row]
         if packed is not None and all(state.digest != text[1] for text in self.texts):
-            self.new = [*self.new[1 - MOST_TEXTS :], (state, packed)]
+            self.new = [*self.new[1 - MAX_TEXTS :], (state, packed)]
         self._soon()
 
     def _keep_text(self, state: MeshState, packed: bytes) -> None:
-        if len(packed) > MOST_TEXT_BYTES:
+        if len(packed) > MAX_TEXT_BYTES:
             return
         try:
             self.host.write(TEXT + state.digest, packed)
             self.texts.append([state.version, state.digest, len(packed)])
-            while len(self.texts) > MOST_TEXTS or sum(text[2] for text in self.texts) > MOST_TEXT_BYTES:
+            while len(self.texts) > MAX_TEXTS or sum(text[2] for text in self.texts) > MAX_TEXT_BYTES:
                 self.host.remove(TEXT + self.texts.pop(0)[1])
         except OSError as fault:
             self.host.log(f"history: a text could not be kept: {fault}")
 
     def slip(self, node: object, by: object, cause: object, revision: object) -> None:
         """A sidecar tells of a slip."""
-        row = [self.host.wall(), str(node)[:64], str(by)[:16], str(cause)[:MOST_CAUSE], int(str(revision))]
-        self.slips = [*self.slips[1 - MOST_SLIPS :], row]
+        row = [self.host.wall(), str(node)[:64], str(by)[:16], str(cause)[:MAX_CAUSE], int(str(revision))]
+        self.slips = [*self.slips[1 - MAX_SLIPS :], row]
         self._soon()
 
     def register(self, disk: str, promised: tuple[Any, ...], accepted: tuple[Any, ...]) -> None:
@@ -125,7 +125,7 @@
         tables = [Table(self._text(version, text)) for version in (before, after)]
         lines = [str(line) for line in changes.changes(*tables)]
         many = len(lines)
-        return lines[:MOST_LINES] + ([f"and {many - MOST_LINES} more"] if many > MOST_LINES else [])
+        return lines[:MAX_LINES] + ([f"and {many - MAX_LINES} more"] if many > MAX_LINES else [])
 
     def _text(self, version: int, text: Callable[[str], bytes | None]) -> bytes:
         digest = next((row[3] for row in reversed(self.words) if row[2] == version), None)
--- a/honeywharf/drift/requests.py
+++ b/honeywharf/drift/requests.py
@@ -5,7 +5,7 @@
 follows from a slip is `watch`'s, what is compared in idle time `rounds`'. A peer's claim alone doubts nobody:
 it makes a node look at itself.
 
-Bounds: `MOST_HELD` requests wait for news of the word, `HOLD_S` at most; fetches have pauses between them.
+Bounds: `MAX_HELD` requests wait for news of the word, `HOLD_S` at most; fetches have pauses between them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from honeywharf.drift import judge, scan, states
 from honeywharf.drift.rounds import CONFIRM_S, GAP_S, HOLD_S, Rounds
 from honeywharf.drift.second import Told, pick
-from honeywharf.drift.watch import MOST_RELAPSES, text_of
+from honeywharf.drift.watch import MAX_RELAPSES, text_of
 from honeywharf.verdict import DRIFT
 
 TYPE_CHECKING = False
@@ -27,7 +27,7 @@
     from honeywharf.transport.host import Address
 
 FETCH_S = 0.03  # between fetches in vain that requests ask for
-MOST_HELD = 256
+MAX_HELD = 256
 ACCUSERS, ACCUSED_S = 2, 5.0  # gates that hold otherwise within so long, and are believed
 
 
@@ -101,7 +101,7 @@
     def stale(self, course: Course, key: str) -> None:
         """A gate refused by its word: renew ours from there, then the course decides again."""
         by = course.revision
-        if len(self.courses) >= MOST_HELD or key == self.sidecar.settings.ip or by < self.word.revision:
+        if len(self.courses) >= MAX_HELD or key == self.sidecar.settings.ip or by < self.word.revision:
             self.host.after(0.0, course.decide)
             return
         self.courses.append(course)
@@ -141,7 +141,7 @@
         self.accused[key] = rule, now
         if sum(held == rule for held, _ in self.accused.values()) >= ACCUSERS:
             self.accused.clear()
-            self.relapses = MOST_RELAPSES  # it is not built wrong: building anew heals nothing
+            self.relapses = MAX_RELAPSES  # it is not built wrong: building anew heals nothing
             self.slip("peers", f"{ACCUSERS} gates decide otherwise by the same word, {key} the last")
 
     def _release(self) -> None:
@@ -235,7 +235,7 @@
 
     def _hold(self, job: Job, holder: Address | None) -> bool:
         """Ask before it runs; without room for that it is refused."""
-        if len(self.jobs) >= MOST_HELD:
+        if len(self.jobs) >= MAX_HELD:
             return self._refuse_job(job, 0.05)
         self.jobs.append(job)
         if not self.renewing:
--- a/honeywharf/drift/rounds.py
+++ b/honeywharf/drift/rounds.py
@@ -1,7 +1,7 @@
 """What one sidecar compares in idle time: the scan, part by part, and its word with a control node's.
 
 Theory of operation. Every `STEP_S` a step of the scan looks at some of the routes and of the list; a round is
-whole in `WHOLE_STEPS` up to `WHOLE_STEPS * MOST_PARTS` routes. Every `CONFIRM_S`, and after a standstill of
+whole in `WHOLE_STEPS` up to `WHOLE_STEPS * MAX_PARTS` routes. Every `CONFIRM_S`, and after a standstill of
 `GAP_S`, the word is compared with a control node's.
 """
 
@@ -18,8 +18,8 @@
     from honeywharf.transport.host import Address
 
 STEP_S = 0.25  # between steps of the scan
-WHOLE_STEPS = 16  # steps of a round, 4 s, up to WHOLE_STEPS * MOST_PARTS routes
-LEAST_PARTS, MOST_PARTS = 16, 100  # of one step: 1 ms at most, 0.4 % of a core
+WHOLE_STEPS = 16  # steps of a round, 4 s, up to WHOLE_STEPS * MAX_PARTS routes
+MIN_PARTS, MAX_PARTS = 16, 100  # of one step: 1 ms at most, 0.4 % of a core
 GAP_S = 0.9  # without a step: this process stood still, and asks before it runs what must not run twice
 CONFIRM_S = 4.0  # between comparisons with a control node
 HOLD_S = 0.3  # that a request waits for news of the word
@@ -64,7 +64,7 @@
         assert told is not None
         if self.parts is None or self.parts_of is not table:
             self.parts, self.parts_of, self.clean = scan.routes(table, told, self.rules), table, True
-        many = min(MOST_PARTS, max(LEAST_PARTS, len(told.places) // WHOLE_STEPS + 1))
+        many = min(MAX_PARTS, max(MIN_PARTS, len(told.places) // WHOLE_STEPS + 1))
         fault = scan.others(self.sidecar) or scan.listed(self.sidecar, self._nodes())
         try:
             while many and not fault:
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -31,20 +31,20 @@
     from honeywharf.transport.rpc import Reply
 
 LOOK_S = 0.25  # between looks at all of oneself that others or requests ask for
-MOST_STUBBORN = 16
-MOST_RELAPSES = 3  # slips so soon after healing, after which building anew counts as vain
-TELL_S, MOST_TOLD = 0.25, 7  # between slips that control nodes are told of, and how many are told
-MOST_SLIPS = 16  # told to who asks
-MOST_TEXT = 80 << 20
-MOST_WORDS = 160  # characters of a slip's cause
+MAX_STUBBORN = 16
+MAX_RELAPSES = 3  # slips so soon after healing, after which building anew counts as vain
+TELL_S, MAX_TOLD = 0.25, 7  # between slips that control nodes are told of, and how many are told
+MAX_SLIPS = 16  # told to who asks
+MAX_TEXT = 80 << 20
+MAX_WORDS = 160  # characters of a slip's cause
 STAND_AGAIN_S = 5.0  # after leave was refused, until it is asked for again
-MOST_PLACES = 8  # places to stand aside at that are tried, in the zone and of all
+MAX_PLACES = 8  # places to stand aside at that are tried, in the zone and of all
 
 
 def text_of(packed: bytes, digest: str) -> bytes:
     """A told text, unpacked. ValueError where it is not the one that the digest names."""
     try:
-        text = zlib.decompressobj().decompress(packed, MOST_TEXT)
+        text = zlib.decompressobj().decompress(packed, MAX_TEXT)
     except zlib.error as fault:
         raise ValueError(str(fault)) from None
     if not is_named(text, digest):
@@ -113,16 +113,16 @@
         now = self.host.now()
         if self.state.aside or self.rebuilding:
             return  # it is being seen to
-        what = what[:MOST_WORDS]
+        what = what[:MAX_WORDS]
         self.relapses += self.state.at == states.HEALED
-        if self.relapses >= MOST_RELAPSES:
-            self.stubborn = min(MOST_STUBBORN, 2 * self.stubborn)
-            self.relapses = MOST_RELAPSES + self.stubborn
+        if self.relapses >= MAX_RELAPSES:
+            self.stubborn = min(MAX_STUBBORN, 2 * self.stubborn)
+            self.relapses = MAX_RELAPSES + self.stubborn
         self.caught[by] = self.caught.get(by, 0) + 1
-        self.slips = [*self.slips[1 - MOST_SLIPS :], [round(self.host.wall(), 3), by, what]]
+        self.slips = [*self.slips[1 - MAX_SLIPS :], [round(self.host.wall(), 3), by, what]]
         self._event(states.SLIPPED, f"{by}: {what}")
         self._tell(by, what)
-        if not renew and self.relapses < MOST_RELAPSES and self.rebuild():
+        if not renew and self.relapses < MAX_RELAPSES and self.rebuild():
             self._event(states.MATCHED, "built anew from the told text")
             self.looked = now
             return
@@ -168,7 +168,7 @@
     def _places(self, scope: str, many: int) -> list[tuple[str, str, int]]:
         """Places to try, from one at random on, so that two who ask at once try different ones."""
         first = self.host.random(1)[0] % many
-        return [("aside", scope, (first + at) % many) for at in range(min(many, MOST_PLACES))]
+        return [("aside", scope, (first + at) % many) for at in range(min(many, MAX_PLACES))]
 
     def _roster(self) -> tuple[int, list[tuple[str, str]]]:
         value = self.word.value
@@ -293,7 +293,7 @@
             self.rebuilding = True
             self.word.restore(value, table, packed)
             self.rebuilding = False
-            if self.rebuild() and self.relapses < MOST_RELAPSES:
+            if self.rebuild() and self.relapses < MAX_RELAPSES:
                 self._event(states.MATCHED, "renewed from a majority")
                 return
         self.relapses = max(0, self.relapses - 1)
@@ -313,7 +313,7 @@
         now = self.host.now()
         if now - self.told_at >= TELL_S:
             self.told_at = now
-            for core in self.sidecar.cores()[:MOST_TOLD]:
+            for core in self.sidecar.cores()[:MAX_TOLD]:
                 self.sidecar.caller.call(core, "drift.slip", record, 1.0, lambda answer: None)
 
     def view(self) -> dict[str, object]:
--- a/honeywharf/flow/pace.py
+++ b/honeywharf/flow/pace.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 HEAD_MS = 2400.0  # from the first byte of a head to its last: callers may take 2 s
-LEAST_PER_S = 32_000.0  # bytes a second of a body: callers may be as slow as 64 kB/s
+MIN_PER_S = 32_000.0  # bytes a second of a body: callers may be as slow as 64 kB/s
 STALL_MS = 15_000.0  # in which a peer that takes an answer has to take something
 
 
@@ -30,4 +30,4 @@
         """Whether less has come than the least rate brings, after the time that a head may take."""
         held = self.held_ms + (now_ms - self.held_since_ms if self.held_since_ms >= 0 else 0.0)
         spent = now_ms - self.begun_ms - held - HEAD_MS
-        return spent * LEAST_PER_S / 1000.0 > self.bytes
+        return spent * MIN_PER_S / 1000.0 > self.bytes
--- a/honeywharf/handover/frames.py
+++ b/honeywharf/handover/frames.py
@@ -3,7 +3,7 @@
     0      4  5  6       8         12        16
     | HWHO | v| k| flags | length  | CRC-32  | payload: JSON of that length
 
-One frame is one message (SOCK_SEQPACKET keeps them apart), `MOST_FRAME` bytes at most; a longer payload
+One frame is one message (SOCK_SEQPACKET keeps them apart), `MAX_FRAME` bytes at most; a longer payload
 goes in several frames of which all but the last have `MORE`. What is no such frame raises, and says what
 was found."""
 
@@ -20,8 +20,8 @@
 VERSION = 1
 MAGIC = b"HWHO"
 HEAD = struct.Struct("!4sBBHII")
-MOST_FRAME = 32 * 1024  # bytes, its head included: one message of a socket
-MOST_PAYLOAD = 8 * 1024 * 1024  # bytes over all frames of one value
+MAX_FRAME = 32 * 1024  # bytes, its head included: one message of a socket
+MAX_PAYLOAD = 8 * 1024 * 1024  # bytes over all frames of one value
 MORE = 1
 
 
@@ -43,9 +43,9 @@
 def encode(kind: Kind, value: Any) -> Iterator[bytes]:
     """The frames of one value; ValueError where it is too long."""
     payload = orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS)
-    if len(payload) > MOST_PAYLOAD:
-        raise ValueError(f"found {len(payload)} bytes to give, wanted {MOST_PAYLOAD} at most")
-    size = MOST_FRAME - HEAD.size
+    if len(payload) > MAX_PAYLOAD:
+        raise ValueError(f"found {len(payload)} bytes to give, wanted {MAX_PAYLOAD} at most")
+    size = MAX_FRAME - HEAD.size
     for at in range(0, max(1, len(payload)), size):
         part = payload[at : at + size]
         flags = MORE if at + size < len(payload) else 0
@@ -53,7 +53,7 @@
 
 
 class Reader:
-    """Puts the frames of one side together. Bounded by `MOST_PAYLOAD`."""
+    """Puts the frames of one side together. Bounded by `MAX_PAYLOAD`."""
 
     def __init__(self) -> None:
         self.kind: Kind | None = None
@@ -80,8 +80,8 @@
         if self.kind is not None and kind is not self.kind:
             raise FrameError(f"found {kind.name} within {self.kind.name}")
         self.parts += part
-        if len(self.parts) > MOST_PAYLOAD:
-            raise FrameError(f"found over {MOST_PAYLOAD} bytes of one value")
+        if len(self.parts) > MAX_PAYLOAD:
+            raise FrameError(f"found over {MAX_PAYLOAD} bytes of one value")
         self.kind = kind
         if flags & MORE:
             return None
--- a/honeywharf/handover/knowledge.py
+++ b/honeywharf/handover/knowledge.py
@@ -21,7 +21,7 @@
 LONGEST_MS = 3600_000.0  # of any time of an answer
 LONGEST_PAUSE_MS = 5.0 * PAUSE_MS  # that an ejection may still last
 PACE_MOST = 10.0
-MOST_ROWS = 20000  # servers, zones or classes that are read
+MAX_ROWS = 20000  # servers, zones or classes that are read
 
 
 def learned(balancer: Balancer) -> dict[str, Any]:
@@ -81,7 +81,7 @@
     """A table of objects by name, bounded; what is none is empty."""
     if not isinstance(value, dict):
         return {}
-    return {k: v for k, v in list(value.items())[:MOST_ROWS] if isinstance(k, str) and isinstance(v, dict)}
+    return {k: v for k, v in list(value.items())[:MAX_ROWS] if isinstance(k, str) and isinstance(v, dict)}
 
 
 def know(balancer: Balancer, now: float, given: Any) -> int:
--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -24,10 +24,10 @@
 from honeywharf.handover.frames import FrameError, Kind
 
 WAIT_S = 0.4  # for the whole state
-MOST_LINES = 4  # processes that are linked at once
-MOST_QUEUED = 512  # frames that a slow peer has still to read; one that does not is left
+MAX_LINES = 4  # processes that are linked at once
+MAX_QUEUED = 512  # frames that a slow peer has still to read; one that does not is left
 AGAIN_S = 0.005  # until a descriptor that the peer's queue had no room for is offered again
-MOST_FDS = 1
+MAX_FDS = 1
 NAME = "honeywharf-{}-{}.{}"  # host, port, "sock" or "words"
 
 
@@ -46,7 +46,7 @@
         """Queue a value's frames."""
         for frame in frames.encode(kind, value):
             self.queue.append(frame)
-        if len(self.queue) > MOST_QUEUED:
+        if len(self.queue) > MAX_QUEUED:
             self.close("it does not read")
         else:
             self._write()
@@ -83,7 +83,7 @@
         descriptors: list[int] = []
         try:
             data, descriptors, _, _ = socket.recv_fds(
-                self.socket, frames.MOST_FRAME, MOST_FDS, socket.MSG_DONTWAIT
+                self.socket, frames.MAX_FRAME, MAX_FDS, socket.MSG_DONTWAIT
             )
             if not data:
                 self.close("")
@@ -172,7 +172,7 @@
                 with suppress(FileNotFoundError):
                     os.unlink(own)
                 made.bind(own)
-                made.listen(MOST_LINES)
+                made.listen(MAX_LINES)
                 os.rename(own, path + self.name)  # at once: no moment without one
                 found = os.stat(path + self.name)
                 self.made = found.st_dev, found.st_ino
@@ -215,7 +215,7 @@
         """Those that a process before this one has kept; None where there are none."""
         try:
             with open(self.file, "rb") as file:
-                kind, value = frames.decode(file.read(2 * frames.MOST_PAYLOAD))
+                kind, value = frames.decode(file.read(2 * frames.MAX_PAYLOAD))
         except FileNotFoundError:
             return None
         except (OSError, FrameError) as fault:
@@ -282,8 +282,8 @@
             return
         try:
             check_peer(made)
-            if len(self.lines) >= MOST_LINES:
-                raise FrameError(f"found {MOST_LINES} processes linked, wanted fewer")
+            if len(self.lines) >= MAX_LINES:
+                raise FrameError(f"found {MAX_LINES} processes linked, wanted fewer")
         except (OSError, FrameError) as fault:
             made.close()
             log(f"handover: a caller is left: {fault}", "handover.fault", "warning")
--- a/honeywharf/handover/state.py
+++ b/honeywharf/handover/state.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from honeywharf.service.bans import MOST, MOST_ID, MOST_KNOWN
+from honeywharf.service.bans import MAX_ID, MAX_KNOWN, MOST
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
         (k, float(v))
         for k, v in value.items()
         if isinstance(k, str)
-        and 0 < len(k) <= MOST_ID
+        and 0 < len(k) <= MAX_ID
         and not isinstance(v, bool)
         and isinstance(v, int | float)
         and 0 <= v < 1e15
@@ -71,7 +71,7 @@
     """Ids, bounded."""
     if not isinstance(value, list):
         return []
-    return [x for x in value if isinstance(x, str) and 0 < len(x) <= MOST_ID][-MOST_KNOWN:]
+    return [x for x in value if isinstance(x, str) and 0 < len(x) <= MAX_ID][-MAX_KNOWN:]
 
 
 def newer(value: Any, than: int) -> Mapping[str, Any] | None:
--- a/honeywharf/hinted_handoff/hints.py
+++ b/honeywharf/hinted_handoff/hints.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-MOST_MACHINES = 32
+MAX_MACHINES = 32
 ENTRIES, ALL_ENTRIES = 256, 2048
 BYTES, ALL_BYTES = 64 << 10, 256 << 10
 KEPT = 30.0  # seconds; who is gone for longer asks for everything anyway
@@ -45,8 +45,8 @@
         """Keep for a machine from now on; False where there is no room for one more."""
         if machine in self.held:
             return True
-        if len(self.held) >= MOST_MACHINES:
-            self._spill(f"no room for {machine}: {MOST_MACHINES} machines are missing")
+        if len(self.held) >= MAX_MACHINES:
+            self._spill(f"no room for {machine}: {MAX_MACHINES} machines are missing")
             return False
         self.held[machine] = Kept(since)
         return True
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -10,10 +10,10 @@
 
 from honeywharf.codecs import http1
 from honeywharf.core.driver import Driver
-from honeywharf.core.messages import MAX_BODY, Status, is_call
+from honeywharf.core.messages import MAX_BUFFERED_BODY, Status, is_call
 from honeywharf.core.transport import Address, Clock
 from honeywharf.flow.account import Account
-from honeywharf.flow.pace import HEAD_MS, LEAST_PER_S, STALL_MS, Pace
+from honeywharf.flow.pace import HEAD_MS, MIN_PER_S, STALL_MS, Pace
 from honeywharf.flow.pipe import Pipe
 from honeywharf.http.pieces import Reading, Writing, read_in_pieces
 
@@ -22,19 +22,19 @@
 
 BACKLOG = 1024
 READY = b"/health/ready"
-MOST_WAITING = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
-MOST_WAITING_BYTES = MAX_BODY
+MAX_WAITING = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
+MAX_WAITING_BYTES = MAX_BUFFERED_BODY
 SILENT_MS = 2000.0  # a connection on which nothing has come is closed then
 IDLE_MS = 6000.0  # and so is one that has been idle so long after an answer; where callers crowd, earlier:
 CROWDED_IDLE_MS = 2000.0
-MOST_TURNED_AWAY = 32  # connections beyond the bound that are told so; further ones are cut
+MAX_TURNED_AWAY = 32  # connections beyond the bound that are told so; further ones are cut
 YOUNG_MS = 250.0  # under that age a connection that says nothing is not the first to go
 LINGER_S = 0.5  # after a last answer: closing on unread bytes would take the answer back
 LINGER_MOST_S = 3.0  # the same for a caller that has not taken the answer off yet
 LINGER_BYTES = 256 * 1024  # what is read and thrown away in that time
 # The same where a long body was still coming: some callers read their answer only when all is written.
 LINGER_BODY_S = 2.0
-MOST_THROWN = 64 * 1024 * 1024  # bytes of it in that time
+MAX_THROWN = 64 * 1024 * 1024  # bytes of it in that time
 SWEEP_S = 0.2
 GIVE_AGAIN_S = 0.005  # until a connection is offered again that could not be given away
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -137,8 +137,8 @@
                 request.read_ms, request.waited_ms = now, self.waited_ms
                 self.waiting.append(request)
                 self.waiting_bytes += len(request.body)
-            if len(self.waiting) > MOST_WAITING or (
-                len(self.waiting) > 1 and self.waiting_bytes > MOST_WAITING_BYTES
+            if len(self.waiting) > MAX_WAITING or (
+                len(self.waiting) > 1 and self.waiting_bytes > MAX_WAITING_BYTES
             ):
                 self._too_far_ahead()
                 return
@@ -383,7 +383,7 @@
         """
         pipe = self.coming
         self._arrived()
-        self.thrown = -MOST_THROWN
+        self.thrown = -MAX_THROWN
         if pipe is not None:
             pipe.cancel()
         self._stop()
@@ -535,7 +535,7 @@
             self.driver.seams.connected += 1
         if len(self.connections) > self.most and not self._make_room():
             connection.reject(REFUSED)
-            if len(self.connections) > self.most + MOST_TURNED_AWAY:
+            if len(self.connections) > self.most + MAX_TURNED_AWAY:
                 connection.transport.abort()  # guards the descriptors: each holds one until it has read that
             return
         self.move(connection, self.idle if connection.served else self.silent)
@@ -683,7 +683,7 @@
         for connection in list(self.partial):
             spent = now - connection.since_ms - HEAD_MS
             if spent > 0 and (
-                connection.reader.in_head or spent * LEAST_PER_S / 1000.0 > connection.reader.body_bytes
+                connection.reader.in_head or spent * MIN_PER_S / 1000.0 > connection.reader.body_bytes
             ):
                 connection.reject(408)
         for connection in list(self.uploads):
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -35,7 +35,7 @@
 from honeywharf.lab.model import NodeSpec
 from honeywharf.lab.simulator import Day, Reporting, Trouble, capacity
 
-MOST_CELLS = 10_000
+MAX_CELLS = 10_000
 KINDS = ("crash", "slow", "drain", "restart", "descriptors")
 
 
@@ -175,8 +175,8 @@
     number = len(seeds)
     for axis in axes:
         number *= len(axis)
-    if number > MOST_CELLS:
-        raise ExperimentError(f"sweep: wanted up to {MOST_CELLS} cells, found {number}")
+    if number > MAX_CELLS:
+        raise ExperimentError(f"sweep: wanted up to {MAX_CELLS} cells, found {number}")
     found = []
     for combination in itertools.product(*axes):
         one, labels = copy.deepcopy(raw), {}
--- a/honeywharf/lab/habits.py
+++ b/honeywharf/lab/habits.py
@@ -5,16 +5,16 @@
 import random
 from collections.abc import Callable, Mapping, Sequence
 
-BASE_MS, MOST_MS = 100.0, 3200.0
+BASE_MS, MAX_MS = 100.0, 3200.0
 
 #: By name: the pause in ms before try number `tries + 1`, of the time told and a random source.
 HABITS: dict[str, Callable[[int, float, random.Random], float]] = {
-    "obedient": lambda tries, told, draw: told or draw.uniform(0.0, min(MOST_MS, BASE_MS * 2**tries)),
+    "obedient": lambda tries, told, draw: told or draw.uniform(0.0, min(MAX_MS, BASE_MS * 2**tries)),
     "half": lambda tries, told, draw: told if told and draw.random() < 0.5 else BASE_MS,
     "deaf": lambda tries, told, draw: BASE_MS,
     "at once": lambda tries, told, draw: draw.uniform(0.0, 10.0),
-    "exponential": lambda tries, told, draw: min(MOST_MS, BASE_MS * 2**tries),
-    "jitter": lambda tries, told, draw: draw.uniform(0.0, min(MOST_MS, BASE_MS * 2**tries)),
+    "exponential": lambda tries, told, draw: min(MAX_MS, BASE_MS * 2**tries),
+    "jitter": lambda tries, told, draw: draw.uniform(0.0, min(MAX_MS, BASE_MS * 2**tries)),
     "several": lambda tries, told, draw: BASE_MS,
 }
 NAMES: tuple[str, ...] = tuple(HABITS)  # a client's habit as a number is its place here
--- a/honeywharf/lab/histories.py
+++ b/honeywharf/lab/histories.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-MOST_EVENTS = 2_000_000
+MAX_EVENTS = 2_000_000
 LOST = 0  # the status of a request whose connection ended without an answer
 
 
@@ -32,7 +32,7 @@
 class History:
     """The record of one run. MemoryError beyond `most` events: nothing is left out in silence."""
 
-    most: int = MOST_EVENTS
+    most: int = MAX_EVENTS
     asks: dict[str, Ask] = field(default_factory=dict)  # by request id
     charges: dict[str, list[tuple[float, str]]] = field(default_factory=lambda: defaultdict(list))
     outages: list[tuple[float, float]] = field(default_factory=list)  # of proxies: killed, back
--- a/honeywharf/lab/results.py
+++ b/honeywharf/lab/results.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 VERSION = 1
-MOST_BYTES = 256 * 1024 * 1024
+MAX_BYTES = 256 * 1024 * 1024
 PAGE = 4096
 
 
@@ -42,7 +42,7 @@
     this one's. Empty for who only reads.
     """
 
-    def __init__(self, path: Path, most_bytes: int = MOST_BYTES, code: str = "") -> None:
+    def __init__(self, path: Path, most_bytes: int = MAX_BYTES, code: str = "") -> None:
         self.path, self.most_bytes = path, most_bytes
         fresh = not path.exists()
         try:
--- a/honeywharf/lease/acquisition.py
+++ b/honeywharf/lease/acquisition.py
@@ -27,7 +27,7 @@
 WITHIN_S = 0.3  # for the whole of a first round over all groups
 CALL_S = 0.2  # for one grantor
 SOONEST_S = 0.01  # between two looks at a lease
-MOST_TRIES = 24  # rounds of one acquisition until it is granted or refused
+MAX_TRIES = 24  # rounds of one acquisition until it is granted or refused
 
 
 class LeaseAcquisition:
@@ -90,7 +90,7 @@
             self._grant()
             return
         group = self.wanted[len(self.leases)]
-        if not group or self.tries >= MOST_TRIES:
+        if not group or self.tries >= MAX_TRIES:
             self._refuse(self.done)
             return
         lease = Lease(group.pop(0), self.holder, max(self.numbers(), default=0))
@@ -130,7 +130,7 @@
     def _next_place(self, lease: Lease) -> None:
         """This place is not to be had, or by a higher number only."""
         self._free(lease)
-        if lease.raised() and self.tries < MOST_TRIES:
+        if lease.raised() and self.tries < MAX_TRIES:
             self._round(lease)
             return
         self.leases.remove(lease)
--- a/honeywharf/lease/grants.py
+++ b/honeywharf/lease/grants.py
@@ -25,9 +25,9 @@
     Duty = tuple[str, str, int]  # kind, scope, place
 
 TERMS = {"upkeep": 1.0, "aside": 3.0}  # seconds that a vote lasts, by kind
-MOST_VOTES = 512  # duties that a grantor has votes for
-MOST_SCOPE = 128  # characters
-MOST_NUMBER = 1 << 62
+MAX_VOTES = 512  # duties that a grantor has votes for
+MAX_SCOPE = 128  # characters
+MAX_NUMBER = 1 << 62
 
 GRANTED = "granted"
 HELD = "held"  # another one has it
@@ -79,7 +79,7 @@
 
     def _judge(self, now: float, duty: Duty, holder: str, number: int, epoch: int) -> str:
         kind, scope, place = duty
-        if kind not in TERMS or len(scope) > MOST_SCOPE or not 0 < number < MOST_NUMBER:
+        if kind not in TERMS or len(scope) > MAX_SCOPE or not 0 < number < MAX_NUMBER:
             return NONE
         if epoch != self.epoch or self.pending:
             return ROSTER
@@ -102,9 +102,9 @@
         return now < self.since + TERMS[kind]
 
     def _room(self, now: float, duty: Duty) -> bool:
-        if duty not in self.votes and len(self.votes) >= MOST_VOTES:
+        if duty not in self.votes and len(self.votes) >= MAX_VOTES:
             self.votes = {one: vote for one, vote in self.votes.items() if now < vote.until}
-        return duty in self.votes or len(self.votes) < MOST_VOTES
+        return duty in self.votes or len(self.votes) < MAX_VOTES
 
     def free(self, duty: Duty, holder: str, number: int) -> None:
         """A holder has stopped, or did not become one; a late word of an earlier lease changes nothing."""
--- a/honeywharf/limits/codel.py
+++ b/honeywharf/limits/codel.py
@@ -8,7 +8,7 @@
 
 DELAY_PART = 0.25  # of the target that a standing queue may delay answers
 INTERVAL_PART = 0.5  # of the target: longer than an answer at ease takes
-LEAST_INTERVAL_MS = 20.0
+MIN_INTERVAL_MS = 20.0
 BACKOFF = 0.9
 
 
@@ -38,7 +38,7 @@
         dropped: bool = False,
     ) -> None:
         """Move the limit by one answer."""
-        interval = max(LEAST_INTERVAL_MS, INTERVAL_PART * target_ms)
+        interval = max(MIN_INTERVAL_MS, INTERVAL_PART * target_ms)
         delay = target_ms if dropped else latency_ms - base_ms
         self.least_ms = min(self.least_ms, delay)
         if now_ms >= self.due_ms:
--- a/honeywharf/limits/gradient.py
+++ b/honeywharf/limits/gradient.py
@@ -10,7 +10,7 @@
 LONG_OVER = 600  # answers in the long-term mean
 SHORT_OVER = 10  # and in the present one
 SMOOTHING = 0.2
-LEAST_GRADIENT = 0.5
+MIN_GRADIENT = 0.5
 
 
 class GradientLimiter(Limiter):
@@ -48,6 +48,6 @@
             self.long_ms *= 0.95
         if in_flight < self.limit / 2.0:
             return  # it has not been tried
-        gradient = max(LEAST_GRADIENT, min(1.0, TOLERANCE * self.long_ms / max(self.short_ms, 1e-6)))
+        gradient = max(MIN_GRADIENT, min(1.0, TOLERANCE * self.long_ms / max(self.short_ms, 1e-6)))
         wanted = self.limit * gradient + math.sqrt(self.limit)
         self.bound(self.limit + (wanted - self.limit) * SMOOTHING, 0.25 * self.first)
--- a/honeywharf/limits/lateness.py
+++ b/honeywharf/limits/lateness.py
@@ -32,7 +32,7 @@
 FLIGHT_MS = 1000.0  # over which the calls that are needed in flight are formed
 FLIGHT_PART = 0.9  # of these, below which no limit goes: some have to go, or a standing queue stays
 CALM = 0.5  # part of answers dropped or past the ease's bound: under it, nothing bad is known
-LEAST_PART = 0.25  # of its first value that a limit keeps where servers turn away or answer past the target
+MIN_PART = 0.25  # of its first value that a limit keeps where servers turn away or answer past the target
 
 
 class LatenessLimiter(Limiter):
@@ -120,7 +120,7 @@
         late = LATEST if dropped or latency_ms > LATEST * ease else latency_ms / ease
         self.lateness += (late - self.lateness) * FOLLOWS
         short = 1.0 - self.lateness
-        least = LEAST_PART * self.first
+        least = MIN_PART * self.first
         if self.little:
             least = max(least, FLIGHT_PART * self.flight)
             # Guards against a floor that starves servers of which nothing bad is known. Where they turn away
--- a/honeywharf/mesh_config/configuration.py
+++ b/honeywharf/mesh_config/configuration.py
@@ -26,11 +26,11 @@
 if TYPE_CHECKING:
     from jsonschema.exceptions import ValidationError
 
-MOST_BYTES = 8 << 20  # some 35,000 routes; what is larger is not read
-MOST_VERSION = 2**63 - 1  # versions travel between processes as 64 bits
+MAX_BYTES = 8 << 20  # some 35,000 routes; what is larger is not read
+MAX_VERSION = 2**63 - 1  # versions travel between processes as 64 bits
 LONGEST_TIMEOUT_S = 600.0
-MOST_HOMES = 64  # regions of one route
-MOST_FAULTS = 5  # told to who sends a bad one
+MAX_HOMES = 64  # regions of one route
+MAX_FAULTS = 5  # told to who sends a bad one
 SHOWN = 60  # characters of what was found
 KINDS = (READ_ONLY, MUTATING, UPLOAD)
 
@@ -55,7 +55,7 @@
         "timeout": _TEXT,
         "target-latency": _MAYBE_TEXT,
         "priority": _MAYBE_COUNT,
-        "allowed-regions": {"type": ["array", "null"], "items": _TEXT, "maxItems": MOST_HOMES},
+        "allowed-regions": {"type": ["array", "null"], "items": _TEXT, "maxItems": MAX_HOMES},
         "max-attempts": {"type": "integer", "minimum": 1},
         "target-service": _MAYBE_TEXT,
         "traffic-split": {"type": ["array", "null"], "items": _SHARE},
@@ -111,11 +111,11 @@
 
 
 def check(raw: bytes) -> Result[Configuration, str]:
-    """The configuration in `raw`, or at most MOST_FAULTS of its faults, separated by semicolons."""
+    """The configuration in `raw`, or at most MAX_FAULTS of its faults, separated by semicolons."""
     whole = _parsed(raw)
     if isinstance(whole, Err):
         return whole
-    faults = list(islice(_faults(whole.ok_value), MOST_FAULTS))
+    faults = list(islice(_faults(whole.ok_value), MAX_FAULTS))
     if faults:
         return Err("; ".join(faults))
     return Ok(Configuration(version_number(whole.ok_value["config-version"]), digest(raw), raw))
@@ -136,8 +136,8 @@
 
 def _parsed(raw: bytes) -> Result[dict[str, object], str]:
     """The JSON object in the text."""
-    if len(raw) > MOST_BYTES:
-        return Err(f"the text: found {len(raw)} bytes, wanted at most {MOST_BYTES}")
+    if len(raw) > MAX_BYTES:
+        return Err(f"the text: found {len(raw)} bytes, wanted at most {MAX_BYTES}")
     try:
         whole = json.loads(raw.decode("utf-8"), parse_constant=_no_constant)
     except UnicodeDecodeError as fault:
@@ -227,7 +227,7 @@
     if not isinstance(value, str):
         return  # the frame has told it
     try:
-        good = len(value) <= 20 and version_number(value) <= MOST_VERSION
+        good = len(value) <= 20 and version_number(value) <= MAX_VERSION
     except ValueError:
         good = False
     if not good:
--- a/honeywharf/mesh_config/routes.py
+++ b/honeywharf/mesh_config/routes.py
@@ -21,7 +21,7 @@
 
 #: What stands in for a field that a configuration leaves out.
 HEALTH = "/health"
-MOST_CONNECTIONS = 100
+MAX_CONNECTIONS = 100
 MAX_HEADER_BYTES = 16384
 MAX_BODY_BYTES = 64 << 20
 HEADER_TIMEOUT_S = 3.0
@@ -38,7 +38,7 @@
         """From its JSON object. KeyError, TypeError or ValueError where that was never checked."""
         self.name = str(fields["name"])
         self.health = str(_or(fields, "health-check-path", HEALTH))
-        self.most_connections = _whole(_or(fields, "max-connections", MOST_CONNECTIONS))
+        self.most_connections = _whole(_or(fields, "max-connections", MAX_CONNECTIONS))
         self.cold_start_s = seconds(_or(fields, "cold-start", "0s"))
         self.cold_per_s = _float(_or(fields, "cold-per-s", float("inf")))  # requests a second
 
--- a/honeywharf/mesh_config/settings.py
+++ b/honeywharf/mesh_config/settings.py
@@ -21,7 +21,7 @@
 
 #: The addresses of ours that must be addresses; what else `listen-addresses` holds is kept where it is one.
 LISTENS = ("inbound", "outbound", "readiness", "control-plane")
-MOST_BYTES = 1 << 20  # a settings file is some 2 KiB; what is larger is not one
+MAX_BYTES = 1 << 20  # a settings file is some 2 KiB; what is larger is not one
 WORDS = {"true": 1.0, "false": 0.0}
 
 
@@ -311,8 +311,8 @@
 
 def parse(text: str, file: str = "settings") -> Settings:
     """Settings out of a file's text; `file` is for refusals. SettingsError where they cannot be used."""
-    if len(text) > MOST_BYTES:
-        raise SettingsError(file, "the file", f"{len(text)} characters", f"at most {MOST_BYTES}")
+    if len(text) > MAX_BYTES:
+        raise SettingsError(file, "the file", f"{len(text)} characters", f"at most {MAX_BYTES}")
     top = _loaded(text, file)
     read = Settings()
     read.file = file
@@ -327,7 +327,7 @@
     """Settings out of the file at `path`. SettingsError where it cannot be read or used."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(MOST_BYTES + 1)
+            raw = file.read(MAX_BYTES + 1)
         return parse(raw.decode("utf-8"), path)
     except OSError as fault:
         why = fault.strerror or str(fault)
--- a/honeywharf/metrics/__init__.py
+++ b/honeywharf/metrics/__init__.py
@@ -26,8 +26,8 @@
 __all__ = ["MetricsPart", "attach"]
 
 PATIENCE_S = 2.0  # for one scrape
-MOST_AT_ONCE = 4
-MOST_HEAD = 8 * 1024
+MAX_AT_ONCE = 4
+MAX_HEAD = 8 * 1024
 
 
 class MetricsPart(Part):
@@ -62,7 +62,7 @@
         """Listen, where a port is asked for."""
         if self.at is None:
             return ""
-        self.server = await asyncio.start_server(self._serve, *self.at, limit=MOST_HEAD)
+        self.server = await asyncio.start_server(self._serve, *self.at, limit=MAX_HEAD)
         self.at = self.server.sockets[0].getsockname()[:2]
         return f"is scraped at {self.at[0]}:{self.at[1]}/metrics"
 
@@ -80,7 +80,7 @@
             self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open >= MOST_AT_ONCE:
+        if self.open >= MAX_AT_ONCE:
             self.cut += 1
             writer.close()
             return
--- a/honeywharf/metrics/durations.py
+++ b/honeywharf/metrics/durations.py
@@ -14,7 +14,7 @@
 
 #: Upper bounds in s: the client's whole deadline of 5 s, and the aim of 2 s, are bounds of their own.
 BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
-MOST_SERIES = 200  # of class and end: classes are the settings' own, ends a dozen
+MAX_SERIES = 200  # of class and end: classes are the settings' own, ends a dozen
 
 
 class Durations:
@@ -39,7 +39,7 @@
         """One final answer of class `cls`, ended so, `took_ms` after its request had come."""
         found = self.series.get((cls, how))
         if found is None:
-            if len(self.series) >= MOST_SERIES:
+            if len(self.series) >= MAX_SERIES:
                 self.left_out += 1
                 return
             found = self.series[cls, how] = Durations()
--- a/honeywharf/orderkeys/views.py
+++ b/honeywharf/orderkeys/views.py
@@ -16,7 +16,7 @@
 from honeywharf.orderkeys.table import Entry, State, name_of
 from honeywharf.policy import interface as api
 
-MOST_TENANTS = 20  # that are told, those with most keys first
+MAX_TENANTS = 20  # that are told, those with most keys first
 WORDS = {b"R": State.RUNNING.value, b"D": State.DONE.value, b"U": State.UNCERTAIN.value}
 
 
@@ -87,7 +87,7 @@
             "states": dict(states),
             "waiting": len(self.edge.waiting),
             "dropped": table.dropped,
-            "tenants": dict(tenants.most_common(MOST_TENANTS)),
+            "tenants": dict(tenants.most_common(MAX_TENANTS)),
         }
 
     # Keys that proxies share.
@@ -134,7 +134,7 @@
             "keys": int(reply[2]),
             "bytes": int(reply[3]),
             "waiting": len(self.edge.waiting),
-            "tenants": dict(tenants.most_common(MOST_TENANTS)),
+            "tenants": dict(tenants.most_common(MAX_TENANTS)),
         }
 
     def _forgotten(self, reply: Any) -> dict[str, Any]:
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from honeywharf.mesh_config.settings import Settings
 
-MOST_BODY = 65 << 20  # bytes of a configuration
+MAX_BODY = 65 << 20  # bytes of a configuration
 STOPPING = 0.9  # s that calls at work have after SIGTERM
 HANDOVER_S = 2.0  # that a standby has to take this machine's place, and at most half of `grace-period`
 LOADED = 0.5  # s after the start, when the door and the register have answered whoever waited
@@ -82,7 +82,7 @@
             int(host.wall() * 1000),
         )
         self.membership.on_word = self._rumour
-        self.door = HttpServer(host, settings.listen["control-plane"], self.operator.take, MOST_BODY)
+        self.door = HttpServer(host, settings.listen["control-plane"], self.operator.take, MAX_BODY)
         host.after(LOADED, self.operator.load)
         host.log(
             f"control node: {settings.node_name} at {settings.ip}, disk {self.replica.state.disk},"
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -41,11 +41,11 @@
 TELL_S = 0.5  # between words of its load
 QUEUE_S = 0.5  # of its link that a gateway may have on the way
 DOWN_S = 0.5  # for which a destination that could not be reached is not tried again
-LEAST_BYTES = 4 << 20
+MIN_BYTES = 4 << 20
 LAST_S = 1.0  # for which short requests are waited for before they are asked to leave too
 END_S = 0.4  # before the end of `grace-period`
 COUNTERS_S = 10.0
-MOST_LINKS = 2048
+MAX_LINKS = 2048
 AGAIN_S = 0.4  # before another gateway that was lost is looked for again
 
 
@@ -94,7 +94,7 @@
     def _accept(self, connection: Connection) -> Handler:
         line = Caught(connection, TO_SOURCES, self._from_source, self._source_gone, self._tell)
         self.sources[line] = None
-        if len(self.sources) > MOST_LINKS:
+        if len(self.sources) > MAX_LINKS:
             connection.abort()
         return line
 
@@ -112,7 +112,7 @@
         """The link to a destination, asked for where there is none; each lane has its own."""
         line = self.landings.get((to, lane))
         if line is None:
-            if len(self.landings) >= MOST_LINKS or self.host.now() < self.down.get(to, 0.0):
+            if len(self.landings) >= MAX_LINKS or self.host.now() < self.down.get(to, 0.0):
                 return None
             line = self.landings[to, lane] = Line(
                 self.host,
@@ -131,7 +131,7 @@
         for key in [key for key, each in self.landings.items() if each is line]:
             del self.landings[key]
             if not line.is_up:
-                if len(self.down) >= MOST_LINKS:
+                if len(self.down) >= MAX_LINKS:
                     self.down.clear()
                 self.down[key[0]] = self.host.now() + DOWN_S
         self.passages.path_lost(line)
@@ -274,7 +274,7 @@
 
     More would only wait here, and the word that a session is to move would wait behind it.
     """
-    return max(LEAST_BYTES, int(min(memory_mb * 262144.0, link_mbps * 125000.0 * QUEUE_S)))
+    return max(MIN_BYTES, int(min(memory_mb * 262144.0, link_mbps * 125000.0 * QUEUE_S)))
 
 
 def main() -> int:
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -24,7 +24,7 @@
 from honeywharf.sidecar.source import Source
 from honeywharf.transport.http_server import Call, HttpServer
 from honeywharf.transport.rpc import Answerer, Caller
-from honeywharf.transport.streams import HANDED, MOST_FRAME, Reception
+from honeywharf.transport.streams import HANDED, MAX_FRAME, Reception
 from honeywharf.verdict import WORDS
 
 TYPE_CHECKING = False
@@ -170,7 +170,7 @@
         self.membership.tell(**say)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
-        reader.most = MOST_FRAME
+        reader.most = MAX_FRAME
         return Reception(connection, reader, frames, self._begin)
 
     def _begin(self, ask: Ask, answers: Answers) -> Work | None:
--- a/honeywharf/reports/age.py
+++ b/honeywharf/reports/age.py
@@ -15,9 +15,9 @@
 
 BIN_MS = 250.0
 BINS = 40
-MOST_SHIFT = 24  # bins: six seconds
+MAX_SHIFT = 24  # bins: six seconds
 EACH_MS = 500.0  # how often it is looked
-LEAST_FILLED = 12  # bins with calls
+MIN_FILLED = 12  # bins with calls
 MOVES = 0.3  # references that both have to move by, as a standard deviation
 CLOSE, CLOSER = 0.6, 0.15  # a correlation that tells something, and how much above the one of no shift
 APART = 0.4  # a correlation of no shift, under which reports may be late
@@ -72,15 +72,11 @@
             if last_own >= 0.0:  # a bin without calls is as the one before it
                 own.append(last_own)
                 told.append(last_told)
-        if (
-            filled < LEAST_FILLED
-            or spread(own) < MOVES * reference_ms
-            or (spread(told) < MOVES * reference_ms)
-        ):
+        if filled < MIN_FILLED or spread(own) < MOVES * reference_ms or (spread(told) < MOVES * reference_ms):
             return
         none = best = correlation(own, told, 0)
         shift = 0
-        for k in range(1, min(MOST_SHIFT, len(own) // 2) + 1):
+        for k in range(1, min(MAX_SHIFT, len(own) // 2) + 1):
             found = correlation(own, told, k)
             if found > best:
                 best, shift = found, k
--- a/honeywharf/reports/fields.py
+++ b/honeywharf/reports/fields.py
@@ -10,7 +10,7 @@
 
 MOST = 1e6  # calls, or ms: what is beyond is no node's
 FULL = 0.9  # of a node's cores: under that, nothing waits for long
-LEAST_RATE = 0.1  # answers a second, under which no time is made of a rate
+MIN_RATE = 0.1  # answers a second, under which no time is made of a rate
 
 
 class Figure:
@@ -53,7 +53,7 @@
             return Figure(report[self.queue])
         if self.in_flight >= 0:
             held = report[self.in_flight]
-            if self.rate >= 0 and report[self.rate] >= LEAST_RATE and held > 0.0:
+            if self.rate >= 0 and report[self.rate] >= MIN_RATE and held > 0.0:
                 return Figure(took_ms=1000.0 * held / report[self.rate])
             return Figure(max(0.0, held - cores))
         if self.service >= 0:
--- a/honeywharf/reports/reports.py
+++ b/honeywharf/reports/reports.py
@@ -15,7 +15,7 @@
 from honeywharf.reports.room import Room
 
 CORES = 2.0  # of a node, until answers tell
-MOST_CORES = 64.0
+MAX_CORES = 64.0
 LEARN = 0.02  # weight of one answer in `turn_ms`, once some have told of it
 FIRST_TURNS = 3  # answers that the first guess counts for
 ENOUGH = 1.0  # calls that wait, from which an answer tells what one is
@@ -23,9 +23,9 @@
 SERVICE_OVER, BASE_OVER = 30, 300.0  # answers that make the time at a node, and over which the base rises
 IDLE = 0.25  # of a call's turn: under that wait a node counts as one where nothing waits
 SPARED_MS = 4000.0  # for which a node's own wait counts
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 EASE, AIM_LEAST = 1.35, 0.3  # as the limits: what is at ease, in base times and in targets
-LEAST_REFERENCE_MS = 5.0
+MIN_REFERENCE_MS = 5.0
 
 
 class LoadReports:
@@ -69,7 +69,7 @@
         if self.served < SERVICE_OVER:
             self.base_ms = base_ms
         base_ms = self.base_ms
-        self.reference_ms = max(LEAST_REFERENCE_MS, EASE * base_ms - base_ms, AIM_LEAST * target_ms - base_ms)
+        self.reference_ms = max(MIN_REFERENCE_MS, EASE * base_ms - base_ms, AIM_LEAST * target_ms - base_ms)
         figure = self.reader.read(report, base_ms / self.turn_ms)
         if not figure.said:
             self.counts["no figure"] += 1
@@ -94,7 +94,7 @@
             before = node.wait_ms if node.weight(now) > 0.0 else wait
             node.compared(took_ms / (base_ms + 0.5 * (before + wait)))
             if figure.waiting >= ENOUGH and node.believed:
-                turn = min(base_ms, max(base_ms / MOST_CORES, (took_ms - base_ms) / figure.waiting))
+                turn = min(base_ms, max(base_ms / MAX_CORES, (took_ms - base_ms) / figure.waiting))
                 self.turns += 1
                 self.turn_ms += (turn - self.turn_ms) * max(LEARN, 1.0 / (self.turns + FIRST_TURNS))
         node.heard(now, value, wait)
@@ -132,7 +132,7 @@
         age = now - node.at_ms
         if age > SPARED_MS:
             return 1.0
-        return max(LEAST_SHARE, 2.0 * self.reference_ms / node.wait_ms)
+        return max(MIN_SHARE, 2.0 * self.reference_ms / node.wait_ms)
 
     def hold(self) -> float:
         """Calls that this proxy may hold for each warm server of a zone that it is told of."""
--- a/honeywharf/reports/room.py
+++ b/honeywharf/reports/room.py
@@ -20,10 +20,10 @@
 
 GAIN, RATE = 0.25, 0.6  # e-folds of open: for each reference of change, and a second at one too much
 HURRY = 2.0  # times that rate, from one reference too much on
-MOST_ERROR = 3.0  # references over, that count; one under is as far as a wait goes
-MOST_OPEN = 32.0  # times what is known to fit: nodes may hold more at once than one learns from a wait
+MAX_ERROR = 3.0  # references over, that count; one under is as far as a wait goes
+MAX_OPEN = 32.0  # times what is known to fit: nodes may hold more at once than one learns from a wait
 UNUSED = 0.2  # e-folds a second by which an opening over 1 that is not used comes down
-LEAST_PARTS, LEAST_OPEN = 2.0, 0.3  # a zone that is never tried is never heard of
+MIN_PARTS, MIN_OPEN = 2.0, 0.3  # a zone that is never tried is never heard of
 LONGEST_MS = 500.0  # between reports, that the integral counts
 AWAY = 0.5  # of the reference: up to that wait others' calls are let in
 FOLLOW_MS = 150.0  # in which the zone's wait takes over two thirds of what its nodes say
@@ -52,7 +52,7 @@
             return
         rate = HURRY * RATE if error > 1.0 else RATE
         moved = part * (GAIN * (error - self.error) + rate * error * dt_s)
-        self.open = min(MOST_OPEN, max(self.least, self.open * math.exp(-moved)))
+        self.open = min(MAX_OPEN, max(self.least, self.open * math.exp(-moved)))
         self.error = error
 
 
@@ -66,7 +66,7 @@
         self.at_ms = -math.inf
         self.gap_ms = 0.0  # between reports, on the mean
         self.age = Age()
-        least = min(LEAST_OPEN, LEAST_PARTS * part)
+        least = min(MIN_OPEN, MIN_PARTS * part)
         self.binds = False  # what it is open to has kept calls out since the last report
         self.own, self.away = Valve(least), Valve(least)
 
@@ -104,5 +104,5 @@
 
 
 def bounded(wait_ms: float, reference_ms: float) -> float:
-    """How far a wait is over its reference, in references: from -1 to MOST_ERROR."""
-    return min(MOST_ERROR, wait_ms / reference_ms - 1.0)
+    """How far a wait is over its reference, in references: from -1 to MAX_ERROR."""
+    return min(MAX_ERROR, wait_ms / reference_ms - 1.0)
--- a/honeywharf/service/bans.py
+++ b/honeywharf/service/bans.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 
 MOST = 4096  # bans at once
-MOST_KNOWN = 16384  # ids that lists have named, beyond those that they name now
-MOST_ID = 256  # characters of an id
+MAX_KNOWN = 16384  # ids that lists have named, beyond those that they name now
+MAX_ID = 256  # characters of an id
 
 
 class BanError(ValueError):
@@ -35,7 +35,7 @@
         for name in now & self.gone.keys():
             del self.gone[name]
         self.listed = now
-        while len(self.gone) > MOST_KNOWN:
+        while len(self.gone) > MAX_KNOWN:
             del self.gone[next(iter(self.gone))]
 
     def remember(self, names: Iterable[str]) -> None:
@@ -43,7 +43,7 @@
         for name in names:
             if name not in self.listed:
                 self.gone[name] = None
-        while len(self.gone) > MOST_KNOWN:
+        while len(self.gone) > MAX_KNOWN:
             del self.gone[next(iter(self.gone))]
 
     def knows(self, name: str) -> bool:
@@ -51,8 +51,8 @@
         return name in self.listed or name in self.gone or name in self.since
 
     def _asked(self, name: str) -> None:
-        if not name or len(name) > MOST_ID:
-            raise BanError(f"found an id of {len(name)} characters, wanted 1 to {MOST_ID}")
+        if not name or len(name) > MAX_ID:
+            raise BanError(f"found an id of {len(name)} characters, wanted 1 to {MAX_ID}")
         if not self.knows(name):
             raise BanError(f"found {name!r}, which no list has named, wanted the id of a backend")
 
--- a/honeywharf/service/calls.py
+++ b/honeywharf/service/calls.py
@@ -1,6 +1,6 @@
 """What operators say at the second address, and what they are told: one line each way. Without I/O.
 
-    call    NAME [ID] LF        UTF-8, at most `MOST_LINE` bytes with its end; CR before LF is ignored
+    call    NAME [ID] LF        UTF-8, at most `MAX_LINE` bytes with its end; CR before LF is ignored
     answer  OK [words] LF  or  ERR words LF
 
 One call a connection. What comes behind its line is no part of it: where there is any, nothing is done."""
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-MOST_LINE = 512  # bytes
+MAX_LINE = 512  # bytes
 #: Each call, and whether it names a backend.
 CALLS = {"readyz": False, "exclude": True, "include": True, "evacuate": False, "activate": False}
 
@@ -28,14 +28,14 @@
 
 def whole(data: bytes) -> bool:
     """Whether no more is wanted to tell what was said: a line's end has come, or too much has."""
-    return b"\n" in data or len(data) >= MOST_LINE
+    return b"\n" in data or len(data) >= MAX_LINE
 
 
 def call(data: bytes) -> Call:
     """What was said; `CallError`."""
     line, end, rest = data.partition(b"\n")
-    if not end or len(line) >= MOST_LINE:
-        raise CallError(f"found {len(data)} bytes and no end of a line, wanted one within {MOST_LINE}")
+    if not end or len(line) >= MAX_LINE:
+        raise CallError(f"found {len(data)} bytes and no end of a line, wanted one within {MAX_LINE}")
     if rest.strip():
         raise CallError(f"found {len(rest)} bytes behind the line, wanted one line to a connection")
     try:
--- a/honeywharf/service/door.py
+++ b/honeywharf/service/door.py
@@ -12,7 +12,7 @@
 from honeywharf.core.transport import Address
 from honeywharf.service import calls
 
-MOST_AT_ONCE = 16  # callers; each holds a descriptor
+MAX_AT_ONCE = 16  # callers; each holds a descriptor
 PATIENCE_S = 5.0  # for a call to be whole: callers who finish none are met for some seconds
 BACKLOG = 64
 Do = Callable[[calls.Call], str]
@@ -36,7 +36,7 @@
         """Answer once the call is whole; what comes after that is not read."""
         if self.told:
             return
-        self.data += data[: calls.MOST_LINE + 1 - len(self.data)]
+        self.data += data[: calls.MAX_LINE + 1 - len(self.data)]
         if calls.whole(self.data):
             self._say(*self.door.answer(self.data))
 
@@ -81,7 +81,7 @@
     def joined(self, caller: Caller) -> None:
         """A caller has connected; the oldest one goes where all places are taken."""
         self.callers[caller] = None
-        if len(self.callers) > MOST_AT_ONCE:
+        if len(self.callers) > MAX_AT_ONCE:
             oldest = next(iter(self.callers))
             del self.callers[oldest]
             self.cut += 1
--- a/honeywharf/sessions/choice.py
+++ b/honeywharf/sessions/choice.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Iterable
 
 DOUBT_S = 2.0  # for which a gateway that failed is asked last
-MOST_GATEWAYS = 256
+MAX_GATEWAYS = 256
 
 
 class Gateway:
--- a/honeywharf/sessions/conveyor.py
+++ b/honeywharf/sessions/conveyor.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.choice import DOUBT_S, MOST_GATEWAYS, Gateway, choose
+from honeywharf.sessions.choice import DOUBT_S, MAX_GATEWAYS, Gateway, choose
 from honeywharf.sessions.inlet import FLOWING, IDLE, LEAVING, OVER, QUIET_S, Inlet, Request
 from honeywharf.sessions.kinds import (
     BRIEF,
@@ -42,9 +42,9 @@
 STALL_S = 2.5  # nothing came on a way that owes a word; a full gateway says little for a second and more
 PAUSES_S = (0.0, 0.0, 0.05, 0.1, 0.2, 0.4)  # before the first, second, ... way that is tried without success
 AGAIN_S = 0.4  # before a lost link to a gateway is asked for again
-LEAST_UNREACHED = 3
-MOST_SESSIONS = 4096
-MOST_LIVES = 1024  # destinations whose life is remembered
+MIN_UNREACHED = 3
+MAX_SESSIONS = 4096
+MAX_LIVES = 1024  # destinations whose life is remembered
 
 
 def head_of(ask: Ask) -> list[object]:
@@ -201,7 +201,7 @@
     ) -> None:
         self.spillway = Spillway(host.now, host.after, link_mbps * 125_000.0)
         self.host, self.region, self.zone, self.draw, self.sessions = host, region, zone, draw, sessions
-        self.ways = {place.node: Way(self, place) for place in list(places)[:MOST_GATEWAYS]}
+        self.ways = {place.node: Way(self, place) for place in list(places)[:MAX_GATEWAYS]}
         self.riders: dict[Carriage, None] = {}
         self.lives: dict[str, bytes] = {}
         self.timer: Timer | None = None
@@ -219,7 +219,7 @@
         homes: tuple[str, ...] = (),
     ) -> Carriage | None:
         """Carry a request to the sidecar at an IP address; None where there is no room for one more."""
-        if self.closed or len(self.riders) >= MOST_SESSIONS:
+        if self.closed or len(self.riders) >= MAX_SESSIONS:
             return None
         host = self.host
         deadline = host.now() + ask.remaining_s
@@ -286,7 +286,7 @@
         """
         inlet = rider.inlet
         if rider.read or not (inlet.finished or inlet.acked):
-            return rider.unreached >= max(LEAST_UNREACHED, len(self.ways))
+            return rider.unreached >= max(MIN_UNREACHED, len(self.ways))
         return not inlet.finished and rider.unreached > 0 and now - rider.apart_since > APART_S + 1.0
 
     def _leave(self, rider: Carriage) -> None:
@@ -333,7 +333,7 @@
         self._see(rider, self.host.now())
 
     def _remember(self, inlet: Inlet) -> None:
-        if inlet.request.to not in self.lives and len(self.lives) >= MOST_LIVES:
+        if inlet.request.to not in self.lives and len(self.lives) >= MAX_LIVES:
             self.lives.clear()
         self.lives[inlet.request.to] = inlet.life
 
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/landing.py
@@ -18,7 +18,7 @@
     from honeywharf.transport.streams import Work
 
 DUE_S = 0.25
-MOST_LINKS = 256
+MAX_LINKS = 256
 
 
 class Landed:
@@ -92,7 +92,7 @@
     def _accept(self, connection: Connection) -> Handler:
         line = Caught(connection, TO_LANDING, self._took, self._gone, lambda line: None)
         self.links[line] = None
-        if len(self.links) > MOST_LINKS:
+        if len(self.links) > MAX_LINKS:
             connection.abort()
         return line
 
--- a/honeywharf/sessions/line.py
+++ b/honeywharf/sessions/line.py
@@ -19,8 +19,8 @@
 PING_S = 0.25
 SILENT_S = 1.2
 IDLE_S = 60.0  # without a frame but PING and PONG, after which a link that need not stay is closed
-MOST_FRAME = 1 << 20
-MOST_UNSENT = 128 << 20  # more than any bound on what is granted: a guard, not a measure
+MAX_FRAME = 1 << 20
+MAX_UNSENT = 128 << 20  # more than any bound on what is granted: a guard, not a measure
 TO_SOURCES, TO_LANDING = "passage", "landing"  # greetings
 
 
@@ -39,7 +39,7 @@
     ) -> None:
         self.host, self.to, self.took, self.gone, self.stays = host, to, took, gone, stays
         self.short = short  # it carries bodies of short requests only
-        self.reader = FrameReader(MOST_FRAME)
+        self.reader = FrameReader(MAX_FRAME)
         self.heard = self.used = host.now()
         self.dead = self.is_up = False
         self.round_trip_s = 0.0
@@ -61,7 +61,7 @@
         self.used = self.host.now()
         data = encode(frame)
         self.connection.send(data)
-        if self.connection.unsent > MOST_UNSENT:
+        if self.connection.unsent > MAX_UNSENT:
             self.lose()
         return len(data)
 
@@ -128,7 +128,7 @@
     ) -> None:
         self.connection, self.greeting, self.took, self.gone = connection, greeting, took, gone
         self.greeted = greeted
-        self.reader = FrameReader(MOST_FRAME)
+        self.reader = FrameReader(MAX_FRAME)
         self.known = self.dead = False
 
     short = True  # bodies of requests come by this side, and none goes
@@ -144,7 +144,7 @@
             return 0
         data = encode(frame)
         self.connection.send(data)
-        if self.connection.unsent > MOST_UNSENT:
+        if self.connection.unsent > MAX_UNSENT:
             self.lose()
         return len(data)
 
--- a/honeywharf/sessions/outlet.py
+++ b/honeywharf/sessions/outlet.py
@@ -15,7 +15,7 @@
     OVER      what was told is told again, until the entry is forgotten
 
 An attempt that comes by another session joins the first, if it asks for the same thing: it is told the same
-verdict or answer. Bounds: `hold` for bodies; `MOST_ENTRIES`; `MOST_JOINED` for each; `MOST_ANSWERS` bytes of
+verdict or answer. Bounds: `hold` for bodies; `MAX_ENTRIES`; `MAX_JOINED` for each; `MAX_ANSWERS` bytes of
 answers that came and are kept for one who asks again: the oldest goes first, and then the word is "may have
 run".
 """
@@ -65,9 +65,9 @@
 STATES = ("holding", "running", "answering", "over")
 LEDGER_S = 30.0  # an attempt is remembered past its deadline: longer than any frame is on its way
 APART_S = 5.0  # without a way or a byte, after which a half-finished body is given up
-MOST_ENTRIES = 16384
-MOST_JOINED = 4
-MOST_ANSWERS = 8 << 20  # bytes of answers that were told
+MAX_ENTRIES = 16384
+MAX_JOINED = 4
+MAX_ANSWERS = 8 << 20  # bytes of answers that were told
 
 
 class Outlet:
@@ -149,8 +149,8 @@
         run: Callable[[Outlet], None],
         stop: Callable[[Outlet], None],
         flowed: Callable[[Outlet, int], None],
-        most_entries: int = MOST_ENTRIES,
-        most_answers: int = MOST_ANSWERS,
+        most_entries: int = MAX_ENTRIES,
+        most_answers: int = MAX_ANSWERS,
     ) -> None:
         self.life, self.region, self.hold, self.send = life, region, hold, send
         self.run, self.stop, self.flowed = run, stop, flowed
@@ -263,7 +263,7 @@
     def _join(self, now: float, first: Outlet, outlet: Outlet, path: Path, epoch: int, upto: int) -> None:
         """The same attempt by another session: it is told what the first is told."""
         same = _asked(first.head) == _asked(outlet.head) and first.length == outlet.length
-        if not same or len(first.joined) >= MOST_JOINED:
+        if not same or len(first.joined) >= MAX_JOINED:
             self.refused += 1
             self.send(path, [VERDICT, outlet.sid, epoch, MAY_HAVE_RUN, LOST, 0, 0])
             return
--- a/honeywharf/sessions/passage.py
+++ b/honeywharf/sessions/passage.py
@@ -41,7 +41,7 @@
 
     Path = object  # a link, as its owner knows it
 
-MOST_SESSIONS = 4096
+MAX_SESSIONS = 4096
 FOR_WINDOWS = 0.75  # of `most_bytes`
 
 
@@ -108,7 +108,7 @@
         region: str,
         send: Callable[[Path, list[Any]], None],
         most_bytes: int = 64 << 20,
-        most_sessions: int = MOST_SESSIONS,
+        most_sessions: int = MAX_SESSIONS,
     ) -> None:
         self.region, self.send, self.most_bytes, self.most_sessions = region, send, most_bytes, most_sessions
         self.rows: dict[bytes, Row] = {}
--- a/honeywharf/sessions/spillway.py
+++ b/honeywharf/sessions/spillway.py
@@ -8,7 +8,7 @@
 
 Sessions that wait take turns, a frame each. Within one session what must keep its order (`ORDERED`) queues
 behind what waits; what acknowledges, or moves a session, does not. What waits is bounded by what gateways
-have granted; past `MOST_WAITING` bytes the link that was to take it is lost.
+have granted; past `MAX_WAITING` bytes the link that was to take it is lost.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 LINK_MBPS = 1000.0  # where settings tell none
 SHARE = 0.9  # of the link, for bodies
 AHEAD, AHEAD_S = 2 * PIECE, 0.002  # of bodies before a short frame: bytes, or seconds if more
-LEAST_S, BLOCKED_S = 0.0005, 0.005  # between two looks; the second where only full links wait
+MIN_S, BLOCKED_S = 0.0005, 0.005  # between two looks; the second where only full links wait
 ORDERED = frozenset((OPEN, DATA, END, CLOSE, DROP, HEAD, PART, WHOLE))
-MOST_WAITING = 128 << 20
+MAX_WAITING = 128 << 20
 
 
 class Spillway:
@@ -74,7 +74,7 @@
     def _queue(self, queue: deque[list[Any]], line: Any, frame: list[Any]) -> None:
         queue.append(frame)
         self.waiting_bytes += _size(frame)
-        if self.waiting_bytes > MOST_WAITING:
+        if self.waiting_bytes > MAX_WAITING:
             line.lose()
 
     def _fill(self) -> None:
@@ -115,7 +115,7 @@
         if not self._ticking:
             self._ticking = True
             wait = BLOCKED_S if self.credit > 0.0 else (1.0 - self.credit) / self.rate
-            self.after(max(LEAST_S, wait), self._ticked)
+            self.after(max(MIN_S, wait), self._ticked)
 
     def _ticked(self) -> None:
         self._ticking = False
--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -58,7 +58,7 @@
             """What was written has gone."""
 
 
-MOST_ANSWER = 1 << 30
+MAX_ANSWER = 1 << 30
 MARGIN_S = 1.0  # before the backend closes an idle connection, it is not used any more
 UNTOLD_S = 2.0  # how long a backend that says nothing of it keeps one, as far as is assumed
 CONNECT_S = 0.6
@@ -94,7 +94,7 @@
         self.request_whole = False  # what was written is all of the user's request
         self.up = self.sent = self.spoilt = self.skipping = self.answering = False
         self.idle_since = self.idle_until = 0.0
-        self.reader = AnswerReader(self, MOST_ANSWER)
+        self.reader = AnswerReader(self, MAX_ANSWER)
         self.connection: Connection = pool.host.connect(pool.address, self._made, CONNECT_S)
 
     def _made(self, connection: Connection) -> Handler:
@@ -127,7 +127,7 @@
         self.trying, self.up, self.begun = False, False, b""
         self.request_whole = False
         self.spoilt = self.skipping = self.answering = False
-        self.reader = AnswerReader(self, MOST_ANSWER)
+        self.reader = AnswerReader(self, MAX_ANSWER)
         self.pool.forgotten += 1
         self.pool.made()
         self.connection = self.pool.host.connect(self.pool.address, self._made, CONNECT_S)
--- a/honeywharf/sidecar/beats.py
+++ b/honeywharf/sidecar/beats.py
@@ -19,7 +19,7 @@
     from honeywharf.transport.host import Host
     from honeywharf.transport.http_server import Call
 
-MOST_ID = 256
+MAX_ID = 256
 
 
 class Beats:
@@ -43,7 +43,7 @@
             call.answer(404)
             return
         target, params = found
-        if not 0 < len(params["id"]) <= MOST_ID:
+        if not 0 < len(params["id"]) <= MAX_ID:
             call.answer(400, b"found an id of odd length")
             return
         target(call, params["id"])
--- a/honeywharf/sidecar/bypass.py
+++ b/honeywharf/sidecar/bypass.py
@@ -12,7 +12,7 @@
     502, 504; the link was lost            the same; 502
     any other answer                       the same
 
-Bounds: `MOST_PASSING` at once, `AHEAD_BYTES` of a body held; who has an older word than the sidecar that asks
+Bounds: `MAX_PASSING` at once, `AHEAD_BYTES` of a body held; who has an older word than the sidecar that asks
 refuses, and what was handed on is not handed on again. This module is loaded when it is first needed.
 """
 
@@ -40,7 +40,7 @@
     from honeywharf.sidecar.source import Source
     from honeywharf.transport.streams import Ask, Work
 
-MOST_PASSING = 256
+MAX_PASSING = 256
 AHEAD_BYTES = 64 * 1024  # of a body, beyond what a gate has taken
 REFUSED_S = 0.05  # after which a sidecar that can't help may be asked again
 LOAD = (0, 0, 0)  # of no backend
@@ -145,7 +145,7 @@
         return UNREADY
     if source.word.revision < ask.revision:
         return DRIFT
-    return DRIFT if len(source.passing) >= MOST_PASSING else None
+    return DRIFT if len(source.passing) >= MAX_PASSING else None
 
 
 def take(source: Source, ask: Ask, host: bytes, answers: Answers) -> Work | None:
--- a/honeywharf/sidecar/course.py
+++ b/honeywharf/sidecar/course.py
@@ -1,7 +1,7 @@
 """The course of one request at its source: whom it asks, what their word proves, what the client is told.
 
 Theory of operation. A course asks one gate at a time. A refusal between sidecars proves that nothing has run
-and costs no more than a round trip, so the next one is asked at once, each gate once, `MOST_ASKED` in all.
+and costs no more than a round trip, so the next one is asked at once, each gate once, `MAX_ASKED` in all.
 When none is left that may have room, the one that told the shortest wait is asked to let the request wait,
 at most until `PATIENCE` of its aim has passed. What has reached a backend's socket is sent to another only by
 the verdict, the kind, the route's `max-attempts` and the retry budget. Exactly one final answer; `over` is
@@ -14,7 +14,7 @@
     (nobody left)    503 with a time to return     503 with a time to return, only where nothing has run
 
 A sidecar in doubt of its own rules decides nothing: its course hands the request on whole, by the rule
-`ASIDE`, to a sidecar that is well (`bypass`), which has a course of its own for it. At most `MOST_HELPERS`
+`ASIDE`, to a sidecar that is well (`bypass`), which has a course of its own for it. At most `MAX_HELPERS`
 are asked, and none further once one of them may have run it.
 
 Source: RULES (TWICE, REFUSED, BUDGET), PROTOCOL ("Requests", "Answers").
@@ -73,13 +73,13 @@
 
 PATIENCE = 0.22  # of the aim, from the request's arrival: later refusals are priced
 KEPT_BYTES = 512 * 1024  # of a body that is kept, so that it can be sent once more
-MOST_ASKED = 6  # gates that one request asks for a free slot
-MOST_DECIDED = 3  # times that the rule of one request is found, where a gate holds another
+MAX_ASKED = 6  # gates that one request asks for a free slot
+MAX_DECIDED = 3  # times that the rule of one request is found, where a gate holds another
 DEADLINE_S = 10.0  # where a client tells none
-MOST_WAITED = 3  # gates that it is ready to wait at, one after the other
+MAX_WAITED = 3  # gates that it is ready to wait at, one after the other
 RETURN_S = (0.08, 0.3)  # parts of the aim after which a refused client may come back
 END_S = 0.004  # before the deadline, a final answer still arrives
-MOST_HELPERS = 2  # sidecars that a request is handed on to, one after the other
+MAX_HELPERS = 2  # sidecars that a request is handed on to, one after the other
 HELPED_S = 0.012  # before the deadline, a helper's own final answer still arrives
 
 
@@ -193,13 +193,13 @@
         passed = self.asked | barred if barred else self.asked
         if self._bodied():
             passed = passed | self.source.choked_now()
-        key = levels.pick(now, passed) if len(self.asked) < MOST_ASKED else None
+        key = levels.pick(now, passed) if len(self.asked) < MAX_ASKED else None
         if key is not None:
             self.asked.add(key)
             self._ask(key, 0.0)
             return
         patience = self.arrived_at + PATIENCE * self.route.aim_s - now
-        if patience > END_S and len(self.waited) < MOST_WAITED:
+        if patience > END_S and len(self.waited) < MAX_WAITED:
             key = levels.shortest(now, self.waited | barred if barred else self.waited)
             if key is not None:
                 self.waited.add(key)
@@ -212,7 +212,7 @@
 
     def _next_helper(self) -> None:
         """Hand the request on to a sidecar that is well."""
-        key = self.source.helper(self.asked) if len(self.asked) < MOST_HELPERS else None
+        key = self.source.helper(self.asked) if len(self.asked) < MAX_HELPERS else None
         if key is None:
             self._give_up(self._return_s())
             return
@@ -499,7 +499,7 @@
 
     def _decides_again(self) -> bool:
         """A gate holds another rule: decide again, at last elsewhere; False where neither can be had."""
-        source, drift_monitor, again = self.source, self.source.drift_monitor, self.decided < MOST_DECIDED
+        source, drift_monitor, again = self.source, self.source.drift_monitor, self.decided < MAX_DECIDED
         if drift_monitor is None or self.lost_body or not (again or self._may_hand_on()):
             return False
         source.released(self.service, self.gate)
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -22,7 +22,7 @@
 
 UNKNOWN, READY, DRAINING, ENDED = range(4)
 STATES = ("unknown", "ready", "draining", "ended")
-MOST_LIVES = 64  # ended ones that are remembered
+MAX_LIVES = 64  # ended ones that are remembered
 FIRST_SLOTS = 4  # until something tells
 RESTART_S = 0.3  # at least, from the end of one process of this program to the work of the next
 COLD_MARGIN_S = 0.25  # beyond what is told: it was measured before it came here
@@ -131,7 +131,7 @@
 
     def _end(self, instance: str) -> None:
         self.ended[instance] = None
-        while len(self.ended) > MOST_LIVES:
+        while len(self.ended) > MAX_LIVES:
             del self.ended[next(iter(self.ended))]
 
     def _told_cold(self, now: float, cold_s: float) -> None:
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -83,10 +83,10 @@
 BACKLOG = 0.3  # of the aim, that a body's first byte may wait for the link
 WAIT = 0.5  # of the aim, that one whose body is here may wait for a slot
 ON_THE_WAY_S = 0.1  # of the link's time, for longer bodies: what comes behind them waits no longer
-MOST_THAWING = 64  # requests that wait for a cold backend
+MAX_THAWING = 64  # requests that wait for a cold backend
 LEAVING_S = 1.0  # told by one that leaves: it is asked to let a request wait only after all others
 LATE_S = 0.03  # past the deadline, for the backend's own word of it
-LEAST_S = 0.005  # left, under which a request is not begun
+MIN_S = 0.005  # left, under which a request is not begun
 JUDGED_S = 0.1  # for so long a judgement holds; less than the cold bound's window is over a second
 
 
@@ -239,7 +239,7 @@
 
     def _passes(self, now: float) -> bool:
         inbound, ask = self.inbound, self.ask
-        if self.until - now < LEAST_S:
+        if self.until - now < MIN_S:
             self.refuse(LATE, 0.0)
         elif (inbound.leaving and not ask.patience_s) or self.until > inbound.end_at:
             self.refuse(LEAVING, LEAVING_S)
@@ -247,7 +247,7 @@
             refusal = inbound.gate.refusal(now, ask.service)
             if refusal is None:
                 return True
-            if refusal[0] == COLD and refusal[1] <= ask.patience_s and inbound.thawing < MOST_THAWING:
+            if refusal[0] == COLD and refusal[1] <= ask.patience_s and inbound.thawing < MAX_THAWING:
                 inbound.thawing += 1
                 ask.patience_s -= refusal[1]
                 self.thaw = inbound.host.after(refusal[1], self._thawed)
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -26,7 +26,7 @@
 BODY_WITHIN_S = (0.8, 6.0)  # for a text: at first, and at most after calls in vain, as it may be long
 AGAIN_S = 0.15
 PATIENT_S = 0.25  # for one holder, before news of another one is followed
-MOST_TEXT = 80 << 20
+MAX_TEXT = 80 << 20
 
 
 class Word:
@@ -148,7 +148,7 @@
         table = None
         if isinstance(packed, bytes):
             try:
-                text = zlib.decompressobj().decompress(packed, MOST_TEXT)
+                text = zlib.decompressobj().decompress(packed, MAX_TEXT)
                 if not self.named(text, value["digest"]):
                     raise ValueError(f"not the text of {value['digest']}")
                 table = Table(text)
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -2,7 +2,7 @@
 
 Theory of operation. Each request on a connection is an `Exchange`. Several may be under way (pipelining); the
 first writes, the others hold their answers, which the windows of their courses bound. Reading stops while
-`MOST_AHEAD` requests are under way, or while more of a body is held than `HELD_BYTES`. What breaks the
+`MAX_AHEAD` requests are under way, or while more of a body is held than `HELD_BYTES`. What breaks the
 protocol or a
 bound of the configuration is answered (400, 408, 413, 431) behind the answers that are owed, and ends the
 connection.
@@ -24,12 +24,12 @@
     from honeywharf.sidecar.source import Source
     from honeywharf.transport.host import Address, Connection, Handler, Host, Timer
 
-MOST_AHEAD = 16
+MAX_AHEAD = 16
 LAST_PART = 0.25  # of the time from SIGTERM to the end, in which requests are refused at most
 SUCCESSOR_S = 1.0  # from the end of one process of this program until the next one serves
 NO_WORD_S = 0.2  # after which a client may come back to a sidecar that has just started
 HELD_BYTES = 64 * 1024  # of a body that waits to be sent
-MOST_CONNECTIONS = 3000
+MAX_CONNECTIONS = 3000
 DROPPED_BYTES = 4 << 20  # of a body that is read to its end though the answer is given
 UNREAD = b"the body was too slow"
 
@@ -193,7 +193,7 @@
     def gauge(self) -> None:
         """Stop or go on reading."""
         course = self.exchange.course if self.exchange is not None else None
-        full = len(self.exchanges) >= MOST_AHEAD or (
+        full = len(self.exchanges) >= MAX_AHEAD or (
             course is not None and not course.over and course.held > HELD_BYTES
         )
         if full != self.paused and not self.gone:
@@ -404,7 +404,7 @@
     def _accept(self, connection: Connection) -> Handler:
         guest = Guest(self, connection)
         self.guests[guest] = None
-        if len(self.guests) > MOST_CONNECTIONS:
+        if len(self.guests) > MAX_CONNECTIONS:
             connection.abort()
         return guest
 
--- a/honeywharf/sidecar/probe.py
+++ b/honeywharf/sidecar/probe.py
@@ -23,7 +23,7 @@
 AGAIN_S = 0.5
 LONGEST_S = 2.0  # between probes of one that does not answer
 WITHIN_S = 1.0
-MOST_ANSWER = 64 * 1024
+MAX_ANSWER = 64 * 1024
 
 
 class Probe:
@@ -80,7 +80,7 @@
         self.probe, self.asked = probe, probe.host.now()
         self.answered: Answer | None = None
         self.over = False
-        self.reader = AnswerReader(self, MOST_ANSWER)
+        self.reader = AnswerReader(self, MAX_ANSWER)
         self.connection = probe.host.connect(probe.address, self._made, WITHIN_S)
         self.timer = probe.host.after(WITHIN_S, self._end)
 
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -21,7 +21,7 @@
     from honeywharf.sidecar.mesh_state import Word
     from honeywharf.transport.host import Host
 
-MOST_SERVICES = 1024
+MAX_SERVICES = 1024
 CHOKED_S = 0.5  # at most, that a gate whose link is full of bodies is asked for no further one
 READY = 1  # a gate's state, as told
 
@@ -173,7 +173,7 @@
         """The backends of a service."""
         levels = self.levels.get(service)
         if levels is None:
-            if len(self.levels) >= MOST_SERVICES:
+            if len(self.levels) >= MAX_SERVICES:
                 self.levels = {s: v for s, v in self.levels.items() if v.targets}
             levels = self.levels[service] = Levels(self.zone, self.draw)
         return levels
@@ -209,7 +209,7 @@
         """The retry budget of a service."""
         budget = self.budgets.get(service)
         if budget is None:
-            if len(self.budgets) >= MOST_SERVICES:
+            if len(self.budgets) >= MAX_SERVICES:
                 self.budgets.clear()
             budget = self.budgets[service] = RetryBudget(self.ratio, self.slack, self.window_s)
         return budget
--- a/honeywharf/simulation/field.py
+++ b/honeywharf/simulation/field.py
@@ -34,7 +34,7 @@
 #: The retry budget is tighter than sites have it: so small a deployment would not come near theirs.
 NUMBERS = {"retry-budget-ratio": 0.02, "retry-budget-slack": 8.0, "cold-overage": 1.5, "cold-slack": 5.0}
 WINDOW = {"retry-window": 10.0}
-MOST_SIDES, MOST_CORES = 2000, 7
+MAX_SIDES, MAX_CORES = 2000, 7
 IN_A_ROW = 200  # sidecar machines of all zones that share the third number of their addresses
 COLD = 3.0  # seconds that a backend is cold after a start during traffic
 TERM = 15  # SIGTERM
@@ -104,10 +104,10 @@
         sides, _, cores = text.partition("/")
         counts = [int(count) for count in (*sides.split(","), cores)]
         few = len(counts) != 4 or min(counts) < 1 or counts[3] < 3
-        if few or max(counts[:3]) > MOST_SIDES or counts[3] > MOST_CORES:
+        if few or max(counts[:3]) > MAX_SIDES or counts[3] > MAX_CORES:
             raise ValueError(
-                f"found {text!r}, wanted SIDES,SIDES,SIDES/CORES, 1 to {MOST_SIDES} sides in"
-                f" each zone and 3 to {MOST_CORES} cores"
+                f"found {text!r}, wanted SIDES,SIDES,SIDES/CORES, 1 to {MAX_SIDES} sides in"
+                f" each zone and 3 to {MAX_CORES} cores"
             )
         return Shape((counts[0], counts[1], counts[2]), counts[3])
 
--- a/honeywharf/standins/clients.py
+++ b/honeywharf/standins/clients.py
@@ -10,7 +10,7 @@
 
 from honeywharf.standins.messages import read_message
 
-MOST_LATENCIES = 200_000
+MAX_LATENCIES = 200_000
 
 
 class Front:
@@ -149,7 +149,7 @@
             return 503, 0.1  # no proxy was reached: nothing has run
         status = int(first.split()[1])
         if status == 200:
-            if len(self.tally.latencies_ms) < MOST_LATENCIES:
+            if len(self.tally.latencies_ms) < MAX_LATENCIES:
                 self.tally.latencies_ms.append((time.monotonic() - begun) * 1000.0)
             self.tally.wrong += body != b"tile for " + name.encode()
         if headers.get(b"connection") == b"close":
--- a/honeywharf/standins/collector.py
+++ b/honeywharf/standins/collector.py
@@ -14,7 +14,7 @@
 
 from honeywharf.standins.messages import read_message, reply
 
-MOST_SPANS = 1_000_000
+MAX_SPANS = 1_000_000
 
 
 def bound(port: int) -> socket.socket:
@@ -83,7 +83,7 @@
             return reply(step, b"")
         told = ExportTraceServiceRequest.FromString(body)
         self.batches += 1
-        if len(self.resources) < MOST_SPANS:
+        if len(self.resources) < MAX_SPANS:
             self.resources.extend(told.resource_spans)
         answer = ExportTraceServiceResponse()
         if isinstance(step, tuple):
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -48,8 +48,8 @@
 PIECE, PACE_S = 48 * 1024, 0.06  # of an upload's client
 UP_S = 15.0
 SAMPLE_S = 0.1
-MOST_WARNED = 8
-MOST_TRIES = 6
+MAX_WARNED = 8
+MAX_TRIES = 6
 LOAD = (1, 0, 8)
 
 
@@ -213,7 +213,7 @@
         now = self.day.loop.now()
         if (
             (verdict.ran == NOT_RUN or self.kind == READ)
-            and len(self.attempts) < MOST_TRIES
+            and len(self.attempts) < MAX_TRIES
             and (self.until - now > 0.05)
         ):
             self.channel = None
@@ -360,7 +360,7 @@
 
     def order_drain(self, node: str) -> None:
         """Order it; one that takes itself for the last of its region is not forced, and asked again later."""
-        for _ in range(MOST_WARNED):
+        for _ in range(MAX_WARNED):
             if self.order(node, "drain") != "warned":
                 return
             self.warned += 1
--- a/honeywharf/standins/lossy.py
+++ b/honeywharf/standins/lossy.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-MOST_OUT = 100_000  # datagrams on their way at a time; what comes beyond that is lost
+MAX_OUT = 100_000  # datagrams on their way at a time; what comes beyond that is lost
 Peer = tuple[str, int]
 
 
@@ -68,7 +68,7 @@
     def _carry(self, by: asyncio.DatagramTransport, data: bytes, to: Peer) -> None:
         times = 2 if self.random.random() < self.double else 1
         for _ in range(times):
-            if self.random.random() < self.loss or self.out >= MOST_OUT:
+            if self.random.random() < self.loss or self.out >= MAX_OUT:
                 self.lost += 1
                 continue
             self.out += 1
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -44,7 +44,7 @@
 COLD_PER_S = 9.0
 UP_S, END_S = 15.0, 10.0  # bounds of the start, and of the end of the programs
 LOOK_S = 1.05  # clients ask whether their proxy is ready, and send a second later
-LEAST_SERVED = 0.9
+MIN_SERVED = 0.9
 PORTS = range(8300, 30000, 100)  # below those that the kernel gives to connections
 USED = (0, 1, 2, 4, 6, *range(-680, -664))  # beside the first of them: as `simulation.field` numbers them
 
@@ -487,8 +487,8 @@
         checks = {
             ", ".join(sorted(rules - {rule for rule, _, _ in book.found})): True,
             **{f"{rule} at {when:.1f} s: {what}": False for rule, when, what in book.found},
-            f"at least {LEAST_SERVED:.0%} served where no proxy was killed": others["200"]
-            >= LEAST_SERVED * max(1, others.total()),
+            f"at least {MIN_SERVED:.0%} served where no proxy was killed": others["200"]
+            >= MIN_SERVED * max(1, others.total()),
             "the change was acknowledged, and was read back at the end": self.change.acked < 1e9
             and self.mesh.heard.text == self.change.text,
         }
--- a/honeywharf/standins/node.py
+++ b/honeywharf/standins/node.py
@@ -10,8 +10,8 @@
 
 LOCAL = "127.0.0.1"
 PORTS = (16384, 32768)  # under those that Linux gives to sockets that ask for no port
-MOST_HELD = 512  # descriptors; the port held longest is let go
-MOST_TRIED = 1000
+MAX_HELD = 512  # descriptors; the port held longest is let go
+MAX_TRIED = 1000
 _held: deque[socket.socket] = deque()
 _draw = random.Random()  # not the shared one, which tests seed
 
@@ -71,7 +71,7 @@
 
 
 def free_ports(number: int) -> list[int]:
-    """Ports of 127.0.0.1, for TCP and UDP, that stay this process's: the last `MOST_HELD` until it ends.
+    """Ports of 127.0.0.1, for TCP and UDP, that stay this process's: the last `MAX_HELD` until it ends.
 
     Each is held by a socket that is bound and does not listen, and lies under those that the system gives to
     who asks for none: guards against another process's listener, or a connection's own end, taking it while
@@ -82,7 +82,7 @@
 
 
 def _held_port() -> int:
-    for _ in range(MOST_TRIED):
+    for _ in range(MAX_TRIED):
         made, port = socket.socket(), _draw.randrange(*PORTS)
         try:
             made.bind((LOCAL, port))  # not to be shared with another that looks: that is allowed afterwards
@@ -93,7 +93,7 @@
             made.close()
             continue
         _held.append(made)
-        if len(_held) > MOST_HELD:
+        if len(_held) > MAX_HELD:
             _held.popleft().close()
         return port
-    raise OSError(f"found no free port of {MOST_TRIED} in {PORTS[0]}-{PORTS[1] - 1}, wanted one")
+    raise OSError(f"found no free port of {MAX_TRIED} in {PORTS[0]}-{PORTS[1] - 1}, wanted one")
--- a/honeywharf/standins/redis_server.py
+++ b/honeywharf/standins/redis_server.py
@@ -38,7 +38,7 @@
 VERSION = "7.2.0"  # of the protocol's description that it follows
 BASE_BYTES = 1_000_000  # that an empty server counts as used
 EACH_BYTES = 64  # of book-keeping for a key, a field or a member
-MOST_BYTES = 64 * 1024 * 1024  # that one connection may have unread; beyond it is closed
+MAX_BYTES = 64 * 1024 * 1024  # that one connection may have unread; beyond it is closed
 WRITES = frozenset(b"SET DEL HSET HDEL HINCRBY SADD ZADD ZREM ZINCRBY PEXPIRE FLUSHALL".split())
 GROWS = frozenset(b"SET HSET HINCRBY SADD ZADD ZINCRBY".split())  # refused where memory is full
 OOM = "OOM command not allowed when used memory > 'maxmemory'."
@@ -596,7 +596,7 @@
                     connection.transport.close()
             return
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > MOST_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_BYTES:
             self.transport.abort()
 
     def _handle(self, words: list[bytes]) -> Any:
--- a/honeywharf/standins/registry.py
+++ b/honeywharf/standins/registry.py
@@ -12,7 +12,7 @@
 from honeywharf.standins.messages import read_message, reply
 from honeywharf.standins.node import free_ports
 
-MOST_CHANGES = 4096  # kept for watches; one that asks for older ones gets the whole list
+MAX_CHANGES = 4096  # kept for watches; one that asks for older ones gets the whole list
 LONGEST_WAIT_MS = 60000.0
 
 
@@ -27,7 +27,7 @@
         self.scripted, self.delay_s, self.silent = scripted, delay_s, False
         self.rows: dict[str, dict[str, Any]] = {}
         self.generation = 1
-        self.changes: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MOST_CHANGES)
+        self.changes: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MAX_CHANGES)
         self.forgotten = 1  # generations up to here can't be told as changes
         self.calls: list[bytes] = []
         self.called = asyncio.Event()
@@ -54,7 +54,7 @@
         async with self.changed:
             for entry in rows:
                 self.generation += 1
-                if len(self.changes) == MOST_CHANGES:
+                if len(self.changes) == MAX_CHANGES:
                     self.forgotten = self.changes[0][0]
                 self.changes.append((self.generation, entry))
                 if entry["lifecycle"] == "removed":
--- a/honeywharf/standins/relay.py
+++ b/honeywharf/standins/relay.py
@@ -5,7 +5,7 @@
 import asyncio
 from contextlib import suppress
 
-MOST_HELD = 16 * 1024 * 1024  # bytes that one connection holds up; beyond it the sender waits
+MAX_HELD = 16 * 1024 * 1024  # bytes that one connection holds up; beyond it the sender waits
 
 
 class Relay:
@@ -44,7 +44,7 @@
             while True:
                 data = b""
                 with suppress(TimeoutError):
-                    if len(held) < MOST_HELD:
+                    if len(held) < MAX_HELD:
                         data = await asyncio.wait_for(reader.read(65536), 0.01 if held else None)
                         if not data:
                             break  # what is held up is lost with the connection
--- a/honeywharf/standins/units.py
+++ b/honeywharf/standins/units.py
@@ -17,7 +17,7 @@
     coap.CONFLICT: 409,
     coap.UNPROCESSABLE_ENTITY: 422,
 }
-MOST_OUT = 32  # requests of one unit that are out; others wait
+MAX_OUT = 32  # requests of one unit that are out; others wait
 
 
 class Unit(asyncio.DatagramProtocol):
@@ -29,7 +29,7 @@
         self.answers: dict[bytes, asyncio.Future[coap.Message]] = {}  # by token
         self.heard: dict[bytes, asyncio.Event] = {}  # by token: acknowledged or answered
         self.tokens: dict[int, bytes] = {}  # by message id
-        self.room = asyncio.Semaphore(MOST_OUT)
+        self.room = asyncio.Semaphore(MAX_OUT)
         self.transport: asyncio.DatagramTransport | None = None
         self.sent = 0
 
--- a/honeywharf/storms/advice.py
+++ b/honeywharf/storms/advice.py
@@ -7,7 +7,7 @@
 from honeywharf.storms.sketch import Promises
 
 SLOT_MS = 100.0
-LEAST_MS = 200.0  # sooner nothing has changed: an answer takes about that long in a jam
+MIN_MS = 200.0  # sooner nothing has changed: an answer takes about that long in a jam
 SPREAD_MS = 400.0  # over which they are told to return while nothing storms
 KEPT_MS = 1500.0  # after its time a promise is still known to have been kept
 
@@ -27,10 +27,10 @@
         useful_ms: float,
         most_of_slot: int = 1024,
     ) -> None:
-        if cap_ms < LEAST_MS:
-            raise ValueError(f"advice: wanted a longest time of {LEAST_MS} ms at least, found {cap_ms}")
+        if cap_ms < MIN_MS:
+            raise ValueError(f"advice: wanted a longest time of {MIN_MS} ms at least, found {cap_ms}")
         self.random, self.cap_ms = rng, cap_ms
-        self.useful_ms = min(cap_ms, max(LEAST_MS + SLOT_MS, useful_ms))
+        self.useful_ms = min(cap_ms, max(MIN_MS + SLOT_MS, useful_ms))
         self.promises = Promises(SLOT_MS, cap_ms, KEPT_MS, most_of_slot)
         self.beyond = 0  # told a time beyond, as no useful slot was free
 
@@ -41,7 +41,7 @@
         Who finds none that is of use is told a time up to the longest, drawn evenly.
         """
         p, room = self.promises, max(1.0, per_ms * SLOT_MS)
-        soonest, last = now + LEAST_MS, now + self.useful_ms
+        soonest, last = now + MIN_MS, now + self.useful_ms
         due = soonest + self.random.random() * SLOT_MS
         while due <= last and p.promised(now, due) >= room:
             due += SLOT_MS
@@ -53,6 +53,6 @@
 
     def calm(self, now: float, name: int) -> float:
         """In how many ms to return while nothing storms: soon, and not together."""
-        due = now + LEAST_MS + self.random.random() * min(SPREAD_MS, self.cap_ms - LEAST_MS)
+        due = now + MIN_MS + self.random.random() * min(SPREAD_MS, self.cap_ms - MIN_MS)
         self.promises.promise(now, name, due)
         return due - now
--- a/honeywharf/storms/budget.py
+++ b/honeywharf/storms/budget.py
@@ -6,10 +6,10 @@
 
 RATIO = 0.2  # repeats for each first try, while it storms
 BURST_MS = 1000.0  # of first tries' earnings that may be saved
-LEAST_BURST = 3.0  # a quiet tenant may repeat so often at once
+MIN_BURST = 3.0  # a quiet tenant may repeat so often at once
 KEPT_PART = 0.5  # of what is saved, for those that come as told
 STEP_MS, STEP = 500.0, 1.5  # while it ebbs the budget is widened by so much, each time
-MOST_TENANTS = 256  # told apart; beyond it the one heard longest ago shares the others' bucket
+MAX_TENANTS = 256  # told apart; beyond it the one heard longest ago shares the others' bucket
 RATE_OVER_MS = 2000.0
 
 
@@ -33,10 +33,10 @@
     __slots__ = ("rate", "tokens")
 
     def __init__(self, now: float) -> None:
-        self.tokens, self.rate = LEAST_BURST, Rate(now)
+        self.tokens, self.rate = MIN_BURST, Rate(now)
 
     def _most(self, ratio: float) -> float:
-        return max(LEAST_BURST, self.rate.per_ms * BURST_MS * ratio)
+        return max(MIN_BURST, self.rate.per_ms * BURST_MS * ratio)
 
     def earn(self, now: float, ratio: float) -> None:
         """A first try."""
@@ -55,7 +55,7 @@
 class RepeatBudget:
     """The tenants' buckets. Each tenant's repeats are paid by its own first tries."""
 
-    def __init__(self, ratio: float = RATIO, most: int = MOST_TENANTS) -> None:
+    def __init__(self, ratio: float = RATIO, most: int = MAX_TENANTS) -> None:
         if not 0.0 < ratio <= 1.0:
             raise ValueError(f"repeat budget: wanted a ratio over 0 and up to 1, found {ratio}")
         self.ratio, self.most = ratio, most
--- a/honeywharf/storms/detector.py
+++ b/honeywharf/storms/detector.py
@@ -11,8 +11,8 @@
 SLOT_MS = 250.0
 SLOTS = 8  # of a window: 2 s, longer than a client's back-off and shorter than an outage
 HOUR_MS = 3_600_000.0
-LEAST_REPEATS = 10  # in a window: fewer are chance, whatever part of first tries they are
-LEAST_CONNECTIONS = 40
+MIN_REPEATS = 10  # in a window: fewer are chance, whatever part of first tries they are
+MIN_CONNECTIONS = 40
 USUAL_OVER = 240  # slots, a minute, over which what is usual for an hour is formed
 RISE_AT, STORM_AT, EBB_AT = 0.2, 0.4, 0.15  # repeats for each first try; below the budget all is well
 RECONNECT_AT = 4.0  # times the connections that are usual
@@ -49,12 +49,12 @@
     @property
     def repeating(self) -> bool:
         """Whether repeats are more than chance and more than usual."""
-        return self.repeats >= LEAST_REPEATS and self.ratio > max(RISE_AT, 2.0 * self.usual_ratio)
+        return self.repeats >= MIN_REPEATS and self.ratio > max(RISE_AT, 2.0 * self.usual_ratio)
 
     @property
     def reconnecting(self) -> bool:
         """Whether connections come as after a cut."""
-        return self.connections >= max(LEAST_CONNECTIONS, RECONNECT_AT * self.usual_connections)
+        return self.connections >= max(MIN_CONNECTIONS, RECONNECT_AT * self.usual_connections)
 
     @property
     def stormy(self) -> bool:
--- a/honeywharf/storms/storms.py
+++ b/honeywharf/storms/storms.py
@@ -12,7 +12,7 @@
 from honeywharf.storms.detector import Detector, State
 from honeywharf.storms.sketch import Seen, digest
 
-PACE, LEAST_PACE = 2.0, 100.0  # in a storm: times the connections that are usual a second, and at least
+PACE, MIN_PACE = 2.0, 100.0  # in a storm: times the connections that are usual a second, and at least
 USEFUL = 0.4  # of an aim: who returns later is answered past it
 SHORT_MS = 500.0  # after a refusal for want of room, repeats are held to their budget
 PROMISED_ROOM = 1.25  # times what is open to a first try, for those that come as told: few, and promised
@@ -73,7 +73,7 @@
         usual = self.detector.window.usual_connections / (signs.SLOTS * signs.SLOT_MS / 1000.0)
         if self.state is not State.STORM or usual == float("inf"):
             return 0.0
-        return max(LEAST_PACE, PACE * usual)
+        return max(MIN_PACE, PACE * usual)
 
     def connected(self, now: float, number: int) -> bool:
         """So many clients have connected; whether the state has changed."""
--- a/honeywharf/traces/causes.py
+++ b/honeywharf/traces/causes.py
@@ -18,10 +18,10 @@
 
 ODDS = 3.0  # as great among the bad as among the good, at least
 COVERS = 0.2
-LEAST_BAD = 8  # of fewer nothing is said
+MIN_BAD = 8  # of fewer nothing is said
 CHANCE = 1e-4  # of naming anything where nothing is the matter
-MOST_TEXTS = 10_000  # that are tried: the most frequent among the bad
-MOST_CAUSES = 5
+MAX_TEXTS = 10_000  # that are tried: the most frequent among the bad
+MAX_CAUSES = 5
 ASKED = ("server", "class", "tenant", "node")
 
 
@@ -95,9 +95,9 @@
     tried = len(_counts(left)) or 1
     # Bonferroni over the texts; chi-square with one degree of freedom is the square of a normal deviate.
     bound = NormalDist().inv_cdf(1.0 - CHANCE / tried / 2.0) ** 2
-    while len(left) >= LEAST_BAD and len(found) < MOST_CAUSES and good:
+    while len(left) >= MIN_BAD and len(found) < MAX_CAUSES and good:
         best: Cause | None = None
-        for (name, text), number in _counts(left).most_common(MOST_TEXTS):
+        for (name, text), number in _counts(left).most_common(MAX_TEXTS):
             if number < COVERS * len(bad):
                 break
             share = counts_good[name, text] / len(good)
--- a/honeywharf/traces/context.py
+++ b/honeywharf/traces/context.py
@@ -20,8 +20,8 @@
 
 SAMPLED = 0x01  # trace-flags: the caller may have recorded it
 RANDOM = 0x02  # level 2: the last 56 bits of the trace-id are random
-MOST_STATE = 512  # characters of a tracestate that is passed on (3.3.1.1 asks for so many at least)
-MOST_MEMBERS = 32
+MAX_STATE = 512  # characters of a tracestate that is passed on (3.3.1.1 asks for so many at least)
+MAX_MEMBERS = 32
 KEY, BAD = "hw", "hw=bad"  # our member: the caller keeps the trace, whatever its randomness says
 OT = "ot"  # OpenTelemetry's member: sub-keys parted by ";", of which `rv` is the trace's randomness
 RANDOM_BITS = 56
@@ -92,15 +92,15 @@
         if not text:
             continue  # empty members are allowed
         match = _MEMBER.fullmatch(text)
-        if match is None or match[1] in members or len(members) >= MOST_MEMBERS:
+        if match is None or match[1] in members or len(members) >= MAX_MEMBERS:
             return {}, "state"
         members[match[1]] = text
     # Members over 128 characters go first, then those at the end (3.3.1.5): what is cut is counted as
     # a fault.
-    fault = "" if _length(members) <= MOST_STATE else "state"
+    fault = "" if _length(members) <= MAX_STATE else "state"
     for name in [n for n, m in members.items() if len(m) > 128 and fault]:
         del members[name]
-    while _length(members) > MOST_STATE:
+    while _length(members) > MAX_STATE:
         members.popitem()
     return members, fault
 
--- a/honeywharf/traces/delivery.py
+++ b/honeywharf/traces/delivery.py
@@ -19,9 +19,9 @@
 
 BATCH = 256  # traces of this hop that leave together
 BATCH_MS = 1000.0  # for which one that is not full waits
-FIRST_MS, MOST_MS = 1000.0, 30_000.0  # of the wait after failures in a row
+FIRST_MS, MAX_MS = 1000.0, 30_000.0  # of the wait after failures in a row
 RETRYABLE = frozenset({429, 502, 503, 504})
-MOST_RETRY_AFTER_MS = 300_000.0  # of a collector's word that is followed
+MAX_RETRY_AFTER_MS = 300_000.0  # of a collector's word that is followed
 
 
 @dataclass(frozen=True)
@@ -70,10 +70,10 @@
             self.counts["refused"] += 1
             return True
         self.counts["retried"] += 1
-        wait = min(MOST_MS, FIRST_MS * 2.0 ** min(self.failures, 16))
+        wait = min(MAX_MS, FIRST_MS * 2.0 ** min(self.failures, 16))
         self.failures += 1
         if answer.retry_after_s is not None:
-            self.at_ms = now + min(MOST_RETRY_AFTER_MS, answer.retry_after_s * 1000.0)
+            self.at_ms = now + min(MAX_RETRY_AFTER_MS, answer.retry_after_s * 1000.0)
         else:
             self.at_ms = now + self.random.uniform(0.0, wait)
         return False
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -18,8 +18,8 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
-MOST_LENGTH = 2000  # characters of an expression
-MOST_NODES = 200  # of its tree: bounds what one trace costs
+MAX_LENGTH = 2000  # characters of an expression
+MAX_NODES = 200  # of its tree: bounds what one trace costs
 BOOL, NUMBER, TEXT = "a yes or no", "a number", "a text"
 QUANTILES = {"p50": 0.50, "p90": 0.90, "p99": 0.99}
 #: The fields of a trace, and what each is.
@@ -110,8 +110,8 @@
 
 def compiled(text: str, fields: Iterable[str] = FIELDS, *, quantiles: bool = True) -> Expression:
     """The expression, checked; `ExpressionError` tells the place of what is wrong."""
-    if len(text) > MOST_LENGTH:
-        raise ExpressionError(text[:60], 0, f"found {len(text)} characters, wanted {MOST_LENGTH} at most")
+    if len(text) > MAX_LENGTH:
+        raise ExpressionError(text[:60], 0, f"found {len(text)} characters, wanted {MAX_LENGTH} at most")
     if not _made:
         _made.append(_parser())
     try:
@@ -177,8 +177,8 @@
         """What the part is, and how it is evaluated."""
         assert isinstance(tree, Tree)
         self.nodes += 1
-        if self.nodes > MOST_NODES:
-            raise ExpressionError(self.text, 0, f"found over {MOST_NODES} parts, wanted so many at most")
+        if self.nodes > MAX_NODES:
+            raise ExpressionError(self.text, 0, f"found over {MAX_NODES} parts, wanted so many at most")
         made: tuple[str, Evaluated] = getattr(self, f"_{tree.data}")(tree)
         return made
 
--- a/honeywharf/traces/notes.py
+++ b/honeywharf/traces/notes.py
@@ -17,9 +17,9 @@
 
 MAGIC = b"hwn1"
 ID_BYTES = 16
-MOST_IDS = 64  # of a datagram: 1,028 bytes, under what any path carries whole
+MAX_IDS = 64  # of a datagram: 1,028 bytes, under what any path carries whole
 BATCH_MS = 100.0
-MOST_WAITING = 4096  # ids; beyond, the oldest go untold, counted
+MAX_WAITING = 4096  # ids; beyond, the oldest go untold, counted
 TIMES = 2  # that each id is sent
 #: Reasons that a hop saw itself: only these are told of.
 OWN = frozenset({"failed", "refused", "retried", "copied", "slow", "late attempt", "rule"})
@@ -37,7 +37,7 @@
     def add(self, now: float, trace_id: str) -> None:
         """This hop keeps the trace."""
         self.waiting.append(bytes.fromhex(trace_id))
-        if len(self.waiting) > MOST_WAITING:
+        if len(self.waiting) > MAX_WAITING:
             self.waiting.popleft()
             self.counts["untold"] += 1
         self.due_ms = min(self.due_ms, now + BATCH_MS)
@@ -51,12 +51,12 @@
         ids, self.again = [*first, *self.again], first
         self.counts["told"] += len(first)
         self.due_ms = now + BATCH_MS if self.again else float("inf")
-        return [MAGIC + b"".join(ids[i : i + MOST_IDS]) for i in range(0, len(ids), MOST_IDS)]
+        return [MAGIC + b"".join(ids[i : i + MAX_IDS]) for i in range(0, len(ids), MAX_IDS)]
 
     def heard(self, datagram: bytes) -> list[str]:
         """The trace-ids that a peer tells of; none where it is no such datagram."""
         ids = datagram[len(MAGIC) :]
-        if not datagram.startswith(MAGIC) or not ids or len(ids) % ID_BYTES or len(ids) > MOST_IDS * ID_BYTES:
+        if not datagram.startswith(MAGIC) or not ids or len(ids) % ID_BYTES or len(ids) > MAX_IDS * ID_BYTES:
             self.counts["damaged"] += 1
             return []
         found = [ids[i : i + ID_BYTES].hex() for i in range(0, len(ids), ID_BYTES)]
--- a/honeywharf/traces/otlp.py
+++ b/honeywharf/traces/otlp.py
@@ -31,7 +31,7 @@
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import BAD_ENDS
 
-MOST_ANSWER = 64 * 1024  # bytes of a collector's answer that are read
+MAX_ANSWER = 64 * 1024  # bytes of a collector's answer that are read
 NANOS = 1_000_000  # in a ms
 LAST_S = 1.0  # at the end of the process, for the last batch
 
@@ -263,11 +263,11 @@
                 self.line = kind(self.host, self.port, timeout=self.wait_s)
             self.line.request("POST", self.path, body, self.headers)
             answer = self.line.getresponse()
-            read = answer.read(MOST_ANSWER + 1)
-            if len(read) > MOST_ANSWER or answer.will_close:
+            read = answer.read(MAX_ANSWER + 1)
+            if len(read) > MAX_ANSWER or answer.will_close:
                 self.line.close()
                 self.line = None
-            return decoded(answer.status, {k.lower(): v for k, v in answer.getheaders()}, read[:MOST_ANSWER])
+            return decoded(answer.status, {k.lower(): v for k, v in answer.getheaders()}, read[:MAX_ANSWER])
         except (OSError, http.client.HTTPException) as fault:
             if self.line is not None:
                 self.line.close()
--- a/honeywharf/traces/queue.py
+++ b/honeywharf/traces/queue.py
@@ -11,8 +11,8 @@
 import threading
 from collections import deque
 
-MOST_QUEUED = 4000  # lines
-MOST_QUEUED_BYTES = 8 * 1024 * 1024
+MAX_QUEUED = 4000  # lines
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
 
 Line = tuple[bytes, bool]  # one trace as JSON, and whether it is bad
 
@@ -20,7 +20,7 @@
 class Queue:
     """Lines of two kinds, the oldest of each first."""
 
-    def __init__(self, most: int = MOST_QUEUED, most_bytes: int = MOST_QUEUED_BYTES) -> None:
+    def __init__(self, most: int = MAX_QUEUED, most_bytes: int = MAX_QUEUED_BYTES) -> None:
         self.most, self.most_bytes = most, most_bytes
         self.bad: deque[bytes] = deque()
         self.ordinary: deque[bytes] = deque()
--- a/honeywharf/traces/recorder.py
+++ b/honeywharf/traces/recorder.py
@@ -10,7 +10,7 @@
 from honeywharf.traces.sampler import Sampler
 from honeywharf.traces.spans import AttemptSpan, HopTrace, WaitSpan
 
-MOST_WAITS = 16  # of one request: a key's line is left and joined again with each request that gives it up
+MAX_WAITS = 16  # of one request: a key's line is left and joined again with each request that gives it up
 
 
 class Recorder:
@@ -97,7 +97,7 @@
         hop = self.hop
         if hop.waits is None:
             hop.waits = []
-        if len(hop.waits) < MOST_WAITS:
+        if len(hop.waits) < MAX_WAITS:
             hop.waits.append(
                 WaitSpan(
                     kind,
--- a/honeywharf/traces/sampler.py
+++ b/honeywharf/traces/sampler.py
@@ -11,7 +11,7 @@
   after the note.
 
 Held traces are bounded in number and in bytes, the oldest ordinary going first; each that goes untold is
-counted. So is what one trace's trouble may keep of its other parts (`MOST_TOLD`): a client may give all its
+counted. So is what one trace's trouble may keep of its other parts (`MAX_TOLD`): a client may give all its
 requests one trace-id, and have one of them fail.
 
     held -> exported      a note or a request of the trace says that it is kept
@@ -30,14 +30,14 @@
 from honeywharf.traces.spans import BAD_ENDS, HopTrace
 
 ACCURACY = 0.02  # relative error of the learned quantiles
-LEAST_ANSWERS = 200  # before a learned quantile is believed
+MIN_ANSWERS = 200  # before a learned quantile is believed
 RENEW = 64  # answers after which the quantile is looked up again
 # one answer in so many is learned, once enough are known: a sketch costs more than a comparison
 LEARN_EACH = 4
 # answers after which a class's sketch begins anew, with the quantile kept until it is believed
 FORGET = 50_000
 EXPIRE_EACH = 0.01  # of the time for which traces are held, between looks for those that were long enough
-MOST_TOLD = 32  # further parts of one trace that are kept at this hop, within `hold_ms`, as one part was bad
+MAX_TOLD = 32  # further parts of one trace that are kept at this hop, within `hold_ms`, as one part was bad
 HOP_BYTES, ATTEMPT_BYTES = 900, 700  # what a held trace and each of its attempts are counted with
 
 
@@ -69,9 +69,9 @@
     def late(self, took_ms: float) -> bool:
         """Whether an answer took longer than nearly all; learn from it."""
         self.answers += 1
-        if self.answers <= LEAST_ANSWERS or self.answers % LEARN_EACH == 0:
+        if self.answers <= MIN_ANSWERS or self.answers % LEARN_EACH == 0:
             self.sketch.add(took_ms)
-        if self.answers >= LEAST_ANSWERS and self.answers % RENEW == 0:
+        if self.answers >= MIN_ANSWERS and self.answers % RENEW == 0:
             # Guards against calling half of equal times late: the sketch may tell so much too little.
             found = self.sketch.get_quantile_value(self.quantile) or float("inf")
             self.late_ms = found * (1.0 + 2.0 * ACCURACY)
@@ -86,7 +86,7 @@
     __slots__ = ("left", "until_ms")
 
     def __init__(self, until_ms: float) -> None:
-        self.until_ms, self.left = until_ms, MOST_TOLD
+        self.until_ms, self.left = until_ms, MAX_TOLD
 
 
 class Sampler:
--- a/honeywharf/traces/store.py
+++ b/honeywharf/traces/store.py
@@ -10,7 +10,7 @@
 
 from honeywharf.traces.spans import BAD_ENDS, HopTrace
 
-MOST_HOPS = 1_000_000  # that are read, in the order of the files
+MAX_HOPS = 1_000_000  # that are read, in the order of the files
 
 
 def read(paths: Iterable[Path]) -> tuple[list[dict[str, Any]], int]:
@@ -26,7 +26,7 @@
                     damaged += 1
                     continue
                 hops.append(hop)
-                if len(hops) >= MOST_HOPS:
+                if len(hops) >= MAX_HOPS:
                     return hops, damaged
     return hops, damaged
 
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -18,9 +18,9 @@
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
 SMALL = 256 * 1024  # bytes of a body of which there may be as many as connections
-MOST_CONNECTIONS = 1024
+MAX_CONNECTIONS = 1024
 IDLE_S = 30.0  # without a whole call, after which a connection is closed
-MOST_HEAD = 16 * 1024
+MAX_HEAD = 16 * 1024
 
 
 class Call:
@@ -62,7 +62,7 @@
 
     def __init__(self, door: HttpServer, connection: Connection) -> None:
         self.door, self.connection = door, connection
-        self.reader = RequestReader(_Reading(self), door.most_body, MOST_HEAD)
+        self.reader = RequestReader(_Reading(self), door.most_body, MAX_HEAD)
         self.head: Head | None = None  # of the call at work
         self.reading: Head | None = None  # of the one that is read
         self.behind: list[tuple[Head, bytes]] = []  # calls of the same read as the one at work
@@ -232,7 +232,7 @@
     def _accept(self, connection: Connection) -> Handler:
         guest = _Guest(self, connection)
         self.guests += 1
-        if self.guests > MOST_CONNECTIONS:
+        if self.guests > MAX_CONNECTIONS:
             connection.abort()
         return guest
 
--- a/honeywharf/transport/loop.py
+++ b/honeywharf/transport/loop.py
@@ -28,7 +28,7 @@
 BACKLOG = 512
 SILENT_MS = 3000  # a peer that acknowledges nothing for so long is lost
 PROBE_S = 1  # between keep-alive probes of a connection that says nothing
-MOST_DATAGRAMS = 64  # read before others have their turn
+MAX_DATAGRAMS = 64  # read before others have their turn
 
 _IN, _OUT = select.EPOLLIN, select.EPOLLOUT
 _GONE = select.EPOLLHUP | select.EPOLLERR
@@ -359,7 +359,7 @@
 
     def _heard(self, number: int) -> None:
         sock, received = self.ears[number]
-        for _ in range(MOST_DATAGRAMS):
+        for _ in range(MAX_DATAGRAMS):
             try:
                 data, sender = sock.recvfrom(2048)
             except OSError:  # none left, or an answer that nobody listens where one was sent
--- a/honeywharf/transport/rpc.py
+++ b/honeywharf/transport/rpc.py
@@ -27,9 +27,9 @@
     Streams = Callable[[Connection, FrameReader, list[Any]], Handler]
 
 IDLE = 5.0  # s without a call, after which a link is closed
-MOST_PEERS = 64
-MOST_WAITING = 512  # calls on one link
-MOST_UNSENT = 160 << 20  # bytes held for one peer
+MAX_PEERS = 64
+MAX_WAITING = 512  # calls on one link
+MAX_UNSENT = 160 << 20  # bytes held for one peer
 STILL = 0.25  # s without a byte either way, after which a call in vain gives its link up
 UP = 1.0  # s that a connection may take to come up
 
@@ -153,14 +153,14 @@
         link = self._links.get(to)
         if link is None:
             link = self._open(to)
-        if link is None or len(link.calls) >= MOST_WAITING or link.connection.unsent > MOST_UNSENT:
+        if link is None or len(link.calls) >= MAX_WAITING or link.connection.unsent > MAX_UNSENT:
             self.host.after(0.0, partial(done, None))
             return
         link.send(method, args, within, done)
 
     def _open(self, to: Address) -> _Link | None:
         """A new link; None where there is no room for one."""
-        if len(self._links) >= MOST_PEERS and not self._make_room():
+        if len(self._links) >= MAX_PEERS and not self._make_room():
             return None
         try:
             link = self._links[to] = _Link(self, to)
@@ -298,5 +298,5 @@
 
     def __call__(self, answer: object) -> None:
         connection, self.connection = self.connection, None
-        if connection is not None and connection.unsent <= MOST_UNSENT:
+        if connection is not None and connection.unsent <= MAX_UNSENT:
             connection.send(encode([self.number, True, answer]))
--- a/honeywharf/transport/streams.py
+++ b/honeywharf/transport/streams.py
@@ -81,9 +81,9 @@
 STALLED_S = 1.2  # of silence, after which what may run twice is not waited for on a link any more
 SILENT_S = 2.6  # of silence, after which a link is lost; a choked one says little for a second and more
 IDLE_S = 60.0  # without a stream, after which a link is closed
-MOST_STREAMS = 2048  # on one link
-MOST_FRAME = 1 << 20
-MOST_UNSENT = 4 << 20  # bytes held for one link, after which no stream is opened on it
+MAX_STREAMS = 2048  # on one link
+MAX_FRAME = 1 << 20
+MAX_UNSENT = 4 << 20  # bytes held for one link, after which no stream is opened on it
 
 
 class Ask:
@@ -250,7 +250,7 @@
         self.host, self.to, self.gone = host, to, gone
         self.streams: dict[int, Stream] = {}
         self.number = 0
-        self.reader = FrameReader(MOST_FRAME)
+        self.reader = FrameReader(MAX_FRAME)
         self.heard = self.used = host.now()
         self.up = self.dead = False
         self.round_trip_s = 0.0
@@ -262,7 +262,7 @@
 
     def open(self, ask: Ask, replies: Replies) -> Stream | None:
         """Open a stream; None where the link has no room. `replies` is told later, never from within."""
-        if self.dead or len(self.streams) >= MOST_STREAMS or self.connection.unsent > MOST_UNSENT:
+        if self.dead or len(self.streams) >= MAX_STREAMS or self.connection.unsent > MAX_UNSENT:
             return None
         if not self.streams:
             self.heard = max(self.heard, self.host.now())  # silence is counted from here
@@ -455,8 +455,8 @@
                 work.cancel()
 
     def _open(self, number: int, ask: Ask) -> None:
-        if len(self.work) >= MOST_STREAMS:
-            raise ValueError(f"found more than {MOST_STREAMS} streams on one link, wanted at most that")
+        if len(self.work) >= MAX_STREAMS:
+            raise ValueError(f"found more than {MAX_STREAMS} streams on one link, wanted at most that")
         if number <= self.last:  # guards against an answer to one request that is read as another's
             raise ValueError(f"found stream {number} after {self.last}, wanted a higher number")
         self.last = number
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -15,7 +15,7 @@
 from hypothesis import given, strategies as st
 from textual.widgets import Static
 
-from honeywharf.admin import MOST_AT_ONCE, AdminPart, protocol, views
+from honeywharf.admin import MAX_AT_ONCE, AdminPart, protocol, views
 from honeywharf.admin.client import AdminError
 from honeywharf.cli import main as command
 from honeywharf.cli.screen import Top
@@ -96,7 +96,7 @@
 
 
 def test_an_answer_over_its_bound_becomes_one_that_says_so() -> None:
-    data = protocol.frame(protocol.Answer(data="x" * protocol.MOST_ANSWER))
+    data = protocol.frame(protocol.Answer(data="x" * protocol.MAX_ANSWER))
     assert "wanted 4194304 at most" in protocol.answer(data[protocol.HEAD :]).fault
 
 
@@ -107,7 +107,7 @@
 async def said(path: Path, sent: bytes) -> protocol.Answer:
     reader, writer = await asyncio.open_unix_connection(str(path))
     writer.write(sent)
-    size = protocol.length(await soon(reader.readexactly(protocol.HEAD)), protocol.MOST_ANSWER)
+    size = protocol.length(await soon(reader.readexactly(protocol.HEAD)), protocol.MAX_ANSWER)
     answer = protocol.answer(await soon(reader.readexactly(size)))
     writer.close()
     return answer
@@ -156,8 +156,8 @@
         backend = await Backend().start()
         async with world([backend.row("b")], on(tmp_path / "s")) as w:
             (part,) = [p for p in w.proxy.parts if isinstance(p, AdminPart)]
-            silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MOST_AT_ONCE)]
-            await until(lambda: part.open == MOST_AT_ONCE)
+            silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_AT_ONCE)]
+            await until(lambda: part.open == MAX_AT_ONCE)
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "s"))
             assert await soon(reader.read()) == b""
             assert part.cut == 1
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -22,7 +22,7 @@
 from honeywharf.config.features import Admin, Features, Log, Metrics, OrderKeys, Traces
 from honeywharf.core.transport import log, log_through
 from honeywharf.metrics import MetricsPart
-from honeywharf.metrics.durations import BOUNDS_S, MOST_SERIES, Answers
+from honeywharf.metrics.durations import BOUNDS_S, MAX_SERIES, Answers
 from honeywharf.metrics.families import Families, exposed
 from honeywharf.orderkeys import KeysPart
 from tests.admin.test_admin import called
@@ -239,9 +239,9 @@
 
 def test_series_are_bounded_and_buckets_add_up() -> None:
     made = Answers()
-    for i in range(MOST_SERIES + 50):
+    for i in range(MAX_SERIES + 50):
         made.answered(f"class-{i}", "served", 10.0, 0.0, None)
-    assert (len(made.series), made.left_out) == (MOST_SERIES, 50)
+    assert (len(made.series), made.left_out) == (MAX_SERIES, 50)
     made = Answers()
     for ms in (0.0, 5.0, 5.1, 4999.0, 10_000.0, 1e9, -3.0):
         made.answered("read", "served", ms, 0.0, None)
--- a/tests/admission/test_intake.py
+++ b/tests/admission/test_intake.py
@@ -9,9 +9,9 @@
 from honeywharf.admission.intake import (
     EACH_OUT,
     FIRST,
-    LEAST_OUT,
-    MOST_HELD,
-    MOST_PLACES,
+    MAX_HELD,
+    MAX_PLACES,
+    MIN_OUT,
     STALL_S,
     UNTOLD,
     Intake,
@@ -59,7 +59,7 @@
         out = [body.asked - body.sent for body in bodies if now - body.place.at < STALL_S]
         assert sum(out) <= intake.most_out + FIRST * len(bodies)  # what was asked of stalled ones may come
         assert all(size <= max(EACH_OUT, FIRST) for size in out)
-        assert intake.held <= MOST_HELD
+        assert intake.held <= MAX_HELD
     for body in bodies:
         intake.leave(body.place)
     assert (intake.held, intake.backlog_s()) == (0, 0.0)
@@ -106,13 +106,13 @@
 
 def test_places_and_bytes_are_bounded_and_told_wrong_is_an_error() -> None:
     intake = Intake()
-    places = [intake.join(0.0, 1, lambda size: None) for _ in range(MOST_PLACES)]
+    places = [intake.join(0.0, 1, lambda size: None) for _ in range(MAX_PLACES)]
     assert None not in places
     assert intake.join(0.0, 1, lambda size: None) is None
     intake = Intake()
-    assert intake.join(0.0, MOST_HELD + 1, lambda size: None) is None
+    assert intake.join(0.0, MAX_HELD + 1, lambda size: None) is None
     many = [intake.join(0.0, 512 * 1024, lambda size: None) for _ in range(40)]
-    assert sum(place is not None for place in many) == MOST_HELD // (512 * 1024)
+    assert sum(place is not None for place in many) == MAX_HELD // (512 * 1024)
     with pytest.raises(ValueError, match="wanted more than 0"):
         Intake(0.0)
 
@@ -132,4 +132,4 @@
 
 
 def test_least_out_bears_a_round_trip_of_the_thinnest_link() -> None:
-    assert Intake(1.0).most_out == LEAST_OUT
+    assert Intake(1.0).most_out == MIN_OUT
--- a/tests/coap/test_codec.py
+++ b/tests/coap/test_codec.py
@@ -36,7 +36,7 @@
         (HEAD + b"\x0d", "an option's head"),
         (HEAD + b"\x13ab", "beyond the message"),
         (HEAD + b"\xe0\xff\xff\xe0\xff\xff", "beyond the message"),
-        (HEAD + b"\x10" * (coap.MOST_OPTIONS + 1), "more than 48 options"),
+        (HEAD + b"\x10" * (coap.MAX_OPTIONS + 1), "more than 48 options"),
         (HEAD + b"\xff" + b"x" * coap.MAX_DATAGRAM, "wanted 2048 at most"),
     ],
 )
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -14,7 +14,7 @@
 from aiocoap.optiontypes import OpaqueOption
 
 from honeywharf.coap import blocks, options
-from honeywharf.coap.front import MOST_PEERS, Front
+from honeywharf.coap.front import MAX_PEERS, Front
 from honeywharf.coap.part import CoapPart
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features, OrderKeys
@@ -209,11 +209,11 @@
 def test_no_more_peers_are_believed_than_may_be() -> None:
     async def main() -> None:
         async with served() as (_, backend, front):
-            for port in range(MOST_PEERS):
+            for port in range(MAX_PEERS):
                 front.peers[("127.0.0.2", port)] = front.clock.now()
             unit = await Unit.to(port_of(front))
             assert (await unit.ask(told())).code == coap.CHANGED
-            assert len(front.peers) == MOST_PEERS
+            assert len(front.peers) == MAX_PEERS
             assert ("127.0.0.2", 0) not in front.peers
             assert backend.requests
 
--- a/tests/compatibility/golden_messages.py
+++ b/tests/compatibility/golden_messages.py
@@ -16,7 +16,7 @@
 from honeywharf.control.mesh_state import Member, MeshState
 from honeywharf.control.messages import Ballot, Decided, Heartbeat
 from honeywharf.control.store import read_state, state_bytes
-from honeywharf.control.version_history import MOST_VERSIONS, VersionHistory
+from honeywharf.control.version_history import MAX_VERSIONS, VersionHistory
 from honeywharf.failure_detector.watch import Watch
 from honeywharf.gossip import entry as gossip_entry
 from honeywharf.gossip.entry import Entry
@@ -40,7 +40,7 @@
     """A memory of versions that is full and has forgotten some."""
     records = b"".join(
         version.to_bytes(8, "big") + b"%016x" % (version * 0x9E3779B97F4A7C15 % (1 << 64))
-        for version in range(1000, 1000 + MOST_VERSIONS)
+        for version in range(1000, 1000 + MAX_VERSIONS)
     )
     return VersionHistory(records, 999)
 
--- a/tests/config/test_retune.py
+++ b/tests/config/test_retune.py
@@ -95,7 +95,7 @@
         with pytest.raises(node.ConfigError):
             load(tmp_path, text[:end])
     with pytest.raises(node.ConfigError, match="found over"):
-        load(tmp_path, text + " " * node.MOST_BYTES)
+        load(tmp_path, text + " " * node.MAX_BYTES)
     with pytest.raises(node.ConfigError, match="not JSON"):
         load(tmp_path, text.replace("5000.0", "NaN"))
     retune.check(held, load(tmp_path, text))
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -17,16 +17,16 @@
     results: list[Result] = []
     values: list[Any] = []
     bodies: list[bytes | None] = []
-    for number in range(proposals.MOST_WAITING + 3):
+    for number in range(proposals.MAX_WAITING + 3):
         replica.submit(
             mesh_state.replace(number, "x"),
             0.5,
             lambda result, answer: results.append(result),
             (f"digest{number}", b"text"),
         )
-    for _ in range(proposals.MOST_READERS + 3):
+    for _ in range(proposals.MAX_READERS + 3):
         replica.read(0.5, values.append)
-    for number in range(texts.MOST_FETCHES + 3):
+    for number in range(texts.MAX_FETCHES + 3):
         replica.text(f"missing{number}", bodies.append)
     assert results == []
     assert bodies == [None] * 3
@@ -34,10 +34,10 @@
     assert results == [Result.UNREACHABLE] * 3
     assert values == [None] * 3
     town.run(0.6)
-    assert results == [Result.UNREACHABLE] * (proposals.MOST_WAITING + 3)
-    assert values == [None] * (proposals.MOST_READERS + 3)
+    assert results == [Result.UNREACHABLE] * (proposals.MAX_WAITING + 3)
+    assert values == [None] * (proposals.MAX_READERS + 3)
     town.run(8.0)
-    assert bodies == [None] * (texts.MOST_FETCHES + 3)
+    assert bodies == [None] * (texts.MAX_FETCHES + 3)
     assert replica.texts.proposed == {}
     assert replica.texts.fetches == {}
 
@@ -46,9 +46,9 @@
     town = Town(32)
     town.run(1.0)
     replica = town.programs["10.0.0.1"].replica
-    for number in range(membership.MOST_HEARD + 20):
+    for number in range(membership.MAX_HEARD + 20):
         replica.upkeep.hear((f"10.1.0.{number}:1", "x"))
-    assert len(replica.upkeep.heard) == membership.MOST_HEARD
+    assert len(replica.upkeep.heard) == membership.MAX_HEARD
     assert replica.silent(membership.SILENT_S) == []
 
 
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -19,7 +19,7 @@
 from tests.control.town import Call
 
 RUNS = int(os.environ.get("RUNS", "6"))
-MOST_UNDER_WAY = 8
+MAX_UNDER_WAY = 8
 LOST_ANSWERS = 0.3
 ZONES = "abc"
 
@@ -63,7 +63,7 @@
     def operate(self) -> None:
         """Answers come, or are lost; new orders go out, and old ones again."""
         self.collect()
-        if len(self.under_way) < MOST_UNDER_WAY and self.rng.random() < 0.5:
+        if len(self.under_way) < MAX_UNDER_WAY and self.rng.random() < 0.5:
             self.order(self.draw())
         if self.rng.random() < 0.3:
             self.read()
--- a/tests/control/test_hundreds_of_changes.py
+++ b/tests/control/test_hundreds_of_changes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from honeywharf.control.version_history import MOST_VERSIONS, RECORD_SIZE
+from honeywharf.control.version_history import MAX_VERSIONS, RECORD_SIZE
 from tests.control.town import Call, Town
 
 CHANGES = int(os.environ.get("CHANGES", "240"))
@@ -69,7 +69,7 @@
         assert len({None if value is None else value.revision for value in values}) == 1
         assert values[0] is not None
         assert values == [values[0]] * 3
-        assert len(values[0].history) == min(len(self.contents), MOST_VERSIONS)
+        assert len(values[0].history) == min(len(self.contents), MAX_VERSIONS)
 
     def bounded(self) -> None:
         """What a disk holds does not grow with the number of changes."""
@@ -77,7 +77,7 @@
             files = self.town.world.machines[ip].disk.files
             assert len(files) <= FILES_BOUND + 8, sorted(files)  # with the texts of the drift history
             register = len(files["register"])
-            assert register < MOST_VERSIONS * RECORD_SIZE + 4096
+            assert register < MAX_VERSIONS * RECORD_SIZE + 4096
 
     def away(self, ip: str, how: str, changes: int) -> None:
         """One misses some changes, and is back."""
--- a/tests/control/test_register.py
+++ b/tests/control/test_register.py
@@ -259,9 +259,9 @@
     dropped, _ = mesh_state.drop([("a", "first"), ("b", "first")])(larger)
     assert dropped is not None
     assert [key[0] for key in keys(dropped.members)] == ["b", "c", "d"]
-    full = replace(value, members=members([(str(n), "x") for n in range(mesh_state.MOST_MEMBERS)]))
+    full = replace(value, members=members([(str(n), "x") for n in range(mesh_state.MAX_MEMBERS)]))
     assert mesh_state.admit(Member("d", "x", "z", True), [])(full) == (None, Admission.FULL)
-    zones = replace(value, evacuations=dict.fromkeys(map(str, range(mesh_state.MOST_ZONES)), False))
+    zones = replace(value, evacuations=dict.fromkeys(map(str, range(mesh_state.MAX_ZONES)), False))
     assert mesh_state.evacuate("new", True)(zones) == (None, False)
 
 
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -8,12 +8,12 @@
 
 from honeywharf.control import mesh_state, version_history
 from honeywharf.control.mesh_state import MeshState, Outcome, initial
-from honeywharf.control.version_history import MOST_VERSIONS, RECORD_SIZE, VersionHistory
+from honeywharf.control.version_history import MAX_VERSIONS, RECORD_SIZE, VersionHistory
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_it_remembers_what_a_mapping_would(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(version_history, "MOST_VERSIONS", 30)
+    monkeypatch.setattr(version_history, "MAX_VERSIONS", 30)
     rng, history, wanted, floor = Random(seed), VersionHistory(), dict[int, str](), -1
     for _ in range(300):
         version, digest = rng.randrange(120), rng.randbytes(16).hex()
@@ -34,13 +34,13 @@
 
 def test_a_year_of_changes_keeps_its_bound() -> None:
     state = initial(())
-    for version in range(1, 3 * MOST_VERSIONS):
+    for version in range(1, 3 * MAX_VERSIONS):
         made, answer = mesh_state.replace(version, f"{version:032x}")(state)
         assert made is not None
         assert answer.outcome is Outcome.IN_FORCE
         state = made
-    assert len(state.history.records) == MOST_VERSIONS * RECORD_SIZE
-    oldest = 2 * MOST_VERSIONS
+    assert len(state.history.records) == MAX_VERSIONS * RECORD_SIZE
+    oldest = 2 * MAX_VERSIONS
     for version, outcome in (
         (oldest, Outcome.CONFIRMED),
         (oldest - 1, Outcome.FORGOTTEN),
--- a/tests/drift/test_digests.py
+++ b/tests/drift/test_digests.py
@@ -64,10 +64,10 @@
 
 def test_the_digests_held_are_bounded() -> None:
     rules, route = digests.Rules(), Table(text(drawn(1, 5, hosts=1))).all()[0]
-    for priority in range(3 * digests.MOST_KEPT):
+    for priority in range(3 * digests.MAX_KEPT):
         route.priority = priority
         rules.of(route)
-    assert len(rules.held) <= digests.MOST_KEPT
+    assert len(rules.held) <= digests.MAX_KEPT
 
 
 def _spoil(table: Table, random: Random) -> None:
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -68,7 +68,7 @@
     shelf.due.pop()()
     again = made(shelf)
     assert (again.words, again.own) == (kept.words, kept.own)
-    assert len(again.slips[0][3]) == history.MOST_CAUSE
+    assert len(again.slips[0][3]) == history.MAX_CAUSE
     data = shelf.files[history.FILE]
     for at in Random(1).sample(range(4, len(data)), 20):
         shelf.files[history.FILE] = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
@@ -83,9 +83,9 @@
         kept.word(word(revision, whole), zlib.compress(whole))
         kept.slip("n", "scan", "what", revision)
         shelf.due.pop()()
-    assert len(kept.words) == history.MOST_WORDS
-    assert len(kept.slips) == history.MOST_SLIPS
-    assert len([name for name in shelf.files if name.startswith(history.TEXT)]) == history.MOST_TEXTS
+    assert len(kept.words) == history.MAX_WORDS
+    assert len(kept.slips) == history.MAX_SLIPS
+    assert len([name for name in shelf.files if name.startswith(history.TEXT)]) == history.MAX_TEXTS
     assert len(shelf.files[history.FILE]) < 64 << 10
 
 
--- a/tests/every_command.py
+++ b/tests/every_command.py
@@ -26,7 +26,7 @@
 from honeywharf.simulation import field
 from honeywharf.standins import meshdemo, node
 
-MOST_S = 120.0
+MAX_S = 120.0
 DAY = """name = "short"
 seeds = 2
 [day]
@@ -64,7 +64,7 @@
         [sys.executable, "-m", "honeywharf", *words],
         capture_output=True,
         text=True,
-        timeout=MOST_S,
+        timeout=MAX_S,
         check=False,
         stdin=subprocess.DEVNULL,
         env={**os.environ, **(more or {})},
@@ -245,7 +245,7 @@
         proxy = subprocess.Popen(
             [sys.executable, "-m", "honeywharf", "run"], stdout=log, stderr=log, env={**os.environ, **environ}
         )
-    end = time.monotonic() + MOST_S
+    end = time.monotonic() + MAX_S
     while not (folder / "s").exists() and proxy.poll() is None and time.monotonic() < end:
         time.sleep(0.05)
     quick = [
--- a/tests/handover/test_rules.py
+++ b/tests/handover/test_rules.py
@@ -35,13 +35,13 @@
     value = ["x" * 1000] * 200
     parts = list(frames.encode(Kind.STATE, value))
     assert len(parts) > 5
-    assert max(len(p) for p in parts) <= frames.MOST_FRAME
+    assert max(len(p) for p in parts) <= frames.MAX_FRAME
     reader = frames.Reader()
     assert [reader.feed(p) for p in parts][-1] == (Kind.STATE, value)
     with pytest.raises(ValueError, match="wanted 8388608 at most"):
-        list(frames.encode(Kind.STATE, "x" * frames.MOST_PAYLOAD))
+        list(frames.encode(Kind.STATE, "x" * frames.MAX_PAYLOAD))
     endless = frames.Reader()
-    for _ in range(frames.MOST_PAYLOAD // (frames.MOST_FRAME - frames.HEAD.size)):
+    for _ in range(frames.MAX_PAYLOAD // (frames.MAX_FRAME - frames.HEAD.size)):
         assert endless.feed(parts[0]) is None
     with pytest.raises(FrameError, match="found over"):
         endless.feed(parts[0])
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -254,14 +254,14 @@
         desk = link.Desk(loop, str(deep), "127.0.0.1", 80)
         desk.serve()
         others = []
-        for _ in range(link.MOST_LINES + 2):
+        for _ in range(link.MAX_LINES + 2):
             other = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             with link.Folder(str(deep), 60) as path:
                 other.connect(path + desk.name)
             others.append(other)
             await asyncio.sleep(0.01)
-        assert len(desk.lines) <= link.MOST_LINES
-        for _ in range(link.MOST_QUEUED * 8):
+        assert len(desk.lines) <= link.MAX_LINES
+        for _ in range(link.MAX_QUEUED * 8):
             desk.say_words({"evacuated": False, "pad": "x" * 4000})
             if not desk.lines:
                 break
--- a/tests/hinted_handoff/test_hints.py
+++ b/tests/hinted_handoff/test_hints.py
@@ -38,9 +38,9 @@
     held.keep("big", hints.BYTES + 1)
     assert held.held["b"].spilled
     assert len(lines) == 2
-    for number in range(hints.MOST_MACHINES + 3):
+    for number in range(hints.MAX_MACHINES + 3):
         held.missing(f"m{number}", 1.0)
-    assert len(held.held) == hints.MOST_MACHINES
+    assert len(held.held) == hints.MAX_MACHINES
     for number in range(hints.ENTRIES):
         held.keep(f"n{number}", 1)
     assert held.all_entries <= hints.ALL_ENTRIES
--- a/tests/lease/test_grants.py
+++ b/tests/lease/test_grants.py
@@ -66,10 +66,10 @@
     assert grantor.ask(100.0, ("else", "", 0), "a", 5, 1)[0] == NONE
     assert grantor.ask(100.0, ("aside", "z" * 129, 0), "a", 5, 1)[0] == NONE
     assert grantor.ask(100.0, UPKEEP, "a", 1 << 62, 1)[0] == NONE
-    for place in range(grants.MOST_VOTES):
+    for place in range(grants.MAX_VOTES):
         assert grantor.ask(100.0, ("aside", "", place), "a", 6 + place, 1)[0] == GRANTED
     assert grantor.ask(100.0, ("aside", "", 1000), "a", 9000, 1)[0] == FULL
-    assert len(grantor.votes) == grants.MOST_VOTES
+    assert len(grantor.votes) == grants.MAX_VOTES
     later = 100.0 + TERMS["aside"]
     assert grantor.ask(later, ("aside", "", 1000), "a", 9000, 1)[0] == GRANTED, "ended ones make room"
     assert [one[2] for one in grantor.view(later)] == [1000]
--- a/tests/mesh_config/test_configuration.py
+++ b/tests/mesh_config/test_configuration.py
@@ -11,9 +11,9 @@
 from result import Err, Ok
 
 from honeywharf.mesh_config.configuration import (
-    MOST_BYTES,
-    MOST_FAULTS,
-    MOST_VERSION,
+    MAX_BYTES,
+    MAX_FAULTS,
+    MAX_VERSION,
     Configuration,
     check,
     digest,
@@ -55,7 +55,7 @@
     lambda c: c["routes"][1].update({"path-prefix": "/", "name": "r-n2ctnfz"}),
     lambda c: c["routes"][0].update({"route-kind": "upload", "max-attempts": 1, "priority": 0}),
     lambda c: [c["routes"][0].pop(key) for key in ("target-latency", "priority")],
-    lambda c: c.update({"config-version": f"r{MOST_VERSION}"}),
+    lambda c: c.update({"config-version": f"r{MAX_VERSION}"}),
     lambda c: c.update({"config-version": "r0"}),
     lambda c: c["services"][0].update({"cold-start": "0s", "cold-per-s": 0}),
 ]
@@ -159,7 +159,7 @@
     (lambda c: c.pop("routes"), "routes: found nothing, wanted it there"),
     (lambda c: c.update({"config-version": 7}), "config-version: found 7, wanted string"),
     (lambda c: c.update({"config-version": "7"}), 'config-version: found "7", wanted r and a number'),
-    (lambda c: c.update({"config-version": f"r{MOST_VERSION + 1}"}), "config-version: found "),
+    (lambda c: c.update({"config-version": f"r{MAX_VERSION + 1}"}), "config-version: found "),
     (lambda c: c.update({"config-version": "r"}), 'config-version: found "r", wanted r and a number'),
 ]
 
@@ -201,12 +201,12 @@
 
 
 def test_the_size_of_a_text_and_the_number_of_faults_told_are_bounded() -> None:
-    assert check(CONFIGURATION + b" " * (MOST_BYTES - len(CONFIGURATION))).is_ok()
-    assert f"wanted at most {MOST_BYTES}" in check(CONFIGURATION + b" " * MOST_BYTES).unwrap_err()
+    assert check(CONFIGURATION + b" " * (MAX_BYTES - len(CONFIGURATION))).is_ok()
+    assert f"wanted at most {MAX_BYTES}" in check(CONFIGURATION + b" " * MAX_BYTES).unwrap_err()
     whole = drawn(1, 200)
     for route in whole["routes"]:
         route["max-attempts"] = 0
-    assert check(text(whole)).unwrap_err().count("; ") == MOST_FAULTS - 1
+    assert check(text(whole)).unwrap_err().count("; ") == MAX_FAULTS - 1
     assert len(list(faults(text(whole)))) == 200
 
 
--- a/tests/mesh_config/test_settings.py
+++ b/tests/mesh_config/test_settings.py
@@ -9,7 +9,7 @@
 from hypothesis import given, strategies as st
 
 from honeywharf.mesh_config.quantities import address, seconds
-from honeywharf.mesh_config.settings import MOST_BYTES, SettingsError, load, parse
+from honeywharf.mesh_config.settings import MAX_BYTES, SettingsError, load, parse
 from tests.mesh_config.examples import SETTINGS
 
 
@@ -170,8 +170,8 @@
     path.write_bytes(b"node-name: \xff")
     with pytest.raises(SettingsError, match="not UTF-8"):
         load(str(path))
-    path.write_bytes(b"#" * (MOST_BYTES + 2))
-    with pytest.raises(SettingsError, match=f"at most {MOST_BYTES}"):
+    path.write_bytes(b"#" * (MAX_BYTES + 2))
+    with pytest.raises(SettingsError, match=f"at most {MAX_BYTES}"):
         load(str(path))
     path.write_text(SETTINGS)
     assert load(str(path)).file == str(path)
--- a/tests/reports/test_rules.py
+++ b/tests/reports/test_rules.py
@@ -15,7 +15,7 @@
 from honeywharf.reports import LoadReports
 from honeywharf.reports.fields import MOST, Reader
 from honeywharf.reports.node import NOTHING_MS, STUCK_MS, STUCK_REPORTS, NodeReports
-from honeywharf.reports.room import LEAST_OPEN, MOST_OPEN, OLD_MS, Room
+from honeywharf.reports.room import MAX_OPEN, MIN_OPEN, OLD_MS, Room
 from tests.helpers import Driver, endpoint, make_settings
 from tests.reports.model import loop
 
@@ -132,7 +132,7 @@
         now += gap
         room.heard(now, wait, 100.0, weight)
         for valve in (room.own, room.away):
-            assert min(LEAST_OPEN, 2.0 * part) <= valve.open <= MOST_OPEN
+            assert min(MIN_OPEN, 2.0 * part) <= valve.open <= MAX_OPEN
         assert room.known(now) or weight <= 0.0
         assert 0.0 <= room.wait_ms <= 1e9
     assert not room.known(now + OLD_MS + 1.0)
--- a/tests/service/test_rules.py
+++ b/tests/service/test_rules.py
@@ -113,7 +113,7 @@
 
 def test_the_tables_of_bans_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(bans, "MOST", 3)
-    monkeypatch.setattr(bans, "MOST_KNOWN", 5)
+    monkeypatch.setattr(bans, "MAX_KNOWN", 5)
     made = bans.Bans()
     made.saw([f"n{i}" for i in range(20)])
     made.saw(["last"])
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -194,7 +194,7 @@
 
 
 def test_callers_that_finish_no_call_are_not_in_the_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(door, "MOST_AT_ONCE", 4)
+    monkeypatch.setattr(door, "MAX_AT_ONCE", 4)
     monkeypatch.setattr(door, "PATIENCE_S", 0.2)
 
     async def main() -> None:
--- a/tests/sessions/test_ledger.py
+++ b/tests/sessions/test_ledger.py
@@ -12,7 +12,7 @@
 from honeywharf.sessions.hold import Hold
 from honeywharf.sessions.inlet import OVER, Request
 from honeywharf.sessions.kinds import OPEN, WINDOW
-from honeywharf.sessions.outlet import APART_S, LEDGER_S, MOST_JOINED, RUNNING, Outlet, Outlets
+from honeywharf.sessions.outlet import APART_S, LEDGER_S, MAX_JOINED, RUNNING, Outlet, Outlets
 from honeywharf.verdict import BROKEN_OFF, FULL, MAY_HAVE_RUN, NAMES, NOT_RUN, Verdict
 from tests.sessions.town import Town
 
@@ -303,10 +303,10 @@
     made, said = outlets()
     made.take(0.0, 0, "way", head(0, attempt=b"same"))
     made.take(0.0, 0, "way", [2, (0).to_bytes(16, "big"), 1, 0])
-    for number in range(1, MOST_JOINED + 3):
+    for number in range(1, MAX_JOINED + 3):
         made.take(0.0, 0, "way", head(number, attempt=b"same"))
     first = made.ledger[b"same"]
-    assert (first.state, len(first.joined), made.joins) == (RUNNING, MOST_JOINED, MOST_JOINED)
+    assert (first.state, len(first.joined), made.joins) == (RUNNING, MAX_JOINED, MAX_JOINED)
     assert said[-1][3] == MAY_HAVE_RUN
 
 
--- a/tests/sessions/test_spillway.py
+++ b/tests/sessions/test_spillway.py
@@ -136,7 +136,7 @@
 
 
 def test_what_waits_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(spillway, "MOST_WAITING", 10 * PIECE)
+    monkeypatch.setattr(spillway, "MAX_WAITING", 10 * PIECE)
     one, _ = made()
     link = Link()
     link.unsent = 1
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -38,7 +38,7 @@
 from honeywharf.transport.frames import FrameReader
 from honeywharf.transport.host import Connection, Handler
 from honeywharf.transport.rpc import Answerer, Caller as RpcCaller
-from honeywharf.transport.streams import MOST_FRAME, Reception
+from honeywharf.transport.streams import MAX_FRAME, Reception
 from tests.sidecar.stage import SERVICE, TABLE, ZONE, Backend, Request, Visit, answer, settings
 from tests.simulation.mutants import wrong
 
@@ -49,7 +49,7 @@
 GRACE_S = 0.5  # from SIGTERM to the end of a process: less than the deadline, so that it can strike first
 SHORT_S, LONG_S = 0.4, 4.5  # a fault that is over before anybody gives up, and one that is not
 PROMISES = (408, 421, 429, 503)
-MOST_TRIES = 3  # of the client
+MAX_TRIES = 3  # of the client
 GIVEN_UP_S = 0.04  # of a request that no backend answers so soon
 SHORT_BYTES = 8192  # of a body that comes with one read
 
@@ -194,7 +194,7 @@
             self.gate.beat(host.now(), life, 1, False, 4, 0.0)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
-        reader.most = MOST_FRAME
+        reader.most = MAX_FRAME
         return Reception(connection, reader, frames, self.inbound.begin)
 
 
@@ -229,7 +229,7 @@
 
     def _send(self, caller: Caller | None = None) -> None:
         left = self.until - self.host.world.now
-        if left <= 0 or len(self.tries) >= MOST_TRIES:
+        if left <= 0 or len(self.tries) >= MAX_TRIES:
             return
         scene, used = self.pair.scene, caller or self._connect()
         made = Try(f"t{len(self.tries) + 1}")
--- a/tests/sidecar/test_answers_table.py
+++ b/tests/sidecar/test_answers_table.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "design" / "answers-and-retries.md"
 NAMED = re.compile(r"`(tests/\S+\.py)::(test_\w+)`")
-LEAST_ROWS = 40
+MIN_ROWS = 40
 
 
 def rows() -> list[str]:
@@ -21,7 +21,7 @@
 
 def test_each_row_names_a_test_or_the_one_above() -> None:
     found = rows()
-    assert len(found) >= LEAST_ROWS
+    assert len(found) >= MIN_ROWS
     for row in found:
         assert NAMED.search(row) or row.endswith("| the same |"), row
 
--- a/tests/sidecar/test_beats.py
+++ b/tests/sidecar/test_beats.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from honeywharf.sidecar.beats import MOST_ID, Beats
+from honeywharf.sidecar.beats import MAX_ID, Beats
 from honeywharf.sidecar.gate import DRAINING, ENDED, READY, UNKNOWN, Gate
 from honeywharf.sidecar.probe import LONGEST_S, PATIENT_S, WITHIN_S, Probe
 from honeywharf.simulation.field import APPLICATION, CONTROL
@@ -157,7 +157,7 @@
         ("GET", f"/api/instances/{LIFE}/heartbeat", 405),
         ("POST", "/api/instances", 404),
         ("POST", "/", 404),
-        ("POST", "/api/instances/" + "i" * (MOST_ID + 1) + "/deregister", 400),
+        ("POST", "/api/instances/" + "i" * (MAX_ID + 1) + "/deregister", 400),
     ],
 )
 def test_what_is_no_call_of_a_backend(method: str, path: str, status: int) -> None:
--- a/tests/sidecar/test_bypass.py
+++ b/tests/sidecar/test_bypass.py
@@ -9,7 +9,7 @@
 
 from honeywharf.mesh_config.routes import Table
 from honeywharf.sidecar import bypass
-from honeywharf.sidecar.course import ASIDE, MOST_HELPERS, Course
+from honeywharf.sidecar.course import ASIDE, MAX_HELPERS, Course
 from honeywharf.transport.streams import FIRST_WINDOW, HANDED, Ask
 from honeywharf.verdict import (
     BROKEN_OFF,
@@ -87,7 +87,7 @@
         play.course.failed(first)
         assert play.last.key == "10.1.0.31"
         play.course.failed(DOUBTS)
-        assert len(play.source.channels) == MOST_HELPERS
+        assert len(play.source.channels) == MAX_HELPERS
         assert play.client.events[0][:2] == ("final", 503)
         assert float(str(play.client.events[0][2])) > 0
         assert play.client.ends == 1
@@ -283,11 +283,11 @@
 
 def test_requests_of_others_and_their_bodies_are_bounded() -> None:
     play = Helping(length=1 << 20)
-    works = [play.take() for _ in range(bypass.MOST_PASSING + 1)]
+    works = [play.take() for _ in range(bypass.MAX_PASSING + 1)]
     assert works[-1] is None
-    assert len(play.source.passing) == bypass.MOST_PASSING
+    assert len(play.source.passing) == bypass.MAX_PASSING
     works[0].cancel()
-    assert len(play.source.passing) == bypass.MOST_PASSING - 1
+    assert len(play.source.passing) == bypass.MAX_PASSING - 1
     assert play.take() is not None
     one = Helping(length=1 << 20)
     work = one.take()
--- a/tests/sidecar/test_course.py
+++ b/tests/sidecar/test_course.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.codecs.heads import UNKNOWN
-from honeywharf.sidecar.course import KEPT_BYTES, MOST_ASKED, MOST_WAITED, PATIENCE, Course
+from honeywharf.sidecar.course import KEPT_BYTES, MAX_ASKED, MAX_WAITED, PATIENCE, Course
 from honeywharf.transport.streams import FIRST_WINDOW, WINDOW_BYTES
 from honeywharf.verdict import (
     BROKEN_OFF,
@@ -162,11 +162,11 @@
 
 
 def test_no_more_than_so_many_gates_are_asked() -> None:
-    play = Play("mutating", gates=MOST_ASKED + 20)
+    play = Play("mutating", gates=MAX_ASKED + 20)
     play.start()
     while not play.course.over:
         play.course.failed(REFUSED)
-    assert play.asked == MOST_ASKED
+    assert play.asked == MAX_ASKED
 
 
 def test_where_all_lack_room_it_waits_at_a_short_queue_within_its_patience() -> None:
@@ -178,15 +178,15 @@
         play.course.failed(Verdict(NOT_RUN, FULL, again_s=again))
     order = [c.key for c in play.source.channels[:5]]
     asked: list[str] = []
-    for turn in range(MOST_WAITED):
+    for turn in range(MAX_WAITED):
         asked.append(play.last.key)
         left = play.course.arrived_at + PATIENCE * 1.0 - play.clock.now()
         assert 0.0 < play.last.ask.patience_s <= left
         assert turn or asked == [order[1]], "the shortest wait by far"
         play.course.failed(Verdict(NOT_RUN, FULL, again_s=0.2))
     assert play.course.over
-    assert len(set(asked)) == MOST_WAITED
-    assert play.asked == 5 + MOST_WAITED
+    assert len(set(asked)) == MAX_WAITED
+    assert play.asked == 5 + MAX_WAITED
     assert [e[:2] for e in play.client.events] == [("final", 503)]
 
 
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from honeywharf.sidecar.gate import COLD_MARGIN_S, DRAINING, ENDED, MOST_LIVES, READY, UNKNOWN, Gate
+from honeywharf.sidecar.gate import COLD_MARGIN_S, DRAINING, ENDED, MAX_LIVES, READY, UNKNOWN, Gate
 from honeywharf.verdict import COLD, DRAINING as LEAVES, EVACUATED, NOBODY, OTHER_SERVICE, UNREADY
 
 SERVICE = "order-desk"
@@ -98,10 +98,10 @@
 
 def test_lives_that_are_over_are_remembered_up_to_a_bound() -> None:
     gate = made()
-    for n in range(3 * MOST_LIVES):
+    for n in range(3 * MAX_LIVES):
         beat(f"i-{n}", 1)(gate)
-    assert len(gate.ended) == MOST_LIVES
-    assert beat(f"i-{2 * MOST_LIVES + 2}", 99)(gate) is False
+    assert len(gate.ended) == MAX_LIVES
+    assert beat(f"i-{2 * MAX_LIVES + 2}", 99)(gate) is False
 
 
 def test_why_it_refuses() -> None:
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from honeywharf.sidecar.outbound import HELD_BYTES, MOST_AHEAD, SUCCESSOR_S
+from honeywharf.sidecar.outbound import HELD_BYTES, MAX_AHEAD, SUCCESSOR_S
 from honeywharf.transport.streams import WINDOW_BYTES
 from honeywharf.verdict import BROKEN_OFF, DRAINING, MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.stage import Channel, Front
@@ -86,12 +86,12 @@
     for n in range(40):
         caller.send(request(attempt=b"a%d" % n))
         front.run(0.001)
-    assert len(front.channels) == MOST_AHEAD
+    assert len(front.channels) == MAX_AHEAD
     for n in range(40):
-        assert n < len(front.channels) <= n + MOST_AHEAD
+        assert n < len(front.channels) <= n + MAX_AHEAD
         give(front, front.channels[n], b"body %d" % n)
         if n == 0:
-            assert len(front.channels) > MOST_AHEAD, "the next was not read when the first had ended"
+            assert len(front.channels) > MAX_AHEAD, "the next was not read when the first had ended"
     assert [body for _, _, body in caller.answers()] == [b"body %d" % n for n in range(40)]
 
 
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -47,17 +47,17 @@
 
 def test_where_nothing_is_free_the_error_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
     (taken,) = node.free_ports(1)
-    monkeypatch.setattr(node, "_draw", Fixed(*[taken] * node.MOST_TRIED))
+    monkeypatch.setattr(node, "_draw", Fixed(*[taken] * node.MAX_TRIED))
     with pytest.raises(OSError, match=r"found no free port of 1000 in 16384-32767, wanted one"):
         node.free_ports(1)
 
 
 def test_as_many_are_held_as_the_bound_says(monkeypatch: pytest.MonkeyPatch) -> None:
     node.free_ports(1)
-    monkeypatch.setattr(node, "MOST_HELD", len(node._held) + 2)
+    monkeypatch.setattr(node, "MAX_HELD", len(node._held) + 2)
     oldest = node._held[0]
     node.free_ports(4)
-    assert len(node._held) == node.MOST_HELD
+    assert len(node._held) == node.MAX_HELD
     assert oldest.fileno() == -1
 
 
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -18,7 +18,7 @@
 from honeywharf.standins.backend import Backend
 from honeywharf.standins.clients import Clients, Front
 from honeywharf.standins.messages import read_message, reply, row
-from honeywharf.standins.registry import MOST_CHANGES, Registry
+from honeywharf.standins.registry import MAX_CHANGES, Registry
 from tests.loopback import run, soon, until
 
 ROOT = Path(__file__).parent.parent.parent
@@ -64,9 +64,9 @@
 def test_a_watch_from_before_what_the_registry_remembers_gets_the_whole_list() -> None:
     async def main() -> None:
         registry = await Registry().start()
-        for i in range(MOST_CHANGES + 5):
+        for i in range(MAX_CHANGES + 5):
             await registry.put(row("a", i))
-        assert len(registry.changes) == MOST_CHANGES
+        assert len(registry.changes) == MAX_CHANGES
         assert (await listed(registry.port, "?after=1&wait_ms=10"))["reset"]
         await registry.stop()
 
--- a/tests/storms/test_rules.py
+++ b/tests/storms/test_rules.py
@@ -12,8 +12,8 @@
 from honeywharf.core.messages import whole_seconds
 from honeywharf.policy.interface import Coming
 from honeywharf.storms import Rules, Storms, detector as signs
-from honeywharf.storms.advice import LEAST_MS, SLOT_MS, Advice
-from honeywharf.storms.budget import LEAST_BURST, RepeatBudget
+from honeywharf.storms.advice import MIN_MS, SLOT_MS, Advice
+from honeywharf.storms.budget import MIN_BURST, RepeatBudget
 from honeywharf.storms.detector import TABLE, Detector, State, Window
 from honeywharf.storms.sketch import Promises, Seen, digest
 
@@ -209,7 +209,7 @@
             first[tenant] += 1
         else:
             begun[tenant] += budget.repeat(now, tenant, kind == "told")
-        assert begun[tenant] <= 0.2 * first[tenant] + LEAST_BURST
+        assert begun[tenant] <= 0.2 * first[tenant] + MIN_BURST
 
 
 def test_one_customers_storm_takes_nothing_of_the_others() -> None:
@@ -222,7 +222,7 @@
         if ms % 100 == 0:
             begun["calm"] += budget.repeat(ms, "calm", False)
     assert begun["calm"] == 50
-    assert 0.15 * 5000 < begun["loud"] <= 0.2 * 5000 + LEAST_BURST
+    assert 0.15 * 5000 < begun["loud"] <= 0.2 * 5000 + MIN_BURST
 
 
 def test_made_up_tenants_push_out_nobody_who_is_at_work_and_have_one_bucket_together() -> None:
@@ -231,7 +231,7 @@
         budget.first(0.0, f"real{i}")
     begun = sum(budget.repeat(1.0, f"made up {i}", True) for i in range(1000))
     assert len(budget.buckets) == 4
-    assert begun <= LEAST_BURST
+    assert begun <= MIN_BURST
     budget.first(10_000.0, "new")  # those that have been silent for long make room
     assert "new" in budget.buckets
     assert len(budget.buckets) == 4
@@ -268,7 +268,7 @@
     advice, told = Advice(random.Random(1), 2000.0, 800.0), Counter[int]()
     for i in range(3000):
         ms = advice.tell(1e6, i, per_ms=0.5)
-        assert LEAST_MS <= ms <= 2000.0
+        assert MIN_MS <= ms <= 2000.0
         due = advice.promises.due(1e6, i)
         assert due is not None  # what was told is known when it comes, near or far
         assert due <= 1e6 + ms <= due + SLOT_MS + 1e-6
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -85,7 +85,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("number", [downstream.MOST_WAITING + 1, 400])
+@pytest.mark.parametrize("number", [downstream.MAX_WAITING + 1, 400])
 def test_a_client_that_sends_requests_by_the_hundred_is_answered_once_and_closed(number: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_mesh_codec.py
+++ b/tests/test_mesh_codec.py
@@ -6,8 +6,8 @@
 
 from honeywharf.codecs.heads import UNKNOWN, Answer, Head
 from honeywharf.codecs.mesh import (
-    MOST_ID,
-    MOST_INTERIM,
+    MAX_ID,
+    MAX_INTERIM,
     AnswerReader,
     RequestReader,
     begun,
@@ -190,7 +190,7 @@
     "two hosts": GET + b"Host: b.example\r\n\r\n",
     "two attempt ids": GET + b"X-Honeywharf-Attempt-Id: 2\r\n\r\n",
     "an empty attempt id": b"GET / HTTP/1.1\r\nHost: a\r\nX-Honeywharf-Attempt-Id: \r\n\r\n",
-    "a long attempt id": b"GET / HTTP/1.1\r\nX-Honeywharf-Attempt-Id: " + b"a" * (MOST_ID + 1) + b"\r\n\r\n",
+    "a long attempt id": b"GET / HTTP/1.1\r\nX-Honeywharf-Attempt-Id: " + b"a" * (MAX_ID + 1) + b"\r\n\r\n",
     "a senseless time": GET + b"X-Honeywharf-Deadline-Remaining: soon\r\n\r\n",
     "a negative time": GET + b"X-Honeywharf-Deadline-Remaining: -1\r\n\r\n",
     "HTTP/2": b"GET / HTTP/2.0\r\nHost: a\r\n\r\n",
@@ -313,7 +313,7 @@
         ANSWER + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
         ANSWER + b"X-Honeywharf-Cold-Remaining: \xb2s\r\nContent-Length: 0\r\n\r\nHTTP/1.1 garbage",
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nabc",
-        b"HTTP/1.1 102 Processing\r\n\r\n" * (MOST_INTERIM + 1),
+        b"HTTP/1.1 102 Processing\r\n\r\n" * (MAX_INTERIM + 1),
     ],
 )
 def test_what_is_no_answer_is_refused(data: bytes) -> None:
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -19,7 +19,7 @@
 from honeywharf.policy import interface as api
 from honeywharf.standins.collector import Collector as StandIn
 from honeywharf.traces import TracesPart, delivery, otlp
-from honeywharf.traces.delivery import BATCH, BATCH_MS, MOST_MS, Answer, Delivery
+from honeywharf.traces.delivery import BATCH, BATCH_MS, MAX_MS, Answer, Delivery
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import WaitSpan
 from tests.loopback import Backend, Client, World, run, until, world
@@ -133,9 +133,9 @@
         done = made.answered(now, Answer(status))
         assert done == (status in (200, 400, 500))
         wait = made.due(now, BATCH)
-        assert wait <= (0.0 if done else min(MOST_MS, 1000.0 * 2.0**failures))
+        assert wait <= (0.0 if done else min(MAX_MS, 1000.0 * 2.0**failures))
         now += wait
-    now += MOST_MS
+    now += MAX_MS
     assert made.due(now, 0) == float("inf")
     first = made.due(now, 1)
     assert first == pytest.approx(BATCH_MS)  # one that is not full waits to fill
@@ -143,7 +143,7 @@
     made.answered(now, Answer(503, retry_after_s=7.0))
     assert made.due(now, BATCH) == pytest.approx(7000.0)
     made.answered(now, Answer(429, retry_after_s=1e9))
-    assert made.due(now, BATCH) == pytest.approx(delivery.MOST_RETRY_AFTER_MS)
+    assert made.due(now, BATCH) == pytest.approx(delivery.MAX_RETRY_AFTER_MS)
 
 
 @pytest.mark.parametrize(
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_rules.py
@@ -9,7 +9,7 @@
 
 from honeywharf.policy import interface as api
 from honeywharf.traces import context
-from honeywharf.traces.sampler import LEAST_ANSWERS, MOST_TOLD, Sampler, Sampling
+from honeywharf.traces.sampler import MAX_TOLD, MIN_ANSWERS, Sampler, Sampling
 from honeywharf.traces.spans import HopTrace
 from tests.traces.model import attempt, day, hop
 
@@ -67,7 +67,7 @@
     made, wrong = context.parse([GOOD], states, trusts=True)
     assert made is not None
     assert (made.state, made.bad, wrong) == (kept, bad, fault)
-    assert len(made.state) <= context.MOST_STATE
+    assert len(made.state) <= context.MAX_STATE
 
 
 @given(st.lists(st.binary(max_size=80), max_size=3), st.lists(st.binary(max_size=80), max_size=3))
@@ -128,12 +128,12 @@
     s.answered(bad)
     if first == "bad":
         s.settled(0.0, bad)
-    for i in range(10 * MOST_TOLD):
+    for i in range(10 * MAX_TOLD):
         s.settled(1.0 + i / 10.0, hop(ID, at=float(i)))
     if first == "held":
         s.settled(400.0, bad)
-    assert len(found) == 1 + MOST_TOLD
-    assert s.counts["told over"] == 9 * MOST_TOLD
+    assert len(found) == 1 + MAX_TOLD
+    assert s.counts["told over"] == 9 * MAX_TOLD
     assert sum(h.weight for h in found) == len(found)  # none of them stands for others
 
 
@@ -192,7 +192,7 @@
 def test_an_answer_later_than_nearly_all_is_slow_though_within_its_aim() -> None:
     found: list[HopTrace] = []
     s, rng = sampler(found), random.Random(1)
-    for i in range(4 * LEAST_ANSWERS):
+    for i in range(4 * MIN_ANSWERS):
         h = hop(f"{i:032x}", "served", rng.uniform(9.0, 11.0))
         s.answered(h)
     usual = s.usual["read"]
@@ -204,7 +204,7 @@
 
 def test_answers_that_all_take_as_long_are_not_slow() -> None:
     s = sampler([])
-    late = sum(s.answered(hop(f"{i:032x}", "served", 15.0)) for i in range(10 * LEAST_ANSWERS))
+    late = sum(s.answered(hop(f"{i:032x}", "served", 15.0)) for i in range(10 * MIN_ANSWERS))
     assert late == 0
 
 
