--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -18,8 +18,8 @@
 from honeywharf.proxy import senseless
 from honeywharf.traces import TracesPart, store
 from honeywharf.traces.line import Line
-from honeywharf.traces.notes import BATCH_MS, MOST_IDS, MOST_WAITING, TIMES, Notes
-from honeywharf.traces.queue import MOST_QUEUED
+from honeywharf.traces.notes import BATCH_MS, MAX_IDS, MAX_WAITING, TIMES, Notes
+from honeywharf.traces.queue import MAX_QUEUED
 from honeywharf.traces.spool import Spool
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
 
@@ -266,12 +266,12 @@
 
 def test_a_full_queue_loses_the_ordinary_first_and_counts_by_kind(tmp_path: Path) -> None:
     spool = Spool(tmp_path / "t", 100_000_000)
-    for i in range(MOST_QUEUED):
+    for i in range(MAX_QUEUED):
         spool.put(b"%d" % i, bad=bool(i % 2))
-    for _ in range(MOST_QUEUED):
+    for _ in range(MAX_QUEUED):
         spool.put(b"bad", bad=True)
-        assert len(spool.queue) <= MOST_QUEUED
-    assert spool.queue.lost == {"lost ordinary": MOST_QUEUED // 2, "lost bad": MOST_QUEUED // 2}
+        assert len(spool.queue) <= MAX_QUEUED
+    assert spool.queue.lost == {"lost ordinary": MAX_QUEUED // 2, "lost bad": MAX_QUEUED // 2}
     spool.put(b"x" * (8 * 1024 * 1024), bad=True)
     assert spool.queue.bytes <= 8 * 1024 * 1024
 
@@ -386,23 +386,23 @@
 
 
 def test_notes_leave_in_batches_twice_and_within_their_bound() -> None:
-    notes, ids = Notes(), [f"{i:032x}" for i in range(MOST_WAITING + 10)]
+    notes, ids = Notes(), [f"{i:032x}" for i in range(MAX_WAITING + 10)]
     for name in ids:
         notes.add(0.0, name)
-        assert len(notes.waiting) <= MOST_WAITING
+        assert len(notes.waiting) <= MAX_WAITING
     assert notes.counts["untold"] == 10
     assert notes.datagrams(BATCH_MS / 2) == []
     heard: list[str] = []
     for now in (BATCH_MS, 2 * BATCH_MS, 3 * BATCH_MS):
         for datagram in notes.datagrams(now):
-            assert len(datagram) <= 4 + 16 * MOST_IDS
+            assert len(datagram) <= 4 + 16 * MAX_IDS
             heard += notes.heard(datagram)
     assert sorted(heard) == sorted(ids[10:] * TIMES)
     assert notes.due_ms == float("inf")
 
 
 @pytest.mark.parametrize(
-    "datagram", [b"", b"hwn1", b"hwn2" + b"x" * 16, b"hwn1" + b"x" * 15, b"hwn1" + b"x" * 16 * (MOST_IDS + 1)]
+    "datagram", [b"", b"hwn1", b"hwn2" + b"x" * 16, b"hwn1" + b"x" * 15, b"hwn1" + b"x" * 16 * (MAX_IDS + 1)]
 )
 def test_what_is_no_note_is_dropped_and_counted(datagram: bytes) -> None:
     notes = Notes()
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -6,7 +6,7 @@
 
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
-from honeywharf.transport.http_server import IDLE_S, MOST_CONNECTIONS, SMALL, Call, HttpServer
+from honeywharf.transport.http_server import IDLE_S, MAX_CONNECTIONS, SMALL, Call, HttpServer
 
 IP, AT = "10.1.0.12", ("10.1.0.12", 8306)
 
@@ -201,10 +201,10 @@
 
 def test_connections_are_bounded() -> None:
     hall = Hall()
-    visitors = [Visitor(hall.outside) for _ in range(MOST_CONNECTIONS + 20)]
+    visitors = [Visitor(hall.outside) for _ in range(MAX_CONNECTIONS + 20)]
     hall.run(1.0)
-    assert hall.door.guests <= MOST_CONNECTIONS
-    assert sum(v.gone is None for v in visitors) == MOST_CONNECTIONS
+    assert hall.door.guests <= MAX_CONNECTIONS
+    assert sum(v.gone is None for v in visitors) == MAX_CONNECTIONS
 
 
 def test_a_caller_that_left_is_answered_in_vain() -> None:
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -81,18 +81,18 @@
 def test_links_are_bounded_and_idle_ones_close() -> None:
     world, _, _, caller, _ = pair({"echo": echo})
     got: list[object] = []
-    for n in range(rpc.MOST_PEERS + 5):
+    for n in range(rpc.MAX_PEERS + 5):
         caller.call(("10.0.1.1", 1 + n), "echo", n, 0.3, got.append)
-    assert caller.peers == rpc.MOST_PEERS
+    assert caller.peers == rpc.MAX_PEERS
     world.run(0.2)
     assert got == [None] * 5  # refused at once, all links being at work
     world.run(2.0)
-    assert got == [None] * (rpc.MOST_PEERS + 5)
-    for n in range(rpc.MOST_WAITING + 3):
+    assert got == [None] * (rpc.MAX_PEERS + 5)
+    for n in range(rpc.MAX_WAITING + 3):
         caller.call(AT, "echo", n, 0.3, got.append)
     world.run(3.0)
-    assert got[-rpc.MOST_WAITING - 3 : -rpc.MOST_WAITING] == [None] * 3
-    assert got[-rpc.MOST_WAITING :] == list(range(rpc.MOST_WAITING))
+    assert got[-rpc.MAX_WAITING - 3 : -rpc.MAX_WAITING] == [None] * 3
+    assert got[-rpc.MAX_WAITING :] == list(range(rpc.MAX_WAITING))
     world.run(3.0 + 2 * rpc.IDLE + 1)
     assert caller.peers == 0
 
--- a/tests/transport/test_streams.py
+++ b/tests/transport/test_streams.py
@@ -15,7 +15,7 @@
 from honeywharf.transport.rpc import Answerer
 from honeywharf.transport.streams import (
     IDLE_S,
-    MOST_STREAMS,
+    MAX_STREAMS,
     PIECE,
     SILENT_S,
     STALLED_S,
@@ -383,15 +383,15 @@
 
 def test_the_streams_of_a_link_are_bounded() -> None:
     pair = Pair()
-    for _ in range(MOST_STREAMS):
+    for _ in range(MAX_STREAMS):
         pair.open()
     assert pair.link.open(made(), Told()) is None
     pair.run(0.2)
-    assert len(pair.works) == MOST_STREAMS
+    assert len(pair.works) == MAX_STREAMS
 
 
 def test_a_link_that_holds_too_much_takes_no_further_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "MOST_UNSENT", 100_000)
+    monkeypatch.setattr(streams, "MAX_UNSENT", 100_000)
     pair = Pair()
     stream, _ = pair.open(-1)
     pair.run()
@@ -403,7 +403,7 @@
 def test_a_source_that_opens_too_many_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
     pair = Pair()
     told = [pair.open()[1] for _ in range(5)]
-    monkeypatch.setattr(streams, "MOST_STREAMS", 3)
+    monkeypatch.setattr(streams, "MAX_STREAMS", 3)
     pair.run()
     assert len(pair.works) == 3
     assert all(w.cancelled for w in pair.works)
