--- a/bench/hinted_handoff.py
+++ b/bench/hinted_handoff.py
@@ -96,7 +96,7 @@
     net.run(18.0, look)
     found["word"] = heard[0] - begun if heard else 20.0
     found["handed"] = sum(
-        one.hinted_handoff.tank.handed for one in net.live() if one.hinted_handoff is not None
+        one.hinted_handoff.hints.handed_over for one in net.live() if one.hinted_handoff is not None
     )
     return found
 
--- a/bench/mesh_explore.py
+++ b/bench/mesh_explore.py
@@ -25,10 +25,25 @@
 
 from honeywharf.control import mesh_state
 from honeywharf.control.acceptor import Acceptor, AcceptorState
-from honeywharf.control.mesh_state import Change, Confirmation, Member, Membership, MeshState, Outcome
-from honeywharf.control.messages import NO_BALLOT, Answer, Ballot, Current
+from honeywharf.control.mesh_state import (
+    Change,
+    Confirmation,
+    Member,
+    MemberId,
+    Membership,
+    MeshState,
+    Outcome,
+)
+from honeywharf.control.messages import NO_PROPOSAL, Answer, CurrentValue, ProposalNumber
 from honeywharf.control.quorum import Quorums
-from honeywharf.control.register import Phase, QuorumRead, Result, Round, Sends
+from honeywharf.control.register import (
+    AcceptedValue,
+    OutgoingRequests,
+    Phase,
+    QuorumRead,
+    QuorumResult,
+    QuorumWrite,
+)
 from tests.control.explore import (
     Actor,
     BrokenError,
@@ -60,7 +75,7 @@
 
 def roster(count: int) -> Membership:
     """Members by their first disks."""
-    return members([(name, "first") for name in NAMES[:count]])
+    return members([MemberId(name, "first") for name in NAMES[:count]])
 
 
 def node(count: int, *actors: Actor, more: str = "") -> Node:
@@ -81,14 +96,14 @@
     name: str,
     counter: int = 0,
     who: str = "p",
-    change: Callable[[int, str], Change] = mesh_state.replace,
-    made: type[Round] = Round,
+    change: Callable[[int, str], Change] = mesh_state.replace_configuration,
+    made: type[QuorumWrite] = QuorumWrite,
 ) -> Actor:
     """A proposer of a configuration."""
     return proposer(who, change(version, name), 1, roster(count), counter, made)
 
 
-def two(count: int, made: type[Round] = Round) -> Node:
+def two(count: int, made: type[QuorumWrite] = QuorumWrite) -> Node:
     """Two contents of one version at once."""
     return node(count, put(count, 1, "one", made=made), put(count, 1, "other", 1, "q", made=made))
 
@@ -126,7 +141,7 @@
         set(NAMES[: count // 2 + 1]),
         lambda node: any(vote.state.value is not None for vote in node.votes.values()),
     )
-    back = proposer("q", mesh_state.same, 1, roster(count), 1)
+    back = proposer("q", mesh_state.no_change, 1, roster(count), 1)
     readers = [reader(1, roster(count), survey) for _ in range(2)]
     return Node(made.votes, (*readers, back) if survey is QuorumRead else tuple(readers), (), {}, 0)
 
@@ -142,11 +157,11 @@
     )
 
 
-def swaps(made: type[Round] = Round) -> Node:
+def swaps(made: type[QuorumWrite] = QuorumWrite) -> Node:
     """Two put machines in the places of silent members, and a third proposes under the roster it knew."""
     actors = [put(3, 1, "one", who="s", made=made)]
     for who, joiner, gone in (("p", "d", "c"), ("q", "e", "a")):
-        change = mesh_state.admit(Member(joiner, f"disk-{joiner}", "", False), [(gone, "first")])
+        change = mesh_state.admit(Member(joiner, f"disk-{joiner}", "", False), [MemberId(gone, "first")])
         actors.append(proposer(who, change, 1, roster(3), made=made))
     return node(3, *actors, more="de")
 
@@ -225,12 +240,12 @@
 
 def by_arrival(version: int, digest: str) -> Change:
     """Takes whatever came last."""
-    return lambda value: (mesh_state.changed(value, version=version, digest=digest), True)
+    return lambda value: (value.with_changes(version=version, digest=digest), True)
 
 
 def unremembered(version: int, digest: str) -> Change:
     """Confirms whatever is not above the version in force, without a look at its content."""
-    right = mesh_state.replace(version, digest)
+    right = mesh_state.replace_configuration(version, digest)
 
     def change(state: MeshState) -> tuple[MeshState | None, Any]:
         if version > state.version:
@@ -262,30 +277,35 @@
 class Hasty(QuorumRead):
     """Tells the highest that a majority told of, and writes nothing back."""
 
-    def received(self, now: float, key: mesh_state.Key, answer: Answer) -> Sends:
+    def received(self, now: float, key: mesh_state.MemberId, answer: Answer) -> OutgoingRequests:
         """A member has answered."""
-        if self.result is None and isinstance(answer, Current):
-            self.told[key] = answer.accepted, answer.state
-            if self.quorums.covered(self.told):
-                highest = max(self.told.values(), key=lambda told: told[0])[1]
-                self.result, self.value = Result.OK, highest or mesh_state.initial(self.decided.members)
+        if self.result is None and isinstance(answer, CurrentValue):
+            self.answers[key] = AcceptedValue(answer.accepted, answer.state)
+            if self.quorums.covered(self.answers):
+                highest = max(self.answers.values(), key=lambda told: told[0])[1]
+                self.result, self.value = (
+                    QuorumResult.OK,
+                    highest or mesh_state.initial_state(self.decided.members),
+                )
         return []
 
 
 class Forgetful(Acceptor):
     """Accepts whatever it has promised since."""
 
-    def _accept(self, state: AcceptorState, ballot: Ballot, value: MeshState) -> tuple[AcceptorState, Answer]:
-        return super()._accept(replace(state, promised=NO_BALLOT), ballot, value)
+    def _accept(
+        self, state: AcceptorState, ballot: ProposalNumber, value: MeshState
+    ) -> tuple[AcceptorState, Answer]:
+        return super()._accept(replace(state, promised=NO_PROPOSAL), ballot, value)
 
 
-class Blind(Round):
+class Blind(QuorumWrite):
     """Proposes its own value whatever the others have accepted."""
 
-    def _cover(self) -> Sends:
+    def _propose_when_promised(self) -> OutgoingRequests:
         if self.quorums.covered(self.promises):
-            self.promises = {key: (NO_BALLOT, None) for key in self.promises}
-        return super()._cover()
+            self.promises = {key: AcceptedValue(NO_PROPOSAL, None) for key in self.promises}
+        return super()._propose_when_promised()
 
 
 def blind(count: int) -> Node:
--- a/bench/store_size.py
+++ b/bench/store_size.py
@@ -19,8 +19,8 @@
 from honeywharf.control import mesh_state, messages
 from honeywharf.control.acceptor import AcceptorState
 from honeywharf.control.mesh_state import MeshState
-from honeywharf.control.messages import Accept, Ballot
-from honeywharf.control.store import state_bytes
+from honeywharf.control.messages import Accept, ProposalNumber
+from honeywharf.control.store import encode_register
 
 MEMBERS = 6
 TIMED = 200  # changes over which the time of one is taken
@@ -28,14 +28,16 @@
 
 def changed(state: MeshState, version: int) -> MeshState:
     """After one more change."""
-    made, _ = mesh_state.replace(version, f"{version * 2654435761:032x}")(state)
+    made, _ = mesh_state.replace_configuration(version, f"{version * 2654435761:032x}")(state)
     assert made is not None
     return made
 
 
 def after(changes: int) -> MeshState:
     """The state after so many changes; versions rise by three."""
-    state = mesh_state.initial(mesh_state.seeded([f"10.0.0.{n}:7620" for n in range(MEMBERS)]))
+    state = mesh_state.initial_state(
+        mesh_state.initial_membership([f"10.0.0.{n}:7620" for n in range(MEMBERS)])
+    )
     for number in range(changes):
         state = changed(state, 3 * number)
     return state
@@ -43,23 +45,23 @@
 
 def timed_ms(state: MeshState, packed: bool) -> float:
     """Milliseconds that a change takes, mean."""
-    ballot = Ballot(1, "10.0.0.1:7620", 1)
+    ballot = ProposalNumber(1, "10.0.0.1:7620", 1)
     begun = time.process_time()
     for number in range(TIMED):
         made = changed(state, state.version + 1 + number)
         if packed:
-            state_bytes(AcceptorState("first", 1, made.members, ballot, ballot, made))
+            encode_register(AcceptorState("first", 1, made.members, ballot, ballot, made))
     return (time.process_time() - begun) * 1000.0 / TIMED
 
 
 def row(changes: int) -> str:
     """One line of the table."""
     state = after(changes)
-    ballot = Ballot(1, "10.0.0.1:7620", 1)
+    ballot = ProposalNumber(1, "10.0.0.1:7620", 1)
     acceptor = AcceptorState("first", 1, state.members, ballot, ballot, state)
     message = msgpack.packb(messages.pack(Accept("first", acceptor.decided, ballot, state)))
     times = f"{timed_ms(state, False):.3f} {timed_ms(state, True):.3f}"
-    return f"{changes:9} {len(state.history):6} {len(state_bytes(acceptor)):8} {len(message):8} {times}"
+    return f"{changes:9} {len(state.history):6} {len(encode_register(acceptor)):8} {len(message):8} {times}"
 
 
 def main(arguments: list[str]) -> int:
--- a/honeywharf/cli/store.py
+++ b/honeywharf/cli/store.py
@@ -15,7 +15,7 @@
 
 from honeywharf.cli import ending
 from honeywharf.cli.ending import DONE, NO
-from honeywharf.control import repair
+from honeywharf.control import backup, repair
 from honeywharf.transport.loop import Loop
 
 Directory = Annotated[str, cappa.Arg(help="The data directory of a control node.")]
@@ -61,13 +61,13 @@
 
     def __call__(self) -> int:
         """Exit status."""
-        packed = repair.backup(_disk(self.directory))
+        packed = backup.backup(_disk(self.directory))
         handle = os.open(self.file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         with open(handle, "wb") as opened:
             opened.write(packed)
             opened.flush()
             os.fsync(handle)
-        value = repair.opened(packed).value
+        value = backup.Backup.unpack(packed).value
         print(f"{self.file}: word {value.revision}, configuration r{value.version}, {len(packed)} bytes")
         return DONE
 
@@ -89,11 +89,11 @@
             address, slash, zone = one.partition("/")
             ip, _, port = address.rpartition(":")
             if not (slash and zone and ip and port.isdigit()):
-                raise repair.BackupError(f"found member {one!r}, wanted ADDRESS:PORT/ZONE")
-            members.append((address, zone))
+                raise backup.BackupError(f"found member {one!r}, wanted ADDRESS:PORT/ZONE")
+            members.append(backup.RestoredMember(address, zone))
         with open(self.file, "rb") as opened:
             packed = opened.read()
-        print(repair.restore(_disk(self.directory), packed, members, self.here))
+        print(backup.restore(_disk(self.directory), packed, members, self.here))
         return DONE
 
 
@@ -111,7 +111,7 @@
         lambda: cappa.parse(MeshStore, argv=arguments, completion=False).command(),
         lambda fault: print(fault, file=sys.stderr),
         (),
-        (repair.BackupError,),
+        (backup.BackupError,),
     )  # FormatError is an OSError
 
 
--- a/honeywharf/control/acceptor.py
+++ b/honeywharf/control/acceptor.py
@@ -1,4 +1,4 @@
-"""One member's vote in the register. No I/O, no clock: the caller keeps what is to be kept on disk."""
+"""The acceptor of the register: one member's vote. No I/O, no clock: the caller persists the state."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from honeywharf.control.mesh_state import Membership, MeshState, unpack_membership
 from honeywharf.control.messages import (
-    NO_BALLOT,
+    NO_PROPOSAL,
     Accept,
     Accepted,
     Answer,
-    Ballot,
-    Current,
-    Decided,
+    CurrentValue,
+    DecidedMembership,
+    DiskMismatch,
     NewerMembership,
-    OtherDisk,
     Prepare,
     Promised,
+    ProposalNumber,
     Read,
     Rejected,
     Request,
@@ -31,20 +31,20 @@
     """What an acceptor keeps on its disk.
 
     `disk` names the disk; `epoch` and `members` are the newest decided membership known, epoch 0 where none
-    is; `promised` and `accepted` are ballots, and `value` is what was accepted.
+    is; no proposal below `promised` is accepted, and `value` is what was accepted under `accepted`.
     """
 
     disk: str
     epoch: int = 0
     members: Membership = ()
-    promised: Ballot = NO_BALLOT
-    accepted: Ballot = NO_BALLOT
+    promised: ProposalNumber = NO_PROPOSAL
+    accepted: ProposalNumber = NO_PROPOSAL
     value: MeshState | None = None
 
     @property
-    def decided(self) -> Decided:
+    def decided(self) -> DecidedMembership:
         """The newest decided membership that is known."""
-        return Decided(self.epoch, self.members)
+        return DecidedMembership(self.epoch, self.members)
 
     def pack(self) -> dict[str, Any]:
         """As msgpack holds it."""
@@ -65,48 +65,54 @@
             packed["disk"],
             packed["epoch"],
             unpack_membership(packed["roster"]),
-            Ballot.unpack(packed["promised"]),
-            Ballot.unpack(packed["accepted"]),
+            ProposalNumber.unpack(packed["promised"]),
+            ProposalNumber.unpack(packed["accepted"]),
             None if value is None else MeshState.unpack(value),
         )
 
 
 class Acceptor:
-    """One member's vote. The caller persists the state given, sets it here, and then sends the answer."""
+    """One member's vote.
+
+    The caller persists the state that `answer` gives, sets it here, and only then sends the answer: a promise
+    that a loss of power takes back would let two proposers commit different values.
+    """
 
     def __init__(self, state: AcceptorState, has_text: Callable[[str], bool] = lambda digest: True) -> None:
         self.state = state
         self.has_text = has_text
 
     def answer(self, request: Request) -> tuple[AcceptorState, Answer]:
-        """The state to keep (the same object where nothing changes) and the answer to give after that."""
+        """The state to persist (the same object where nothing changes) and the answer to send after that."""
         state = self.state
         if request.disk != state.disk:
-            return state, OtherDisk(state.decided)
+            return state, DiskMismatch(state.decided)
         if request.decided.epoch < state.epoch:
             return state, NewerMembership(state.decided)
         if request.decided.epoch > state.epoch:
             state = replace(state, epoch=request.decided.epoch, members=request.decided.members)
         if isinstance(request, Prepare):
-            return self._prepare(state, request.ballot)
+            return self._prepare(state, request.number)
         if isinstance(request, Accept):
-            return self._accept(state, request.ballot, request.state)
+            return self._accept(state, request.number, request.state)
         assert isinstance(request, Read)
         value = None if state.value is None else state.value.without_history()
-        return state, Current(state.decided, state.accepted, value)
-
-    def _prepare(self, state: AcceptorState, ballot: Ballot) -> tuple[AcceptorState, Answer]:
-        if ballot < state.promised:
-            return state, Rejected(state.decided, ballot, state.promised)
-        if ballot > state.promised:
-            state = replace(state, promised=ballot)
-        return state, Promised(state.decided, ballot, state.accepted, state.value)
-
-    def _accept(self, state: AcceptorState, ballot: Ballot, value: MeshState) -> tuple[AcceptorState, Answer]:
-        if ballot < state.promised:
-            return state, Rejected(state.decided, ballot, state.promised)
+        return state, CurrentValue(state.decided, state.accepted, value)
+
+    def _prepare(self, state: AcceptorState, number: ProposalNumber) -> tuple[AcceptorState, Answer]:
+        if number < state.promised:
+            return state, Rejected(state.decided, number, state.promised)
+        if number > state.promised:
+            state = replace(state, promised=number)
+        return state, Promised(state.decided, number, state.accepted, state.value)
+
+    def _accept(
+        self, state: AcceptorState, number: ProposalNumber, value: MeshState
+    ) -> tuple[AcceptorState, Answer]:
+        if number < state.promised:
+            return state, Rejected(state.decided, number, state.promised)
         if value.digest and not self.has_text(value.digest):
-            return state, TextMissing(state.decided, ballot)
-        if ballot != state.accepted:
-            state = replace(state, promised=ballot, accepted=ballot, value=value)
-        return state, Accepted(state.decided, ballot)
+            return state, TextMissing(state.decided, number)
+        if number != state.accepted:
+            state = replace(state, promised=number, accepted=number, value=value)
+        return state, Accepted(state.decided, number)
--- a/honeywharf/control/address.py
+++ b/honeywharf/control/address.py
@@ -2,15 +2,22 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from honeywharf.transport.host import Address
 
 
-def text_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     """An address as memberships hold it."""
     return f"{address[0]}:{address[1]}"
 
 
-def address_of(text: str) -> Address:
-    """From `text_of`. ValueError where it is none."""
+def parse_address(text: str) -> Address:
+    """From `format_address`. ValueError where it is none."""
     ip, _, port = text.rpartition(":")
     return ip, int(port)
+
+
+def format_addresses(addresses: Iterable[Address]) -> list[str]:
+    """Several addresses as memberships hold them."""
+    return [format_address(address) for address in addresses]
--- a/honeywharf/control/members_view.py
+++ b/honeywharf/control/members_view.py
@@ -4,7 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from honeywharf.control.membership import SILENT_S
+from honeywharf.control.contacts import UNREACHABLE_S
+from honeywharf.control.mesh_state import member_ids
 
 if TYPE_CHECKING:
     from honeywharf.control.mesh_state import Member
@@ -12,9 +13,8 @@
     from honeywharf.control.replica import Replica
 
 
-def view(replica: Replica) -> dict[str, Any]:
-    """The membership as this control node sees it, as JSON: each member with what keeps it from being
-    current.
+def members_view(replica: Replica) -> dict[str, Any]:
+    """The membership as this control node sees it, as JSON: each member with why it is not current.
 
     `bearable-losses`: current members that may be lost at once with a majority of current ones left;
     `bearable-zones`: zones of which the same holds for all their members together.
@@ -24,8 +24,9 @@
     current = [member for member, fault in faults.items() if not fault]
     majority = len(members) // 2 + 1
     zones = sorted({member.zone for member in members if member.zone})
+    standbys = replica.membership.standbys.present(replica.host.now(), member_ids(members))
     return {
-        "node": replica.here,
+        "node": replica.local_address,
         "epoch": replica.state.epoch,
         "majority": majority,
         "members": [
@@ -33,8 +34,7 @@
             for member, fault in faults.items()
         ],
         "standbys": [
-            {"address": standby.member.address, "zone": standby.member.zone}
-            for standby in replica.upkeep.standbys.present(replica.host.now(), list(_keys(members)))
+            {"address": standby.member.address, "zone": standby.member.zone} for standby in standbys
         ],
         "bearable-losses": max(0, len(current) - majority),
         "bearable-zones": [
@@ -43,23 +43,20 @@
     }
 
 
-def _keys(members: tuple[Member, ...]) -> list[tuple[str, str]]:
-    return [member.key for member in members]
-
-
 def _fault(replica: Replica, member: Member) -> str:
-    """What keeps a member from being current; empty where it is."""
-    if member.key == replica.key:
-        return _behind(replica, replica.upkeep.own())
-    if member.key in replica.silent(SILENT_S):
+    """What keeps a member from being current; empty where it is. The words are shown to operators."""
+    if member.id == replica.member_id:
+        return _lag(replica, replica.membership.own_heartbeat())
+    if member.id in replica.unreachable_members(UNREACHABLE_S):
         return "silent"
-    heartbeat = replica.upkeep.heartbeats.get(member.key)
-    return "not heard yet" if heartbeat is None else _behind(replica, heartbeat)
+    heartbeat = replica.membership.contacts.heartbeats.get(member.id)
+    return "not heard yet" if heartbeat is None else _lag(replica, heartbeat)
 
 
-def _behind(replica: Replica, heartbeat: Heartbeat) -> str:
-    known = replica.known
-    if heartbeat.accepted < max(replica.upkeep.highest, replica.state.accepted):
+def _lag(replica: Replica, heartbeat: Heartbeat) -> str:
+    """What a machine that has sent a heartbeat lacks; empty for nothing."""
+    known = replica.known_state
+    if heartbeat.accepted < max(replica.membership.highest_accepted, replica.state.accepted):
         return "behind: it has not accepted the newest state"
     if known is not None and known.digest and heartbeat.digest != known.digest:
         return "behind: it has not told that it holds the newest configuration's text"
--- a/honeywharf/control/mesh_state.py
+++ b/honeywharf/control/mesh_state.py
@@ -1,38 +1,47 @@
 """The mesh state: the one value that the register keeps, and the changes that may be made to it. No I/O.
 
-A `MeshState` is never changed once made. A change takes a state and gives (the new one, or None where nothing
-changes; an answer). It may be applied more than once, to different states, and to its own result: what it
-does the second time is nothing.
+A `MeshState` is never changed once made. A change is a function from a state to (the new state, or None where
+nothing changes; an answer for who wanted it). The register may apply a change more than once, to different
+states and to its own result, so a change must be idempotent: applied to its own result it changes nothing.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass, field, replace as copied
+from dataclasses import dataclass, field, replace
 from enum import Enum
 from typing import Any, NamedTuple
 
 from honeywharf.control.version_history import VersionHistory
 
-Key = tuple[str, str]  # a member's address and disk name
-
 MAX_MEMBERS = 15
-MAX_ZONES = 256  # evacuations told apart
+MAX_ZONES = 256  # whose evacuation is remembered
 NO_VERSION = -1  # before the first configuration
+INITIAL_DISK = "first"  # the disk name of a seed at the first start of the whole system
+
+
+class MemberId(NamedTuple):
+    """What tells members apart: a machine whose disk was lost is another member at the same address.
+
+    `address`: "ip:port"; `disk`: a name that is drawn when a disk is first used.
+    """
+
+    address: str
+    disk: str
 
 
 class Member(NamedTuple):
-    """One entry of the membership. `address`: "ip:port"; `first`: it joined at the first start."""
+    """One entry of the membership. `address`: "ip:port"; `is_initial`: it joined at the first start."""
 
     address: str
     disk: str
     zone: str
-    first: bool
+    is_initial: bool
 
     @property
-    def key(self) -> Key:
-        """What tells it from other members: a machine whose disk was lost is another one."""
-        return self.address, self.disk
+    def id(self) -> MemberId:
+        """What tells it from other members."""
+        return MemberId(self.address, self.disk)
 
 
 Membership = tuple[Member, ...]
@@ -49,8 +58,9 @@
 
     `revision` is one more for each change, `epoch` one more for each change of the membership. `digest` names
     the configuration's text and is empty before the first. `evacuations` tells of each zone that was ever
-    evacuated whether it is so now. `wanted`: members that there were after the first start. `history`: which
-    content was confirmed under which version, the one in force included.
+    evacuated whether it is so now. `target_size`: the number of members after the first start, which later
+    changes of the membership keep. `history`: which content was confirmed under which version, the one in
+    force included.
     """
 
     revision: int
@@ -59,7 +69,7 @@
     evacuations: Mapping[str, bool]
     members: Membership
     epoch: int
-    wanted: int
+    target_size: int
     history: VersionHistory = field(default_factory=VersionHistory)
 
     def pack(self) -> dict[str, Any]:
@@ -67,7 +77,7 @@
         return {**self.pack_public(), "history": self.history.pack()}
 
     def pack_public(self) -> dict[str, Any]:
-        """The same without the memory of versions, for those who make no changes."""
+        """The same without the version history, for those who make no changes."""
         return {
             "rev": self.revision,
             "version": self.version,
@@ -75,12 +85,20 @@
             "evac": dict(self.evacuations),
             "roster": [list(member) for member in self.members],
             "epoch": self.epoch,
-            "wanted": self.wanted,
+            "wanted": self.target_size,
         }
 
     def without_history(self) -> MeshState:
-        """A copy that remembers no versions: for those who only read, and never to be changed."""
-        return copied(self, history=VersionHistory())
+        """A copy without the version history: for those who only read, and never to be changed."""
+        return replace(self, history=VersionHistory())
+
+    def with_changes(self, **fields: Any) -> MeshState:
+        """A copy with other fields and the next revision."""
+        return replace(self, revision=self.revision + 1, **fields)
+
+    def with_members(self, members: Membership, target_size: int) -> MeshState:
+        """A copy under another membership, of the next epoch."""
+        return self.with_changes(members=members, epoch=self.epoch + 1, target_size=target_size)
 
     @staticmethod
     def unpack(packed: Any) -> MeshState:
@@ -98,7 +116,7 @@
 
 
 def _unpack_history(packed: Any) -> VersionHistory:
-    """The memory of versions; of a state written before there was one, the version in force alone."""
+    """The version history; of a state written before there was one, the version in force alone."""
     if "history" in packed:
         return VersionHistory.unpack(packed["history"])
     version = packed["version"]
@@ -110,33 +128,28 @@
 Change = Callable[[MeshState], tuple[MeshState | None, Any]]
 
 
-def keys(members: Membership) -> list[Key]:
+def member_ids(members: Membership) -> list[MemberId]:
     """Who is in a membership, in its order."""
-    return [member.key for member in members]
+    return [member.id for member in members]
 
 
-def seeded(seeds: Sequence[str]) -> Membership:
+def initial_membership(seeds: Sequence[str]) -> Membership:
     """The membership of the first start: the seeds, each with its first disk."""
-    return tuple(Member(seed, "first", "", True) for seed in seeds)
+    return tuple(Member(seed, INITIAL_DISK, "", True) for seed in seeds)
 
 
-def initial(members: Membership) -> MeshState:
+def initial_state(members: Membership) -> MeshState:
     """The state before the first change, under the membership of the first start."""
     return MeshState(0, NO_VERSION, "", {}, members, 1, len(members))
 
 
-def changed(state: MeshState, **fields: Any) -> MeshState:
-    """A copy with other fields and the next revision."""
-    return copied(state, revision=state.revision + 1, **fields)
-
-
-def same(state: MeshState) -> tuple[MeshState | None, Any]:
-    """The change that changes nothing."""
+def no_change(state: MeshState) -> tuple[MeshState | None, Any]:
+    """The change that changes nothing; a member that proposes it brings itself up to date."""
     return None, None
 
 
 class Outcome(Enum):
-    """What became of an order to replace the configuration."""
+    """What became of a request to replace the configuration."""
 
     IN_FORCE = "in force"  # from now on
     CONFIRMED = "confirmed"  # it was confirmed before, and is in force or was overtaken
@@ -145,21 +158,23 @@
 
 
 class Confirmation(NamedTuple):
-    """The answer to an order. `digest` is that of the order, `confirmed` what the version was confirmed with:
-    the whole digest of the configuration in force, else its first digits.
+    """The answer to `replace_configuration`.
+
+    `digest`: of the content that was sent. `confirmed_digest`: of the content that the version was confirmed
+    with; whole for the configuration in force, else its first digits (`version_history`).
     """
 
     outcome: Outcome
     version: int
     digest: str
-    confirmed: str
+    confirmed_digest: str
 
 
-def replace(version: int, digest: str) -> Change:
-    """Take a configuration over where its version is the highest; answers a `Confirmation`.
+def replace_configuration(version: int, digest: str) -> Change:
+    """Put a configuration in force where its version is the highest; answers a `Confirmation`.
 
     Each version is confirmed with one content: the first that the register takes for it, also where a higher
-    version is in force already.
+    version is in force already. Source: RULES, CONFIG.
     """
 
     def change(state: MeshState) -> tuple[MeshState | None, Confirmation]:
@@ -168,39 +183,35 @@
 
         history = state.history
         if version > state.version:
-            made = changed(state, version=version, digest=digest, history=history.add(version, digest))
+            made = state.with_changes(version=version, digest=digest, history=history.add(version, digest))
             return made, answer(Outcome.IN_FORCE)
         if version == state.version and digest != state.digest:
             return None, answer(Outcome.CONFLICT, state.digest)
         if history.is_forgotten(version):
             return None, answer(Outcome.FORGOTTEN, "")
-        if not history.mark(version):
-            return changed(state, history=history.add(version, digest)), answer(Outcome.CONFIRMED)
+        confirmed = history.confirmed_prefix(version)
+        if not confirmed:
+            return state.with_changes(history=history.add(version, digest)), answer(Outcome.CONFIRMED)
         if not history.has(version, digest):
-            return None, answer(Outcome.CONFLICT, history.mark(version))
+            return None, answer(Outcome.CONFLICT, confirmed)
         return None, answer(Outcome.CONFIRMED)
 
     return change
 
 
-def evacuate(zone: str, begin: bool) -> Change:
-    """Begin or end the evacuation of a zone. Answers False where there are too many zones."""
+def set_evacuation(zone: str, begin: bool) -> Change:
+    """Begin or end the evacuation of a zone. Answers False where too many zones are remembered."""
 
-    def change(state: MeshState) -> tuple[MeshState | None, Any]:
+    def change(state: MeshState) -> tuple[MeshState | None, bool]:
         if state.evacuations.get(zone, False) == begin:
             return None, True
         if zone not in state.evacuations and len(state.evacuations) >= MAX_ZONES:
             return None, False
-        return changed(state, evacuations={**state.evacuations, zone: begin}), True
+        return state.with_changes(evacuations={**state.evacuations, zone: begin}), True
 
     return change
 
 
-def with_members(state: MeshState, members: Membership, wanted: int) -> MeshState:
-    """The state under another membership, of the next epoch."""
-    return changed(state, members=members, epoch=state.epoch + 1, wanted=wanted)
-
-
 class Admission(Enum):
     """What became of a change of the membership."""
 
@@ -211,8 +222,8 @@
     CHANGED = "changed"  # the membership is not the one that was judged by
 
 
-def admit(joiner: Member, silent: Sequence[Key]) -> Change:
-    """Take a machine into the membership. `silent`: members unheard for a second, whose place it may take.
+def admit(joiner: Member, unreachable: Sequence[MemberId]) -> Change:
+    """Make a machine a member. `unreachable`: members whose place it may take.
 
     Where its address is there with another disk, that entry is lost and the joiner takes its place. Where no
     place is free it stays a standby. Answers an `Admission`.
@@ -220,37 +231,37 @@
 
     def change(state: MeshState) -> tuple[MeshState | None, Admission]:
         members = state.members
-        if joiner.key in keys(members):
+        if joiner.id in member_ids(members):
             return None, Admission.MEMBER
-        place = _place(state, joiner, silent)
-        if place is not None:
-            return with_members(state, _put(members, place, joiner), state.wanted), Admission.MEMBER
-        if not joiner.first and len(members) >= state.wanted:
+        index = _index_to_replace(state, joiner, unreachable)
+        if index is not None:
+            return state.with_members(_put(members, index, joiner), state.target_size), Admission.MEMBER
+        if not joiner.is_initial and len(members) >= state.target_size:
             return None, Admission.STANDBY
         if len(members) >= MAX_MEMBERS:
             return None, Admission.FULL
-        wanted = state.wanted + bool(joiner.first)
-        return with_members(state, (*members, joiner), wanted), Admission.MEMBER
+        target_size = state.target_size + bool(joiner.is_initial)
+        return state.with_members((*members, joiner), target_size), Admission.MEMBER
 
     return change
 
 
-def hand_over(leaver: Key, standby: Member) -> Change:
+def hand_over(leaver: MemberId, standby: Member) -> Change:
     """Put a standby in the place of a member that leaves. Answers an `Admission`."""
 
     def change(state: MeshState) -> tuple[MeshState | None, Admission]:
-        members = keys(state.members)
+        members = member_ids(state.members)
         if leaver not in members:
             return None, Admission.MEMBER
-        if standby.key in members:
+        if standby.id in members:
             return None, Admission.CHANGED
         made = _put(state.members, members.index(leaver), standby)
-        return with_members(state, made, state.wanted), Admission.MEMBER
+        return state.with_members(made, state.target_size), Admission.MEMBER
 
     return change
 
 
-def when_holding(change: Change, digest: str) -> Change:
+def require_text(change: Change, digest: str) -> Change:
     """A change that gives a vote only to a machine that holds the text of the newest configuration.
 
     `digest`: of the configuration whose text it holds.
@@ -264,53 +275,53 @@
     return guarded
 
 
-def _put(members: Membership, place: int, joiner: Member) -> Membership:
-    return (*members[:place], joiner, *members[place + 1 :])
+def _put(members: Membership, index: int, joiner: Member) -> Membership:
+    return (*members[:index], joiner, *members[index + 1 :])
 
 
-def _place(state: MeshState, joiner: Member, silent: Sequence[Key]) -> int | None:
-    """Where a joiner stands in place of another: its lost disk, else a silent member, best of its zone."""
+def _index_to_replace(state: MeshState, joiner: Member, unreachable: Sequence[MemberId]) -> int | None:
+    """Whose place a joiner takes: that of its own lost disk, else an unreachable member, best of its zone."""
     members = state.members
-    for at, member in enumerate(members):
+    for index, member in enumerate(members):
         if member.address == joiner.address:
-            return at
-    if len(members) < state.wanted or joiner.first:
+            return index
+    if len(members) < state.target_size or joiner.is_initial:
         return None
-    places = [at for at, member in enumerate(members) if member.key in silent]
-    return min(places, key=lambda at: (members[at].zone != joiner.zone, at), default=None)
+    candidates = [index for index, member in enumerate(members) if member.id in unreachable]
+    return min(candidates, key=lambda index: (members[index].zone != joiner.zone, index), default=None)
 
 
-def drop(silent: Sequence[Key]) -> Change:
-    """Take one silent member out of a membership that is larger than wanted."""
+def remove_unreachable(unreachable: Sequence[MemberId]) -> Change:
+    """Take one unreachable member out of a membership that is larger than its target size."""
 
-    def change(state: MeshState) -> tuple[MeshState | None, Any]:
-        gone = next((member for member in state.members if member.key in silent), None)
-        if gone is None or len(state.members) <= state.wanted:
+    def change(state: MeshState) -> tuple[MeshState | None, bool]:
+        removed = next((member for member in state.members if member.id in unreachable), None)
+        if removed is None or len(state.members) <= state.target_size:
             return None, False
-        rest = tuple(member for member in state.members if member is not gone)
-        return with_members(state, rest, state.wanted), True
+        rest = tuple(member for member in state.members if member is not removed)
+        return state.with_members(rest, state.target_size), True
 
     return change
 
 
-def fenced(change: Change, epoch: int, still: Callable[[], bool]) -> Change:
-    """A change that is made only to the membership it was judged by, while its maker may still make it."""
+def fenced(change: Change, epoch: int, is_allowed: Callable[[], bool]) -> Change:
+    """A change that is made only to the membership that it was judged by, while its proposer may make it."""
 
     def fence(state: MeshState) -> tuple[MeshState | None, Any]:
-        return change(state) if state.epoch == epoch and still() else (None, Admission.CHANGED)
+        return change(state) if state.epoch == epoch and is_allowed() else (None, Admission.CHANGED)
 
     return fence
 
 
-def together(changes: Sequence[Change]) -> Callable[[MeshState], tuple[MeshState | None, list[Any]]]:
+def combine(changes: Sequence[Change]) -> Callable[[MeshState], tuple[MeshState | None, list[Any]]]:
     """Several changes as one, with an answer for each."""
 
     def change(state: MeshState) -> tuple[MeshState | None, list[Any]]:
-        now, answers = state, []
+        current, answers = state, []
         for one in changes:
-            made, answer = one(now)
-            now = now if made is None else made
+            made, answer = one(current)
+            current = current if made is None else made
             answers.append(answer)
-        return (None if now is state else now), answers
+        return (None if current is state else current), answers
 
     return change
--- a/honeywharf/control/messages.py
+++ b/honeywharf/control/messages.py
@@ -1,7 +1,8 @@
-"""What members of the quorum register say to each other: typed messages, and one codec for all of them.
+"""Messages between the members of the quorum register: one dataclass each, and one codec for all of them.
 
 A request names the disk that it is for and the newest decided membership that its sender knows; an answer
-tells the newest that its sender knows. Packed, a message is a list whose first item names its kind.
+tells the newest one that its sender knows. Packed, a message is a list: its kind, then its fields in order.
+`KIND` and the order of the fields are on the wire between builds and never change.
 """
 
 from __future__ import annotations
@@ -9,20 +10,24 @@
 from dataclasses import dataclass, fields
 from typing import Any, ClassVar, NamedTuple
 
-from honeywharf.control.mesh_state import Membership, MeshState, unpack_membership
+from honeywharf.control.mesh_state import MemberId, Membership, MeshState, unpack_membership
 
 MAX_COUNTER = 1 << 62
 
 
-class Ballot(NamedTuple):
-    """The number of one try to change the register; the highest counter wins, ties by proposer."""
+class ProposalNumber(NamedTuple):
+    """The number of one attempt to change the register; the highest counter wins, ties by proposer.
+
+    `proposer`: an address, "ip:port"; `incarnation`: drawn at the start of the proposer's process, so that no
+    number is used twice.
+    """
 
     counter: int
     proposer: str
     incarnation: int
 
     @staticmethod
-    def unpack(packed: Any) -> Ballot:
+    def unpack(packed: Any) -> ProposalNumber:
         """From a list of its fields. ValueError or TypeError where it is something else."""
         counter, proposer, incarnation = packed
         if not (
@@ -31,145 +36,146 @@
             and isinstance(incarnation, int)
             and 0 <= counter < MAX_COUNTER
         ):
-            raise ValueError(f"found {packed!r}, wanted a ballot")
-        return Ballot(counter, proposer, incarnation)
+            raise ValueError(f"found {packed!r}, wanted a proposal number")
+        return ProposalNumber(counter, proposer, incarnation)
 
 
-NO_BALLOT = Ballot(0, "", 0)
+NO_PROPOSAL = ProposalNumber(0, "", 0)
 
 
-class Decided(NamedTuple):
+class DecidedMembership(NamedTuple):
     """A membership that is known to be in force. Epoch 0: none is known."""
 
     epoch: int
     members: Membership
 
     @staticmethod
-    def unpack(packed: Any) -> Decided:
+    def unpack(packed: Any) -> DecidedMembership:
         """From a list of its fields. ValueError or TypeError where it is something else."""
         epoch, members = packed
         if not isinstance(epoch, int):
             raise TypeError(f"found {epoch!r}, wanted the number of an epoch")
-        return Decided(epoch, unpack_membership(members))
+        return DecidedMembership(epoch, unpack_membership(members))
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks for a promise to heed no lower ballot, and for what was accepted last."""
+    """From a proposer: promise to accept no lower number, and tell what was accepted last."""
 
     KIND: ClassVar[str] = "prepare"
     disk: str
-    decided: Decided
-    ballot: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to accept a state under a ballot."""
+    """From a proposer that a majority has promised: accept this state under this number."""
 
     KIND: ClassVar[str] = "accept"
     disk: str
-    decided: Decided
-    ballot: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
     state: MeshState
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Asks for what was accepted last."""
+    """From a reader: tell what was accepted last."""
 
     KIND: ClassVar[str] = "read"
     disk: str
-    decided: Decided
+    decided: DecidedMembership
 
 
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """No lower ballot will be heeded."""
+    """Answers `Prepare`: no lower number will be accepted. `accepted`, `state`: what was accepted last."""
 
     KIND: ClassVar[str] = "promised"
-    decided: Decided
-    ballot: Ballot
-    accepted: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
+    accepted: ProposalNumber
     state: MeshState | None
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The state is on disk."""
+    """Answers `Accept`: the state is synced to disk."""
 
     KIND: ClassVar[str] = "accepted"
-    decided: Decided
-    ballot: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
 
 
 @dataclass(frozen=True, slots=True)
-class Current:
-    """What was accepted last, for a reader."""
+class CurrentValue:
+    """Answers `Read`: what was accepted last, without its version history."""
 
     KIND: ClassVar[str] = "current"
-    decided: Decided
-    accepted: Ballot
+    decided: DecidedMembership
+    accepted: ProposalNumber
     state: MeshState | None
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A higher ballot was promised."""
+    """Answers `Prepare` or `Accept` under `number`: a higher number was promised."""
 
     KIND: ClassVar[str] = "rejected"
-    decided: Decided
-    ballot: Ballot
-    promised: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
+    promised: ProposalNumber
 
 
 @dataclass(frozen=True, slots=True)
 class NewerMembership:
-    """A newer membership is decided than the one asked under."""
+    """Answers any request: a newer membership is decided than the one it was made under."""
 
     KIND: ClassVar[str] = "newer membership"
-    decided: Decided
+    decided: DecidedMembership
 
 
 @dataclass(frozen=True, slots=True)
-class OtherDisk:
-    """The disk that was asked for is not here."""
+class DiskMismatch:
+    """Answers any request: the disk that it is for is not here."""
 
     KIND: ClassVar[str] = "other disk"
-    decided: Decided
+    decided: DecidedMembership
 
 
 @dataclass(frozen=True, slots=True)
 class TextMissing:
-    """The state can't be accepted before the configuration's text is here."""
+    """Answers `Accept`: the state can't be accepted before the configuration's text is here."""
 
     KIND: ClassVar[str] = "text missing"
-    decided: Decided
-    ballot: Ballot
+    decided: DecidedMembership
+    number: ProposalNumber
 
 
 Request = Prepare | Accept | Read
-Answer = Promised | Accepted | Current | Rejected | NewerMembership | OtherDisk | TextMissing
+Answer = Promised | Accepted | CurrentValue | Rejected | NewerMembership | DiskMismatch | TextMissing
 KINDS = {
-    kind.KIND: kind
-    for kind in (
+    message.KIND: message
+    for message in (
         Prepare,
         Accept,
         Read,
         Promised,
         Accepted,
-        Current,
+        CurrentValue,
         Rejected,
         NewerMembership,
-        OtherDisk,
+        DiskMismatch,
         TextMissing,
     )
 }
-UNPACK: dict[str, Any] = {
-    "decided": Decided.unpack,
-    "ballot": Ballot.unpack,
-    "accepted": Ballot.unpack,
-    "promised": Ballot.unpack,
+#: How the value of a field is read, by the field's name; others are taken as they come.
+FIELD_READERS: dict[str, Any] = {
+    "decided": DecidedMembership.unpack,
+    "number": ProposalNumber.unpack,
+    "accepted": ProposalNumber.unpack,
+    "promised": ProposalNumber.unpack,
     "state": lambda packed: None if packed is None else MeshState.unpack(packed),
 }
 
@@ -185,18 +191,19 @@
 
 def unpack(packed: Any) -> Request | Answer:
     """From `pack`. ValueError, TypeError or LookupError where it is something else."""
-    name, *values = packed
-    kind = KINDS[name]
-    names = [field.name for field in fields(kind)]
+    kind, *values = packed
+    message_class = KINDS[kind]
+    names = [field.name for field in fields(message_class)]
     if len(names) != len(values):
-        raise ValueError(f"found {len(values)} fields, wanted the {len(names)} of {name}")
-    read = [
-        UNPACK[field](value) if field in UNPACK else value for field, value in zip(names, values, strict=True)
+        raise ValueError(f"found {len(values)} fields, wanted the {len(names)} of {kind}")
+    arguments = [
+        FIELD_READERS[name](value) if name in FIELD_READERS else value
+        for name, value in zip(names, values, strict=True)
     ]
-    made: Request | Answer = kind(*read)
-    if isinstance(made, Prepare | Accept | Read) and not isinstance(made.disk, str):
-        raise TypeError(f"found {made.disk!r}, wanted the name of a disk")
-    return made
+    message: Request | Answer = message_class(*arguments)
+    if isinstance(message, Prepare | Accept | Read) and not isinstance(message.disk, str):
+        raise TypeError(f"found {message.disk!r}, wanted the name of a disk")
+    return message
 
 
 def unpack_request(packed: Any) -> Request:
@@ -216,10 +223,10 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a member or a joiner tells of itself, every beat.
+    """What a member, a standby or a joiner tells of itself in every heartbeat, and in its answer to one.
 
-    `epoch`: of the newest decided membership that it knows; `revision`: of the state in force that it knows,
-    -1 for none; `accepted`: the ballot accepted last; `digest`: of that state's configuration where its text
+    `epoch`: of the newest decided membership that it knows; `revision`: of the committed state that it knows,
+    -1 for none; `accepted`: the number accepted last; `digest`: of that state's configuration where its text
     is on disk, else empty.
     """
 
@@ -227,14 +234,14 @@
     disk: str
     epoch: int
     revision: int
-    accepted: Ballot
+    accepted: ProposalNumber
     zone: str
     digest: str
 
     @property
-    def key(self) -> tuple[str, str]:
+    def sender(self) -> MemberId:
         """Who it is."""
-        return self.address, self.disk
+        return MemberId(self.address, self.disk)
 
     @staticmethod
     def unpack(packed: Any) -> Heartbeat:
@@ -242,4 +249,5 @@
         address, disk, epoch, revision, accepted, zone, digest = packed
         if not all(isinstance(text, str) for text in (address, disk, zone, digest)):
             raise TypeError(f"found {packed!r}, wanted a heartbeat")
-        return Heartbeat(address, disk, int(epoch), int(revision), Ballot.unpack(accepted), zone, digest)
+        number = ProposalNumber.unpack(accepted)
+        return Heartbeat(address, disk, int(epoch), int(revision), number, zone, digest)
--- /dev/null
+++ b/honeywharf/control/operator_api.py
@@ -0,0 +1,219 @@
+"""The operator's HTTP calls: replace and describe a configuration, begin and end an evacuation, and views.
+
+A call is answered 200 only for what a majority holds on disk, 4xx for what will never be taken, and 503 where
+no majority answers in time: then it may be in force or not, and the operator asks again, here or elsewhere.
+Source: PROTOCOL, "The control plane"; RULES, CONFIG and EVAC.
+"""
+
+from __future__ import annotations
+
+import json
+import zlib
+from collections.abc import Callable, Collection
+from functools import partial
+from typing import TYPE_CHECKING, Protocol
+
+from honeywharf.control import mesh_state
+from honeywharf.control.members_view import members_view
+from honeywharf.control.mesh_state import Confirmation, MeshState, Outcome
+from honeywharf.control.register import QuorumResult
+from honeywharf.control.register_queues import ConfigurationText
+from honeywharf.control.replica import Replica
+from honeywharf.transport.matchers import NotAllowed, Tree
+
+if TYPE_CHECKING:
+    from result import Result
+
+    from honeywharf.mesh_config.configuration import Configuration
+
+    Check = Callable[[bytes], Result[Configuration, str]]
+
+ANSWER_TIMEOUT_S = 0.85  # the operator moves on after one second without an answer
+BODY_BYTES_PER_S = 20e6  # by which larger bodies get more time
+MAX_ERROR_BYTES = 4096  # of the text of a rejection
+RETRY_SOON = b"Retry-After: 0.1\r\n"
+RETRY_LATER = b"Retry-After: 60\r\n"
+FORGOTTEN = b"the version is older than what is remembered: whether it was confirmed is not known"
+REREAD_DELAY_S = 0.02  # before a configuration is read again whose text was displaced
+COMPRESSION_LEVEL = 3  # zlib's: 64 MB in some 0.6 s
+
+
+class HttpCall(Protocol):
+    """A complete HTTP call (`transport.http_server.Call`)."""
+
+    method: bytes
+    path: bytes
+    body: bytes
+
+    def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
+        """Answer, once, now or later. `lines`: further header lines, each with its line end."""
+
+
+def _check(raw: bytes) -> Result[Configuration, str]:
+    """Check a configuration. Loaded at its first use, as it takes 0.4 s of a small machine's start."""
+    from honeywharf.mesh_config.configuration import check
+
+    return check(raw)
+
+
+def _conflict_body(answer: Confirmation) -> bytes:
+    """What is answered where another content is confirmed under the version sent."""
+    body = {
+        "error": "another content is confirmed under this version",
+        "config-version": f"r{answer.version}",
+        "sent": answer.digest,
+        "confirmed": answer.confirmed_digest,
+    }
+    return json.dumps(body).encode()
+
+
+class OperatorApi:
+    """Answers calls at the control plane's address.
+
+    `zones`: those that may be evacuated; `sidecar_port`: of the sidecars' control plane, to which a backend's
+    heartbeat that came here by mistake is redirected.
+    """
+
+    def __init__(
+        self, replica: Replica, zones: Collection[str], sidecar_port: int, check: Check = _check
+    ) -> None:
+        self.replica, self.zones, self.sidecar_port, self.check = replica, zones, sidecar_port, check
+        self.is_shutting_down = False
+        self.pending_calls = 0  # not answered yet
+        self.routes = routes = Tree()
+        begin, end = partial(self._set_evacuation, True), partial(self._set_evacuation, False)
+        self.majority_calls = [self._replace, self._describe, begin, end, self._readiness]
+        routes.add("POST", "/api/configuration/replace", self._replace)
+        routes.add("GET", "/api/configuration/describe", self._describe)
+        routes.add("POST", "/api/evacuations/{zone}/start", begin)
+        routes.add("POST", "/api/evacuations/{zone}/complete", end)
+        routes.add("POST", "/api/instances/{id}/heartbeat", self._redirect_heartbeat)
+        routes.add("POST", "/api/instances/{id}/deregister", self._redirect_heartbeat)
+        routes.add("GET", "/api/readiness", self._readiness)
+        routes.add("GET", "/api/members", self._members)
+
+    def preload(self) -> None:
+        """Load what a check needs, before the first one waits for it."""
+        self.check(b"{}")
+
+    def handle(self, call: HttpCall) -> None:
+        """Take a call of the HTTP server; it is answered later."""
+        if self.is_shutting_down:
+            call.answer(503, b"leaving", RETRY_SOON)
+            return
+        self.pending_calls += 1
+        try:
+            found = self.routes.find(call.method, call.path)
+        except NotAllowed as other_methods:
+            self.answer(call, 405, b"", b"Allow: " + b", ".join(other_methods.args[0]) + b"\r\n")
+            return
+        if found is None:
+            self.answer(call, 404, b"no such path")
+            return
+        target, parameters = found
+        if target in self.majority_calls and not self.replica.reaches_majority():
+            self._answer_unavailable(call, QuorumResult.UNREACHABLE)  # at once: the caller asks another node
+            return
+        target(call, **parameters)
+
+    def answer(self, call: HttpCall, status: int, body: bytes = b"", lines: bytes = b"") -> None:
+        """Answer a call that was taken, by this part or another one that has added a route."""
+        self.pending_calls -= 1
+        call.answer(status, body, lines)
+
+    def _answer_unavailable(self, call: HttpCall, result: QuorumResult) -> None:
+        self.answer(call, 503, f"no majority: {result.value}".encode(), RETRY_SOON)
+
+    # Configurations.
+
+    def _replace(self, call: HttpCall) -> None:
+        checked = self.check(call.body)
+        if checked.is_err():
+            self.answer(call, 400, str(checked.err()).encode("utf-8", "replace")[:MAX_ERROR_BYTES])
+            return
+        configuration = checked.unwrap()
+        compressed = zlib.compress(configuration.text, COMPRESSION_LEVEL)
+        self.replica.submit(
+            mesh_state.replace_configuration(configuration.version, configuration.digest),
+            ANSWER_TIMEOUT_S + len(call.body) / BODY_BYTES_PER_S,
+            partial(self._replaced, call),
+            ConfigurationText(configuration.digest, compressed),
+        )
+
+    def _replaced(self, call: HttpCall, result: QuorumResult, answer: Confirmation | None) -> None:
+        """A write has ended; `answer` is None where it was not committed."""
+        if answer is None:
+            self._answer_unavailable(call, result)
+        elif answer.outcome is Outcome.CONFLICT:
+            self.answer(call, 409, _conflict_body(answer))
+        elif answer.outcome is Outcome.FORGOTTEN:
+            self.answer(call, 503, FORGOTTEN, RETRY_LATER)
+        else:
+            self.answer(call, 200, b'{"config-version":"r%d"}' % answer.version)
+
+    def _describe(self, call: HttpCall) -> None:
+        self._read(call, self.replica.host.now() + ANSWER_TIMEOUT_S)
+
+    def _read(self, call: HttpCall, deadline: float) -> None:
+        timeout = deadline - self.replica.host.now()
+        self.replica.read(timeout, partial(self._described, call, deadline))
+
+    def _described(self, call: HttpCall, deadline: float, state: MeshState | None) -> None:
+        if state is None:
+            self._answer_unavailable(call, QuorumResult.UNREACHABLE)
+        elif not state.digest:
+            self.answer(call, 404, b"no configuration yet")
+        else:
+            self.replica.get_text(state.digest, partial(self._answer_text, call, deadline))
+
+    def _answer_text(self, call: HttpCall, deadline: float, compressed: bytes | None) -> None:
+        """Answer with the configuration as it was sent.
+
+        Read anew where a later one has displaced its text.
+        """
+        if compressed is None and self.replica.host.now() < deadline:
+            self.replica.host.after(REREAD_DELAY_S, partial(self._read, call, deadline))
+        elif compressed is None:
+            self.answer(call, 503, b"the configuration's text is out of reach", RETRY_SOON)
+        else:
+            self.answer(call, 200, zlib.decompress(compressed))
+
+    # Evacuations.
+
+    def _set_evacuation(self, begin: bool, call: HttpCall, zone: str) -> None:
+        if zone not in self.zones:
+            self.answer(call, 404, b"no such zone")
+            return
+        change = mesh_state.set_evacuation(zone, begin)
+        self.replica.submit(change, ANSWER_TIMEOUT_S, partial(self._evacuation_set, call))
+
+    def _evacuation_set(self, call: HttpCall, result: QuorumResult, answer: bool | None) -> None:
+        if result is QuorumResult.OK:
+            self.answer(call, 200 if answer else 409, b"{}")
+        else:
+            self._answer_unavailable(call, result)
+
+    # Other calls.
+
+    def _redirect_heartbeat(self, call: HttpCall, id: str) -> None:
+        """A backend's heartbeat that came here by mistake: the sidecar on the backend's machine takes it."""
+        try:
+            ip = json.loads(call.body)["address"].rpartition(":")[0]
+        except (ValueError, LookupError, TypeError, AttributeError):
+            ip = ""
+        if ip.count(".") != 3 or not ip.replace(".", "").isdigit():
+            self.answer(call, 404, b"beats go to the proxy beside the backend")
+            return
+        location = f"Location: http://{ip}:{self.sidecar_port}".encode() + call.path
+        self.answer(call, 307, b"", location + b"\r\n")
+
+    def _members(self, call: HttpCall) -> None:
+        """The membership as this node sees it; no majority is asked, so that it answers when that is lost."""
+        self.answer(call, 200, json.dumps(members_view(self.replica)).encode())
+
+    def _readiness(self, call: HttpCall) -> None:
+        """Ready: a majority answers now, and holds what this node would tell."""
+        self.replica.read(ANSWER_TIMEOUT_S, partial(self._answer_readiness, call))
+
+    def _answer_readiness(self, call: HttpCall, state: MeshState | None) -> None:
+        self.answer(call, 503 if state is None else 200)
--- a/honeywharf/control/quorum.py
+++ b/honeywharf/control/quorum.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from honeywharf.control.mesh_state import Key, Membership, keys
+from honeywharf.control.mesh_state import MemberId, Membership, member_ids
 
 
 class Quorums:
@@ -13,23 +13,25 @@
     __slots__ = ("memberships",)
 
     def __init__(self, memberships: Iterable[Membership]) -> None:
-        self.memberships: list[list[Key]] = []
+        self.memberships: list[list[MemberId]] = []
         for members in memberships:
             self.add(members)
 
     def add(self, members: Membership) -> bool:
-        """Ask for one more; False where it is there already."""
-        wanted = keys(members)
-        if any(set(wanted) == set(one) for one in self.memberships):
+        """Require one more membership; False where it is required already."""
+        added = member_ids(members)
+        if any(set(added) == set(required) for required in self.memberships):
             return False
-        self.memberships.append(wanted)
+        self.memberships.append(added)
         return True
 
-    def members(self) -> list[Key]:
-        """Everybody, once."""
-        return list(dict.fromkeys(key for members in self.memberships for key in members))
+    def members(self) -> list[MemberId]:
+        """The members of all memberships, each once."""
+        return list(dict.fromkeys(member for members in self.memberships for member in members))
 
-    def covered(self, by: Iterable[Key]) -> bool:
-        """Whether `by` has a majority of each."""
-        there = set(by)
-        return all(2 * sum(key in there for key in members) > len(members) for members in self.memberships)
+    def covered(self, by: Iterable[MemberId]) -> bool:
+        """Whether `by` has a majority of each membership."""
+        present = set(by)
+        return all(
+            2 * sum(member in present for member in members) > len(members) for members in self.memberships
+        )
--- a/honeywharf/control/quorum_client.py
+++ b/honeywharf/control/quorum_client.py
@@ -1,151 +1,162 @@
-"""Carries the messages of rounds and reads to the members, and their answers back, on a `Host`."""
+"""Carries the requests of quorum operations to the members, and their answers back, on a `Host`."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+from honeywharf import rpc_methods
 from honeywharf.control import messages
-from honeywharf.control.address import address_of
-from honeywharf.control.messages import Accept, Answer, OtherDisk
-from honeywharf.control.register import Asking, Send, Sends
+from honeywharf.control.address import parse_address
+from honeywharf.control.messages import Accept, Answer, DiskMismatch
+from honeywharf.control.register import OutgoingRequest, OutgoingRequests, QuorumOperation
 
 if TYPE_CHECKING:
-    from honeywharf.control.mesh_state import Key
-    from honeywharf.control.texts import ConfigurationTexts
+    from honeywharf.control.configuration_texts import ConfigurationTexts
+    from honeywharf.control.mesh_state import MemberId
     from honeywharf.control.voter import Voter
-    from honeywharf.transport.host import Host, Timer
+    from honeywharf.transport.host import Host
     from honeywharf.transport.rpc import Caller
 
-WITHIN_S = 0.4  # that one message of the register may take; more with a text
-UNASKED_BYTES = 64 << 10  # of a text that is sent with a proposal though nobody has asked for it
-LINK_RATE = 20e6  # bytes a second of a link whose rate is not known
-LINK_SHARE = 0.5  # of the link's rate, that texts on their way to all members may take
+CALL_TIMEOUT_S = 0.4  # of one message of the register; a text adds to it
+UNREQUESTED_TEXT_BYTES = 64 << 10  # a text up to here goes with a proposal though nobody has asked for it
+DEFAULT_LINK_BYTES_PER_S = 20e6  # of a link whose rate is not known
+TEXT_LINK_SHARE = 0.5  # of the link's rate, that texts on their way to all members may take
 BYTES_PER_MEGABIT = 125_000.0
 MIN_WAIT_S = 0.001
 
-Over = Callable[[], None]
+Completion = Callable[[], None]
+OnContact = Callable[["MemberId"], None]
+
+
+@dataclass(slots=True)
+class _Run:
+    """An operation on its way. `done()` is called once it has a result."""
+
+    operation: QuorumOperation
+    done: Completion
 
 
 class QuorumClient:
-    """See the module. `heard` is told of each member that has answered."""
+    """Runs quorum operations. `on_contact` is called with each member that has answered."""
 
     def __init__(
-        self,
-        host: Host,
-        caller: Caller,
-        voter: Voter,
-        texts: ConfigurationTexts,
-        heard: Callable[[Key], None],
+        self, host: Host, caller: Caller, voter: Voter, texts: ConfigurationTexts, on_contact: OnContact
     ) -> None:
-        self.host, self.caller, self.voter, self.texts, self.heard = host, caller, voter, texts, heard
-        self.link_rate = LINK_RATE  # bytes a second
-
-    def linked(self, mbps: float) -> None:
-        """The link of this machine carries so much."""
-        self.link_rate = mbps * BYTES_PER_MEGABIT
-
-    def drive(self, asking: Asking, sends: Sends, over: Over) -> None:
-        """Carry a round's or a read's messages until it has a result; then `over()`."""
-        if asking.result is not None:
-            over()
+        self.host, self.caller, self.voter, self.texts = host, caller, voter, texts
+        self.on_contact = on_contact
+        self.link_bytes_per_s = DEFAULT_LINK_BYTES_PER_S
+
+    def set_link_rate(self, megabits_per_s: float) -> None:
+        """The rate of this machine's link; texts get as much more time as they need on it."""
+        self.link_bytes_per_s = megabits_per_s * BYTES_PER_MEGABIT
+
+    def run(self, operation: QuorumOperation, requests: OutgoingRequests, done: Completion) -> None:
+        """Carry an operation's messages until it has a result; then `done()`."""
+        self._send_all(_Run(operation, done), requests)
+
+    def _send_all(self, run: _Run, requests: OutgoingRequests) -> None:
+        operation = run.operation
+        if operation.result is not None:
+            run.done()
             return
-        here = self.voter.here
-        for send in sends:
-            if send.key[0] != here:
-                self._send(asking, send, over)
-        for send in sends:  # our own last: the others' disks work at the same time as ours
-            if send.key[0] == here:
-                self.host.after(0.0, partial(self._send_home, asking, send, over))
-        asking.timer = self._timer(asking, over)
-
-    def _timer(self, asking: Asking, over: Over) -> Timer:
-        if asking.timer is not None:
-            asking.timer.cancel()
-        wait = max(MIN_WAIT_S, asking.due - self.host.now())
-        return self.host.after(wait, partial(self._tick, asking, over))
-
-    def _tick(self, asking: Asking, over: Over) -> None:
-        self._go_on(asking, lambda: asking.tick(self.host.now()), over)
-
-    def _go_on(self, asking: Asking, step: Callable[[], Sends], over: Over) -> None:
-        """Take one step of something that is still at work."""
-        if asking.result is not None:
+        local = self.voter.local_address
+        for request in requests:
+            if request.to.address != local:
+                self._send(run, request)
+        for request in requests:  # our own last: the others' disks work at the same time as ours
+            if request.to.address == local:
+                self.host.after(0.0, partial(self._send_to_local_acceptor, run, request))
+        self._rearm(run)
+
+    def _rearm(self, run: _Run) -> None:
+        operation = run.operation
+        if operation.timer is not None:
+            operation.timer.cancel()
+        wait = max(MIN_WAIT_S, operation.due_at - self.host.now())
+        operation.timer = self.host.after(wait, partial(self._tick, run))
+
+    def _tick(self, run: _Run) -> None:
+        self._step(run, lambda: run.operation.tick(self.host.now()))
+
+    def _step(self, run: _Run, step: Callable[[], OutgoingRequests]) -> None:
+        """Take one step of an operation that has no result yet."""
+        operation = run.operation
+        if operation.result is not None:
             return
-        self.drive(asking, step(), over)
-        if asking.result is not None and asking.timer is not None:
-            asking.timer.cancel()
+        self._send_all(run, step())
+        if operation.result is not None and operation.timer is not None:
+            operation.timer.cancel()
 
-    def _send_home(self, asking: Asking, send: Send, over: Over) -> None:
-        """Ask our own acceptor."""
-        if asking.result is not None:
+    def _send_to_local_acceptor(self, run: _Run, request: OutgoingRequest) -> None:
+        if run.operation.result is not None:
             return
-        if not send.with_text:
-            self._answered(asking, send.key, over, self.voter.vote(send.request, None))
+        if not request.with_text:
+            self._answered(run, request.to, self.voter.vote(request.request, None))
             return
-        self._with_text(send, partial(self._vote_with_text, asking, send, over))
+        self._with_text(request, partial(self._vote_with_text, run, request))
 
-    def _vote_with_text(self, asking: Asking, send: Send, over: Over, text: bytes | None) -> None:
-        answer = None if text is None else self.voter.vote(send.request, text)
-        self._answered(asking, send.key, over, answer)
+    def _vote_with_text(self, run: _Run, request: OutgoingRequest, text: bytes | None) -> None:
+        answer = None if text is None else self.voter.vote(request.request, text)
+        self._answered(run, request.to, answer)
 
-    def _send(self, asking: Asking, send: Send, over: Over) -> None:
-        """Ask a peer's acceptor, with the text of the configuration where it is wanted."""
-        if not send.with_text:
-            self._call(asking, send, over, None)
+    def _send(self, run: _Run, request: OutgoingRequest) -> None:
+        """Send to a peer's acceptor, with the text of the configuration where it is needed."""
+        if not request.with_text:
+            self._call(run, request, None)
             return
-        self._with_text(send, partial(self._call_with_text, asking, send, over))
+        self._with_text(request, partial(self._call_with_text, run, request))
 
-    def _call_with_text(self, asking: Asking, send: Send, over: Over, text: bytes | None) -> None:
+    def _call_with_text(self, run: _Run, request: OutgoingRequest, text: bytes | None) -> None:
         if text is None:
-            self._answered(asking, send.key, over, None)
-        elif len(text) > UNASKED_BYTES and not send.text_missing:
-            self._call(asking, send, over, None)  # it may have it since an earlier try
+            self._answered(run, request.to, None)
+        elif len(text) > UNREQUESTED_TEXT_BYTES and not request.text_missing:
+            self._call(run, request, None)  # it may have it since an earlier attempt
         else:
-            self._call(asking, send, over, text)
+            self._call(run, request, text)
 
-    def _with_text(self, send: Send, done: Callable[[bytes | None], None]) -> None:
-        assert isinstance(send.request, Accept)
-        self.texts.get(send.request.state.digest, done)
+    def _with_text(self, request: OutgoingRequest, done: Callable[[bytes | None], None]) -> None:
+        assert isinstance(request.request, Accept)
+        self.texts.get(request.request.state.digest, done)
 
-    def _call(self, asking: Asking, send: Send, over: Over, text: bytes | None) -> None:
-        within = WITHIN_S + self._text_time(len(text or b""))
-        packed = [messages.pack(send.request), text]
+    def _call(self, run: _Run, request: OutgoingRequest, text: bytes | None) -> None:
+        timeout = CALL_TIMEOUT_S + self._text_time(len(text or b""))
         self.caller.call(
-            address_of(send.key[0]),
-            "register.ask",
-            packed,
-            within,
-            partial(self._received, asking, send.key, over),
+            parse_address(request.to.address),
+            rpc_methods.REGISTER_REQUEST,
+            [messages.pack(request.request), text],
+            timeout,
+            partial(self._received, run, request.to),
         )
 
     def _text_time(self, size: int) -> float:
         """Seconds that a text may take to one member, while the others get it too."""
         copies = max(1, len(self.voter.state.members) - 1)
-        return size * copies / (self.link_rate * LINK_SHARE)
+        return size * copies / (self.link_bytes_per_s * TEXT_LINK_SHARE)
 
-    def _received(self, asking: Asking, key: Key, over: Over, packed: Any) -> None:
-        """A peer's answer as it came, or None."""
+    def _received(self, run: _Run, member: MemberId, packed: Any) -> None:
+        """A peer's answer as it came, or None where there was none in time."""
         answer = None
         if packed is not None:
             try:
                 answer = messages.unpack_answer(packed)
-            except (ValueError, TypeError, LookupError) as fault:
-                self.host.log(f"replica: from {key[0]} {fault}")
-        self._answered(asking, key, over, answer)
+            except (ValueError, TypeError, LookupError) as error:
+                self.host.log(f"replica: from {member.address} {error}")
+        self._answered(run, member, answer)
 
-    def _answered(self, asking: Asking, key: Key, over: Over, answer: Answer | None) -> None:
-        """A member's answer, or none."""
+    def _answered(self, run: _Run, member: MemberId, answer: Answer | None) -> None:
+        """A member's answer; None where it gave none."""
         now = self.host.now()
         if answer is None:
-            self._go_on(asking, lambda: self._lost(asking, now, key), over)
+            self._step(run, lambda: self._message_lost(run.operation, now, member))
             return
-        if not isinstance(answer, OtherDisk):
-            self.heard(key)
-        self._go_on(asking, lambda: asking.received(now, key, answer), over)
+        if not isinstance(answer, DiskMismatch):
+            self.on_contact(member)
+        self._step(run, lambda: run.operation.received(now, member, answer))
 
     @staticmethod
-    def _lost(asking: Asking, now: float, key: Key) -> Sends:
-        asking.lost(now, key)
+    def _message_lost(operation: QuorumOperation, now: float, member: MemberId) -> OutgoingRequests:
+        operation.message_lost(now, member)
         return []
--- a/honeywharf/control/register.py
+++ b/honeywharf/control/register.py
@@ -1,11 +1,13 @@
 """Changes and reads of the register: one value, kept by a majority of a membership that may itself change.
 
-Theory of operation (after CASPaxos). A round asks the members to promise a ballot, takes the value that was
-accepted under the highest one, applies its change, and has the result accepted. It needs majorities, for both
-halves, of every membership that it has seen: the one known as decided, the one in the value it found, and the
-one that it puts in. What such majorities have accepted is committed, and its membership decided: from then on
-that membership alone is enough. Whoever knows an older one meets, in any majority of it, a member that
-accepted a value with the newer one, or knows it as decided and says so.
+Theory of operation (after CASPaxos: Denis Rystsov, "CASPaxos: Replicated State Machines without logs",
+2018). A write asks the members to promise a proposal number, takes the value that was accepted under the
+highest one, applies its change, and has the result accepted. It needs majorities, in both phases, of every
+membership that it has seen: the one known as decided, the one in the value it found, and the one that it
+puts in. What such majorities have accepted is committed, and its membership decided: from then on that
+membership alone is enough. Whoever knows an older one meets, in any majority of it, a member that accepted
+a value with the newer one, or knows it as decided and says so. `docs/design/control-state.md` has the
+argument in full.
 
 A member is an address with a disk. A machine whose disk was lost has another name, and does not answer in
 place of the old one. No I/O and no clock here: times come as arguments, messages go out as results.
@@ -18,19 +20,19 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from honeywharf.control.mesh_state import Change, Key, MeshState, initial
+from honeywharf.control.mesh_state import Change, MemberId, MeshState, initial_state
 from honeywharf.control.messages import (
-    NO_BALLOT,
+    NO_PROPOSAL,
     Accept,
     Accepted,
     Answer,
-    Ballot,
-    Current,
-    Decided,
+    CurrentValue,
+    DecidedMembership,
+    DiskMismatch,
     NewerMembership,
-    OtherDisk,
     Prepare,
     Promised,
+    ProposalNumber,
     Read,
     Rejected,
     Request,
@@ -38,98 +40,118 @@
 )
 from honeywharf.control.quorum import Quorums
 
-RESEND_S = 0.06  # after a lost message, until it is sent again
-STRAGGLERS_S = 0.02  # that a read waits for more answers before it gives up on finding all the same
-BACKOFF_S = 0.02  # mean of the first pause after a refusal
-MAX_DOUBLINGS = 4  # of the pause
+RESEND_S = 0.06  # from a message's loss to its resend, on average
+STRAGGLERS_S = 0.02  # that a read waits for more answers before it is inconclusive
+BACKOFF_S = 0.02  # mean of the first pause after a rejection
+MAX_BACKOFF_DOUBLINGS = 4
 
 
-class Result(Enum):
-    """How a round or a read ended."""
+class QuorumResult(Enum):
+    """How a write or a read ended. The values are shown to operators."""
 
     OK = "ok"
-    UNSURE = "unsure"  # a read found more than one acceptance: it must be written back first
+    INCONCLUSIVE = "unsure"  # a read found more than one acceptance: it must be written back first
     UNREACHABLE = "unreachable"  # no majority in time
-    CONTENDED = "contended"  # others went before each time
+    CONTENDED = "contended"  # other proposers went before each time
 
 
 class Phase(Enum):
-    """What a round is doing."""
+    """What a write is doing."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
-    PAUSE = "pause"  # between tries
+    BACKOFF = "backoff"  # between attempts
 
 
-class Send(NamedTuple):
-    """A request to a member; `with_text`: the configuration's text goes with it, where that is short or the
-    member has asked for it (`text_missing`).
+class Proposer(NamedTuple):
+    """Who makes a change: an address, and a number drawn at the start of its process."""
+
+    address: str
+    incarnation: int
+
+
+class AcceptedValue(NamedTuple):
+    """What a member told that it accepted last; `state` is None where it has accepted nothing."""
+
+    number: ProposalNumber
+    state: MeshState | None
+
+
+class OutgoingRequest(NamedTuple):
+    """A request to a member.
+
+    `with_text`: the configuration's text goes with it, where that is short or the member has asked for it
+    (`text_missing`).
     """
 
-    key: Key
+    to: MemberId
     request: Request
     with_text: bool = False
     text_missing: bool = False
 
 
-Sends = list[Send]
+OutgoingRequests = list[OutgoingRequest]
 
 
-class Asking:
-    """What a round and a read share: who was asked, whose message was lost, when something is due."""
+class QuorumOperation:
+    """What a write and a read share: who was contacted, whose message was lost, when something is due.
 
-    def __init__(self, decided: Decided, deadline: float, rng: Random) -> None:
+    The caller sends what `start`, `received` and `tick` return, calls `tick` by `due_at`, and stops once
+    `result` is set. Times are seconds on the caller's steady clock.
+    """
+
+    def __init__(self, decided: DecidedMembership, deadline: float, rng: Random) -> None:
         self.decided = decided
         self.deadline = deadline
         self.rng = rng
         self.quorums = Quorums([decided.members])
-        self.result: Result | None = None
+        self.result: QuorumResult | None = None
         self.value: MeshState | None = None  # of an OK
-        self.again: dict[Key, float] = {}  # lost messages, and when they go again
-        self.wake = deadline  # when something else is due
-        self.asked: set[Key] = set()
-        self.timer: Any = None  # the driver's
+        self.resend_at: dict[MemberId, float] = {}  # whose message was lost, and when it is sent again
+        self.wake_at = deadline  # when something else is due
+        self.contacted: set[MemberId] = set()
+        self.timer: Any = None  # the caller's
 
     @property
-    def due(self) -> float:
-        """When `tick` has something to do at the latest, on the clock of `now`."""
-        return min([self.wake, self.deadline, *self.again.values()])
+    def due_at(self) -> float:
+        """When `tick` has something to do at the latest."""
+        return min([self.wake_at, self.deadline, *self.resend_at.values()])
 
-    def send(self, key: Key) -> Send:
+    def request_for(self, member: MemberId) -> OutgoingRequest:
         """What a member is asked now."""
         raise NotImplementedError
 
-    def start(self) -> Sends:
+    def start(self) -> OutgoingRequests:
         """Begin, or begin again."""
         raise NotImplementedError
 
-    def tick(self, now: float) -> Sends:
+    def tick(self, now: float) -> OutgoingRequests:
         """Time has passed."""
         raise NotImplementedError
 
-    def received(self, now: float, key: Key, answer: Answer) -> Sends:
+    def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
         """A member has answered."""
         raise NotImplementedError
 
-    def ask(self, members: Iterable[Key]) -> Sends:
-        """Ask those who were not asked."""
-        sends = [self.send(key) for key in members if key not in self.asked]
-        self.asked.update(send.key for send in sends)
-        return sends
+    def contact(self, members: Iterable[MemberId]) -> OutgoingRequests:
+        """Ask those who were not contacted yet."""
+        requests = [self.request_for(member) for member in members if member not in self.contacted]
+        self.contacted.update(request.to for request in requests)
+        return requests
 
-    def lost(self, now: float, key: Key) -> None:
+    def message_lost(self, now: float, member: MemberId) -> None:
         """A message had no answer in time, or could not be sent."""
-        if key in self.asked:
-            self.again[key] = now + RESEND_S * (0.5 + self.rng.random())
+        if member in self.contacted:
+            self.resend_at[member] = now + RESEND_S * (0.5 + self.rng.random())
 
-    def resend(self, now: float) -> Sends:
+    def resend_due(self, now: float) -> OutgoingRequests:
         """The lost messages whose time has come."""
-        due = [key for key, when in self.again.items() if when <= now]
-        for key in due:
-            del self.again[key]
-        return [self.send(key) for key in due if key in self.asked]
+        due = [member for member, when in self.resend_at.items() if when <= now]
+        for member in due:
+            del self.resend_at[member]
+        return [self.request_for(member) for member in due if member in self.contacted]
 
-    def adopt(self, decided: Decided) -> bool:
+    def adopt(self, decided: DecidedMembership) -> bool:
         """Take over a newer decided membership; False where it is none."""
         if decided.epoch <= self.decided.epoch:
             return False
@@ -137,180 +159,190 @@
         return True
 
 
-class Round(Asking):
-    """One change of the register, tried until it is committed or the deadline has come.
+class QuorumWrite(QuorumOperation):
+    """One change of the register, attempted until it is committed or the deadline has come.
 
-    `received`, `lost` and `tick` give the messages to send; `result` tells when it is over: OK with `value`
-    and `answer`, UNREACHABLE, or CONTENDED. Without an OK the change may be in force or not.
+    `result` is OK, with `value` (the committed state) and `answer` (the change's), UNREACHABLE or CONTENDED.
+    Without an OK the change may be in force or not.
     """
 
     def __init__(
         self,
-        proposer: tuple[str, int],
-        decided: Decided,
+        proposer: Proposer,
+        decided: DecidedMembership,
         change: Change,
         deadline: float,
         rng: Random,
         counter: int = 0,
     ) -> None:
+        """`counter`: of the highest proposal number known; the first attempt's is one more."""
         super().__init__(decided, deadline, rng)
         self.proposer = proposer
         self.change = change
         self.answer: Any = None
         self.counter = counter
-        self.tries = 0
+        self.attempts = 0
         self.phase = Phase.PREPARE
-        self.ballot = NO_BALLOT
-        self.promises: dict[Key, tuple[Ballot, MeshState | None]] = {}
-        self.accepts: set[Key] = set()
-        self.refused: dict[Key, bool] = {}  # and whether by a higher ballot
+        self.number = NO_PROPOSAL
+        self.promises: dict[MemberId, AcceptedValue] = {}
+        self.accepted_by: set[MemberId] = set()
+        self.rejections: dict[MemberId, bool] = {}  # and whether by a higher number
         self.proposal: MeshState | None = None
-        self.fresh = False  # the proposal names a text that its base did not
+        self.introduces_text = False  # the proposal names a configuration that its base did not
 
-    def start(self) -> Sends:
-        """Begin, or begin again, with a higher ballot."""
-        self.tries += 1
+    def start(self) -> OutgoingRequests:
+        """Begin, or begin again, with a higher number."""
+        self.attempts += 1
         self.counter += 1
-        self.ballot = Ballot(self.counter, *self.proposer)
-        self.phase, self.wake = Phase.PREPARE, self.deadline
+        self.number = ProposalNumber(self.counter, *self.proposer)
+        self.phase, self.wake_at = Phase.PREPARE, self.deadline
         self.quorums = Quorums([self.decided.members])
-        self.promises, self.accepts, self.refused = {}, set(), {}
-        self.asked, self.again = set(), {}
-        return self.ask(self.quorums.members())
+        self.promises, self.accepted_by, self.rejections = {}, set(), {}
+        self.contacted, self.resend_at = set(), {}
+        return self.contact(self.quorums.members())
 
-    def send(self, key: Key) -> Send:
+    def request_for(self, member: MemberId) -> OutgoingRequest:
         """What a member is asked now."""
         if self.phase is Phase.ACCEPT and self.proposal is not None:
-            return Send(key, Accept(key[1], self.decided, self.ballot, self.proposal), self.fresh)
-        return Send(key, Prepare(key[1], self.decided, self.ballot))
+            accept = Accept(member.disk, self.decided, self.number, self.proposal)
+            return OutgoingRequest(member, accept, self.introduces_text)
+        return OutgoingRequest(member, Prepare(member.disk, self.decided, self.number))
 
-    def tick(self, now: float) -> Sends:
+    def tick(self, now: float) -> OutgoingRequests:
         """Time has passed."""
         if self.result is not None:
             return []
         if now >= self.deadline:
-            self.result = Result.CONTENDED if any(self.refused.values()) else Result.UNREACHABLE
+            is_contended = any(self.rejections.values())
+            self.result = QuorumResult.CONTENDED if is_contended else QuorumResult.UNREACHABLE
             return []
-        if self.phase is Phase.PAUSE:
-            return self.start() if now >= self.wake else []
-        return self.resend(now)
+        if self.phase is Phase.BACKOFF:
+            return self.start() if now >= self.wake_at else []
+        return self.resend_due(now)
 
-    def received(self, now: float, key: Key, answer: Answer) -> Sends:
+    def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
         """A member has answered."""
         if self.result is not None:
             return []
         if self.adopt(answer.decided):
             return self.start()
         if isinstance(answer, NewerMembership):  # it is known by now: ask again under it
-            self.lost(now, key)
+            self.message_lost(now, member)
             return []
-        if isinstance(answer, OtherDisk):
-            return self._refused(now, key, by_ballot=False)
-        if isinstance(answer, Current) or answer.ballot != self.ballot or self.phase is Phase.PAUSE:
-            return []  # of an earlier try
-        return self._vote(now, key, answer)
-
-    def _vote(self, now: float, key: Key, answer: Promised | Accepted | Rejected | TextMissing) -> Sends:
+        if isinstance(answer, DiskMismatch):
+            return self._rejected(now, member, by_number=False)
+        if isinstance(answer, CurrentValue):
+            return []  # no answer to a write
+        if answer.number != self.number or self.phase is Phase.BACKOFF:
+            return []  # of an earlier attempt
+        return self._count(now, member, answer)
+
+    def _count(
+        self, now: float, member: MemberId, answer: Promised | Accepted | Rejected | TextMissing
+    ) -> OutgoingRequests:
+        """Count an answer to the present attempt."""
         if isinstance(answer, Rejected):
             self.counter = max(self.counter, answer.promised.counter)
-            return self._refused(now, key, by_ballot=True)
+            return self._rejected(now, member, by_number=True)
         if isinstance(answer, Promised) and self.phase is Phase.PREPARE:
-            self.promises[key] = answer.accepted, answer.state
-            return self._cover()
+            self.promises[member] = AcceptedValue(answer.accepted, answer.state)
+            return self._propose_when_promised()
         if isinstance(answer, TextMissing) and self.phase is Phase.ACCEPT:
-            return [self.send(key)._replace(with_text=True, text_missing=True)]
+            return [self.request_for(member)._replace(with_text=True, text_missing=True)]
         if isinstance(answer, Accepted) and self.phase is Phase.ACCEPT:
-            self.accepts.add(key)
-            if self.quorums.covered(self.accepts):
-                self._committed()
+            self.accepted_by.add(member)
+            if self.quorums.covered(self.accepted_by):
+                self._commit()
         return []
 
-    def _refused(self, now: float, key: Key, by_ballot: bool) -> Sends:
-        """One member says no: go on while the others may be enough, else pause and begin again."""
-        self.refused[key] = by_ballot
-        left = set(self.quorums.members()) - set(self.refused)
-        if self.phase is not Phase.PAUSE and not self.quorums.covered(left):
-            doublings = min(self.tries - 1, MAX_DOUBLINGS)
-            pause = BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
-            self.phase, self.wake, self.again = Phase.PAUSE, now + pause, {}
+    def _rejected(self, now: float, member: MemberId, by_number: bool) -> OutgoingRequests:
+        """One member rejects: go on while the others may be enough, else back off and begin again."""
+        self.rejections[member] = by_number
+        left = set(self.quorums.members()) - set(self.rejections)
+        if self.phase is not Phase.BACKOFF and not self.quorums.covered(left):
+            doublings = min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS)
+            backoff = BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
+            self.phase, self.wake_at, self.resend_at = Phase.BACKOFF, now + backoff, {}
         return []
 
-    def _cover(self) -> Sends:
+    def _propose_when_promised(self) -> OutgoingRequests:
         """Once every membership in question is covered by promises, have the change accepted."""
-        sends: Sends = []
+        requests: OutgoingRequests = []
         while self.quorums.covered(self.promises):
-            found = max(self.promises.values(), key=lambda promise: promise[0])[1]
-            base = found or initial(self.decided.members)
+            found = max(self.promises.values(), key=lambda promise: promise.number).state
+            base = found or initial_state(self.decided.members)
             if self.quorums.add(base.members):
-                sends += self.ask(self.quorums.members())
+                requests += self.contact(self.quorums.members())
                 continue
             made, self.answer = self.change(base)
             self.proposal = made or base
             if self.quorums.add(self.proposal.members):
-                sends += self.ask(self.quorums.members())
+                requests += self.contact(self.quorums.members())
                 continue
-            self.fresh = self.proposal.digest != base.digest
-            self.phase, self.asked, self.again = Phase.ACCEPT, set(), {}
-            return self.ask(self.quorums.members())
-        return sends
+            self.introduces_text = self.proposal.digest != base.digest
+            self.phase, self.contacted, self.resend_at = Phase.ACCEPT, set(), {}
+            return self.contact(self.quorums.members())
+        return requests
 
-    def _committed(self) -> None:
+    def _commit(self) -> None:
         """Majorities have accepted: the value is in force, and its membership decided."""
         assert self.proposal is not None
-        self.result, self.value = Result.OK, self.proposal
-        self.adopt(Decided(self.proposal.epoch, self.proposal.members))
+        self.result, self.value = QuorumResult.OK, self.proposal
+        self.adopt(DecidedMembership(self.proposal.epoch, self.proposal.members))
 
 
-class QuorumRead(Asking):
-    """A read: OK with `value` where majorities tell of one acceptance; UNSURE wants a round instead."""
+class QuorumRead(QuorumOperation):
+    """A read: OK with `value` where majorities tell of one acceptance; INCONCLUSIVE wants a write instead."""
 
-    def __init__(self, decided: Decided, deadline: float, rng: Random) -> None:
+    def __init__(self, decided: DecidedMembership, deadline: float, rng: Random) -> None:
         super().__init__(decided, deadline, rng)
-        self.told: dict[Key, tuple[Ballot, MeshState | None]] = {}
+        self.answers: dict[MemberId, AcceptedValue] = {}
 
-    def start(self) -> Sends:
+    def start(self) -> OutgoingRequests:
         """Begin, or begin again."""
-        self.quorums, self.told = Quorums([self.decided.members]), {}
-        self.asked, self.again = set(), {}
-        return self.ask(self.quorums.members())
+        self.quorums, self.answers = Quorums([self.decided.members]), {}
+        self.contacted, self.resend_at = set(), {}
+        return self.contact(self.quorums.members())
 
-    def send(self, key: Key) -> Send:
+    def request_for(self, member: MemberId) -> OutgoingRequest:
         """What a member is asked."""
-        return Send(key, Read(key[1], self.decided))
+        return OutgoingRequest(member, Read(member.disk, self.decided))
 
-    def tick(self, now: float) -> Sends:
+    def tick(self, now: float) -> OutgoingRequests:
         """Time has passed."""
         if self.result is not None:
             return []
-        if self.quorums.covered(self.told) and now >= self.wake:
-            self.result = Result.UNSURE
+        if self.quorums.covered(self.answers) and now >= self.wake_at:
+            self.result = QuorumResult.INCONCLUSIVE
         elif now >= self.deadline:
-            self.result = Result.UNREACHABLE
-        return [] if self.result is not None else self.resend(now)
+            self.result = QuorumResult.UNREACHABLE
+        return [] if self.result is not None else self.resend_due(now)
 
-    def received(self, now: float, key: Key, answer: Answer) -> Sends:
+    def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
         """A member has answered."""
         if self.result is not None:
             return []
         if self.adopt(answer.decided):
             return self.start()
         if isinstance(answer, NewerMembership):
-            self.lost(now, key)
-        if not isinstance(answer, Current):
+            self.message_lost(now, member)
+        if not isinstance(answer, CurrentValue):
             return []
-        self.told[key] = answer.accepted, answer.state
-        return self._judge(now)
+        self.answers[member] = AcceptedValue(answer.accepted, answer.state)
+        return self._evaluate(now)
 
-    def _judge(self, now: float) -> Sends:
+    def _evaluate(self, now: float) -> OutgoingRequests:
         """Look for the same acceptance in majorities of each membership in question."""
-        highest, found = max(self.told.values(), key=lambda told: told[0])
-        value = found or initial(self.decided.members)
-        sends = self.ask(self.quorums.members()) if self.quorums.add(value.members) else []
-        if self.quorums.covered(key for key, (accepted, _) in self.told.items() if accepted == highest):
-            self.result, self.value = Result.OK, value
-            self.adopt(Decided(value.epoch, value.members))
-        elif self.quorums.covered(self.told) and self.wake >= self.deadline:
-            self.wake = min(now + STRAGGLERS_S, self.deadline)
-            if len(self.told) == len(self.quorums.members()):
-                self.result = Result.UNSURE
-        return sends
+        highest, found = max(self.answers.values(), key=lambda answer: answer.number)
+        value = found or initial_state(self.decided.members)
+        requests = self.contact(self.quorums.members()) if self.quorums.add(value.members) else []
+        if self.quorums.covered(
+            member for member, answer in self.answers.items() if answer.number == highest
+        ):
+            self.result, self.value = QuorumResult.OK, value
+            self.adopt(DecidedMembership(value.epoch, value.members))
+        elif self.quorums.covered(self.answers) and self.wake_at >= self.deadline:
+            self.wake_at = min(now + STRAGGLERS_S, self.deadline)
+            if len(self.answers) == len(self.quorums.members()):
+                self.result = QuorumResult.INCONCLUSIVE
+        return requests
--- /dev/null
+++ b/honeywharf/control/register_queues.py
@@ -0,0 +1,199 @@
+"""Changes and reads that wait for the register: those that come while one is under way go together next."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from random import Random
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from honeywharf.control import mesh_state
+from honeywharf.control.mesh_state import Change, MemberId, MeshState
+from honeywharf.control.register import Proposer, QuorumRead, QuorumResult, QuorumWrite
+
+if TYPE_CHECKING:
+    from honeywharf.control.configuration_texts import ConfigurationTexts
+    from honeywharf.control.quorum_client import QuorumClient
+    from honeywharf.control.voter import Voter
+    from honeywharf.transport.host import Host
+
+MAX_PENDING_CHANGES = 64
+MAX_PENDING_READS = 256
+INCARNATION_BYTES = 6
+
+ChangeDone = Callable[[QuorumResult, Any], None]  # and the change's answer
+ReadDone = Callable[[MeshState | None], None]
+
+
+class ConfigurationText(NamedTuple):
+    """A configuration's text: the digest of the whole, and its compressed bytes."""
+
+    digest: str
+    compressed: bytes
+
+
+class PendingRequest:
+    """A change or a read that waits: `done` is called once, with its result or at the deadline."""
+
+    __slots__ = ("change", "deadline", "digest", "done", "timer")
+
+    def __init__(
+        self,
+        host: Host,
+        timeout: float,
+        done: ChangeDone,
+        change: Change = mesh_state.no_change,
+        digest: str = "",
+    ) -> None:
+        """`timeout`: seconds from now; `digest`: of the text that a change brings along."""
+        self.deadline, self.change, self.digest = host.now() + timeout, change, digest
+        self.done: ChangeDone | None = done
+        self.timer = host.after(max(0.0, timeout), partial(self.complete, QuorumResult.UNREACHABLE, None))
+
+    def complete(self, result: QuorumResult, answer: Any) -> None:
+        """Call `done`; later calls do nothing."""
+        done, self.done = self.done, None
+        self.timer.cancel()
+        if done is not None:
+            done(result, answer)
+
+
+class ChangeQueue:
+    """Changes proposed from here. `on_committed` is called with each state that was, and who was asked."""
+
+    def __init__(
+        self,
+        host: Host,
+        voter: Voter,
+        texts: ConfigurationTexts,
+        client: QuorumClient,
+        rng: Random,
+        on_committed: Callable[[MeshState, list[MemberId]], None],
+    ) -> None:
+        self.host, self.voter, self.texts, self.client = host, voter, texts, client
+        self.rng, self.on_committed = rng, on_committed
+        self.incarnation = int.from_bytes(host.random(INCARNATION_BYTES), "big")
+        self.pending: list[PendingRequest] = []
+        self.current: QuorumWrite | None = None
+        self.counter = 0  # of the highest proposal number used or seen
+
+    def submit(
+        self, change: Change, timeout: float, done: ChangeDone, text: ConfigurationText | None = None
+    ) -> None:
+        """Make a change; `done` is called once, later, within `timeout` seconds.
+
+        UNREACHABLE at once where too many wait, or no membership is known. Without an OK the change may be in
+        force or not.
+        """
+        if len(self.pending) >= MAX_PENDING_CHANGES or not self.voter.state.epoch:
+            self.host.after(0.0, partial(done, QuorumResult.UNREACHABLE, None))
+            return
+        digest = "" if text is None else text.digest
+        if text is not None:
+            self.texts.proposed[digest] = text.compressed
+        self.pending.append(PendingRequest(self.host, timeout, done, change, digest))
+        if self.current is None:
+            self.host.after(0.0, self._start_next)
+
+    def _start_next(self) -> None:
+        """Put everything that waits into one write."""
+        if self.current is not None or not self.pending:
+            return
+        batch, self.pending = self.pending, []
+        state = self.voter.state
+        self.current = QuorumWrite(
+            Proposer(self.voter.local_address, self.incarnation),
+            state.decided,
+            mesh_state.combine([request.change for request in batch]),
+            max(request.deadline for request in batch),
+            self.rng,
+            max(self.counter, state.promised.counter),
+        )
+        self.client.run(self.current, self.current.start(), partial(self._finished, self.current, batch))
+
+    def _finished(self, write: QuorumWrite, batch: list[PendingRequest]) -> None:
+        self.current, self.counter = None, max(self.counter, write.counter)
+        self.voter.adopt_membership(write.decided)
+        if write.result is QuorumResult.OK and write.value is not None:
+            self._committed(write.value, write.quorums.members())
+        for digest in {request.digest for request in batch} - {request.digest for request in self.pending}:
+            self.texts.proposed.pop(digest, None)
+        result = write.result or QuorumResult.UNREACHABLE
+        for index, request in enumerate(batch):
+            request.complete(result, write.answer[index] if result is QuorumResult.OK else None)
+        self._start_next()
+
+    def _committed(self, value: MeshState, members: list[MemberId]) -> None:
+        text = self.texts.proposed.get(value.digest)
+        if text is not None:
+            self.texts.persist(value.digest, text)
+        self.on_committed(value, members)
+
+
+class ReadQueue:
+    """Reads of what a majority holds. `on_read` is called with each state that was read."""
+
+    def __init__(
+        self,
+        host: Host,
+        voter: Voter,
+        client: QuorumClient,
+        changes: ChangeQueue,
+        rng: Random,
+        on_read: Callable[[MeshState], None],
+    ) -> None:
+        self.host, self.voter, self.client, self.changes = host, voter, client, changes
+        self.rng, self.on_read = rng, on_read
+        self.pending: list[PendingRequest] = []
+        self.current: QuorumRead | None = None
+
+    def read(self, timeout: float, done: ReadDone) -> None:
+        """Read what a majority has committed; `done` is called once, later, within `timeout` seconds.
+
+        It gets None where no majority answers in time, too many wait, or no membership is known.
+        """
+        if len(self.pending) >= MAX_PENDING_READS or not self.voter.state.epoch:
+            self.host.after(0.0, partial(done, None))
+            return
+        self.pending.append(PendingRequest(self.host, timeout, lambda result, value: done(value)))
+        if self.current is None:
+            self.host.after(0.0, self._start_next)
+
+    def _start_next(self) -> None:
+        """One read for all that wait: it begins after each of them has asked."""
+        if self.current is not None or not self.pending:
+            return
+        batch, self.pending = self.pending, []
+        deadline = max(request.deadline for request in batch)
+        self.current = read = QuorumRead(self.voter.state.decided, deadline, self.rng)
+        self.client.run(read, read.start(), partial(self._finished, read, batch))
+
+    def _finished(self, read: QuorumRead, batch: list[PendingRequest]) -> None:
+        self.current = None
+        self.voter.adopt_membership(read.decided)
+        if read.result is QuorumResult.OK and read.value is not None:
+            self.on_read(read.value)
+        if read.result is QuorumResult.INCONCLUSIVE:
+            timeout = read.deadline - self.host.now()
+            self.changes.submit(self._write_back, timeout, partial(self._write_back_done, batch))
+        else:
+            self._complete(batch, read.result or QuorumResult.UNREACHABLE, read.value)
+        self._start_next()
+
+    def _complete(self, batch: list[PendingRequest], result: QuorumResult, value: MeshState | None) -> None:
+        """Complete those whose time is not over: after a standstill, what was read may be old."""
+        now = self.host.now()
+        for request in batch:
+            if now <= request.deadline:
+                request.complete(result, value)
+            else:
+                request.complete(QuorumResult.UNREACHABLE, None)
+
+    @staticmethod
+    def _write_back(state: MeshState) -> tuple[MeshState | None, Any]:
+        """The change that changes nothing, and answers what it found."""
+        return None, state
+
+    def _write_back_done(self, batch: list[PendingRequest], result: QuorumResult, answer: Any) -> None:
+        """A read that was inconclusive was written back."""
+        self._complete(batch, result, answer if result is QuorumResult.OK else None)
--- a/honeywharf/control/replica.py
+++ b/honeywharf/control/replica.py
@@ -1,42 +1,59 @@
-"""One control node's part in the register, on a `Host`: its vote, changes and reads, and the membership.
+"""One control node's part in the quorum register, on a `Host`: its vote, changes, reads and the membership.
 
-Theory of operation. Changes that arrive while a round is at work wait and go together in the next one; reads
-likewise (`proposals`). Nothing is answered to a peer before what it promises is synced (`voter`). Heartbeats
-tell who is silent, who knows a newer decided membership or state, and who has not accepted what others have:
-such a one has a round of its own that changes nothing, and so brings itself up to date (`membership`).
+Theory of operation. Changes that arrive while a write is under way wait and go together in the next one;
+reads likewise (`register_queues`). Nothing is answered to a peer before what it promises is synced
+(`voter`). What was committed is told to the members, and learnt from heartbeats by who missed it
+(`committed_state`, `membership`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from honeywharf import rpc_methods
 from honeywharf.control import mesh_state, messages
 from honeywharf.control.acceptor import AcceptorState
-from honeywharf.control.address import address_of, text_of
-from honeywharf.control.membership import UPKEEP_S, Knowledge, Upkeep, addresses
-from honeywharf.control.mesh_state import Key, MeshState
-from honeywharf.control.messages import Decided
-from honeywharf.control.proposals import Proposals, Reads
-from honeywharf.control.quorum_client import WITHIN_S, QuorumClient
-from honeywharf.control.texts import ConfigurationTexts
-from honeywharf.control.voter import Voter
+from honeywharf.control.address import format_address, format_addresses
+from honeywharf.control.committed_state import CommittedState
+from honeywharf.control.configuration_texts import ConfigurationTexts
+from honeywharf.control.member_removal import CHANGE_TIMEOUT_S
+from honeywharf.control.membership import MembershipManager
+from honeywharf.control.mesh_state import MemberId, MeshState
+from honeywharf.control.quorum_client import QuorumClient
+from honeywharf.control.register_queues import ChangeQueue, ReadQueue
+from honeywharf.control.voter import DISK_NAME_BYTES, Voter
 
 if TYPE_CHECKING:
     from honeywharf.control.store import Store
     from honeywharf.transport.host import Address, Host
     from honeywharf.transport.rpc import Caller, Method, Reply
 
-READ_S = 0.8  # that a read for another process may take
-ANNOUNCE_S = 0.3  # between looks whether a text that was missing has come
+READ_TIMEOUT_S = 0.8  # of a read for another process
+SEED_BYTES = 16  # of randomness for back-off and jitter
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaSettings:
+    """Who this control node is.
+
+    `address`: its internal address; `seeds`: those of the first members; `is_initial_start`: whether the
+    whole system starts for the first time, so that a seed with an empty disk has a vote.
+    """
+
+    address: Address
+    zone: str
+    seeds: Sequence[Address]
+    is_initial_start: bool
 
 
 class Replica:
-    """See the module. `start` it; `methods` go to an `Answerer`; `on_state` is told each newer state.
+    """See the module. `methods` are what peers may call; `start` it once the disk can be read.
 
-    `here`: this machine's internal address; `seeds`: those of the first members; `first`: whether the whole
-    system starts for the first time; `cores`: the other control nodes that gossip tells of.
+    `on_state` is called with each newer committed state; `other_control_nodes` gives the addresses of those
+    that gossip knows.
     """
 
     def __init__(
@@ -44,62 +61,52 @@
         host: Host,
         store: Store,
         caller: Caller,
-        here: Address,
-        zone: str,
-        seeds: Sequence[Address],
-        first: bool,
+        settings: ReplicaSettings,
         on_state: Callable[[MeshState], None] = lambda state: None,
-        cores: Callable[[], list[Address]] = list,
+        other_control_nodes: Callable[[], list[Address]] = list,
     ) -> None:
-        self.host, self.store, self.caller, self.first = host, store, caller, first
-        self.here = text_of(here)
-        self.seeds = addresses(seeds)
-        self.on_state, self.cores = on_state, cores
-        self.known: MeshState | None = None  # the newest that is committed, as far as this one knows
-        self.announced = -1  # revision that `on_state` was told
-        rng = Random(host.random(16))
-        self.voter = Voter(host, store, self.here)
+        self.host, self.store, self.settings = host, store, settings
+        self.other_control_nodes = other_control_nodes
+        self.local_address = format_address(settings.address)
+        self.seeds = format_addresses(settings.seeds)
+        rng = Random(host.random(SEED_BYTES))
+        self.voter = Voter(host, store, self.local_address)
         self.texts = ConfigurationTexts(host, store, caller, self._text_sources)
-        self.client = QuorumClient(host, caller, self.voter, self.texts, self._heard)
-        self.proposals = Proposals(host, self.voter, self.texts, self.client, rng, self._committed)
-        self.reads = Reads(host, self.voter, self.client, self.proposals, rng, self._know)
-        self.upkeep = Upkeep(
-            host,
-            caller,
-            self.voter,
-            self.proposals,
-            rng,
-            (zone, first),
-            self._others,
-            self._knowledge,
-            self.learn_from,
+        self.client = QuorumClient(host, caller, self.voter, self.texts, self._record_contact)
+        self.committed = CommittedState(host, caller, store, self.voter, self.texts, on_state)
+        self.changes = ChangeQueue(
+            host, self.voter, self.texts, self.client, rng, self.committed.committed_here
         )
-        self.submit, self.read, self.text = self.proposals.submit, self.reads.read, self.texts.get
+        self.reads = ReadQueue(host, self.voter, self.client, self.changes, rng, self.committed.advance)
+        self.membership = MembershipManager(
+            host, caller, self.voter, self.changes, rng, self.committed.summary, self.committed.fetch
+        )
+        self.membership.configure(settings.zone, settings.is_initial_start, self._other_addresses)
+        self.submit, self.read, self.get_text = self.changes.submit, self.reads.read, self.texts.get
         self.methods: dict[str, Method] = {
-            **self.upkeep.methods(),
-            "register.ask": self._asked,
-            "register.learn": self._learn,
-            "word.read": self._read_for,
-            "word.known": self._known_for,
-            "word.body": self._text_for,
+            **self.membership.methods(),
+            rpc_methods.REGISTER_REQUEST: self._answer_register_request,
+            rpc_methods.STATE_COMMITTED: self._state_committed,
+            rpc_methods.READ_STATE: self._answer_read,
+            rpc_methods.KNOWN_STATE: self._answer_known_state,
+            rpc_methods.CONFIGURATION_TEXT: self._answer_text,
         }
 
-    # The beginning.
-
     def start(self) -> None:
-        """Take up what the disk holds; OSError where it fails: to be called again later."""
-        self.voter.load(self._new_state())
-        self.proposals.counter = self.state.promised.counter
-        self.upkeep.start()
-        self.host.after(0.0, self._announce)
-        self.read(UPKEEP_S, lambda state: None)
-
-    def _new_state(self) -> AcceptorState:
-        """An empty disk's: the first of a seed at the first start, else a new name with no vote."""
-        seed = self.first and self.here in self.seeds and self.store.empty()
-        disk = "first" if seed else self.host.random(8).hex()
-        if self.first and self.seeds:
-            return AcceptorState(disk, 1, mesh_state.seeded(self.seeds))
+        """Load what the disk holds, and begin. OSError where the disk fails: to be called again later."""
+        self.voter.load(self._new_acceptor_state())
+        self.changes.counter = self.state.promised.counter
+        self.membership.start()
+        self.committed.start()
+        self.read(CHANGE_TIMEOUT_S, lambda state: None)
+
+    def _new_acceptor_state(self) -> AcceptorState:
+        """For an empty disk: that of an initial member at the first start, else a new name with no vote."""
+        is_initial = self.settings.is_initial_start
+        is_seed = is_initial and self.local_address in self.seeds and self.store.is_unused()
+        disk = mesh_state.INITIAL_DISK if is_seed else self.host.random(DISK_NAME_BYTES).hex()
+        if is_initial and self.seeds:
+            return AcceptorState(disk, 1, mesh_state.initial_membership(self.seeds))
         return AcceptorState(disk)
 
     @property
@@ -108,137 +115,68 @@
         return self.voter.state
 
     @property
-    def key(self) -> Key:
+    def known_state(self) -> MeshState | None:
+        """The newest committed state that is known here; it may be old."""
+        return self.committed.known
+
+    @property
+    def member_id(self) -> MemberId:
         """This machine with its disk."""
-        return self.voter.key
+        return self.voter.member_id
 
-    def member(self) -> bool:
-        """Whether this one is in the decided membership."""
+    def is_member(self) -> bool:
+        """Whether this machine is in the decided membership."""
         return self.voter.is_member()
 
-    def disown(self) -> None:
-        """This disk gave back an older register: see `Voter.disown`."""
-        self.voter.disown()
+    def discard_vote(self) -> None:
+        """This disk gave back an older register: see `Voter.discard_vote`."""
+        self.voter.discard_vote()
 
-    def silent(self, span: float) -> list[Key]:
-        """Members unheard for so long (s), while this one was well."""
-        return self.upkeep.silent(span)
+    def unreachable_members(self, duration: float) -> list[MemberId]:
+        """Members without contact for so long (s), while this process ran."""
+        return self.membership.contacts.unreachable(duration)
 
-    def leave(self, within: float, done: Callable[[], None]) -> None:
-        """This process ends as planned: a standby takes its place, where there is one; then `done()`."""
-        self.upkeep.leaving = True
-        self.upkeep.handover.begin(within, done)
+    def reaches_majority(self) -> bool:
+        """Whether a majority was in contact lately; see `ContactTracker.reaches_majority`."""
+        return self.membership.contacts.reaches_majority()
 
-    def in_contact(self) -> bool:
-        """Whether a majority was heard lately; see `Upkeep.in_contact`."""
-        return self.upkeep.in_contact()
+    def hand_over(self, timeout: float, done: Callable[[], None]) -> None:
+        """This process ends as planned: a standby takes its place, where there is one; then `done()`.
 
-    # Who is asked for what.
+        `timeout`: seconds that it may take.
+        """
+        self.membership.is_leaving = True
+        self.membership.handover.begin(timeout, done)
 
-    def _heard(self, key: Key) -> None:
-        self.upkeep.hear(key)
+    def _record_contact(self, member: MemberId) -> None:
+        self.membership.contacts.record(member)
 
-    def _others(self) -> list[str]:
-        return addresses(self.cores()) + self.seeds
+    def _other_addresses(self) -> list[str]:
+        return format_addresses(self.other_control_nodes()) + self.seeds
 
     def _text_sources(self) -> list[str]:
         members = [member.address for member in self.state.members]
-        sources = dict.fromkeys([*members, *addresses(self.cores())])
-        return [one for one in sources if one != self.here]
-
-    def _revision(self) -> int:
-        return self.known.revision if self.known is not None else -1
-
-    def _knowledge(self) -> Knowledge:
-        state = self.known
-        if state is None:
-            return Knowledge(-1, "")
-        return Knowledge(state.revision, state.digest if self.store.has(state.digest) else "")
-
-    # The state in force.
-
-    def _committed(self, state: MeshState, members: list[Key]) -> None:
-        """A state was committed from here: know it, and tell the members."""
-        news = state.revision > self._revision()
-        self._know(state)
-        if not news:
-            return
-        for address, _ in members:
-            if address != self.here:
-                self.caller.call(
-                    address_of(address), "register.learn", state.pack_public(), WITHIN_S, lambda answer: None
-                )
-
-    def _know(self, state: MeshState) -> None:
-        """A state is in force: hold it, with its text, and tell."""
-        if state.revision > self._revision():
-            self.known = state
-            self._tell()
-
-    def _announce(self) -> None:
-        """Look again, every beat, whether there is something to tell."""
-        self._tell()
-        self.host.after(ANNOUNCE_S, self._announce)
-
-    def _tell(self) -> None:
-        """Tell the state that is known, once its text is here."""
-        state = self.known
-        if state is None or state.revision <= self.announced:
-            return
-        digest = state.digest
-        if digest and not self.store.has(digest):
-            if digest not in self.texts.fetches:
-                self.text(digest, lambda text: self._tell() if self.store.has(digest) else None)
-            return
-        self.announced = state.revision
-        self._sweep(state)
-        self.on_state(state)
-
-    def _sweep(self, state: MeshState) -> None:
-        named = {state.digest}
-        if self.state.value is not None:
-            named.add(self.state.value.digest)
-        self.texts.sweep(named)
-
-    def take(self, packed: Any) -> None:
-        """A state is in force, says a peer. KeyError, TypeError or ValueError where it is something else."""
-        state = MeshState.unpack(packed)
-        self.voter.decide(Decided(state.epoch, state.members))
-        self._know(state)
-
-    def learn_from(self, source: Address) -> None:
-        """Ask somebody for the state that it knows, and take it over where it is newer."""
-        self.caller.call(source, "word.known", None, WITHIN_S, self._learnt)
-
-    def _learnt(self, packed: Any) -> None:
-        if packed is None:
-            return
-        try:
-            self.take(packed)
-        except (ValueError, TypeError, LookupError) as fault:
-            self.host.log(f"replica: found {fault}, wanted a state")
-
-    # What peers call.
-
-    def _asked(self, args: Any, reply: Reply, peer: Address) -> None:
+        sources = dict.fromkeys([*members, *format_addresses(self.other_control_nodes())])
+        return [address for address in sources if address != self.local_address]
+
+    def _answer_register_request(self, args: Any, reply: Reply, peer: Address) -> None:
         packed, text = args
         answer = self.voter.vote(messages.unpack_request(packed), text)
         if answer is not None:
             reply(messages.pack(answer))
 
-    def _learn(self, args: Any, reply: Reply, peer: Address) -> None:
-        """A state is in force, says who committed it."""
-        self.take(args)
+    def _state_committed(self, args: Any, reply: Reply, peer: Address) -> None:
+        self.committed.adopt(args)
         reply(True)
 
-    def _read_for(self, args: Any, reply: Reply, peer: Address) -> None:
-        if self.in_contact():
-            self.read(READ_S, lambda state: reply(None if state is None else state.pack_public()))
+    def _answer_read(self, args: Any, reply: Reply, peer: Address) -> None:
+        if self.reaches_majority():
+            self.read(READ_TIMEOUT_S, lambda state: reply(None if state is None else state.pack_public()))
         else:
             reply(None)
 
-    def _known_for(self, args: Any, reply: Reply, peer: Address) -> None:
-        reply(None if self.known is None else self.known.pack_public())
+    def _answer_known_state(self, args: Any, reply: Reply, peer: Address) -> None:
+        reply(None if self.known_state is None else self.known_state.pack_public())
 
-    def _text_for(self, args: Any, reply: Reply, peer: Address) -> None:
+    def _answer_text(self, args: Any, reply: Reply, peer: Address) -> None:
         reply(self.texts.local(args))
--- a/honeywharf/control/store.py
+++ b/honeywharf/control/store.py
@@ -1,14 +1,15 @@
 """The control plane's disk: the register, and configurations by digest.
 
-`register` is written beside and renamed over, so that a loss of power leaves the old one or the new one; its
-checksum tells damage apart, and a damaged register is a lost disk: it is set aside as `register.bad`, for
-people to look at. A configuration is written under its own name; torn, its checksum fails and it counts as
-missing. What was removed may come back: that costs room only.
+The register is written to a new file that is renamed over the old one, so that a loss of power leaves one
+of the two. Its checksum tells damage apart, and a damaged register is a lost disk: it is set aside as
+`register.bad`, for people to look at. A configuration's text is written under its own name; torn, its
+checksum fails and it counts as missing. A removed file may come back after a loss of power: that costs
+space only.
 
 Format. Every file begins with `hwr` and one digit, the version of the format, then a checksum (CRC-32 of the
 body, big-endian), then the body: msgpack for the register, a compressed text for a configuration. A reader
-takes versions up to its own `FORMAT`; fields that it does not know are left out. What is of a later version
-is never taken for damage, moved or removed: the control node does not start on it.
+takes versions up to its own `FORMAT`; fields that it does not know are left out. A file of a
+later version is never taken for damage, moved or removed: the control node does not start on it.
 """
 
 from __future__ import annotations
@@ -20,11 +21,13 @@
 
 from honeywharf.control.acceptor import AcceptorState
 
-REGISTER, BESIDE, CONFIG = "register", "register.new", "config-"
-BAD = ".bad"  # ends the names of files that were set aside
-MARK, FORMAT = b"hwr", 1
-HEAD = 8  # bytes before the body
-KEPT = 2  # configurations that nothing names any more
+REGISTER, REGISTER_NEW, TEXT_PREFIX = "register", "register.new", "config-"
+DAMAGED_SUFFIX = ".bad"  # ends the names of files that were set aside
+MAGIC, FORMAT_VERSION = b"hwr", 1
+HEADER_SIZE = 8  # bytes before the body
+FORMAT_DIGITS = range(ord("1"), ord("9") + 1)  # how a format's version is written
+MAX_DIGEST = 64  # digits
+MAX_UNREFERENCED_TEXTS = 2  # the last configurations that nothing references any more
 
 
 class Disk(Protocol):
@@ -56,26 +59,30 @@
     """A file of a later version of the format: nothing may be done with it here."""
 
 
-def seal(body: bytes) -> bytes:
+def encode_file(body: bytes) -> bytes:
     """A body with the format's version and its checksum."""
-    return b"%b%d" % (MARK, FORMAT) + zlib.crc32(body).to_bytes(4, "big") + body
+    return b"%b%d" % (MAGIC, FORMAT_VERSION) + zlib.crc32(body).to_bytes(4, "big") + body
 
 
-def unseal(data: bytes | None) -> bytes | None:
+def decode_file(data: bytes | None) -> bytes | None:
     """The body; None where it is missing, torn or something else. FormatError: of a later version."""
-    if data is None or len(data) < HEAD or data[:3] != MARK or not 0x31 <= data[3] <= 0x39:
+    if data is None or len(data) < HEADER_SIZE or data[:3] != MAGIC or data[3] not in FORMAT_DIGITS:
         return None
-    body = data[HEAD:]
-    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
+    body = data[HEADER_SIZE:]
+    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEADER_SIZE]:
         return None
-    if data[3] - 0x30 > FORMAT:
-        raise FormatError(f"found a file of format {data[3] - 0x30}, wanted at most {FORMAT}")
+    version = data[3] - ord("0")
+    if version > FORMAT_VERSION:
+        raise FormatError(f"found a file of format {version}, wanted at most {FORMAT_VERSION}")
     return body
 
 
-def read_state(data: bytes | None) -> AcceptorState | None:
-    """The state in a register's bytes; None where it is missing or damaged. FormatError as in `unseal`."""
-    body = unseal(data)
+def decode_register(data: bytes | None) -> AcceptorState | None:
+    """The state in a register's bytes; None where it is missing or damaged.
+
+    FormatError as in `decode_file`.
+    """
+    body = decode_file(data)
     if body is None:
         return None
     try:
@@ -84,83 +91,83 @@
         return None
 
 
-def state_bytes(state: AcceptorState) -> bytes:
+def encode_register(state: AcceptorState) -> bytes:
     """A register's bytes."""
-    return seal(msgpack.packb(state.pack()))
+    return encode_file(msgpack.packb(state.pack()))
 
 
 class Store:
-    """Files of one data directory. OSError goes through to the caller wherever the disk fails."""
+    """Files of one data directory. OSError is raised to the caller wherever the disk fails."""
 
     def __init__(self, host: Disk) -> None:
         self.host = host
-        self.digests: list[str] = []  # configurations that are whole on disk, oldest first
+        self.digests: list[str] = []  # of the texts that are complete on disk, oldest first
 
     def load(self) -> AcceptorState | None:
-        """The register as it was last kept; None where the disk is empty or the register is damaged.
+        """The register as it was last saved; None where the disk is empty or the register is damaged.
 
-        Where the register is missing or damaged and a whole one stands beside it, that is the last that was
-        written: it was synced, its new name was lost or never made, and nothing was answered by it yet.
+        Where the register is missing or damaged and `register.new` is complete, that is the last that was
+        written: it was synced, its rename was lost or never made, and nothing was answered by it yet.
         """
         names = sorted(self.host.names())
         data = self.host.read(REGISTER)
-        state = read_state(data)
+        state = decode_register(data)
         for name in names:
-            if name.startswith(CONFIG) and not name.endswith(BAD):
-                self._found(name)
-        beside = read_state(self.host.read(BESIDE)) if state is None else None
-        if beside is not None:
-            self.host.log(f"store: {REGISTER} is taken from {BESIDE}")
-            self.host.rename(BESIDE, REGISTER)
-            return beside
+            if name.startswith(TEXT_PREFIX) and not name.endswith(DAMAGED_SUFFIX):
+                self._check_text(name)
+        new = decode_register(self.host.read(REGISTER_NEW)) if state is None else None
+        if new is not None:
+            self.host.log(f"store: {REGISTER} is taken from {REGISTER_NEW}")
+            self.host.rename(REGISTER_NEW, REGISTER)
+            return new
         if state is None and data is not None:
-            self.host.log(f"store: the register is damaged, and set aside as {REGISTER}{BAD}")
-            self.host.rename(REGISTER, REGISTER + BAD)
+            self.host.log(f"store: the register is damaged, and set aside as {REGISTER}{DAMAGED_SUFFIX}")
+            self.host.rename(REGISTER, REGISTER + DAMAGED_SUFFIX)
         return state
 
-    def _found(self, name: str) -> None:
-        digest = name[len(CONFIG) :]
-        if unseal(self.host.read(name)) is None:
+    def _check_text(self, name: str) -> None:
+        digest = name[len(TEXT_PREFIX) :]
+        if decode_file(self.host.read(name)) is None:
             self.host.remove(name)
         elif digest not in self.digests:
             self.digests.append(digest)
 
-    def empty(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether the disk has never been used."""
         names = self.host.names()
-        return REGISTER not in names and REGISTER + BAD not in names
+        return REGISTER not in names and REGISTER + DAMAGED_SUFFIX not in names
 
     def save(self, state: AcceptorState) -> None:
-        """Keep the register; synced when this returns."""
-        self.host.write(BESIDE, state_bytes(state))
-        self.host.rename(BESIDE, REGISTER)
+        """Write the register; synced when this returns."""
+        self.host.write(REGISTER_NEW, encode_register(state))
+        self.host.rename(REGISTER_NEW, REGISTER)
 
-    def has(self, digest: str) -> bool:
-        """Whether a configuration is here, whole and synced."""
+    def has_text(self, digest: str) -> bool:
+        """Whether a configuration's text is here, complete and synced."""
         return digest in self.digests
 
-    def keep(self, digest: str, packed: bytes) -> None:
-        """Keep a configuration's text (compressed), synced. ValueError: no digest.
+    def put_text(self, digest: str, compressed: bytes) -> None:
+        """Write a configuration's compressed text, synced. ValueError: `digest` is none.
 
         Its name is safe with the next `save` or `sync_names`.
         """
-        if not digest.isalnum() or len(digest) > 64:
+        if not digest.isalnum() or len(digest) > MAX_DIGEST:
             raise ValueError(f"found {digest[:80]!r}, wanted a digest")
         if digest not in self.digests:
-            self.host.write(CONFIG + digest, seal(packed))
+            self.host.write(TEXT_PREFIX + digest, encode_file(compressed))
             self.digests.append(digest)
 
     def sync_names(self) -> None:
-        """Have the names of all texts survive a loss of power."""
+        """Sync the folder, so that the names of all texts survive a loss of power."""
         self.host.sync_names()
 
-    def get(self, digest: str) -> bytes | None:
+    def read_text(self, digest: str) -> bytes | None:
         """A configuration's text, compressed; None where it is not here."""
-        return unseal(self.host.read(CONFIG + digest)) if digest in self.digests else None
+        return decode_file(self.host.read(TEXT_PREFIX + digest)) if digest in self.digests else None
 
-    def sweep(self, named: set[str]) -> None:
-        """Remove what neither the register nor the caller names, but for the last `KEPT`."""
-        spare = [digest for digest in self.digests if digest not in named]
-        for digest in spare[:-KEPT]:
+    def remove_unreferenced(self, referenced: set[str]) -> None:
+        """Remove the texts that are not referenced, but for the last `MAX_UNREFERENCED_TEXTS`."""
+        unreferenced = [digest for digest in self.digests if digest not in referenced]
+        for digest in unreferenced[:-MAX_UNREFERENCED_TEXTS]:
             self.digests.remove(digest)
-            self.host.remove(CONFIG + digest)
+            self.host.remove(TEXT_PREFIX + digest)
--- a/honeywharf/drift/gather.py
+++ b/honeywharf/drift/gather.py
@@ -14,15 +14,16 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+from honeywharf import rpc_methods
 from honeywharf.drift import digests, second
 from honeywharf.drift.history import History
 from honeywharf.mesh_config.routes import version_number
 
 if TYPE_CHECKING:
-    from honeywharf.control.mesh_state import Key, MeshState
+    from honeywharf.control.interfaces import ControlProgram
+    from honeywharf.control.mesh_state import MemberId, MeshState
     from honeywharf.control.messages import Heartbeat
-    from honeywharf.control.operator import Asked
-    from honeywharf.control.parts import ControlParts
+    from honeywharf.control.operator_api import HttpCall
     from honeywharf.transport.host import Address
     from honeywharf.transport.rpc import Reply
 
@@ -36,17 +37,17 @@
 class Gather:
     """See the module."""
 
-    def __init__(self, program: ControlParts) -> None:
+    def __init__(self, program: ControlProgram) -> None:
         self.program, self.host, self.replica = program, program.host, program.replica
         self.history = History(program.host)
-        self.peers: dict[Key, tuple[Any, ...]] = {}  # the highest ballot that each has told
+        self.peers: dict[MemberId, tuple[Any, ...]] = {}  # the highest ballot that each has told
         self.went_back = 0
-        tree = program.operator.tree
+        tree = program.operator.routes
         tree.add("GET", "/api/drift", self._drift)
         tree.add("GET", "/api/drift/between/{before}/{after}", self._between)
-        self.replica.methods["drift.slip"] = self._slip
-        self.replica.methods["drift.older"] = self._told_older
-        self.replica.upkeep.on_heartbeat = self.heartbeat
+        self.replica.methods[rpc_methods.DRIFT_REPORT] = self._slip
+        self.replica.methods[rpc_methods.REGISTER_WENT_BACK] = self._told_older
+        self.replica.membership.on_heartbeat = self.heartbeat
 
     def start(self) -> None:
         """The disk can be read: take the history up, and see whether the register is older than it says."""
@@ -65,7 +66,7 @@
 
     def word(self, state: MeshState) -> None:
         """A word is in force."""
-        text = self.replica.store.get(state.digest) if state.digest else None
+        text = self.replica.store.read_text(state.digest) if state.digest else None
         self.history.word(state, text)
 
     def _slip(self, args: Any, reply: Reply, peer: Address) -> None:
@@ -80,9 +81,9 @@
 
     def heartbeat(self, heartbeat: Heartbeat) -> None:
         """A peer has told of itself."""
-        self.beat(heartbeat.key, heartbeat.accepted)
+        self.beat(heartbeat.sender, heartbeat.accepted)
 
-    def beat(self, key: Key, accepted: tuple[Any, ...]) -> None:
+    def beat(self, key: MemberId, accepted: tuple[Any, ...]) -> None:
         """A peer has told how far its register is: where that is less than before, ask it, with each beat.
 
         Beats may overtake one another, so nothing follows from one here: the peer looks at what it holds.
@@ -94,13 +95,13 @@
             ip, _, port = key[0].rpartition(":")
             self.program.caller.call(
                 (ip, int(port)),
-                "drift.older",
+                rpc_methods.REGISTER_WENT_BACK,
                 [key[1], list(highest)],
                 WITHIN_S,
                 partial(self._answered, key),
             )
 
-    def _answered(self, key: Key, went_back: Any) -> None:
+    def _answered(self, key: MemberId, went_back: Any) -> None:
         """A peer was asked about its register; True where it has given up its vote."""
         if went_back is True:
             self.host.log(f"drift monitor: the register of {key[0]} has gone back")
@@ -124,17 +125,17 @@
         self.host.log(f"drift monitor: this disk has given back an older register, says {by}: it has no vote")
         self.history.slip(self.host_name(), "register", f"older than told, says {by}", 0)
         try:
-            self.replica.disown()
+            self.replica.discard_vote()
         except OSError as fault:
             self.host.log(f"drift monitor: the disk fails: {fault}")
 
     def host_name(self) -> str:
         """This machine, as rosters hold it."""
-        return self.replica.here
+        return self.replica.local_address
 
     # The operator's view.
 
-    def _drift(self, call: Asked) -> None:
+    def _drift(self, call: HttpCall) -> None:
         nodes = (
             []
             if self.program.membership is None
@@ -146,7 +147,7 @@
         )
         _Collecting(self, call, nodes[:MAX_NODES]).go_on()
 
-    def answer(self, call: Asked, views: list[Any], silent: list[str]) -> None:
+    def answer(self, call: HttpCall, views: list[Any], silent: list[str]) -> None:
         """All have told, or have been given up."""
         made = {
             "views": views,
@@ -156,12 +157,12 @@
             "slips": self.history.slips,
             "registers-gone-back": self.went_back,
         }
-        self.program.operator.answered(call, 200, json.dumps(made).encode())
+        self.program.operator.answer(call, 200, json.dumps(made).encode())
 
     def _told(self) -> dict[str, Any]:
         """What a majority holds, as this machine knows it, with its tree."""
-        state = self.replica.known
-        packed = None if state is None or not state.digest else self.replica.store.get(state.digest)
+        state = self.replica.known_state
+        packed = None if state is None or not state.digest else self.replica.store.read_text(state.digest)
         if state is None or packed is None:
             return {}
         evacuated = {zone for zone, on in state.evacuations.items() if on}
@@ -174,21 +175,21 @@
             "branches": {name: made.hex() for name, made in branches.items()},
         }
 
-    def _between(self, call: Asked, before: str, after: str) -> None:
+    def _between(self, call: HttpCall, before: str, after: str) -> None:
         try:
             lines = self.history.between(
-                version_number(before), version_number(after), self.replica.store.get
+                version_number(before), version_number(after), self.replica.store.read_text
             )
         except (ValueError, LookupError) as fault:
-            self.program.operator.answered(call, 404, str(fault.args[0] if fault.args else fault).encode())
+            self.program.operator.answer(call, 404, str(fault.args[0] if fault.args else fault).encode())
             return
-        self.program.operator.answered(call, 200, "".join(f"{line}\n" for line in lines).encode())
+        self.program.operator.answer(call, 200, "".join(f"{line}\n" for line in lines).encode())
 
 
 class _Collecting:
     """One view being collected."""
 
-    def __init__(self, gather: Gather, call: Asked, nodes: list[str]) -> None:
+    def __init__(self, gather: Gather, call: HttpCall, nodes: list[str]) -> None:
         self.gather, self.call, self.nodes = gather, call, nodes
         self.views: list[Any] = []
         self.silent: list[str] = []
@@ -200,7 +201,11 @@
             self.at_work += 1
             node = self.nodes.pop()
             self.gather.program.caller.call(
-                (node, self.gather.program.here[1]), "drift.view", None, WITHIN_S, partial(self._came, node)
+                (node, self.gather.program.local_address[1]),
+                rpc_methods.DRIFT_VIEW,
+                None,
+                WITHIN_S,
+                partial(self._came, node),
             )
         if not self.at_work:
             self.gather.answer(self.call, self.views, sorted(self.silent))
--- a/honeywharf/drift/rounds.py
+++ b/honeywharf/drift/rounds.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from honeywharf import rpc_methods
 from honeywharf.drift import scan, states
 from honeywharf.drift.watch import Watch
 
@@ -113,4 +114,4 @@
                 self.word.take(holder, value)
             done(value if self.host.now() - asked < GAP_S else None)  # else it is as old as our standstill
 
-        self.sidecar.caller.call(holder, "word.known", None, HOLD_S, known)
+        self.sidecar.caller.call(holder, rpc_methods.KNOWN_STATE, None, HOLD_S, known)
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -13,6 +13,7 @@
 
 import zlib
 
+from honeywharf import rpc_methods
 from honeywharf.drift import digests, scan, states
 from honeywharf.drift.second import Told
 from honeywharf.mesh_config.routes import Table
@@ -148,9 +149,16 @@
         """
         if self.standing or self.host.now() - self.grudged_at < STAND_AGAIN_S or not self._room():
             return
-        from honeywharf.lease.acquisition import (
-            LeaseAcquisition,  # wanted by none but a node that can't heal itself
-        )
+        # Needed by none but a node that can't heal itself: the lease's modules are loaded then.
+        from honeywharf.lease.acquisition import LeaseAcquisition
+        from honeywharf.lease.grantor import QUARANTINE, Role
+
+        def slots(scope: str, count: int) -> list[Role]:
+            """Slots to try, from one at random on, so that two who ask at once try different ones."""
+            first = self.host.random(1)[0] % count
+            return [
+                Role(QUARANTINE, scope, (first + offset) % count) for offset in range(min(count, MAX_PLACES))
+            ]
 
         self.standing = True
         ip, zone = self.sidecar.settings.ip, self.sidecar.settings.zone
@@ -160,16 +168,11 @@
             self.sidecar.caller.call,
             self._roster,
             f"{ip}/{self.host.random(6).hex()}",
-            [self._places(zone, states.zone_places(zones)), self._places("", states.all_places(nodes))],
+            [slots(zone, states.zone_places(zones)), slots("", states.all_places(nodes))],
             self._step_back,
         )
         self.leave.begin(self._may_stand)
 
-    def _places(self, scope: str, many: int) -> list[tuple[str, str, int]]:
-        """Places to try, from one at random on, so that two who ask at once try different ones."""
-        first = self.host.random(1)[0] % many
-        return [("aside", scope, (first + at) % many) for at in range(min(many, MAX_PLACES))]
-
     def _roster(self) -> tuple[int, list[tuple[str, str]]]:
         value = self.word.value
         return value.get("epoch", 0), [(one[0], one[1]) for one in value.get("roster", ())]
@@ -190,7 +193,7 @@
 
     def _refuses(self) -> bool:
         """Whether it may refuse now: a process that stood still finds that its leave has ended."""
-        return bool(self.leave.asking or self.leave.holds())
+        return bool(self.leave.is_pending or self.leave.holds())
 
     def _nodes_here(self) -> tuple[int, int]:
         """Sidecars that news tell of, this one too: all, and of the own zone."""
@@ -255,7 +258,9 @@
         self.asking = True
         self.cores_turn += 1
         core = cores[self.cores_turn % len(cores)]
-        self.sidecar.caller.call(core, "word.read", None, 0.9, lambda value: self._read_back(core, value))
+        self.sidecar.caller.call(
+            core, rpc_methods.READ_STATE, None, 0.9, lambda value: self._read_back(core, value)
+        )
 
     def _again(self) -> None:
         self.asking = False
@@ -271,7 +276,11 @@
             self._restore(value, self.word.packed)
         else:
             self.sidecar.caller.call(
-                core, "word.body", value["digest"], 3.0, lambda packed: self._restore(value, packed)
+                core,
+                rpc_methods.CONFIGURATION_TEXT,
+                value["digest"],
+                3.0,
+                lambda packed: self._restore(value, packed),
             )
 
     def _sound(self) -> bool:
@@ -314,7 +323,7 @@
         if now - self.told_at >= TELL_S:
             self.told_at = now
             for core in self.sidecar.cores()[:MAX_TOLD]:
-                self.sidecar.caller.call(core, "drift.slip", record, 1.0, lambda answer: None)
+                self.sidecar.caller.call(core, rpc_methods.DRIFT_REPORT, record, 1.0, lambda answer: None)
 
     def view(self) -> dict[str, object]:
         """Who runs what, for an operator. Times in seconds."""
@@ -346,7 +355,7 @@
         def view(args: Any, reply: Reply, peer: Address) -> None:
             reply(self.view())
 
-        return {"drift.view": view}
+        return {rpc_methods.DRIFT_VIEW: view}
 
     def counters(self) -> str:
         """For a log line."""
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Sequence
 
     from honeywharf.gossip.entry import Entry
-    from honeywharf.hinted_handoff.news import NewsHintStore
+    from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
     from honeywharf.transport.host import Address, Host, Timer
 
 
@@ -62,7 +62,7 @@
         self._host = host
         self._port = port
         self._stopped = False
-        self.hinted_handoff: NewsHintStore | None = (
+        self.hinted_handoff: GossipHintStore | None = (
             None  # for the missing ones that this node watches, once one was
         )
         self.keeps = True  # False: leave it to the digests
@@ -168,13 +168,13 @@
         if self.hinted_handoff is None:
             if not self.keeps:
                 return
-            from honeywharf.hinted_handoff.news import (
-                NewsHintStore,  # most nodes are never missed by this one
+            from honeywharf.hinted_handoff.gossip_hints import (
+                GossipHintStore,  # most nodes are never missed by this one
             )
 
-            self.hinted_handoff = NewsHintStore(self._host.log)
+            self.hinted_handoff = GossipHintStore(self._host.log)
         table = self.news.table
-        self.hinted_handoff.look(
+        self.hinted_handoff.update(
             now,
             self.watch.missing,
             self.news.revision,
@@ -184,7 +184,7 @@
     def _hand_over(self, node: str) -> list[tuple[str, bytes]]:
         """It is heard again: what it should have had, if this one is to tell; before its first digest."""
         assert self.hinted_handoff is not None
-        names, word = self.hinted_handoff.returned(node, self.news.revision)
+        names, word = self.hinted_handoff.take(node, self.news.revision)
         entry = self.news.table.get(node)
         if entry is None or not self.watch.first(node, entry.zone):
             return []
@@ -196,8 +196,8 @@
         self.watch.changed(self._host.now(), node, entry, old)
         if self.hinted_handoff is not None and entry is not None:
             if old is None or old.incarnation != entry.incarnation:
-                self.hinted_handoff.renewed(node)
-            self.hinted_handoff.changed(node, len(entry.pack(0)))
+                self.hinted_handoff.restarted(node)
+            self.hinted_handoff.entry_changed(node, len(entry.pack(0)))
         if self.on_change:
             self.on_change(node, entry, old)
 
--- a/honeywharf/hinted_handoff/__init__.py
+++ b/honeywharf/hinted_handoff/__init__.py
@@ -1,1 +1,1 @@
-"""What a missing machine should have had, kept by others within bounds and handed over on its return."""
+"""Hinted handoff: what a missing machine should have had, kept by others within bounds until its return."""
--- a/honeywharf/hinted_handoff/hints.py
+++ b/honeywharf/hinted_handoff/hints.py
@@ -1,114 +1,118 @@
-"""What is kept for missing machines: bounded by entries, bytes and time, for each and in all. No I/O.
+"""Hints kept for machines that are missing: bounded by entries, bytes and time, for each and in all. No I/O.
 
-Only names are kept (which entry, that the word changed) with the bytes that they will take: the newest state
-of each is handed over, so two changes of one thing take the room of one. What finds no room is counted and
-told once for each filling, and left to the digests, which mend whatever is missing.
+Only names are kept (which entry, that the state has changed) with the bytes that they will take: the newest
+state of each is handed over, so two changes of one thing cost as much as one. What finds no space is counted,
+and logged once for each time that the store fills; anti-entropy repairs whatever is missing.
 """
 
 from __future__ import annotations
 
-TYPE_CHECKING = False
+TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
 MAX_MACHINES = 32
-ENTRIES, ALL_ENTRIES = 256, 2048
-BYTES, ALL_BYTES = 64 << 10, 256 << 10
-KEPT = 30.0  # seconds; who is gone for longer asks for everything anyway
+MAX_ENTRIES_PER_MACHINE, MAX_ENTRIES = 256, 2048
+MAX_BYTES_PER_MACHINE, MAX_BYTES = 64 << 10, 256 << 10
+HINT_LIFETIME_S = 30.0  # who is gone for longer asks for everything anyway
 
 
-class Kept:
-    """For one machine: names with bytes, since when it is missing, and whether some found no room."""
+class MachineHints:
+    """For one machine: names with bytes, since when it is missing (s), and whether some found no space."""
 
-    __slots__ = ("bytes", "since", "spilled", "what")
+    __slots__ = ("bytes", "since", "sizes", "spilled")
 
     def __init__(self, since: float) -> None:
         self.since, self.bytes, self.spilled = since, 0, False
-        self.what: dict[str, int] = {}
+        self.sizes: dict[str, int] = {}
 
 
 class HintStore:
-    """See the module. `say(line)` is told when it fills; times are seconds on the steady clock."""
-
-    __slots__ = ("_full", "all_bytes", "all_entries", "handed", "held", "say", "spilled", "stale")
-
-    def __init__(self, say: Callable[[str], None] = lambda line: None) -> None:
-        self.say = say
-        self.held: dict[str, Kept] = {}
-        self.all_entries = self.all_bytes = 0
-        self.handed = 0  # names given to machines that came back
-        self.spilled = 0  # names and machines that found no room
-        self.stale = 0  # machines that stayed away for too long
-        self._full = False
-
-    def missing(self, machine: str, since: float) -> bool:
-        """Keep for a machine from now on; False where there is no room for one more."""
-        if machine in self.held:
+    """See the module. `log(line)` is called when it fills; times are seconds on the steady clock."""
+
+    __slots__ = (
+        "_is_full", "by_machine", "expired", "handed_over", "log", "spilled", "total_bytes", "total_entries",
+    )  # fmt: skip
+
+    def __init__(self, log: Callable[[str], None] = lambda line: None) -> None:
+        self.log = log
+        self.by_machine: dict[str, MachineHints] = {}
+        self.total_entries = self.total_bytes = 0
+        self.handed_over = 0  # names given to machines that came back
+        self.spilled = 0  # names and machines that found no space
+        self.expired = 0  # machines that stayed away for too long
+        self._is_full = False
+
+    def begin(self, machine: str, since: float) -> bool:
+        """Keep hints for a machine from now on; False where there are too many machines."""
+        if machine in self.by_machine:
             return True
-        if len(self.held) >= MAX_MACHINES:
+        if len(self.by_machine) >= MAX_MACHINES:
             self._spill(f"no room for {machine}: {MAX_MACHINES} machines are missing")
             return False
-        self.held[machine] = Kept(since)
+        self.by_machine[machine] = MachineHints(since)
         return True
 
-    def keep(self, what: str, size: int, machines: Iterable[str] | None = None) -> None:
-        """Something changed that these machines (else all missing ones) should have had, of so many bytes."""
-        for machine in list(self.held if machines is None else machines):
-            kept = self.held.get(machine)
-            if kept is not None and machine != what:
-                self._put(machine, kept, what, size)
+    def add(self, name: str, size: int, machines: Iterable[str] | None = None) -> None:
+        """Something of so many bytes changed that these machines, else all missing ones, should have had."""
+        for machine in list(self.by_machine if machines is None else machines):
+            hints = self.by_machine.get(machine)
+            if hints is not None and machine != name:
+                self._put(machine, hints, name, size)
 
-    def _put(self, machine: str, kept: Kept, what: str, size: int) -> None:
-        old = kept.what.get(what)
-        more, entry = size - (old or 0), old is None
+    def _put(self, machine: str, hints: MachineHints, name: str, size: int) -> None:
+        old_size = hints.sizes.get(name)
+        more_bytes, more_entries = size - (old_size or 0), old_size is None
         if (
-            len(kept.what) + entry > ENTRIES
-            or kept.bytes + more > BYTES
-            or self.all_entries + entry > ALL_ENTRIES
-            or self.all_bytes + more > ALL_BYTES
+            len(hints.sizes) + more_entries > MAX_ENTRIES_PER_MACHINE
+            or hints.bytes + more_bytes > MAX_BYTES_PER_MACHINE
+            or self.total_entries + more_entries > MAX_ENTRIES
+            or self.total_bytes + more_bytes > MAX_BYTES
         ):
-            kept.spilled = True
-            self._spill(
-                f"full: {self.all_entries} entries, {self.all_bytes} bytes in all; the digest mends {machine}"
-            )
+            hints.spilled = True
+            total = f"{self.total_entries} entries, {self.total_bytes} bytes in all"
+            self._spill(f"full: {total}; the digest mends {machine}")
             return
-        kept.what[what] = size
-        kept.bytes += more
-        self.all_bytes += more
-        self.all_entries += entry
+        hints.sizes[name] = size
+        hints.bytes += more_bytes
+        self.total_bytes += more_bytes
+        self.total_entries += more_entries
 
-    def _spill(self, line: str) -> None:
+    def _spill(self, reason: str) -> None:
         self.spilled += 1
-        if not self._full:
-            self._full = True
-            self.say(f"hinted handoff: {line}")
-
-    def returned(self, machine: str) -> list[str]:
-        """A machine is heard again: what it should have had, oldest first; it is kept no more."""
-        kept = self.drop(machine)
-        if kept is None:
+        if not self._is_full:
+            self._is_full = True
+            self.log(f"hinted handoff: {reason}")
+
+    def take(self, machine: str) -> list[str]:
+        """A machine is back: the names that it should have had, oldest first; they are kept no more."""
+        hints = self.drop(machine)
+        if hints is None:
             return []
-        self.handed += len(kept.what)
-        return list(kept.what)
-
-    def drop(self, machine: str) -> Kept | None:
-        """Keep no more for a machine."""
-        kept = self.held.pop(machine, None)
-        if kept is not None:
-            self.all_entries -= len(kept.what)
-            self.all_bytes -= kept.bytes
-            self._full = False
-        return kept
+        self.handed_over += len(hints.sizes)
+        return list(hints.sizes)
+
+    def drop(self, machine: str) -> MachineHints | None:
+        """Keep no more hints for a machine."""
+        hints = self.by_machine.pop(machine, None)
+        if hints is not None:
+            self.total_entries -= len(hints.sizes)
+            self.total_bytes -= hints.bytes
+            self._is_full = False
+        return hints
 
     def sweep(self, now: float) -> None:
-        """Drop what is kept for those who stay away."""
-        for machine in [one for one, kept in self.held.items() if now - kept.since > KEPT]:
+        """Drop the hints for those who stay away."""
+        expired = [
+            machine for machine, hints in self.by_machine.items() if now - hints.since > HINT_LIFETIME_S
+        ]
+        for machine in expired:
             self.drop(machine)
-            self.stale += 1
+            self.expired += 1
 
     def counters(self) -> str:
         """For a log line."""
         return (
-            f"hinted handoff missing={len(self.held)} entries={self.all_entries} bytes={self.all_bytes} "
-            f"handed={self.handed} spilled={self.spilled} stale={self.stale}"
+            f"hinted handoff missing={len(self.by_machine)} entries={self.total_entries} "
+            f"bytes={self.total_bytes} handed={self.handed_over} spilled={self.spilled} stale={self.expired}"
         )
--- a/honeywharf/lease/__init__.py
+++ b/honeywharf/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for duties that one proxy does: granted by a majority, over before they end."""
+"""Leases for singleton roles: granted by a majority of the control nodes, and over before their votes end."""
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -1,4 +1,7 @@
-"""The control plane's program: the operator's door, the register, and news of it."""
+"""The control plane's program.
+
+The operator's HTTP API, the quorum register, and gossip of what it decides.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,14 @@
 from typing import TYPE_CHECKING
 
 from honeywharf.control.mesh_state import MeshState
-from honeywharf.control.operator import Operator
-from honeywharf.control.replica import Replica
+from honeywharf.control.operator_api import OperatorApi
+from honeywharf.control.replica import Replica, ReplicaSettings
 from honeywharf.control.store import Store
 from honeywharf.drift.gather import Gather
 from honeywharf.gossip.membership import Membership
-from honeywharf.programs.duties import Duties
-from honeywharf.programs.handing import Handing
-from honeywharf.programs.start import settings_or_line
+from honeywharf.programs.control_handoff import ControlHandoff
+from honeywharf.programs.control_leases import ControlLeases
+from honeywharf.programs.start import load_settings
 from honeywharf.transport.host import Address, Host
 from honeywharf.transport.http_server import HttpServer
 from honeywharf.transport.rpc import Answerer, Caller
@@ -23,129 +26,140 @@
 if TYPE_CHECKING:
     from honeywharf.mesh_config.settings import Settings
 
+DEFAULT_SETTINGS = "/etc/honeywharf/boot.yaml"
 MAX_BODY = 65 << 20  # bytes of a configuration
-STOPPING = 0.9  # s that calls at work have after SIGTERM
+SHUTDOWN_S = 0.9  # that pending calls have after SIGTERM
 HANDOVER_S = 2.0  # that a standby has to take this machine's place, and at most half of `grace-period`
-LOADED = 0.5  # s after the start, when the door and the register have answered whoever waited
-DISK_AGAIN = 0.2  # s after which a disk that fails at the start is tried again
+PRELOAD_S = 0.5  # after the start, when the HTTP API and the register have answered whoever waited
+DISK_RETRY_S = 0.2  # after which a disk that fails at the start is tried again
+EXIT_DELAY_S = 0.02  # in which the last answers leave
 
 
 class ControlNode:
-    """One control node on its host."""
+    """One control node on its host: puts the parts together, starts them, and ends them on SIGTERM."""
 
     def __init__(self, host: Host, settings: Settings) -> None:
         self.host, self.settings = host, settings
-        self.here: Address = (settings.ip, settings.ports[0])
+        self.local_address: Address = (settings.ip, settings.ports[0])
         self.caller = Caller(host)
         self.replica = Replica(
             host,
             Store(host),
             self.caller,
-            self.here,
-            settings.zone,
-            [(ip, settings.ports[0]) for ip, _ in settings.seeds],
-            settings.initial_start,
-            self._state,
-            self._cores,
+            ReplicaSettings(
+                self.local_address,
+                settings.zone,
+                [(ip, settings.ports[0]) for ip, _ in settings.seeds],
+                settings.initial_start,
+            ),
+            self._state_changed,
+            self._other_control_nodes,
         )
         self.membership: Membership | None = None
-        self.door: HttpServer | None = None
-        self.replica.client.linked(settings.link_mbps)
-        self.operator = Operator(self.replica, settings.zones, settings.listen["control-plane"][1])
-        self.stopping = self.handing_over = False
+        self.http_server: HttpServer | None = None
+        self.replica.client.set_link_rate(settings.link_mbps)
+        self.operator = OperatorApi(self.replica, settings.zones, settings.listen["control-plane"][1])
+        self.is_stopping = self.is_handing_over = False
         self.gather = Gather(self)
-        self.duties = Duties(self)
-        self.handing = Handing(self)
+        self.leases = ControlLeases(self)
+        self.hinted_handoff = ControlHandoff(self)
         self._begin()
 
     def _begin(self) -> None:
         """Start once the disk can be read."""
-        if self.stopping:
+        if self.is_stopping:
             return
         try:
             self.replica.start()
-        except OSError as fault:
-            self.host.log(f"control node: the disk fails: {fault}")
-            self.host.after(DISK_AGAIN, self._begin)
+        except OSError as error:
+            self.host.log(f"control node: the disk fails: {error}")
+            self.host.after(DISK_RETRY_S, self._begin)
             return
         settings, host = self.settings, self.host
         self.gather.start()
-        self.handing.start()
-        self.host.listen(self.here, Answerer(self.replica.methods, log=host.log).accept)
-        self.membership = Membership(
+        self.hinted_handoff.start()
+        host.listen(self.local_address, Answerer(self.replica.methods, log=host.log).accept)
+        self.membership = self._start_gossip()
+        control_plane = settings.listen["control-plane"]
+        self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY)
+        host.after(PRELOAD_S, self.operator.preload)
+        state = self.replica.state
+        host.log(
+            f"control node: {settings.node_name} at {settings.ip}, disk {state.disk}, roster {state.epoch}"
+        )
+
+    def _start_gossip(self) -> Membership:
+        settings, host = self.settings, self.host
+        revision = max(0, self.replica.committed.announced_revision)
+        membership = Membership(
             host,
             settings.ip,
             settings.ports[0],
             settings.zone,
             [ip for ip, _ in settings.seeds],
-            {"core": True, "disk": self.replica.state.disk, "rev": max(0, self.replica.announced)},
+            {"core": True, "disk": self.replica.state.disk, "rev": revision},
             int(host.wall() * 1000),
         )
-        self.membership.on_word = self._rumour
-        self.door = HttpServer(host, settings.listen["control-plane"], self.operator.take, MAX_BODY)
-        host.after(LOADED, self.operator.load)
-        host.log(
-            f"control node: {settings.node_name} at {settings.ip}, disk {self.replica.state.disk},"
-            f" roster {self.replica.state.epoch}"
-        )
+        membership.on_word = self._newer_revision
+        return membership
 
-    def _state(self, state: MeshState) -> None:
-        """There is a newer word, and its text is here."""
+    def _state_changed(self, state: MeshState) -> None:
+        """There is a newer committed state, and its text is here."""
         self.host.log(f"control node: revision {state.revision}, configuration r{state.version}")
         self.gather.word(state)
-        self.handing.word(state)
+        self.hinted_handoff.state_changed(state)
         if self.membership is not None:
             self.membership.shout_word(state.revision)
 
-    def _rumour(self, revision: int, holder: str) -> None:
-        """Somebody holds a newer word."""
-        if self.replica.known is None or revision > self.replica.known.revision:
-            self.replica.learn_from((holder, self.here[1]))
+    def _newer_revision(self, revision: int, node: str) -> None:
+        """Gossip tells of a node that holds a newer revision."""
+        if revision > self.replica.committed.revision:
+            self.replica.committed.fetch((node, self.local_address[1]))
 
-    def _cores(self) -> list[Address]:
-        """The other control nodes that news tell of."""
+    def _other_control_nodes(self) -> list[Address]:
+        """The other control nodes that gossip knows."""
         if self.membership is None:
             return []
         return [
-            (node, self.here[1])
+            (node, self.local_address[1])
             for node, entry in self.membership.entries().items()
-            if node != self.here[0] and entry.say is not None and entry.say.get("core")
+            if node != self.local_address[0] and entry.say is not None and entry.say.get("core")
         ]
 
     def stop(self) -> None:
-        """SIGTERM: take no further calls, end those at work, and exit within a second."""
-        if self.stopping:
+        """SIGTERM: take no further calls, hand over this machine's place, end pending calls, and exit."""
+        if self.is_stopping:
             return
-        self.stopping = True
-        self.operator.closing = True
-        if self.door is not None:
-            self.door.close()
+        self.is_stopping = True
+        self.operator.is_shutting_down = True
+        if self.http_server is not None:
+            self.http_server.close()
         if self.membership is not None:
             self.membership.leave()
             self.membership.stop()
-        self.handing_over = True
-        within = min(HANDOVER_S, self.settings.bound("grace-period", 2 * HANDOVER_S) / 2)
-        self.host.after(max(STOPPING, within), partial(self.host.exit, 0))
-        self.replica.leave(within, self._handed_over)
-        self._finish()
+        self.is_handing_over = True
+        timeout = min(HANDOVER_S, self.settings.bound("grace-period", 2 * HANDOVER_S) / 2)
+        self.host.after(max(SHUTDOWN_S, timeout), partial(self.host.exit, 0))
+        self.replica.hand_over(timeout, self._handed_over)
+        self._exit_when_idle()
 
     def _handed_over(self) -> None:
-        """The place has been taken, or there is nobody to take it: what is at work has a while to end."""
-        self.handing_over = False
-        self.host.after(STOPPING, partial(self.host.exit, 0))
+        """The place has been taken, or nobody can take it: pending calls have a while to end."""
+        self.is_handing_over = False
+        self.host.after(SHUTDOWN_S, partial(self.host.exit, 0))
 
-    def _finish(self) -> None:
-        if self.operator.at_work or self.handing_over:
-            self.host.after(0.02, self._finish)
+    def _exit_when_idle(self) -> None:
+        if self.operator.pending_calls or self.is_handing_over:
+            self.host.after(EXIT_DELAY_S, self._exit_when_idle)
         else:
-            self.host.after(0.02, partial(self.host.exit, 0))  # the answers are on their way
+            self.host.after(EXIT_DELAY_S, partial(self.host.exit, 0))
 
 
 def main() -> int:
     """Run by the settings file that the platform names; 2 where it can't be used."""
     from honeywharf.transport.loop import Loop
 
-    settings = settings_or_line("/etc/honeywharf/boot.yaml")
+    settings = load_settings(DEFAULT_SETTINGS)
     if settings is None:
         return 2
     loop = Loop(settings.data_directory)
--- /dev/null
+++ b/honeywharf/programs/control_leases.py
@@ -0,0 +1,156 @@
+"""Leases in a control node: the votes that it grants, its own lease to remove members, and a view of both."""
+
+from __future__ import annotations
+
+import json
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from honeywharf import rpc_methods
+from honeywharf.control import mesh_state
+from honeywharf.drift import states
+from honeywharf.lease.acquisition import LeaseAcquisition
+from honeywharf.lease.grantor import MEMBER_REMOVAL, QUARANTINE, Grantor, Role, VoteAnswer
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywharf.control.interfaces import ControlProgram
+    from honeywharf.control.operator_api import HttpCall
+    from honeywharf.transport.host import Address
+    from honeywharf.transport.rpc import Reply
+
+REMOVAL_ROLE = Role(MEMBER_REMOVAL, "", 0)
+HOLDER_BYTES = 6  # of randomness in the name of this process as a holder
+MAX_NAME = 200  # characters of a name in a call
+
+
+class ControlLeases:
+    """See the module. It is the replica's `RemovalLease`."""
+
+    def __init__(self, program: ControlProgram) -> None:
+        self.program, self.host, self.replica = program, program.host, program.replica
+        self.grantor = Grantor(self.host.now(), self.slots)
+        self.holder = f"{self.replica.local_address}/{self.host.random(HOLDER_BYTES).hex()}"
+        self.acquisition: LeaseAcquisition | None = None
+        self.outcomes = {"granted": 0, "refused": 0, "lost": 0}  # of this node's own acquisitions
+        self.replica.membership.removal.lease = self
+        self.replica.methods[rpc_methods.LEASE_REQUEST] = self._answer_request
+        self.replica.methods[rpc_methods.LEASE_RELEASE] = self._answer_release
+        program.operator.routes.add("GET", "/api/duties", self._answer_view)
+
+    # Votes.
+
+    def slots(self, kind: str, scope: str) -> int:
+        """How many may have a role at once, by the sidecars that gossip knows here."""
+        if kind == MEMBER_REMOVAL:
+            return int(scope == "")
+        zones = self._sidecar_zones()
+        return states.zone_places(zones.count(scope)) if scope else states.all_places(len(zones))
+
+    def _sidecar_zones(self) -> list[str]:
+        """The zone of each sidecar that gossip knows."""
+        membership = self.program.membership
+        if membership is None:
+            return []
+        entries = membership.entries().values()
+        return [entry.zone for entry in entries if entry.say is not None and entry.say.get("s")]
+
+    def _answer_request(self, args: Any, reply: Reply, peer: Address) -> None:
+        kind, scope, slot, holder, number, epoch, disk = args
+        _check_names(kind, scope, holder, disk)
+        _check_numbers(slot, number, epoch)
+        state = self.replica.state
+        if disk != state.disk or not self.replica.is_member():
+            reply([VoteAnswer.OTHER_EPOCH, 0])  # the caller means another member
+            return
+        accepted_epoch = state.value.epoch if state.value is not None else 0
+        now = self.host.now()
+        self.grantor.adopt_epoch(now, state.epoch, accepted_epoch)
+        reply(list(self.grantor.request(now, Role(kind, scope, slot), holder, number, epoch)))
+
+    def _answer_release(self, args: Any, reply: Reply, peer: Address) -> None:
+        kind, scope, slot, holder, number, disk = args
+        _check_names(kind, scope, holder, disk)
+        _check_numbers(slot, number)
+        if disk == self.replica.state.disk:
+            self.grantor.release(Role(kind, scope, slot), holder, number)
+        reply(True)
+
+    # This node's own lease.
+
+    def _call(self, to: Address, method: str, args: Any, timeout: float, done: Callable[[Any], None]) -> None:
+        """As `Caller.call`, but to this machine without a connection."""
+        if to == self.program.local_address:
+            self.host.after(0.0, lambda: self.replica.methods[method](args, done, to))
+        else:
+            self.program.caller.call(to, method, args, timeout, done)
+
+    def begin(self, done: Callable[[bool], None]) -> None:
+        """Ask for the lease; False at once while there is another such acquisition."""
+        if self.acquisition is not None:
+            done(False)
+            return
+        state = self.replica.state
+        self.acquisition = LeaseAcquisition(
+            self.host,
+            self._call,
+            lambda: (state.epoch, mesh_state.member_ids(state.members)),
+            self.holder,
+            [[REMOVAL_ROLE]],
+            self._lost,
+        )
+        self.acquisition.begin(partial(self._acquired, done))
+
+    def _acquired(self, done: Callable[[bool], None], granted: bool) -> None:
+        self.outcomes["granted" if granted else "refused"] += 1
+        if granted and self.acquisition is not None:
+            number = self.acquisition.numbers()[0]
+            self.host.log(f"leases: member removal is granted to this node, number {number}")
+        else:
+            self.acquisition = None
+        done(granted)
+
+    def _lost(self) -> None:
+        self.outcomes["lost"] += 1
+
+    def holds(self) -> bool:
+        """Whether the lease is held now."""
+        return self.acquisition is not None and self.acquisition.holds()
+
+    def end(self) -> None:
+        """Give it back."""
+        acquisition, self.acquisition = self.acquisition, None
+        if acquisition is not None:
+            acquisition.end()
+
+    # The operators' view.
+
+    def view(self) -> dict[str, Any]:
+        """Votes that are out, rejections, and own acquisitions, as JSON. Source: docs/operators/duties.md."""
+        now = self.host.now()
+        waiting = [kind for kind in (MEMBER_REMOVAL, QUARANTINE) if self.grantor.must_wait(now, kind)]
+        return {
+            "node": self.replica.local_address,
+            "roster": self.replica.state.epoch,
+            "votes": self.grantor.view(now),
+            "refused": self.grantor.rejections,
+            "waits": waiting,
+            "upkeep": {**self.outcomes, "held": self.holds()},
+            "hinted_handoff": self.program.hinted_handoff.view(),
+        }
+
+    def _answer_view(self, call: HttpCall) -> None:
+        self.program.operator.answer(call, 200, json.dumps(self.view()).encode())
+
+
+def _check_names(*names: object) -> None:
+    """ValueError where a call holds something else."""
+    if not all(isinstance(name, str) and len(name) <= MAX_NAME for name in names):
+        raise ValueError("found something else, wanted names")
+
+
+def _check_numbers(*numbers: object) -> None:
+    """ValueError where a call holds something else."""
+    if not all(type(number) is int for number in numbers):
+        raise ValueError("found something else, wanted numbers")
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -8,7 +8,7 @@
 if __name__ == "__main__":  # run by its path: the folder above the package is where the package is found
     sys.path[0] = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from honeywharf.programs.start import settings_or_line
+from honeywharf.programs.start import load_settings
 from honeywharf.sessions.drain import (
     ASK_AGAIN_S,
     AT_ONCE,
@@ -283,7 +283,7 @@
 
     from honeywharf.transport.loop import Loop
 
-    settings = settings_or_line()
+    settings = load_settings()
     if settings is None:
         return 2
     loop = Loop(None)
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -12,7 +12,7 @@
 from honeywharf.drift.requests import DriftMonitor
 from honeywharf.drift.watch import is_named
 from honeywharf.gossip.membership import Draws, Membership
-from honeywharf.programs.start import settings_or_line
+from honeywharf.programs.start import load_settings
 from honeywharf.sidecar.backend import Taps
 from honeywharf.sidecar.beats import Beats
 from honeywharf.sidecar.gate import DRAINING, READY, STATES, UNKNOWN, Gate
@@ -250,7 +250,7 @@
 
     from honeywharf.transport.loop import Loop
 
-    settings = settings_or_line()
+    settings = load_settings()
     if settings is None:
         return 2
     loop = Loop(None)
--- a/honeywharf/programs/start.py
+++ b/honeywharf/programs/start.py
@@ -12,7 +12,7 @@
 VARIABLE = "HONEYWHARF_SETTINGS"
 
 
-def settings_or_line(default: str = "") -> Settings | None:
+def load_settings(default: str = "") -> Settings | None:
     """The settings; None where they can't be used, after one line on standard error.
 
     `default`: the path where the environment names none; empty: it must name one.
--- /dev/null
+++ b/honeywharf/rpc_methods.py
@@ -0,0 +1,44 @@
+"""Names of the remote calls between the mesh's processes, as they stand on the wire.
+
+Both builds of a rolling upgrade use them, so a value here never changes; a call whose arguments change gets a
+new name. Each constant says who calls whom, with what, and what is answered. `None` is the answer of a callee
+that cannot serve the call, and of a call that failed (`transport.rpc_client`).
+"""
+
+from __future__ import annotations
+
+#: Control node to control node: `control.messages.Heartbeat`, answered with the callee's own.
+HEARTBEAT = "ping"
+#: Control node to control node: `[packed request, configuration text or nil]`, answered with a packed answer.
+REGISTER_REQUEST = "register.ask"
+#: Control node to control node: the public mesh state that was committed, answered with true.
+STATE_COMMITTED = "register.learn"
+#: Control node to control node: nothing, answered with the decided membership.
+DECIDED_MEMBERSHIP = "register.roster"
+#: Control node to control node: `[address, disk, zone, initial, digest]`, answered with the decided
+#: membership.
+ADMIT_MEMBER = "register.admit"
+
+#: Anyone to a control node: nothing, answered with the mesh state that a majority holds.
+READ_STATE = "word.read"
+#: Anyone to any process: nothing, answered with the committed mesh state that the callee knows.
+KNOWN_STATE = "word.known"
+#: Anyone to any process: a digest, answered with the configuration's compressed text.
+CONFIGURATION_TEXT = "word.body"
+
+#: Anyone to a control node: `[kind, scope, slot, holder, number, epoch, disk]`, answered with `[answer,
+#: number]`.
+LEASE_REQUEST = "lease.ask"
+#: Anyone to a control node: `[kind, scope, slot, holder, number, disk]`, answered with true.
+LEASE_RELEASE = "lease.free"
+
+#: Control node to a member that is back: the public mesh state that it missed, answered with true.
+HINTED_HANDOFF = "hinted_handoff.hand"
+
+#: Sidecar to a control node: `[node, seconds, way, cause, revision]`, answered with true.
+DRIFT_REPORT = "drift.slip"
+#: Control node to a sidecar: nothing, answered with the sidecar's view of its own drift.
+DRIFT_VIEW = "drift.view"
+#: Control node to control node: `[disk, highest accepted number]`, answered whether the callee's register
+#: is older.
+REGISTER_WENT_BACK = "drift.older"
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -12,6 +12,7 @@
 
 import zlib
 
+from honeywharf import rpc_methods
 from honeywharf.mesh_config.routes import Limits, Route, Table
 
 TYPE_CHECKING = False
@@ -73,7 +74,9 @@
         if cores:
             self.turn += 1
             core = cores[self.turn % len(cores)]
-            self.caller.call(core, "word.read", None, WITHIN_S, lambda value: self._started(core, value))
+            self.caller.call(
+                core, rpc_methods.READ_STATE, None, WITHIN_S, lambda value: self._started(core, value)
+            )
         else:
             self.host.after(AGAIN_S, self.start)
 
@@ -90,7 +93,11 @@
         if revision > self.revision and self.ready and not busy:
             fetch = self._begin()
             self.caller.call(
-                holder, "word.known", None, WITHIN_S, lambda value: self._known(fetch, holder, value)
+                holder,
+                rpc_methods.KNOWN_STATE,
+                None,
+                WITHIN_S,
+                lambda value: self._known(fetch, holder, value),
             )
 
     def _begin(self) -> int:
@@ -136,7 +143,7 @@
         within = min(most, first * 2 ** min(self.vain, 4))
         self.caller.call(
             holder,
-            "word.body",
+            rpc_methods.CONFIGURATION_TEXT,
             value["digest"],
             within,
             lambda packed: self._body(fetch, holder, value, packed),
@@ -177,6 +184,8 @@
     def methods(self) -> dict[str, Callable[[Any, Reply, Address], None]]:
         """What others may call."""
         return {
-            "word.known": lambda args, reply, peer: reply(self.value or None),
-            "word.body": lambda args, reply, peer: reply(self.packed if args == self.digest else None),
+            rpc_methods.KNOWN_STATE: lambda args, reply, peer: reply(self.value or None),
+            rpc_methods.CONFIGURATION_TEXT: lambda args, reply, peer: reply(
+                self.packed if args == self.digest else None
+            ),
         }
--- a/tests/compatibility/golden_messages.py
+++ b/tests/compatibility/golden_messages.py
@@ -11,11 +11,11 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from honeywharf.control import messages, repair
+from honeywharf.control import backup as control_backup, messages
 from honeywharf.control.acceptor import AcceptorState
 from honeywharf.control.mesh_state import Member, MeshState
-from honeywharf.control.messages import Ballot, Decided, Heartbeat
-from honeywharf.control.store import read_state, state_bytes
+from honeywharf.control.messages import DecidedMembership, Heartbeat, ProposalNumber
+from honeywharf.control.store import decode_register, encode_register
 from honeywharf.control.version_history import MAX_VERSIONS, VersionHistory
 from honeywharf.failure_detector.watch import Watch
 from honeywharf.gossip import entry as gossip_entry
@@ -32,8 +32,8 @@
     for address, zone in zip(ADDRESSES, "abc", strict=True)
 )
 TEXT = b'{"version": "r9", "routes": []}'
-BALLOT, EARLIER = Ballot(12, ADDRESSES[0], 281474976710655), Ballot(11, ADDRESSES[1], 7)
-DECIDED = Decided(3, MEMBERS)
+BALLOT, EARLIER = ProposalNumber(12, ADDRESSES[0], 281474976710655), ProposalNumber(11, ADDRESSES[1], 7)
+DECIDED = DecidedMembership(3, MEMBERS)
 
 
 def full_history() -> VersionHistory:
@@ -61,12 +61,12 @@
     "register accept": messages.Accept("first", DECIDED, BALLOT, mesh_state()),
     "register read": messages.Read("5eed", DECIDED),
     "register promised": messages.Promised(DECIDED, BALLOT, EARLIER, mesh_state()),
-    "register promised, nothing accepted": messages.Promised(DECIDED, BALLOT, messages.NO_BALLOT, None),
+    "register promised, nothing accepted": messages.Promised(DECIDED, BALLOT, messages.NO_PROPOSAL, None),
     "register accepted": messages.Accepted(DECIDED, BALLOT),
-    "register current": messages.Current(DECIDED, BALLOT, mesh_state().without_history()),
+    "register current": messages.CurrentValue(DECIDED, BALLOT, mesh_state().without_history()),
     "register rejected": messages.Rejected(DECIDED, EARLIER, BALLOT),
     "register newer membership": messages.NewerMembership(DECIDED),
-    "register other disk": messages.OtherDisk(DECIDED),
+    "register other disk": messages.DiskMismatch(DECIDED),
     "register text missing": messages.TextMissing(DECIDED, BALLOT),
 }
 HEARTBEAT = Heartbeat(ADDRESSES[1], "first", 3, 21, BALLOT, "b", digest(TEXT))
@@ -107,7 +107,7 @@
 
 def backup() -> bytes:
     """A backup's file, of a disk with the state and its text."""
-    return repair.Backup(3, 12, mesh_state(), TEXT).pack()
+    return control_backup.Backup(3, 12, mesh_state(), TEXT).pack()
 
 
 class Golden(NamedTuple):
@@ -149,9 +149,9 @@
 
 
 def _register_file(data: bytes) -> bytes:
-    state = read_state(data)
+    state = decode_register(data)
     assert state is not None
-    return state_bytes(state)
+    return encode_register(state)
 
 
 def _handover_frame(data: bytes) -> bytes:
@@ -180,12 +180,12 @@
     "stream open": Golden(
         lambda: REQUEST.packed(5), lambda data: Ask.unpacked(_unframed(data)).packed(_unframed(data)[1])
     ),
-    "file register": Golden(lambda: state_bytes(acceptor_state()), _register_file),
+    "file register": Golden(lambda: encode_register(acceptor_state()), _register_file),
     "file register, full history": Golden(
-        lambda: state_bytes(acceptor_state(full_history())), _register_file
+        lambda: encode_register(acceptor_state(full_history())), _register_file
     ),
-    "file register, empty": Golden(lambda: state_bytes(AcceptorState("5eed")), _register_file),
-    "file backup": Golden(backup, lambda data: repair.opened(data).pack()),
+    "file register, empty": Golden(lambda: encode_register(AcceptorState("5eed")), _register_file),
+    "file backup": Golden(backup, lambda data: control_backup.Backup.unpack(data).pack()),
     **{
         f"handover {kind.name.lower()}": Golden(
             lambda kind=kind: b"".join(  # type: ignore[misc]
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -150,7 +150,7 @@
 def view_drift(trial: slips.Trial) -> None:
     """Have a control node ask every sidecar for its view of drift."""
     core: Any = trial.field.cores[0].program
-    trial.field.cores[0].call(trial.field.cores[0].life, core.operator.take, OperatorCall())
+    trial.field.cores[0].call(trial.field.cores[0].life, core.operator.handle, OperatorCall())
     trial.world.run(trial.world.now + VIEW_S)
 
 
--- a/tests/compatibility/stored_disks.py
+++ b/tests/compatibility/stored_disks.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 
 GOLDEN = Path(__file__).with_name("golden")
 DISKS = GOLDEN / "disks"
@@ -20,15 +20,15 @@
 
 def play() -> dict[str, dict[str, bytes]]:
     """Make the changes; files by node and name."""
-    town = Town(SEED)
-    town.run(0.5)
+    cluster = ControlCluster(SEED)
+    cluster.run(0.5)
     for version in VERSIONS:
-        call = town.replace(town.ips[version % 3], version, content(version))
-        town.run(0.5)
+        call = cluster.replace(cluster.ips[version % 3], version, content(version))
+        cluster.run(0.5)
         assert call.status == 200, version
-    assert town.call(town.ips[0], "POST", f"/api/evacuations/{EVACUATED}/start") is not None
-    town.run(4.0)
-    return {ip: dict(town.world.machines[ip].disk.files) for ip in town.ips}
+    assert cluster.call(cluster.ips[0], "POST", f"/api/evacuations/{EVACUATED}/start") is not None
+    cluster.run(4.0)
+    return {ip: dict(cluster.network.machines[ip].disk.files) for ip in cluster.ips}
 
 
 def read() -> dict[str, dict[str, bytes]]:
--- a/tests/compatibility/test_golden.py
+++ b/tests/compatibility/test_golden.py
@@ -26,7 +26,7 @@
     SHAPES,
     write_laboratory,
 )
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 
 ROOT = Path(__file__).parents[2]
 OLD_MESSAGES: dict[str, str] = json.loads(MESSAGES.read_text())
@@ -76,44 +76,44 @@
     assert shape(state).keys() == OLD_SHAPES["call register.learn"][0].keys()
 
 
-def town_on_old_disks() -> Town:
+def town_on_old_disks() -> ControlCluster:
     """Three control nodes on the disks that 3af6ad9 left."""
-    town = Town(77)
+    cluster = ControlCluster(77)
     for ip, files in stored_disks.read().items():
-        machine = town.world.machines[ip]
+        machine = cluster.network.machines[ip]
         machine.off(power=False)
         machine.disk.files = dict(files)
-        town.start(ip)
-    return town
+        cluster.start(ip)
+    return cluster
 
 
 def test_control_nodes_go_on_from_old_disks() -> None:
-    town, last = town_on_old_disks(), stored_disks.VERSIONS[-1]
-    town.run(1.0)
-    described = [town.describe(ip) for ip in town.ips]
-    same = town.replace(town.ips[0], last, stored_disks.content(last))
-    earlier = town.replace(town.ips[1], 3, stored_disks.content(3))
-    other = town.replace(town.ips[2], last, "another content")
-    earlier_other = town.replace(town.ips[0], 3, "another content")
-    town.run(1.0)
+    cluster, last = town_on_old_disks(), stored_disks.VERSIONS[-1]
+    cluster.run(1.0)
+    described = [cluster.describe(ip) for ip in cluster.ips]
+    same = cluster.replace(cluster.ips[0], last, stored_disks.content(last))
+    earlier = cluster.replace(cluster.ips[1], 3, stored_disks.content(3))
+    other = cluster.replace(cluster.ips[2], last, "another content")
+    earlier_other = cluster.replace(cluster.ips[0], 3, "another content")
+    cluster.run(1.0)
     text = f"r{last} {stored_disks.content(last)}".encode()
     assert [call.answers for call in described] == [[(200, text, b"")]] * 3
     assert [call.status for call in (same, earlier, other, earlier_other)] == [200, 200, 409, 409]
-    new = town.replace(town.ips[1], last + 1, stored_disks.content(last + 1))
-    town.run(1.0)
+    new = cluster.replace(cluster.ips[1], last + 1, stored_disks.content(last + 1))
+    cluster.run(1.0)
     assert new.status == 200
-    known = town.known(town.ips[2])
+    known = cluster.known(cluster.ips[2])
     assert (known.version, known.evacuations) == (last + 1, {stored_disks.EVACUATED: True})
 
 
 def test_an_old_control_node_s_history_is_read() -> None:
-    town = town_on_old_disks()
-    town.run(1.0)
-    for ip in town.ips:
-        history = town.programs[ip].gather.history
+    cluster = town_on_old_disks()
+    cluster.run(1.0)
+    for ip in cluster.ips:
+        history = cluster.programs[ip].gather.history
         versions = [row[2] for row in history.words]
         assert set(stored_disks.VERSIONS) <= set(versions)
-        assert not [line for line in town.world.machines[ip].lines if line.startswith("history:")]
+        assert not [line for line in cluster.network.machines[ip].lines if line.startswith("history:")]
 
 
 def test_a_file_of_the_laboratory_is_read_and_written_with_the_same_rows(tmp_path: Path) -> None:
--- a/tests/control/town.py
+++ b/tests/control/cluster.py
@@ -1,4 +1,4 @@
-"""Whole control nodes in the small world, and an operator that calls them past the door."""
+"""Whole control nodes on a virtual network, and an operator that calls their API without a connection."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from result import Err, Ok, Result
 
 from honeywharf.control.mesh_state import MeshState
-from honeywharf.control.operator import Operator
+from honeywharf.control.operator_api import OperatorApi
 from honeywharf.mesh_config.configuration import Configuration
 from honeywharf.mesh_config.settings import Settings
 from honeywharf.programs.control import ControlNode
-from tests.control.world import Machine, World
+from tests.control.virtual_network import Machine, VirtualNetwork
 
 ZONES = {"a": "r", "b": "r", "c": "r"}
 PORT, INNER = 8306, 7620
@@ -37,7 +37,7 @@
 
 
 class Call:
-    """A call as a door hands it over."""
+    """A call as the HTTP server hands it over."""
 
     def __init__(self, method: str, path: str, body: bytes = b"") -> None:
         self.method, self.path, self.body = method.encode(), path.encode(), body
@@ -53,16 +53,16 @@
         return self.answers[0][0] if self.answers else 0
 
 
-class Town:
-    """A world with control nodes."""
+class ControlCluster:
+    """Control nodes on a virtual network."""
 
     def __init__(self, seed: int, count: int = 3) -> None:
-        self.world = World(seed)
+        self.network = VirtualNetwork(seed)
         self.ips = [f"10.0.0.{n + 1}" for n in range(count)]
         self.seeds = self.ips[:3]
         self.programs: dict[str, ControlNode] = {}
         for ip in self.ips:
-            self.world.machine(ip)
+            self.network.machine(ip)
             self.start(ip, first=True)
 
     def start(self, ip: str, first: bool = False) -> None:
@@ -71,21 +71,21 @@
         def make(machine: Machine) -> ControlNode:
             return ControlNode(machine, settings(ip, self.seeds, first))
 
-        made = self.world.machines[ip].start(make)
+        made = self.network.machines[ip].start(make)
         if isinstance(made, ControlNode):
-            made.operator = Operator(made.replica, ZONES, PORT, check)
+            made.operator = OperatorApi(made.replica, ZONES, PORT, check)
             self.programs[ip] = made
 
     def add(self, ip: str) -> None:
         """A new machine with an empty disk."""
-        self.world.machine(ip)
+        self.network.machine(ip)
         self.start(ip)
 
     def call(self, ip: str, method: str, path: str, body: bytes = b"") -> Call:
         """Call one; the answer comes as time passes."""
         call = Call(method, path, body)
-        if self.world.machines[ip].on:
-            self.world.machines[ip].after(0.001, lambda: self.programs[ip].operator.take(call))
+        if self.network.machines[ip].on:
+            self.network.machines[ip].after(0.001, lambda: self.programs[ip].operator.handle(call))
         return call
 
     def replace(self, ip: str, version: int, content: str = "") -> Call:
@@ -98,16 +98,16 @@
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
-        self.world.run(self.world.time + seconds)
+        self.network.run(self.network.time + seconds)
 
     def split(self, *groups: list[str]) -> None:
         """Cut groups of machines off from one another."""
-        self.world.cuts = {
+        self.network.cuts = {
             (a, b) for one in groups for other in groups if one is not other for a in one for b in other
         }
 
     def known(self, ip: str) -> MeshState:
         """The state as one knows it."""
-        known = self.programs[ip].replica.known
+        known = self.programs[ip].replica.known_state
         assert known is not None
         return known
