--- a/tests/control/explore.py
+++ b/tests/control/explore.py
@@ -19,15 +19,22 @@
 from honeywharf.control.mesh_state import (
     Change,
     Confirmation,
-    Key,
     Member,
+    MemberId,
     Membership,
     MeshState,
     Outcome,
 )
-from honeywharf.control.messages import Decided
+from honeywharf.control.messages import DecidedMembership
 from honeywharf.control.quorum import Quorums
-from honeywharf.control.register import Asking, Phase, QuorumRead, Result, Round
+from honeywharf.control.register import (
+    Phase,
+    Proposer,
+    QuorumOperation,
+    QuorumRead,
+    QuorumResult,
+    QuorumWrite,
+)
 
 
 class Half(Random):
@@ -45,8 +52,14 @@
 
 
 Orders = tuple[tuple[int, str, bool], ...]  # answered: version, digest, whether it was refused
-LOCAL = ("asked", "promises", "accepts", "refused", "told")  # what an actor holds of each member
-NO_STATE = ("rng", "change", "timer", "wake", "quorums", "deadline", "answer", "again")
+LOCAL = (
+    "contacted",
+    "promises",
+    "accepted_by",
+    "rejections",
+    "answers",
+)  # what an actor holds of each member
+NO_STATE = ("rng", "change", "timer", "wake_at", "quorums", "deadline", "answer", "resend_at")
 
 
 class Actor:
@@ -54,7 +67,9 @@
 
     __slots__ = ("asking", "begun", "floor", "keys", "over")
 
-    def __init__(self, asking: Asking, begun: bool = False, floor: int = -1, over: bool = False) -> None:
+    def __init__(
+        self, asking: QuorumOperation, begun: bool = False, floor: int = -1, over: bool = False
+    ) -> None:
         self.asking, self.begun, self.floor, self.over = asking, begun, floor, over
         self.keys: dict[bool, Any] = {}
 
@@ -89,7 +104,7 @@
         return made
 
 
-def copied(asking: Asking) -> Any:
+def copied(asking: QuorumOperation) -> Any:
     """One that can be changed by itself."""
     made = copy.copy(asking)
     for name, value in vars(made).items():
@@ -105,7 +120,7 @@
 
     __slots__ = ("back", "key", "member", "message", "number", "short")
 
-    def __init__(self, number: int, member: Key, message: Any, back: bool) -> None:
+    def __init__(self, number: int, member: MemberId, message: Any, back: bool) -> None:
         self.number, self.member, self.message, self.back = number, member, message, back
         self.short = repr((number, back, message))
         self.key = (member, self.short)
@@ -193,10 +208,10 @@
             if not actor.begun:
                 yield partial(self.begin, node, number)
             elif (
-                isinstance(actor.asking, Round)
-                and actor.asking.phase is Phase.PAUSE
+                isinstance(actor.asking, QuorumWrite)
+                and actor.asking.phase is Phase.BACKOFF
                 and actor.asking.result is None
-                and actor.asking.tries < self.tries
+                and actor.asking.attempts < self.tries
             ):
                 yield partial(self.act, node, number, lambda made: made.start())
         for where, vote in node.votes.items():
@@ -268,11 +283,11 @@
         told, orders = node.told, node.orders
         wire = list(node.wire)
         if asking.result is not None:
-            if asking.result is Result.OK and not old.over:
+            if asking.result is QuorumResult.OK and not old.over:
                 told = self.judge(told, asking.value, old.floor)
                 orders = self.judge_order(orders, getattr(asking, "answer", None))
             wire = [letter for letter in wire if letter.number != number or not letter.back]
-        wire += [Letter(number, send.key, send.request, False) for send in sends]
+        wire += [Letter(number, send.to, send.request, False) for send in sends]
         actor = Actor(asking, True, old.floor, asking.result is not None)
         actors = (*node.actors[:number], actor, *node.actors[number + 1 :])
         return Node(node.votes, actors, tuple(wire), told, node.faults, orders)
@@ -346,15 +361,20 @@
 
 
 def proposer(
-    name: str, change: Change, epoch: int, roster: Membership, counter: int = 0, made: type[Round] = Round
+    name: str,
+    change: Change,
+    epoch: int,
+    roster: Membership,
+    counter: int = 0,
+    made: type[QuorumWrite] = QuorumWrite,
 ) -> Actor:
     """A round that has not begun."""
-    return Actor(made((name, 1), Decided(epoch, roster), change, 1.0, HALF, counter))
+    return Actor(made(Proposer(name, 1), DecidedMembership(epoch, roster), change, 1.0, HALF, counter))
 
 
 def reader(epoch: int, roster: Membership, made: type[QuorumRead] = QuorumRead) -> Actor:
     """A survey that has not begun."""
-    return Actor(made(Decided(epoch, roster), 1.0, HALF))
+    return Actor(made(DecidedMembership(epoch, roster), 1.0, HALF))
 
 
 def along(world: World, node: Node, number: int, by: set[str], until: Callable[[Node], bool]) -> Node:
@@ -378,6 +398,6 @@
     return Node(node.votes, node.actors, wire, node.told, node.faults, node.orders)
 
 
-def members(keys: list[Key]) -> Membership:
+def members(keys: list[MemberId]) -> Membership:
     """A membership of these."""
     return tuple(Member(where, disk, "", True) for where, disk in keys)
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -4,80 +4,80 @@
 
 import pytest
 
-from tests.control.town import Call, Town
+from tests.control.cluster import Call, ControlCluster
 
 A, B, C = "10.0.0.1", "10.0.0.2", "10.0.0.3"
 AT_ONCE_S = 0.1
 REPLACE, DESCRIBE = "/api/configuration/replace", "/api/configuration/describe"
 
 
-def confirmed(town: Town, ip: str, version: int) -> None:
+def confirmed(cluster: ControlCluster, ip: str, version: int) -> None:
     """An order that is confirmed."""
-    call = town.replace(ip, version, f"content {version}")
-    town.run(0.9)
+    call = cluster.replace(ip, version, f"content {version}")
+    cluster.run(0.9)
     assert call.status == 200
 
 
-def every_call(town: Town, ip: str) -> list[Call]:
+def every_call(cluster: ControlCluster, ip: str) -> list[Call]:
     """Each of the operator's calls that states something, and all sorts of orders."""
     orders = [b"r5 content 5", b"r5 another", b"r4 content 4", b"r4 another", b"r9 newer"]
     return [
-        *(town.call(ip, "POST", REPLACE, order) for order in orders),
-        town.call(ip, "POST", "/api/evacuations/a/start"),
-        town.call(ip, "POST", "/api/evacuations/a/complete"),
-        town.describe(ip),
-        town.call(ip, "GET", "/api/readiness"),
+        *(cluster.call(ip, "POST", REPLACE, order) for order in orders),
+        cluster.call(ip, "POST", "/api/evacuations/a/start"),
+        cluster.call(ip, "POST", "/api/evacuations/a/complete"),
+        cluster.describe(ip),
+        cluster.call(ip, "GET", "/api/readiness"),
     ]
 
 
-def in_touch(town: Town, ip: str) -> bool:
+def in_touch(cluster: ControlCluster, ip: str) -> bool:
     """Whether one describes what is in force at once."""
-    call = town.describe(ip)
-    town.run(AT_ONCE_S)
+    call = cluster.describe(ip)
+    cluster.run(AT_ONCE_S)
     return call.status == 200
 
 
 @pytest.mark.parametrize("way", ["both", "in", "out"])
 def test_twenty_seconds_cut_off(way: str) -> None:
-    town = Town(11)
-    town.run(0.5)
-    confirmed(town, A, 4)
-    confirmed(town, B, 5)
+    cluster = ControlCluster(11)
+    cluster.run(0.5)
+    confirmed(cluster, A, 4)
+    confirmed(cluster, B, 5)
     pairs = {"in": [(B, A), (C, A)], "out": [(A, B), (A, C)]}
-    town.world.cuts = set(pairs["in"] + pairs["out"] if way == "both" else pairs[way])
+    cluster.network.cuts = set(pairs["in"] + pairs["out"] if way == "both" else pairs[way])
     for second in range(20):
-        calls = every_call(town, A)
+        calls = every_call(cluster, A)
         told: list[object] = []
-        town.programs[A].replica.methods["word.read"](None, told.append, (B, 1))
-        town.run(1.0)
+        cluster.programs[A].replica.methods["word.read"](None, told.append, (B, 1))
+        cluster.run(1.0)
         assert {call.status for call in calls} == {503}, f"after {second} s"
         assert told == [None]
         if second % 5 == 2:
-            confirmed(town, B, 10 + second)
-    late = every_call(town, A)
-    town.run(AT_ONCE_S)
+            confirmed(cluster, B, 10 + second)
+    late = every_call(cluster, A)
+    cluster.run(AT_ONCE_S)
     assert {call.status for call in late} == {503}, "it knows by now: at once"
-    town.world.cuts.clear()
-    town.run(1.5)
-    assert in_touch(town, A)
-    confirmed(town, A, 50)
+    cluster.network.cuts.clear()
+    cluster.run(1.5)
+    assert in_touch(cluster, A)
+    confirmed(cluster, A, 50)
 
 
 def test_what_was_under_way_when_the_cut_began_is_clear_or_unclear_and_never_wrong() -> None:
     for at in range(0, 60, 2):
-        town = Town(at)
-        town.run(1.0)
-        confirmed(town, A, 5)
-        calls = {content: town.replace(A, 6, content) for content in ("one", "another")}
-        town.run(at / 1000)
-        town.split([A], [B, C])
-        town.run(3.0)
-        other = town.replace(B, 6, "another")
-        town.run(1.0)
-        town.world.cuts.clear()
-        town.run(3.0)
-        told = town.describe(A)
-        town.run(0.5)
+        cluster = ControlCluster(at)
+        cluster.run(1.0)
+        confirmed(cluster, A, 5)
+        calls = {content: cluster.replace(A, 6, content) for content in ("one", "another")}
+        cluster.run(at / 1000)
+        cluster.split([A], [B, C])
+        cluster.run(3.0)
+        other = cluster.replace(B, 6, "another")
+        cluster.run(1.0)
+        cluster.network.cuts.clear()
+        cluster.run(3.0)
+        told = cluster.describe(A)
+        cluster.run(0.5)
         status, text, _ = told.answers[0]
         assert status == 200
         assert text in (b"r6 one", b"r6 another")
@@ -89,16 +89,16 @@
 
 def test_a_read_that_a_freeze_held_up_is_not_told_when_its_time_is_over() -> None:
     for at in range(0, 12):
-        town = Town(at)
-        town.run(1.0)
-        confirmed(town, A, 5)
-        read = town.describe(A)
-        town.run(at / 1000)
-        town.world.machines[A].frozen = True
-        confirmed(town, B, 6)
-        town.run(3.0)
-        town.world.machines[A].thaw()
-        town.run(0.5)
+        cluster = ControlCluster(at)
+        cluster.run(1.0)
+        confirmed(cluster, A, 5)
+        read = cluster.describe(A)
+        cluster.run(at / 1000)
+        cluster.network.machines[A].frozen = True
+        confirmed(cluster, B, 6)
+        cluster.run(3.0)
+        cluster.network.machines[A].thaw()
+        cluster.run(0.5)
         assert read.answers[0][:2] in ((503, read.answers[0][1]), (200, b"r5 content 5"))
         assert read.status == 503 or at >= 4, "only what was answered before the freeze"
 
@@ -106,19 +106,19 @@
 def test_the_time_of_day_decides_nothing() -> None:
     told = []
     for step in (0.0, 7200.0, -7200.0):
-        town = Town(12)
-        town.run(1.0)
-        confirmed(town, A, 5)
+        cluster = ControlCluster(12)
+        cluster.run(1.0)
+        confirmed(cluster, A, 5)
         for ip in (A, C):
-            town.world.machines[ip].clock_step = step
-        town.split([A], [B, C])
-        town.run(2.0)
-        alone, other = town.describe(A), town.replace(B, 6, "six")
-        town.run(1.0)
-        town.world.cuts.clear()
-        town.world.machines[A].clock_step = -step
-        town.run(1.5)
-        read = town.describe(A)
-        town.run(0.5)
+            cluster.network.machines[ip].clock_step = step
+        cluster.split([A], [B, C])
+        cluster.run(2.0)
+        alone, other = cluster.describe(A), cluster.replace(B, 6, "six")
+        cluster.run(1.0)
+        cluster.network.cuts.clear()
+        cluster.network.machines[A].clock_step = -step
+        cluster.run(1.5)
+        read = cluster.describe(A)
+        cluster.run(0.5)
         told.append([alone.status, other.status, read.answers])
     assert told == [[503, 200, [(200, b"r6 six", b"")]]] * 3
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -15,8 +15,8 @@
 import pytest
 
 from honeywharf.control.mesh_state import MeshState
+from tests.control.cluster import Call
 from tests.control.test_runs import Story
-from tests.control.town import Call
 
 RUNS = int(os.environ.get("RUNS", "6"))
 MAX_UNDER_WAY = 8
@@ -68,7 +68,7 @@
         if self.rng.random() < 0.3:
             self.read()
         if self.rng.random() < 0.02:
-            machine = self.rng.choice(list(self.town.world.machines.values()))
+            machine = self.rng.choice(list(self.cluster.network.machines.values()))
             machine.clock_step = self.rng.choice((-3600.0, 0.0, 2.0, 3600.0))
 
     def draw(self) -> Order:
@@ -90,26 +90,26 @@
     def order(self, order: Order) -> None:
         """Send it to anybody."""
         self.orders.append(order)
-        ip = self.rng.choice(list(self.town.world.machines))
-        now = self.town.world.time
-        self.under_way.append((order, now, self.town.call(ip, "POST", order.path, order.body)))
+        ip = self.rng.choice(list(self.cluster.network.machines))
+        now = self.cluster.network.time
+        self.under_way.append((order, now, self.cluster.call(ip, "POST", order.path, order.body)))
 
     def read(self) -> None:
         """What a majority holds, as one machine is told."""
-        ip = self.rng.choice(list(self.town.world.machines))
-        began = self.town.world.time
-        if not self.town.world.machines[ip].on:
+        ip = self.rng.choice(list(self.cluster.network.machines))
+        began = self.cluster.network.time
+        if not self.cluster.network.machines[ip].on:
             return
 
         def told(state: MeshState | None) -> None:
             if state is not None:
-                self.states.append(ReadEvent(began, self.town.world.time, state))
+                self.states.append(ReadEvent(began, self.cluster.network.time, state))
 
-        self.town.programs[ip].replica.read(0.8, told)
+        self.cluster.programs[ip].replica.read(0.8, told)
 
     def collect(self) -> None:
         """Answers that have come; some are lost on their way, and an operator waits a second at most."""
-        now, left = self.town.world.time, []
+        now, left = self.cluster.network.time, []
         for order, began, call in self.under_way:
             if call.answers or now - began > 1.0:
                 lost = self.rng.random() < LOST_ANSWERS
@@ -177,7 +177,7 @@
 def play(seed: int, members: int, steps: int = 400) -> Operators:
     """A history of 20 s and its calm end."""
     operators = Operators(seed, members)
-    operators.town.run(1.0)
+    operators.cluster.run(1.0)
     for _ in range(steps):
         operators.step()
         operators.operate()
--- a/tests/control/test_hundreds_of_changes.py
+++ b/tests/control/test_hundreds_of_changes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from honeywharf.control.version_history import MAX_VERSIONS, RECORD_SIZE
-from tests.control.town import Call, Town
+from tests.control.cluster import Call, ControlCluster
 
 CHANGES = int(os.environ.get("CHANGES", "240"))
 CATCH_UP_S = 4.0
@@ -24,8 +24,8 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.town = Town(seed)
-        self.town.run(1.0)
+        self.cluster = ControlCluster(seed)
+        self.cluster.run(1.0)
         self.version = 0
         self.contents: dict[int, str] = {}
         self.reads: list[tuple[Call, int]] = []
@@ -35,11 +35,13 @@
         self.version += self.rng.choice((1, 1, 3))
         content = self.rng.randbytes(TEXT_BYTES).hex()
         floor = max(self.contents, default=0)
-        self.reads += [(self.town.describe(ip), floor) for ip in IPS if self.town.world.machines[ip].on]
+        self.reads += [
+            (self.cluster.describe(ip), floor) for ip in IPS if self.cluster.network.machines[ip].on
+        ]
         while True:
-            call = self.town.replace(self.rng.choice(living), self.version, content)
+            call = self.cluster.replace(self.rng.choice(living), self.version, content)
             while not call.status:
-                self.town.run(0.01)
+                self.cluster.run(0.01)
             if call.status == 200:
                 break
             assert call.status == 503
@@ -59,12 +61,12 @@
 
     def caught_up(self, ip: str) -> None:
         """A member holds all that the others do: state, text, memory of versions, and votes by it."""
-        programs = self.town.programs
+        programs = self.cluster.programs
         replica = programs[ip].replica
-        assert replica.known is not None
-        assert replica.known.version == self.version
-        assert replica.store.has(replica.known.digest)
-        assert replica.member()
+        assert replica.known_state is not None
+        assert replica.known_state.version == self.version
+        assert replica.store.has_text(replica.known_state.digest)
+        assert replica.is_member()
         values = [programs[each].replica.state.value for each in IPS]
         assert len({None if value is None else value.revision for value in values}) == 1
         assert values[0] is not None
@@ -74,7 +76,7 @@
     def bounded(self) -> None:
         """What a disk holds does not grow with the number of changes."""
         for ip in IPS:
-            files = self.town.world.machines[ip].disk.files
+            files = self.cluster.network.machines[ip].disk.files
             assert len(files) <= FILES_BOUND + 8, sorted(files)  # with the texts of the drift history
             register = len(files["register"])
             assert register < MAX_VERSIONS * RECORD_SIZE + 4096
@@ -82,9 +84,9 @@
     def away(self, ip: str, how: str, changes: int) -> None:
         """One misses some changes, and is back."""
         others = [each for each in IPS if each != ip]
-        machine = self.town.world.machines[ip]
+        machine = self.cluster.network.machines[ip]
         if how == "cut":
-            self.town.split([ip], others)
+            self.cluster.split([ip], others)
         elif how == "frozen":
             machine.frozen = True
         else:
@@ -94,14 +96,14 @@
         for _ in range(changes):
             self.change(others)
         if how == "cut":
-            self.town.world.cuts.clear()
+            self.cluster.network.cuts.clear()
         elif how == "frozen":
             machine.thaw()
         else:
-            self.town.start(ip)
+            self.cluster.start(ip)
         for _ in range(self.rng.choice((0, 3))):
             self.change(others)
-        self.town.run(CATCH_UP_S)
+        self.cluster.run(CATCH_UP_S)
         self.judge()
         self.caught_up(ip)
         self.bounded()
@@ -114,9 +116,11 @@
     for number, span in enumerate(spans):
         day.away(IPS[number % 3], how, max(1, span))
     first, last = min(day.contents), max(day.contents)
-    again = [day.town.replace(ip, version, day.contents[version]) for ip in IPS for version in (first, last)]
-    other = [day.town.replace(ip, version, "another") for ip in IPS for version in (first, last)]
-    day.town.run(0.9)
+    again = [
+        day.cluster.replace(ip, version, day.contents[version]) for ip in IPS for version in (first, last)
+    ]
+    other = [day.cluster.replace(ip, version, "another") for ip in IPS for version in (first, last)]
+    day.cluster.run(0.9)
     assert {call.status for call in again} == {200}
     assert {call.status for call in other} == {409}
 
@@ -126,14 +130,14 @@
     for seed in range(6):
         ip = IPS[seed % 3]
         others = [each for each in IPS if each != ip]
-        day.town.world.machines[ip].off(power=True)
+        day.cluster.network.machines[ip].off(power=True)
         for _ in range(5):
             day.change(others)
-        day.town.start(ip)
-        day.town.run(0.3)
+        day.cluster.start(ip)
+        day.cluster.run(0.3)
         newest = day.version
-        read, order = day.town.describe(ip), day.town.replace(ip, newest, "another")
-        day.town.run(0.9)
+        read, order = day.cluster.describe(ip), day.cluster.replace(ip, newest, "another")
+        day.cluster.run(0.9)
         assert read.status in (200, 503)
         assert read.status == 503 or read.answers[0][1].startswith(b"r%d " % newest)
         assert order.status in (409, 503)
--- a/tests/control/test_large_texts.py
+++ b/tests/control/test_large_texts.py
@@ -6,16 +6,16 @@
 from random import Random
 from typing import Any
 
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 
 LARGE = Random(1).randbytes(100_000).hex()  # as random bytes it does not shrink below the bound
 
 
 def test_a_large_text_goes_to_each_member_once_however_often_it_is_tried() -> None:
-    town = Town(61)
-    town.run(1.0)
+    cluster = ControlCluster(61)
+    cluster.run(1.0)
     sent: list[str] = []
-    caller = town.programs["10.0.0.1"].caller
+    caller = cluster.programs["10.0.0.1"].caller
     call = caller.call
 
     def counted(to: Any, method: str, args: Any, *rest: Any) -> None:
@@ -27,36 +27,36 @@
         peers = caller.peers
         call = staticmethod(counted)
 
-    town.programs["10.0.0.1"].replica.client.caller = Counted()  # type: ignore[assignment]
-    first = town.replace("10.0.0.1", 5, LARGE)
-    town.run(0.9)
+    cluster.programs["10.0.0.1"].replica.client.caller = Counted()  # type: ignore[assignment]
+    first = cluster.replace("10.0.0.1", 5, LARGE)
+    cluster.run(0.9)
     assert first.status == 200
     assert sorted(sent) == ["10.0.0.2", "10.0.0.3"]
     for _ in range(3):
-        again = town.replace("10.0.0.1", 5, LARGE)
-        town.run(0.9)
+        again = cluster.replace("10.0.0.1", 5, LARGE)
+        cluster.run(0.9)
         assert again.status == 200
     assert sorted(sent) == ["10.0.0.2", "10.0.0.3"]
 
 
 def test_a_slow_link_gives_a_large_text_its_time() -> None:
-    town = Town(62)
-    town.run(1.0)
-    client = town.programs["10.0.0.1"].replica.client
-    client.linked(1.0)
+    cluster = ControlCluster(62)
+    cluster.run(1.0)
+    client = cluster.programs["10.0.0.1"].replica.client
+    client.set_link_rate(1.0)
     slow = client._text_time(1_000_000)
-    client.linked(100.0)
+    client.set_link_rate(100.0)
     assert slow == 100 * client._text_time(1_000_000)
     assert slow >= 2 * 1_000_000 / 125_000.0, "two copies at the link's whole rate"
 
 
 def test_a_text_that_was_displaced_while_it_was_looked_for_is_read_again() -> None:
-    town = Town(63)
-    town.run(1.0)
-    assert town.replace("10.0.0.1", 5, "five") is not None
-    town.run(0.9)
-    replica = town.programs["10.0.0.2"].replica
-    right = replica.text
+    cluster = ControlCluster(63)
+    cluster.run(1.0)
+    assert cluster.replace("10.0.0.1", 5, "five") is not None
+    cluster.run(0.9)
+    replica = cluster.programs["10.0.0.2"].replica
+    right = replica.get_text
     missed: list[str] = []
 
     def text(digest: str, done: Any) -> None:
@@ -66,8 +66,8 @@
         else:
             right(digest, done)
 
-    replica.text = text
-    read = town.describe("10.0.0.2")
-    town.run(0.5)
+    replica.get_text = text
+    read = cluster.describe("10.0.0.2")
+    cluster.run(0.5)
     assert missed
     assert read.answers == [(200, b"r5 five", b"")]
--- a/tests/control/test_mechanisms.py
+++ b/tests/control/test_mechanisms.py
@@ -8,10 +8,12 @@
 import pytest
 
 from honeywharf.control import mesh_state
-from honeywharf.control.membership import Upkeep
+from honeywharf.control.contacts import ContactTracker
+from honeywharf.control.joining import Joining
+from honeywharf.control.membership import MembershipManager
 from honeywharf.control.mesh_state import Confirmation, MeshState, Outcome
-from honeywharf.control.operator import Operator
-from honeywharf.control.proposals import Reads
+from honeywharf.control.operator_api import OperatorApi
+from honeywharf.control.register_queues import ReadQueue
 from honeywharf.control.standby import Handover
 from honeywharf.sidecar.mesh_state import Word
 from tests.control import test_cut_off, test_history, test_one_content, test_second_loss
@@ -24,42 +26,42 @@
 def answers_from_what_it_knows(patch: Patch) -> None:
     """A read is answered from this machine's own knowledge."""
 
-    def read(self: Reads, within: float, told: Callable[[MeshState | None], None]) -> None:
+    def read(self: ReadQueue, within: float, told: Callable[[MeshState | None], None]) -> None:
         state = self.voter.state.value
         self.host.after(0.0, lambda: told(state))
 
-    patch.setattr(Reads, "read", read)
-    patch.setattr(Upkeep, "in_contact", lambda self: True)
+    patch.setattr(ReadQueue, "read", read)
+    patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
 def confirms_what_it_knows(patch: Patch) -> None:
     """An order that is not above the version known here is confirmed without asking anybody."""
-    right = Operator._replace
+    right = OperatorApi._replace
 
-    def replace(self: Operator, call: Any) -> None:
-        state, checked = self.replica.known, self.check(call.body)
+    def replace(self: OperatorApi, call: Any) -> None:
+        state, checked = self.replica.known_state, self.check(call.body)
         if checked.is_ok() and state is not None and checked.unwrap().version <= state.version:
-            self._answer(call, 200, b"{}")
+            self.answer(call, 200, b"{}")
         else:
             right(self, call)
 
-    patch.setattr(Operator, "_replace", replace)
-    patch.setattr(Upkeep, "in_contact", lambda self: True)
+    patch.setattr(OperatorApi, "_replace", replace)
+    patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
 def waits_although_alone(patch: Patch) -> None:
     """A machine that has lost its majority finds out anew with every call."""
-    patch.setattr(Upkeep, "in_contact", lambda self: True)
+    patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
 def tells_late_reads(patch: Patch) -> None:
     """What a standstill held up is told all the same."""
 
-    def end(self: Reads, batch: Any, result: Any, value: Any) -> None:
+    def end(self: ReadQueue, batch: Any, result: Any, value: Any) -> None:
         for one in batch:
-            one.end(result, value)
+            one.complete(result, value)
 
-    patch.setattr(Reads, "_end", end)
+    patch.setattr(ReadQueue, "_complete", end)
 
 
 def starts_alone(patch: Patch) -> None:
@@ -76,7 +78,7 @@
 
 def remembers_no_versions(patch: Patch) -> None:
     """Whatever is not above the version in force is confirmed."""
-    right = mesh_state.replace
+    right = mesh_state.replace_configuration
 
     def replace(version: int, digest: str) -> mesh_state.Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
@@ -86,12 +88,12 @@
 
         return change
 
-    patch.setattr(mesh_state, "replace", replace)
+    patch.setattr(mesh_state, "replace_configuration", replace)
 
 
 def remembers_the_version_in_force_alone(patch: Patch) -> None:
     """What was overtaken is refused, as if it had never been confirmed."""
-    right = mesh_state.replace
+    right = mesh_state.replace_configuration
 
     def replace(version: int, digest: str) -> mesh_state.Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
@@ -101,12 +103,12 @@
 
         return change
 
-    patch.setattr(mesh_state, "replace", replace)
+    patch.setattr(mesh_state, "replace_configuration", replace)
 
 
 def leaves_without_handing_over(patch: Patch) -> None:
     """A member that ends keeps its place, and its standby waits until it is silent."""
-    patch.setattr(Handover, "begin", lambda self, within, done: done())
+    patch.setattr(Handover, "begin", lambda self, timeout, done: done())
 
 
 def joiners_grow_the_membership(patch: Patch) -> None:
@@ -119,37 +121,39 @@
             if answer is not mesh_state.Admission.STANDBY:
                 return made, answer
             members = (*state.members, joiner)
-            return mesh_state.with_members(state, members, state.wanted), mesh_state.Admission.MEMBER
+            return state.with_members(members, state.target_size), mesh_state.Admission.MEMBER
 
         return change
 
-    def upkeep(self: Upkeep, args: Any, reply: Any, peer: Any) -> None:
+    def admit_at_once(self: Joining, args: Any, reply: Any, peer: Any) -> None:
         joiner = mesh_state.Member(*args[:4])
-        if joiner.key not in mesh_state.keys(self.voter.state.members):
-            change = mesh_state.admit(joiner, self.silent(1.0))
-            self.proposals.submit(change, 1.0, lambda result, told: self._tell_decided(args, reply, peer))
+        if joiner.id not in mesh_state.member_ids(self.voter.state.members):
+            change = mesh_state.admit(joiner, self.contacts.unreachable(1.0))
+            self.changes.submit(
+                change, 1.0, lambda result, told: self._answer_decided_membership(args, reply, peer)
+            )
         else:
-            self._tell_decided(args, reply, peer)
+            self._answer_decided_membership(args, reply, peer)
 
     patch.setattr(mesh_state, "admit", admit)
-    patch.setattr(Upkeep, "_admit", upkeep)
+    patch.setattr(Joining, "_admit", admit_at_once)
 
 
 def votes_without_the_text(patch: Patch) -> None:
     """A joiner is admitted before it holds the newest text."""
-    patch.setattr(mesh_state, "when_holding", lambda change, digest: change)
+    patch.setattr(mesh_state, "require_text", lambda change, digest: change)
 
 
 def leaves_the_last_round_open(patch: Patch) -> None:
     """A state that was accepted and never told to be committed stays so."""
-    right = Upkeep._catch_up
+    right = MembershipManager._catch_up
 
-    def catch_up(self: Upkeep) -> None:
+    def catch_up(self: MembershipManager) -> None:
         value = self.voter.state.value
-        if value is None or value.revision <= self.knowledge().revision:
+        if value is None or value.revision <= self.known_state().revision:
             right(self)
 
-    patch.setattr(Upkeep, "_catch_up", catch_up)
+    patch.setattr(MembershipManager, "_catch_up", catch_up)
 
 
 def scenario(test: Callable[..., None], *rows: Any) -> Scenario:
--- a/tests/control/test_members_view.py
+++ b/tests/control/test_members_view.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from honeywharf.cli.mesh import members as lines
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 
 A, B, C, NEW = "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.14"
 
 
-def shown(town: Town, ip: str) -> dict[str, Any]:
+def shown(cluster: ControlCluster, ip: str) -> dict[str, Any]:
     """The view of one; it answers without a majority, too."""
-    call = town.call(ip, "GET", "/api/members")
-    town.run(0.05)
+    call = cluster.call(ip, "GET", "/api/members")
+    cluster.run(0.05)
     found: dict[str, Any] = json.loads(call.answers[0][1])
     return found
 
@@ -24,45 +24,45 @@
 
 
 def test_losses_and_repair_as_operators_see_them() -> None:
-    town = Town(51)
-    town.run(1.0)
-    town.replace(A, 5, "five")
-    town.run(2.0)
-    found = shown(town, B)
+    cluster = ControlCluster(51)
+    cluster.run(1.0)
+    cluster.replace(A, 5, "five")
+    cluster.run(2.0)
+    found = shown(cluster, B)
     assert faults(found) == {A: "", B: "", C: ""}
     assert (found["bearable-losses"], found["standbys"]) == (1, [])
-    town.world.machines[A].off(power=True)
-    town.run(1.5)
-    found = shown(town, B)
+    cluster.network.machines[A].off(power=True)
+    cluster.run(1.5)
+    found = shown(cluster, B)
     assert faults(found) == {A: "silent", B: "", C: ""}
     assert found["bearable-losses"] == 0
-    town.add(NEW)
-    town.run(4.0)
-    found = shown(town, B)
+    cluster.add(NEW)
+    cluster.run(4.0)
+    found = shown(cluster, B)
     assert faults(found) == {NEW: "", B: "", C: ""}
     assert found["bearable-losses"] == 1
-    town.start(A)
-    town.run(1.0)
-    found = shown(town, B)
+    cluster.start(A)
+    cluster.run(1.0)
+    found = shown(cluster, B)
     assert [one["address"] for one in found["standbys"]] == [f"{A}:7620"]
-    town.world.machines[B].off(power=True)
-    town.world.machines[NEW].off(power=True)
-    town.run(1.5)
-    found = shown(town, C)
+    cluster.network.machines[B].off(power=True)
+    cluster.network.machines[NEW].off(power=True)
+    cluster.run(1.5)
+    found = shown(cluster, C)
     assert found["bearable-losses"] == 0
     assert list(lines(found))[-2:] == ["losses that can be borne now: 0", "zones that can be lost now: none"]
 
 
 def test_who_has_not_accepted_the_newest_state_is_behind() -> None:
-    town = Town(52)
-    town.run(2.0)
-    town.split([C], [A, B])
-    town.replace(A, 5, "five")
-    town.run(0.5)
-    town.world.cuts.clear()
-    town.run(0.4)
-    found = shown(town, A)
+    cluster = ControlCluster(52)
+    cluster.run(2.0)
+    cluster.split([C], [A, B])
+    cluster.replace(A, 5, "five")
+    cluster.run(0.5)
+    cluster.network.cuts.clear()
+    cluster.run(0.4)
+    found = shown(cluster, A)
     assert faults(found)[C] == "behind"
     assert found["bearable-losses"] == 0
-    town.run(4.0)
-    assert faults(shown(town, A)) == {A: "", B: "", C: ""}
+    cluster.run(4.0)
+    assert faults(shown(cluster, A)) == {A: "", B: "", C: ""}
--- a/tests/control/test_register.py
+++ b/tests/control/test_register.py
@@ -11,10 +11,10 @@
 
 from honeywharf.control import mesh_state
 from honeywharf.control.acceptor import Acceptor, AcceptorState
-from honeywharf.control.mesh_state import Admission, Key, Member, MeshState, initial, keys
-from honeywharf.control.messages import NO_BALLOT, Answer, Ballot
+from honeywharf.control.mesh_state import Admission, Member, MemberId, MeshState, initial_state, member_ids
+from honeywharf.control.messages import NO_PROPOSAL, Answer, ProposalNumber
 from honeywharf.control.quorum import Quorums
-from honeywharf.control.register import Phase, Round, Sends
+from honeywharf.control.register import OutgoingRequests, Phase, QuorumWrite
 from tests.control.explore import (
     Actor,
     BrokenError,
@@ -29,7 +29,7 @@
     walk,
 )
 
-FIRST = members([("a", "first"), ("b", "first"), ("c", "first")])
+FIRST = members([MemberId("a", "first"), MemberId("b", "first"), MemberId("c", "first")])
 MOST = int(os.environ.get("EXPLORE", "10000"))  # states of one exploration
 
 
@@ -43,10 +43,10 @@
     return Node(votes, tuple(actors), (), {}, 0)
 
 
-def two(made: type[Round] = Round, tries: int = 1) -> Node:
+def two(made: type[QuorumWrite] = QuorumWrite, tries: int = 1) -> Node:
     return node(
-        proposer("p", mesh_state.replace(1, "one"), 1, FIRST, made=made),
-        proposer("q", mesh_state.replace(1, "other"), 1, FIRST, made=made, counter=tries),
+        proposer("p", mesh_state.replace_configuration(1, "one"), 1, FIRST, made=made),
+        proposer("q", mesh_state.replace_configuration(1, "other"), 1, FIRST, made=made, counter=tries),
     )
 
 
@@ -68,16 +68,24 @@
     assert count == MOST
 
 
-def swaps(made: type[Round] = Round) -> Node:
+def swaps(made: type[QuorumWrite] = QuorumWrite) -> Node:
     """Two put machines in silent members' places, and a third changes the word under the roster it knew."""
     start = node(
         proposer(
-            "p", mesh_state.admit(Member("d", "disk-d", "", False), [("c", "first")]), 1, FIRST, made=made
+            "p",
+            mesh_state.admit(Member("d", "disk-d", "", False), [MemberId("c", "first")]),
+            1,
+            FIRST,
+            made=made,
         ),
         proposer(
-            "q", mesh_state.admit(Member("e", "disk-e", "", False), [("a", "first")]), 1, FIRST, made=made
+            "q",
+            mesh_state.admit(Member("e", "disk-e", "", False), [MemberId("a", "first")]),
+            1,
+            FIRST,
+            made=made,
         ),
-        proposer("s", mesh_state.replace(1, "one"), 1, FIRST, made=made),
+        proposer("s", mesh_state.replace_configuration(1, "one"), 1, FIRST, made=made),
         reader(1, FIRST),
         more=("d", "e"),
     )
@@ -90,9 +98,11 @@
     assert count == MOST
 
 
-def stale(made: type[Round] = Round) -> Node:
+def stale(made: type[QuorumWrite] = QuorumWrite) -> Node:
     """The roster went from a, b, c to a, b, d; one proposer knows, another does not."""
-    swap = proposer("r", mesh_state.admit(Member("d", "disk-d", "", False), [("c", "first")]), 1, FIRST)
+    swap = proposer(
+        "r", mesh_state.admit(Member("d", "disk-d", "", False), [MemberId("c", "first")]), 1, FIRST
+    )
     world = World()
     start = settled(world, node(swap, more=("d",)), 0, {"a", "b", "d"})
     asking = start.actors[0].asking
@@ -100,8 +110,8 @@
     for where in "ab":  # they have not been told that it was decided
         assert start.votes[where].state.epoch == 1
     start.actors = (
-        proposer("p", mesh_state.replace(1, "one"), 2, asking.decided.members, 2, made),
-        proposer("q", mesh_state.replace(1, "other"), 1, FIRST, 5, made),
+        proposer("p", mesh_state.replace_configuration(1, "one"), 2, asking.decided.members, 2, made),
+        proposer("q", mesh_state.replace_configuration(1, "other"), 1, FIRST, 5, made),
     )
     return start
 
@@ -124,8 +134,10 @@
 
 def settled_by_two() -> Node:
     """A word that a and b hold; another proposer and a reader come."""
-    start = settled(World(), node(proposer("r", mesh_state.replace(3, "three"), 1, FIRST)), 0, {"a", "b"})
-    start.actors = (reader(1, FIRST), proposer("q", mesh_state.replace(2, "two"), 1, FIRST, 3))
+    start = settled(
+        World(), node(proposer("r", mesh_state.replace_configuration(3, "three"), 1, FIRST)), 0, {"a", "b"}
+    )
+    start.actors = (reader(1, FIRST), proposer("q", mesh_state.replace_configuration(2, "two"), 1, FIRST, 3))
     return start
 
 
@@ -147,7 +159,9 @@
 
 def acknowledged(world: World) -> Node:
     """What one proposer was acknowledged by a and b; then a reader comes."""
-    start = settled(world, node(proposer("p", mesh_state.replace(1, "one"), 1, FIRST)), 0, {"a", "b"})
+    start = settled(
+        world, node(proposer("p", mesh_state.replace_configuration(1, "one"), 1, FIRST)), 0, {"a", "b"}
+    )
     start.actors = (*start.actors, reader(1, FIRST))
     return start
 
@@ -170,32 +184,32 @@
         explore(World(), two(), MOST, seed=1)
 
 
-class Hasty(Round):
+class Hasty(QuorumWrite):
     """A mutation: promises of the roster that it knew are enough; the others are asked to accept only."""
 
-    def _cover(self) -> Sends:
+    def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
             return []
-        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial(self.decided.members)
+        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial_state(self.decided.members)
         made, self.answer = self.change(base)
         self.proposal = made or base
         self.quorums.add(base.members)
         self.quorums.add(self.proposal.members)
-        self.phase, self.asked, self.again = Phase.ACCEPT, set(), {}
-        return self.ask(self.quorums.members())
+        self.phase, self.contacted, self.resend_at = Phase.ACCEPT, set(), {}
+        return self.contact(self.quorums.members())
 
 
-class Narrow(Round):
+class Narrow(QuorumWrite):
     """A mutation: the roster that it knew is enough for both halves."""
 
-    def _cover(self) -> Sends:
+    def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
             return []
-        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial(self.decided.members)
+        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial_state(self.decided.members)
         made, self.answer = self.change(base)
         self.proposal = made or base
-        self.phase, self.asked, self.again = Phase.ACCEPT, set(), {}
-        return self.ask(self.quorums.members())
+        self.phase, self.contacted, self.resend_at = Phase.ACCEPT, set(), {}
+        return self.contact(self.quorums.members())
 
 
 def test_found_no_joint_prepare() -> None:
@@ -211,8 +225,10 @@
 class Forgetful(Acceptor):
     """A mutation: accepts whatever it has promised since."""
 
-    def _accept(self, state: AcceptorState, ballot: Ballot, value: MeshState) -> tuple[AcceptorState, Answer]:
-        return super()._accept(replace(state, promised=NO_BALLOT), ballot, value)
+    def _accept(
+        self, state: AcceptorState, ballot: ProposalNumber, value: MeshState
+    ) -> tuple[AcceptorState, Answer]:
+        return super()._accept(replace(state, promised=NO_PROPOSAL), ballot, value)
 
 
 def test_found_an_acceptor_that_forgets_its_promise() -> None:
@@ -224,9 +240,11 @@
 
 
 def test_quorums_want_a_majority_of_each() -> None:
-    both = Quorums([FIRST, members([("a", "first"), ("d", "x"), ("e", "x"), ("f", "x")])])
-    a, b, d, e = ("a", "first"), ("b", "first"), ("d", "x"), ("e", "x")
-    wanted: list[tuple[list[Key], bool]] = [
+    both = Quorums(
+        [FIRST, members([MemberId("a", "first"), MemberId("d", "x"), MemberId("e", "x"), MemberId("f", "x")])]
+    )
+    a, b, d, e = (MemberId(*one) for one in (("a", "first"), ("b", "first"), ("d", "x"), ("e", "x")))
+    wanted: list[tuple[list[MemberId], bool]] = [
         ([a, b], False),
         ([a, b, d], False),
         ([a, b, d, e], True),
@@ -237,68 +255,68 @@
 
 
 def test_swap_rules() -> None:
-    value = initial(FIRST)
+    value = initial_state(FIRST)
     joiner = Member("d", "x", "z", False)
     assert mesh_state.admit(joiner, [])(value) == (None, Admission.STANDBY)
     smaller = replace(value, members=FIRST[:2])
     appended, _ = mesh_state.admit(joiner, [])(smaller)
     assert appended is not None
-    assert [key[0] for key in keys(appended.members)] == ["a", "b", "d"]
-    assert (appended.epoch, appended.wanted, appended.revision) == (2, 3, 1)
-    swapped, _ = mesh_state.admit(joiner, [("b", "first")])(value)
+    assert [key[0] for key in member_ids(appended.members)] == ["a", "b", "d"]
+    assert (appended.epoch, appended.target_size, appended.revision) == (2, 3, 1)
+    swapped, _ = mesh_state.admit(joiner, [MemberId("b", "first")])(value)
     assert swapped is not None
-    assert [key[0] for key in keys(swapped.members)] == ["a", "d", "c"]
-    wiped, _ = mesh_state.admit(Member("c", "y", "z", False), [("b", "first")])(value)
+    assert [key[0] for key in member_ids(swapped.members)] == ["a", "d", "c"]
+    wiped, _ = mesh_state.admit(Member("c", "y", "z", False), [MemberId("b", "first")])(value)
     assert wiped is not None
-    assert keys(wiped.members)[1:] == [("b", "first"), ("c", "y")]
-    fourth, _ = mesh_state.admit(Member("d", "x", "z", True), [("b", "first")])(value)
+    assert member_ids(wiped.members)[1:] == [("b", "first"), ("c", "y")]
+    fourth, _ = mesh_state.admit(Member("d", "x", "z", True), [MemberId("b", "first")])(value)
     assert fourth is not None
-    assert (len(fourth.members), fourth.wanted) == (4, 4)
-    assert mesh_state.drop([("a", "first")])(value) == (None, False)
-    larger = replace(fourth, wanted=3)
-    dropped, _ = mesh_state.drop([("a", "first"), ("b", "first")])(larger)
+    assert (len(fourth.members), fourth.target_size) == (4, 4)
+    assert mesh_state.remove_unreachable([MemberId("a", "first")])(value) == (None, False)
+    larger = replace(fourth, target_size=3)
+    dropped, _ = mesh_state.remove_unreachable([MemberId("a", "first"), MemberId("b", "first")])(larger)
     assert dropped is not None
-    assert [key[0] for key in keys(dropped.members)] == ["b", "c", "d"]
-    full = replace(value, members=members([(str(n), "x") for n in range(mesh_state.MAX_MEMBERS)]))
+    assert [key[0] for key in member_ids(dropped.members)] == ["b", "c", "d"]
+    full = replace(value, members=members([MemberId(str(n), "x") for n in range(mesh_state.MAX_MEMBERS)]))
     assert mesh_state.admit(Member("d", "x", "z", True), [])(full) == (None, Admission.FULL)
     zones = replace(value, evacuations=dict.fromkeys(map(str, range(mesh_state.MAX_ZONES)), False))
-    assert mesh_state.evacuate("new", True)(zones) == (None, False)
+    assert mesh_state.set_evacuation("new", True)(zones) == (None, False)
 
 
 def test_a_handover_swaps_and_never_grows_the_membership() -> None:
-    value, standby = initial(FIRST), Member("d", "x", "z", False)
-    made, answer = mesh_state.hand_over(("b", "first"), standby)(value)
+    value, standby = initial_state(FIRST), Member("d", "x", "z", False)
+    made, answer = mesh_state.hand_over(MemberId("b", "first"), standby)(value)
     assert made is not None
     assert answer is Admission.MEMBER
-    assert [key[0] for key in keys(made.members)] == ["a", "d", "c"]
-    assert (made.epoch, made.wanted) == (2, 3)
-    assert mesh_state.hand_over(("b", "first"), standby)(made) == (None, Admission.MEMBER)
-    assert mesh_state.hand_over(("c", "first"), standby)(made) == (None, Admission.CHANGED)
+    assert [key[0] for key in member_ids(made.members)] == ["a", "d", "c"]
+    assert (made.epoch, made.target_size) == (2, 3)
+    assert mesh_state.hand_over(MemberId("b", "first"), standby)(made) == (None, Admission.MEMBER)
+    assert mesh_state.hand_over(MemberId("c", "first"), standby)(made) == (None, Admission.CHANGED)
 
 
 def test_no_vote_without_the_newest_text() -> None:
-    held, _ = mesh_state.replace(7, "seven")(initial(FIRST))
+    held, _ = mesh_state.replace_configuration(7, "seven")(initial_state(FIRST))
     assert held is not None
     standby = Member("d", "x", "z", False)
     for change in (
-        mesh_state.hand_over(("b", "first"), standby),
-        mesh_state.admit(standby, [("b", "first")]),
+        mesh_state.hand_over(MemberId("b", "first"), standby),
+        mesh_state.admit(standby, [MemberId("b", "first")]),
         mesh_state.admit(Member("b", "x", "z", False), []),
     ):
-        assert mesh_state.when_holding(change, "six")(held) == (None, Admission.BEHIND)
-        assert mesh_state.when_holding(change, "")(held) == (None, Admission.BEHIND)
-        made, answer = mesh_state.when_holding(change, "seven")(held)
+        assert mesh_state.require_text(change, "six")(held) == (None, Admission.BEHIND)
+        assert mesh_state.require_text(change, "")(held) == (None, Admission.BEHIND)
+        made, answer = mesh_state.require_text(change, "seven")(held)
         assert made is not None
         assert answer is Admission.MEMBER
 
 
 def test_every_change_is_nothing_the_second_time() -> None:
     for change in (
-        mesh_state.replace(3, "x"),
-        mesh_state.evacuate("z", True),
-        mesh_state.admit(Member("d", "x", "z", False), [("a", "first")]),
-        mesh_state.hand_over(("a", "first"), Member("d", "x", "z", False)),
+        mesh_state.replace_configuration(3, "x"),
+        mesh_state.set_evacuation("z", True),
+        mesh_state.admit(Member("d", "x", "z", False), [MemberId("a", "first")]),
+        mesh_state.hand_over(MemberId("a", "first"), Member("d", "x", "z", False)),
     ):
-        made, _ = change(initial(FIRST))
+        made, _ = change(initial_state(FIRST))
         assert made is not None
         assert change(made)[0] is None
--- a/tests/control/test_runs.py
+++ b/tests/control/test_runs.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from honeywharf.control.mesh_state import Key, keys
+from honeywharf.control.mesh_state import MemberId, member_ids
 from honeywharf.control.messages import Accept, Answer, Request
 from honeywharf.control.voter import Voter
-from tests.control.town import Call, Town
+from tests.control.cluster import Call, ControlCluster
 
 RUNS = int(os.environ.get("RUNS", "12"))
 CATCH_UP = 4.0  # s after which a machine that was lost no longer counts as such
@@ -21,7 +21,7 @@
 
     def __init__(self, seed: int, count: int) -> None:
         self.rng = Random(seed)
-        self.town = Town(seed, count)
+        self.cluster = ControlCluster(seed, count)
         self.version = 0
         self.sent: dict[int, bytes] = {}
         self.open: list[tuple[Call, int, int]] = []  # call, version or -1, acknowledged when it was made
@@ -31,38 +31,38 @@
         self.healed = 0.0  # when the cuts end
         self.lull = 0.0  # until then nothing happens
         self.fresh = count + 1
-        self.rosters: dict[int, list[Key]] = {}  # decided, by epoch
+        self.rosters: dict[int, list[MemberId]] = {}  # decided, by epoch
         self.wipes = self.acks = self.reads = 0
 
     def step(self) -> None:
         """A twentieth of a second."""
-        self.town.run(0.05)
+        self.cluster.run(0.05)
         self.judge()
         self.compare()
-        now = self.town.world.time
+        now = self.cluster.network.time
         for ip in [ip for ip, when in self.down.items() if when <= now]:
             del self.down[ip]
-            self.town.start(ip)
+            self.cluster.start(ip)
             self.troubled = now
-        if self.town.world.cuts and now >= self.healed:
-            self.town.world.cuts.clear()
+        if self.cluster.network.cuts and now >= self.healed:
+            self.cluster.network.cuts.clear()
             self.troubled = now
-        for machine in self.town.world.machines.values():
+        for machine in self.cluster.network.machines.values():
             if machine.frozen and self.rng.random() < 0.05:
                 machine.thaw()
                 self.troubled = now
 
     def compare(self) -> None:
         """No two machines know different rosters as decided under one epoch."""
-        for ip, machine in self.town.world.machines.items():
-            if machine.on and ip in self.town.programs:
-                state = self.town.programs[ip].replica.state
-                known = self.rosters.setdefault(state.epoch, keys(state.members)) if state.epoch else []
-                assert not state.epoch or known == keys(state.members)
+        for ip, machine in self.cluster.network.machines.items():
+            if machine.on and ip in self.cluster.programs:
+                state = self.cluster.programs[ip].replica.state
+                known = self.rosters.setdefault(state.epoch, member_ids(state.members)) if state.epoch else []
+                assert not state.epoch or known == member_ids(state.members)
 
     def operate(self) -> None:
         """Maybe a call or two, to anybody."""
-        ips = list(self.town.world.machines)
+        ips = list(self.cluster.network.machines)
         if self.rng.random() < 0.3:
             for ip in self.rng.sample(ips, self.rng.choice((1, 1, 2))):
                 self.version += self.rng.choice((1, 3))
@@ -70,12 +70,12 @@
         if self.rng.random() < 0.1 and self.sent:
             self.send(self.rng.choice(ips), self.rng.choice(list(self.sent)))  # an older one once more
         if self.rng.random() < 0.3:
-            self.open.append((self.town.describe(self.rng.choice(ips)), -1, self.acked))
+            self.open.append((self.cluster.describe(self.rng.choice(ips)), -1, self.acked))
 
     def send(self, ip: str, version: int) -> None:
         content = self.rng.randbytes(self.rng.choice((4, 3000))).hex().encode()
         self.sent.setdefault(version, b"r%d " % version + content)
-        call = self.town.call(ip, "POST", "/api/configuration/replace", self.sent[version])
+        call = self.cluster.call(ip, "POST", "/api/configuration/replace", self.sent[version])
         self.open.append((call, version, self.acked))
 
     def judge(self) -> None:
@@ -99,7 +99,7 @@
 
     def trouble(self) -> None:
         """Maybe one more."""
-        now, world = self.town.world.time, self.town.world
+        now, world = self.cluster.network.time, self.cluster.network
         ips = [ip for ip in world.machines if ip not in self.down and world.machines[ip].on]
         if self.rng.random() > 0.06 or not ips or now < self.lull:
             return
@@ -136,54 +136,54 @@
 
     def off(self, ip: str, power: bool, span: float) -> None:
         """End a process, and start it later."""
-        self.town.world.machines[ip].off(power)
-        self.down[ip] = self.town.world.time + span
+        self.cluster.network.machines[ip].off(power)
+        self.down[ip] = self.cluster.network.time + span
 
     def lose(self, ip: str, span: float) -> None:
         """A disk is lost, or a machine for good and an empty one comes."""
         self.wipes += 1
         self.off(ip, True, span)
         if self.rng.random() < 0.5:
-            self.town.world.machines[ip].disk.files.clear()
+            self.cluster.network.machines[ip].disk.files.clear()
             return
-        del self.town.world.machines[ip], self.down[ip]
+        del self.cluster.network.machines[ip], self.down[ip]
         self.appear(span)
 
     def appear(self, span: float) -> None:
         """A machine with an empty disk comes."""
         self.fresh += 1
         new = f"10.0.0.{self.fresh}"
-        self.town.world.machine(new)
-        self.down[new] = self.town.world.time + span
+        self.cluster.network.machine(new)
+        self.down[new] = self.cluster.network.time + span
 
     def calm(self) -> None:
         """Everything is mended; soon a call is answered, and everybody tells the same."""
-        self.town.world.cuts.clear()
+        self.cluster.network.cuts.clear()
         for ip in list(self.down):
-            self.town.start(ip)
-        for machine in self.town.world.machines.values():
+            self.cluster.start(ip)
+        for machine in self.cluster.network.machines.values():
             if machine.frozen:
                 machine.thaw()
         self.down = {}
-        self.town.run(4.0)
+        self.cluster.run(4.0)
         self.judge()
         self.version += 1
-        self.send(next(iter(self.town.world.machines)), self.version)
-        self.town.run(0.9)
+        self.send(next(iter(self.cluster.network.machines)), self.version)
+        self.cluster.run(0.9)
         self.judge()
         assert self.acked == self.version
-        for ip in self.town.world.machines:
-            self.open.append((self.town.describe(ip), -1, self.acked))
+        for ip in self.cluster.network.machines:
+            self.open.append((self.cluster.describe(ip), -1, self.acked))
         before = self.reads
-        self.town.run(0.9)
+        self.cluster.run(0.9)
         self.judge()
-        assert self.reads - before == len(self.town.world.machines)
+        assert self.reads - before == len(self.cluster.network.machines)
 
 
 def play(seed: int, count: int, steps: int = 500) -> Story:
     """A run of 25 s and its calm end."""
     story = Story(seed, count)
-    story.town.run(1.0)
+    story.cluster.run(1.0)
     for _ in range(steps):
         story.step()
         story.operate()
@@ -206,7 +206,7 @@
         self.host.after(0.05, lambda: self.store.save(self.acceptor.state))
         if text is not None:
             assert isinstance(request, Accept)
-            self.store.keep(request.state.digest, text)
+            self.store.put_text(request.state.digest, text)
         return answer
 
     monkeypatch.setattr(Voter, "vote", vote)
--- a/tests/control/test_store.py
+++ b/tests/control/test_store.py
@@ -7,32 +7,32 @@
 import pytest
 
 from honeywharf.control.acceptor import AcceptorState
+from honeywharf.control.configuration_texts import ConfigurationTexts
 from honeywharf.control.mesh_state import MeshState
-from honeywharf.control.messages import Ballot
-from honeywharf.control.store import BESIDE, KEPT, REGISTER, Store
-from honeywharf.control.texts import ConfigurationTexts
+from honeywharf.control.messages import ProposalNumber
+from honeywharf.control.store import MAX_UNREFERENCED_TEXTS, REGISTER, REGISTER_NEW, Store
 from honeywharf.transport.rpc import Caller
-from tests.control.town import Town
-from tests.control.world import Machine, PowerLostError, World
+from tests.control.cluster import ControlCluster
+from tests.control.virtual_network import Machine, PowerLostError, VirtualNetwork
 
 
 def machine() -> Machine:
-    return World(1).machine("10.0.0.1")
+    return VirtualNetwork(1).machine("10.0.0.1")
 
 
 def state(number: int) -> AcceptorState:
     value = MeshState(number, number, f"d{number}", {}, (), 1, 0)
-    ballot = Ballot(number, "p", 1)
+    ballot = ProposalNumber(number, "p", 1)
     return AcceptorState("disk", 1, (), ballot, ballot, value)
 
 
 def busy(store: Store, kept: list[int]) -> None:
     """Keep texts and states in turn; `kept` gets the numbers of those that were."""
     for number in range(1, 7):
-        store.keep(f"d{number}", b"x" * (100 * number))
+        store.put_text(f"d{number}", b"x" * (100 * number))
         store.save(state(number))
         kept.append(number)
-        store.sweep({f"d{number}"})
+        store.remove_unreferenced({f"d{number}"})
 
 
 @pytest.mark.parametrize("torn", [False, True])
@@ -51,7 +51,7 @@
         assert found is not None
         number = found.promised[0]
         assert number in (kept[-1], kept[-1] + 1)
-        assert number == 0 or again.get(f"d{number}") == b"x" * (100 * number)
+        assert number == 0 or again.read_text(f"d{number}") == b"x" * (100 * number)
 
 
 def test_damage_is_a_lost_register_and_a_missing_text() -> None:
@@ -64,48 +64,48 @@
         host.disk.files[name] = bytes(data)
     again = Store(host)
     assert again.load() is None
-    assert not again.empty()
-    assert again.get("d6") is None
-    assert again.get("d5") == b"x" * 500
-    assert BESIDE not in host.disk.files
+    assert not again.is_unused()
+    assert again.read_text("d6") is None
+    assert again.read_text("d5") == b"x" * 500
+    assert REGISTER_NEW not in host.disk.files
 
 
 def test_texts_that_nothing_names_are_removed_but_for_the_last() -> None:
     store = Store(machine())
     busy(store, [])
-    assert store.digests == [*[f"d{n}" for n in range(6 - KEPT, 6)], "d6"]
+    assert store.digests == [*[f"d{n}" for n in range(6 - MAX_UNREFERENCED_TEXTS, 6)], "d6"]
     with pytest.raises(ValueError, match="digest"):
-        store.keep("../register", b"")
+        store.put_text("../register", b"")
 
 
 def test_a_disk_that_fails_answers_nothing_and_mends() -> None:
-    town = Town(21)
-    town.run(0.5)
-    host = town.world.machines["10.0.0.2"]
+    cluster = ControlCluster(21)
+    cluster.run(0.5)
+    host = cluster.network.machines["10.0.0.2"]
     write = host.write
 
     def broken(name: str, data: bytes) -> None:
         raise OSError("no space")
 
     host.write = broken  # type: ignore[method-assign]
-    promised = town.programs["10.0.0.2"].replica.state.promised
-    first = town.replace("10.0.0.1", 1, "one")
-    town.run(0.5)
+    promised = cluster.programs["10.0.0.2"].replica.state.promised
+    first = cluster.replace("10.0.0.1", 1, "one")
+    cluster.run(0.5)
     assert first.status == 200
-    assert town.programs["10.0.0.2"].replica.state.promised == promised
+    assert cluster.programs["10.0.0.2"].replica.state.promised == promised
     host.write = write  # type: ignore[method-assign]
-    town.run(3.0)
-    value = town.programs["10.0.0.2"].replica.state.value
+    cluster.run(3.0)
+    value = cluster.programs["10.0.0.2"].replica.state.value
     assert value is not None
     assert value.version == 1
 
 
 def test_the_text_is_kept_compressed() -> None:
-    town = Town(22)
-    town.run(0.5)
-    town.replace("10.0.0.1", 1, "same " * 10_000)
-    town.run(0.5)
-    files = town.world.machines["10.0.0.3"].disk.files
+    cluster = ControlCluster(22)
+    cluster.run(0.5)
+    cluster.replace("10.0.0.1", 1, "same " * 10_000)
+    cluster.run(0.5)
+    files = cluster.network.machines["10.0.0.3"].disk.files
     (name,) = [name for name in files if name.startswith("config-")]
     assert len(files[name]) < 2000
     assert zlib.decompress(files[name][8:]).startswith(b"r1 same")
@@ -114,12 +114,12 @@
 def test_a_text_that_was_fetched_keeps_its_name_over_a_loss_of_power() -> None:
     host = machine()
     texts = ConfigurationTexts(host, Store(host), Caller(host), list)
-    texts.keep("d7", b"text")
-    assert texts.store.has("d7")
+    texts.persist("d7", b"text")
+    assert texts.store.has_text("d7")
     host.off(power=True, names_lost=True)
     again = Store(host)
     again.load()
-    assert again.get("d7") == b"text"
+    assert again.read_text("d7") == b"text"
 
 
 def test_a_register_whose_new_name_was_lost_is_found_beside() -> None:
@@ -127,12 +127,12 @@
     store = Store(host)
     store.save(state(1))
     store.save(state(2))
-    host.disk.files[BESIDE] = host.disk.files.pop(REGISTER)
+    host.disk.files[REGISTER_NEW] = host.disk.files.pop(REGISTER)
     found = Store(host).load()
     assert found is not None
     assert found.promised.counter == 2
     assert REGISTER in host.disk.files
-    host.disk.files = {BESIDE: b"hwr1torn"}
+    host.disk.files = {REGISTER_NEW: b"hwr1torn"}
     assert Store(host).load() is None
 
 
@@ -140,7 +140,7 @@
     host = machine()
     store = Store(host)
     store.save(state(2))
-    host.disk.files[BESIDE] = host.disk.files[REGISTER]
+    host.disk.files[REGISTER_NEW] = host.disk.files[REGISTER]
     host.disk.files[REGISTER] = host.disk.files[REGISTER][:-1] + b"?"
     found = Store(host).load()
     assert found is not None
--- a/tests/control/test_store_repair.py
+++ b/tests/control/test_store_repair.py
@@ -9,25 +9,34 @@
 import pytest
 
 from honeywharf.cli import store as command
-from honeywharf.control import repair
-from honeywharf.control.store import BAD, BESIDE, FORMAT, REGISTER, FormatError, Store, seal, unseal
+from honeywharf.control import backup, repair
+from honeywharf.control.store import (
+    DAMAGED_SUFFIX,
+    FORMAT_VERSION,
+    REGISTER,
+    REGISTER_NEW,
+    FormatError,
+    Store,
+    decode_file,
+    encode_file,
+)
 from honeywharf.transport.loop import Loop
+from tests.control.cluster import ControlCluster
 from tests.control.test_store import machine, state
-from tests.control.town import Town
-from tests.control.world import Machine
+from tests.control.virtual_network import Machine
 
 TEXT = b"r5 the routes"
 
 
-def used() -> tuple[Town, Machine]:
-    """A town with a configuration and an evacuated zone, and one of its machines."""
-    town = Town(31)
-    town.run(0.5)
-    town.replace("10.0.0.1", 5, "the routes")
-    town.run(0.5)
-    town.call("10.0.0.2", "POST", "/api/evacuations/b/start")
-    town.run(1.5)
-    return town, town.world.machines["10.0.0.2"]
+def used() -> tuple[ControlCluster, Machine]:
+    """A cluster with a configuration and an evacuated zone, and one of its machines."""
+    cluster = ControlCluster(31)
+    cluster.run(0.5)
+    cluster.replace("10.0.0.1", 5, "the routes")
+    cluster.run(0.5)
+    cluster.call("10.0.0.2", "POST", "/api/evacuations/b/start")
+    cluster.run(1.5)
+    return cluster, cluster.network.machines["10.0.0.2"]
 
 
 def spoil(host: Machine, name: str) -> None:
@@ -38,35 +47,35 @@
 
 def later(data: bytes) -> bytes:
     """The same file as a later version would write it."""
-    return data[:3] + b"%d" % (FORMAT + 1) + data[4:]
+    return data[:3] + b"%d" % (FORMAT_VERSION + 1) + data[4:]
 
 
 @pytest.mark.parametrize("name", [REGISTER, "config"])
 def test_a_later_format_is_never_taken_for_damage(name: str) -> None:
-    town, host = used()
+    cluster, host = used()
     name = next(one for one in host.disk.files if one.startswith(name))
     host.off(power=True)
     host.disk.files[name] = later(host.disk.files[name])
     before = dict(host.disk.files)
-    with pytest.raises(FormatError, match=f"format {FORMAT + 1}, wanted at most {FORMAT}"):
+    with pytest.raises(FormatError, match=f"format {FORMAT_VERSION + 1}, wanted at most {FORMAT_VERSION}"):
         Store(host).load()
     if name == REGISTER:
         with pytest.raises(FormatError):
             repair.repair(host)
-    town.start("10.0.0.2")
-    town.run(2.0)
+    cluster.start("10.0.0.2")
+    cluster.run(2.0)
     assert host.disk.files == before
-    assert town.replace("10.0.0.1", 6).answers == []
-    town.run(0.5)
-    assert town.known("10.0.0.1").version == 6, "the other two go on"
+    assert cluster.replace("10.0.0.1", 6).answers == []
+    cluster.run(0.5)
+    assert cluster.known("10.0.0.1").version == 6, "the other two go on"
 
 
 def test_every_wrong_head_is_damage() -> None:
-    whole = seal(b"body")
-    assert unseal(whole) == b"body"
+    whole = encode_file(b"body")
+    assert decode_file(whole) == b"body"
     rest = whole[4:]
     for wrong in (b"", whole[:7], b"hwr0" + rest, b"hwrx" + rest, b"HWR1" + rest, whole + b"x"):
-        assert unseal(wrong) is None
+        assert decode_file(wrong) is None
 
 
 def test_check_tells_what_is_there_and_each_fault() -> None:
@@ -88,21 +97,24 @@
 
 
 def test_repair_sets_damage_aside_and_gives_no_vote_back() -> None:
-    town, host = used()
+    cluster, host = used()
     host.off(power=False)
     (text,) = [name for name in host.disk.files if name.startswith("config-")]
     spoil(host, text)
     spoil(host, REGISTER)
     assert len(repair.repair(host)) == 2
-    assert sorted(name for name in host.disk.files if "drift" not in name) == [text + BAD, REGISTER + BAD]
+    assert sorted(name for name in host.disk.files if "drift" not in name) == [
+        text + DAMAGED_SUFFIX,
+        REGISTER + DAMAGED_SUFFIX,
+    ]
     assert repair.repair(host) == []
-    town.start("10.0.0.2", first=True)
-    replica = town.programs["10.0.0.2"].replica
+    cluster.start("10.0.0.2", first=True)
+    replica = cluster.programs["10.0.0.2"].replica
     assert replica.state.disk != "first", "a lost disk has no vote, even at the first start"
-    town.run(4.0)
-    assert replica.member(), "it is admitted anew"
-    call = town.describe("10.0.0.2")
-    town.run(1.0)
+    cluster.run(4.0)
+    assert replica.is_member(), "it is admitted anew"
+    call = cluster.describe("10.0.0.2")
+    cluster.run(1.0)
     assert call.answers[0][:2] == (200, TEXT)
 
 
@@ -110,10 +122,10 @@
     host = machine()
     store = Store(host)
     store.save(replace(state(1), value=None))
-    host.disk.files[BESIDE] = seal(b"torn")[:9]
-    assert repair.repair(host) == [f"{BESIDE}: removed"]
+    host.disk.files[REGISTER_NEW] = encode_file(b"torn")[:9]
+    assert repair.repair(host) == [f"{REGISTER_NEW}: removed"]
     store.save(replace(state(2), value=None))
-    host.disk.files[BESIDE] = host.disk.files[REGISTER]
+    host.disk.files[REGISTER_NEW] = host.disk.files[REGISTER]
     spoil(host, REGISTER)
     assert len(repair.repair(host)) == 2
     again = Store(host).load()
@@ -123,51 +135,51 @@
 
 def test_a_backup_is_whole_or_nothing() -> None:
     _, host = used()
-    packed = repair.backup(host)
-    assert repair.opened(packed).text == TEXT
+    packed = backup.backup(host)
+    assert backup.Backup.unpack(packed).text == TEXT
     for cut in range(0, len(packed), 7):
-        with pytest.raises(repair.BackupError):
-            repair.opened(packed[:cut])
-    with pytest.raises(repair.BackupError, match="no backup"):
-        repair.opened(seal(b"\xc1"))
-    with pytest.raises(repair.BackupError, match="no word"):
-        repair.backup(machine())
+        with pytest.raises(backup.BackupError):
+            backup.Backup.unpack(packed[:cut])
+    with pytest.raises(backup.BackupError, match="no backup"):
+        backup.Backup.unpack(encode_file(b"\xc1"))
+    with pytest.raises(backup.BackupError, match="no word"):
+        backup.backup(machine())
     (text,) = [name for name in host.disk.files if name.startswith("config-")]
-    host.disk.files[text] = seal(zlib.compress(b"r5 others"))
-    with pytest.raises(repair.BackupError, match="no whole"):
-        repair.backup(host)
+    host.disk.files[text] = encode_file(zlib.compress(b"r5 others"))
+    with pytest.raises(backup.BackupError, match="no whole"):
+        backup.backup(host)
 
 
 @pytest.mark.parametrize("left", [0, 1])
 def test_a_word_returns_where_no_majority_is_left(left: int) -> None:
-    town, host = used()
-    packed = repair.backup(host)
-    before = town.known("10.0.0.1").revision
-    members = [(f"{ip}:7620", "z") for ip in town.ips]
-    for n, ip in enumerate(town.ips):
-        lost = town.world.machines[ip]
+    cluster, host = used()
+    packed = backup.backup(host)
+    before = cluster.known("10.0.0.1").revision
+    members = [backup.RestoredMember(f"{ip}:7620", "z") for ip in cluster.ips]
+    for n, ip in enumerate(cluster.ips):
+        lost = cluster.network.machines[ip]
         lost.off(power=True)
         if n >= left:
             lost.disk.files.clear()
-    for ip in town.ips[left:]:
-        with pytest.raises(repair.BackupError, match="among them"):
-            repair.restore(town.world.machines[ip], packed, members, "10.0.0.9:7620")
-        repair.restore(town.world.machines[ip], packed, members, f"{ip}:7620")
-        with pytest.raises(repair.BackupError, match="wanted an empty one"):
-            repair.restore(town.world.machines[ip], packed, members, f"{ip}:7620")
-    for ip in town.ips:
-        town.start(ip)
-    town.run(6.0)
-    for ip in town.ips:
-        call = town.describe(ip)
-        town.run(1.0)
+    for ip in cluster.ips[left:]:
+        with pytest.raises(backup.BackupError, match="among them"):
+            backup.restore(cluster.network.machines[ip], packed, members, "10.0.0.9:7620")
+        backup.restore(cluster.network.machines[ip], packed, members, f"{ip}:7620")
+        with pytest.raises(backup.BackupError, match="wanted an empty one"):
+            backup.restore(cluster.network.machines[ip], packed, members, f"{ip}:7620")
+    for ip in cluster.ips:
+        cluster.start(ip)
+    cluster.run(6.0)
+    for ip in cluster.ips:
+        call = cluster.describe(ip)
+        cluster.run(1.0)
         assert call.answers[0][:2] == (200, TEXT)
-        assert town.known(ip).evacuations == {"b": True}
-        assert town.known(ip).revision > before + repair.RAISED - 1
-        assert town.programs[ip].replica.member()
-    town.replace(town.ips[0], 6)
-    town.run(1.0)
-    assert town.known("10.0.0.3").version == 6
+        assert cluster.known(ip).evacuations == {"b": True}
+        assert cluster.known(ip).revision > before + backup.RESTORE_MARGIN - 1
+        assert cluster.programs[ip].replica.is_member()
+    cluster.replace(cluster.ips[0], 6)
+    cluster.run(1.0)
+    assert cluster.known("10.0.0.3").version == 6
 
 
 def test_the_command_line_on_files(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.control import mesh_state, version_history
-from honeywharf.control.mesh_state import MeshState, Outcome, initial
+from honeywharf.control.mesh_state import MeshState, Outcome, initial_state
 from honeywharf.control.version_history import MAX_VERSIONS, RECORD_SIZE, VersionHistory
 
 
@@ -19,7 +19,7 @@
         version, digest = rng.randrange(120), rng.randbytes(16).hex()
         forgotten = version <= floor or (len(wanted) == 30 and version < min(wanted))
         assert history.is_forgotten(version) == forgotten
-        assert history.mark(version) == wanted.get(version, "")[:16]
+        assert history.confirmed_prefix(version) == wanted.get(version, "")[:16]
         assert history.has(version, wanted.get(version, digest)) == (version in wanted)
         assert not history.has(version, digest)
         if not forgotten and version not in wanted:
@@ -33,9 +33,9 @@
 
 
 def test_a_year_of_changes_keeps_its_bound() -> None:
-    state = initial(())
+    state = initial_state(())
     for version in range(1, 3 * MAX_VERSIONS):
-        made, answer = mesh_state.replace(version, f"{version:032x}")(state)
+        made, answer = mesh_state.replace_configuration(version, f"{version:032x}")(state)
         assert made is not None
         assert answer.outcome is Outcome.IN_FORCE
         state = made
@@ -46,19 +46,19 @@
         (oldest - 1, Outcome.FORGOTTEN),
         (1, Outcome.FORGOTTEN),
     ):
-        made, answer = mesh_state.replace(version, f"{version:032x}")(state)
+        made, answer = mesh_state.replace_configuration(version, f"{version:032x}")(state)
         assert made is None
         assert answer.outcome is outcome
-    assert mesh_state.replace(oldest, "other")(state)[1].outcome is Outcome.CONFLICT
+    assert mesh_state.replace_configuration(oldest, "other")(state)[1].outcome is Outcome.CONFLICT
 
 
 def test_a_state_of_before_the_memory_remembers_the_version_in_force_alone() -> None:
-    packed = initial(()).pack_public()
+    packed = initial_state(()).pack_public()
     assert MeshState.unpack(packed).history == VersionHistory()
     state = MeshState.unpack({**packed, "version": 7, "digest": "ab" * 16})
-    assert mesh_state.replace(7, "ab" * 16)(state)[1].outcome is Outcome.CONFIRMED
-    assert mesh_state.replace(7, "cd" * 16)(state)[1].outcome is Outcome.CONFLICT
-    assert mesh_state.replace(6, "cd" * 16)(state)[1].outcome is Outcome.FORGOTTEN
+    assert mesh_state.replace_configuration(7, "ab" * 16)(state)[1].outcome is Outcome.CONFIRMED
+    assert mesh_state.replace_configuration(7, "cd" * 16)(state)[1].outcome is Outcome.CONFLICT
+    assert mesh_state.replace_configuration(6, "cd" * 16)(state)[1].outcome is Outcome.FORGOTTEN
     for wrong in ([b"x", 0], [b"", "0"], [b""], 5):
         with pytest.raises((ValueError, TypeError)):
             MeshState.unpack({**packed, "history": wrong})
--- a/tests/control/world.py
+++ b/tests/control/virtual_network.py
@@ -1,4 +1,4 @@
-"""A small world of machines in virtual time for the control plane: wires, disks, cuts, losses of power."""
+"""Machines, connections and disks in virtual time, with partitions and losses of power."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 DELAY = (0.0005, 0.004)  # s, one way
 
 
-class Due:
+class VirtualTimer:
     """A timer."""
 
     def __init__(self, call: Callable[[], None]) -> None:
@@ -22,13 +22,13 @@
         self.call = None
 
 
-class Wire:
+class VirtualConnection:
     """One end of a connection."""
 
     def __init__(self, machine: Machine, peer: Address) -> None:
         self.machine, self.peer, self.unsent = machine, peer, 0
         self.handler: Handler | None = None
-        self.far: Wire | None = None
+        self.far: VirtualConnection | None = None
         self.life = machine.life
         self.up = self.gone = False
         self.early: list[bytes] = []
@@ -40,7 +40,7 @@
         if not self.up:
             self.early.append(data)
             return
-        self.machine.world.carry(self, partial(Wire.get, data=data))
+        self.machine.network.carry(self, partial(VirtualConnection.get, data=data))
 
     def get(self, data: bytes) -> None:
         if not self.gone and self.handler is not None:
@@ -53,7 +53,7 @@
 
     def abort(self) -> None:
         if not self.gone:
-            self.machine.world.carry(self, Wire.reset)
+            self.machine.network.carry(self, VirtualConnection.reset)
             self.machine.after(0.0, partial(self.end, ""))
 
     def reset(self) -> None:
@@ -91,8 +91,8 @@
 class Machine:
     """One machine and the process on it: a `Host`."""
 
-    def __init__(self, world: World, ip: str, disk: Disk | None = None) -> None:
-        self.world, self.ip = world, ip
+    def __init__(self, network: VirtualNetwork, ip: str, disk: Disk | None = None) -> None:
+        self.network, self.ip = network, ip
         self.disk = disk or Disk()
         self.life = 0
         self.on = False
@@ -100,7 +100,7 @@
         self.slow = 0.004  # s that each sync takes, on top of an operation's own time
         self.listening: dict[Address, Callable[[Connection], Handler]] = {}
         self.ears: dict[Address, Callable[[Address, bytes], None]] = {}
-        self.wires: set[Wire] = set()
+        self.wires: set[VirtualConnection] = set()
         self.lines: list[str] = []
         self.exited: int | None = None
         self.late: list[Callable[[], None]] = []
@@ -108,26 +108,26 @@
         self.clock_step = 0.0  # s by which the time of day is wrong
 
     def now(self) -> float:
-        return self.world.time
+        return self.network.time
 
     def wall(self) -> float:
-        return 1.7e9 + self.world.time + self.clock_step
+        return 1.7e9 + self.network.time + self.clock_step
 
-    def after(self, seconds: float, call: Callable[[], None]) -> Due:
-        due = Due(call)
+    def after(self, seconds: float, call: Callable[[], None]) -> VirtualTimer:
+        due = VirtualTimer(call)
         life = self.life
 
         def run() -> None:
             if self.on and self.life == life and due.call is not None:
-                if self.world.time < self.busy:
-                    self.world.at(self.busy, run)
+                if self.network.time < self.busy:
+                    self.network.at(self.busy, run)
                 elif self.frozen:
                     self.late.append(run)
                 else:
                     self.guard(due.call)
 
-        late = self.world.rng.random() * 0.0002 if seconds else 0.0
-        self.world.at(self.world.time + seconds + late, run)
+        late = self.network.rng.random() * 0.0002 if seconds else 0.0
+        self.network.at(self.network.time + seconds + late, run)
         return due
 
     def guard(self, call: Callable[[], None]) -> None:
@@ -136,12 +136,14 @@
         except PowerLostError:
             self.off(power=True)
 
-    def connect(self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0) -> Wire:
-        wire = Wire(self, to)
+    def connect(
+        self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0
+    ) -> VirtualConnection:
+        wire = VirtualConnection(self, to)
         wire.handler = handler(wire)
         self.wires.add(wire)
         self.after(within, lambda: None if wire.up else wire.end("timeout"))
-        self.world.carry(wire, lambda _: self.world.arrive(wire, to), to[0])
+        self.network.carry(wire, lambda _: self.network.arrive(wire, to), to[0])
         return wire
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
@@ -156,18 +158,18 @@
         self.ears[at] = received
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        here, world = next(iter(self.ears)), self.world
+        here, network = next(iter(self.ears)), self.network
 
         def get() -> None:
-            far = world.machines.get(to[0])
-            if far is not None and far.on and to in far.ears and not world.cut(self.ip, to[0]):
+            far = network.machines.get(to[0])
+            if far is not None and far.on and to in far.ears and not network.cut(self.ip, to[0]):
                 far.after(0.0, lambda: far.ears[to](here, data))
 
-        if world.rng.random() > 0.02:
-            world.at(world.time + world.rng.uniform(*DELAY), get)
+        if network.rng.random() > 0.02:
+            network.at(network.time + network.rng.uniform(*DELAY), get)
 
     def _spend(self) -> None:
-        self.busy = max(self.busy, self.world.time) + self.slow
+        self.busy = max(self.busy, self.network.time) + self.slow
 
     def read(self, name: str) -> bytes | None:
         return self.disk.files.get(name)
@@ -209,7 +211,7 @@
         return list(self.disk.files)
 
     def random(self, size: int) -> bytes:
-        return self.world.rng.randbytes(size)
+        return self.network.rng.randbytes(size)
 
     def log(self, line: str) -> None:
         self.lines.append(line)
@@ -237,7 +239,7 @@
             self.disk.files.pop(name, None)
         for wire in list(self.wires):
             if not power and wire.up and not wire.gone:
-                self.world.carry(wire, Wire.reset)
+                self.network.carry(wire, VirtualConnection.reset)
             wire.gone = True
         self.wires.clear()
         self.listening.clear()
@@ -248,10 +250,10 @@
         self.frozen = False
         late, self.late = self.late, []
         for call in late:
-            self.world.at(self.world.time, call)
+            self.network.at(self.network.time, call)
 
 
-class World:
+class VirtualNetwork:
     """Machines, the wires between them, and the time."""
 
     def __init__(self, seed: int) -> None:
@@ -276,7 +278,7 @@
         self.serial += 1
         heappush(self.events, (when, self.serial, call))
 
-    def carry(self, wire: Wire, what: Callable[[Wire], None], to: str = "") -> None:
+    def carry(self, wire: VirtualConnection, what: Callable[[VirtualConnection], None], to: str = "") -> None:
         """Bring something to the far end; held up while there is a cut, in order."""
         source, target = wire.machine, to or wire.peer[0]
         wire.arrives = max(wire.arrives, self.time + self.rng.uniform(*DELAY))
@@ -296,7 +298,7 @@
         self.at(wire.arrives, arrive)
         wire.arrives += 1e-7
 
-    def arrive(self, wire: Wire, to: Address) -> None:
+    def arrive(self, wire: VirtualConnection, to: Address) -> None:
         """A connection is asked for at its far end."""
         far = self.machines.get(to[0])
         if wire.gone or far is None or not far.on:
@@ -305,13 +307,13 @@
         if accept is None:
             wire.machine.after(0.002, partial(wire.end, "refused"))
             return
-        other = Wire(far, (wire.machine.ip, 40000))
+        other = VirtualConnection(far, (wire.machine.ip, 40000))
         other.far, wire.far, other.up = wire, other, True
         far.wires.add(other)
         other.handler = accept(other)
         wire.machine.after(0.002, partial(self._opened, wire))
 
-    def _opened(self, wire: Wire) -> None:
+    def _opened(self, wire: VirtualConnection) -> None:
         if wire.gone:
             return
         wire.up = True
--- a/tests/drift/test_gather.py
+++ b/tests/drift/test_gather.py
@@ -9,28 +9,29 @@
 from typing import Any, cast
 
 from honeywharf.control.acceptor import AcceptorState
-from honeywharf.control.messages import Ballot, OtherDisk, Read
+from honeywharf.control.mesh_state import MemberId
+from honeywharf.control.messages import DiskMismatch, ProposalNumber, Read
 from honeywharf.drift.gather import Gather
 from honeywharf.programs.control import ControlNode
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 from tests.drift.test_history import Shelf
 
 PEER = ("10.0.0.9", 7620)
 
 
-def older_copy(town: Town, ip: str) -> ControlNode:
+def older_copy(cluster: ControlCluster, ip: str) -> ControlNode:
     """Two words; then one machine's disk gives back what it held before the second."""
-    machine = town.world.machines[ip]
-    town.run(0.5)
-    assert town.replace("10.0.0.1", 1, "one") is not None
-    town.run(0.5)
+    machine = cluster.network.machines[ip]
+    cluster.run(0.5)
+    assert cluster.replace("10.0.0.1", 1, "one") is not None
+    cluster.run(0.5)
     before = dict(machine.disk.files)
-    town.replace("10.0.0.1", 2, "two")
-    town.run(0.8)
+    cluster.replace("10.0.0.1", 2, "two")
+    cluster.run(0.8)
     machine.off(power=True)
     machine.disk.files = before
-    town.start(ip)
-    return town.programs[ip]
+    cluster.start(ip)
+    return cluster.programs[ip]
 
 
 def lossy(program: ControlNode, many: int) -> list[str]:
@@ -49,23 +50,23 @@
 
 
 def test_a_question_that_is_lost_is_asked_again() -> None:
-    town = Town(3)
-    town.run(0.1)
-    lost = [lossy(town.programs[ip], 1) for ip in town.ips[:2]]
-    back = older_copy(town, "10.0.0.3")
-    town.run(1.5)
+    cluster = ControlCluster(3)
+    cluster.run(0.1)
+    lost = [lossy(cluster.programs[ip], 1) for ip in cluster.ips[:2]]
+    back = older_copy(cluster, "10.0.0.3")
+    cluster.run(1.5)
     assert lost == [["drift.older"]] * 2
     assert back.gather.went_back == 1
     assert back.replica.state.disk != "first"
-    lines = [line for ip in town.ips[:2] for line in town.world.machines[ip].lines]
+    lines = [line for ip in cluster.ips[:2] for line in cluster.network.machines[ip].lines]
     assert sum("the register of 10.0.0.3" in line for line in lines) == 1, "the other came later"
 
 
 def test_a_disk_that_fails_at_that_moment_gives_no_vote_either() -> None:
-    town = Town(3)
-    town.run(0.5)
-    replica = town.programs["10.0.0.3"].replica
-    gather = town.programs["10.0.0.3"].gather
+    cluster = ControlCluster(3)
+    cluster.run(0.5)
+    replica = cluster.programs["10.0.0.3"].replica
+    gather = cluster.programs["10.0.0.3"].gather
 
     def fails(state: AcceptorState) -> None:
         raise OSError("no room")
@@ -76,7 +77,7 @@
     assert answers == [True]
     asked = Read("first", replica.state.decided)
     answer = replica.voter.vote(asked, None)
-    assert answer is None or isinstance(answer, OtherDisk)
+    assert answer is None or isinstance(answer, DiskMismatch)
 
 
 class Honest:
@@ -90,17 +91,20 @@
 
     def _gather(self) -> Gather:
         replica = SimpleNamespace(
-            methods={}, upkeep=SimpleNamespace(), here="10.0.0.1:7620", disown=self._disown
+            methods={},
+            membership=SimpleNamespace(),
+            local_address="10.0.0.1:7620",
+            discard_vote=self._discard_vote,
         )
         program: Any = SimpleNamespace(
             host=Shelf(),
             replica=replica,
             caller=SimpleNamespace(call=self._ask),
-            operator=SimpleNamespace(tree=SimpleNamespace(add=lambda *path: None)),
+            operator=SimpleNamespace(routes=SimpleNamespace(add=lambda *path: None)),
         )
         return Gather(program)
 
-    def _disown(self) -> None:
+    def _discard_vote(self) -> None:
         self.given_up += 1
 
     def _ask(self, to: object, name: str, args: Any, within: float, answer: Callable[[Any], None]) -> None:
@@ -112,10 +116,10 @@
         luck = self.chance.random()
         if luck < 0.25:
             self.ballot += 1
-            accepted = Ballot(self.ballot, "n", 1)
+            accepted = ProposalNumber(self.ballot, "n", 1)
             self.state = replace(self.state, accepted=accepted, promised=accepted)
         elif luck < 0.5:
-            key, told = ("10.0.0.1:7620", self.state.disk), self.state.accepted
+            key, told = MemberId("10.0.0.1:7620", self.state.disk), self.state.accepted
             self.bag.append(lambda: self.other.beat(key, told))
         elif luck < 0.53:  # a joiner with an empty disk takes the address over
             self.state = AcceptorState(self.chance.randbytes(4).hex())
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -121,4 +121,4 @@
     assert trial.book.found == []
     replicas = [cast(Any, core.program).replica for core in trial.field.cores]
     assert len({tuple(map(tuple, replica.state.members)) for replica in replicas}) == 1
-    assert all(replica.member() for replica in replicas)
+    assert all(replica.is_member() for replica in replicas)
--- a/tests/hinted_handoff/test_hints.py
+++ b/tests/hinted_handoff/test_hints.py
@@ -3,78 +3,78 @@
 from __future__ import annotations
 
 from honeywharf.hinted_handoff import hints
+from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
 from honeywharf.hinted_handoff.hints import HintStore
-from honeywharf.hinted_handoff.news import NewsHintStore
-from tests.control.town import Town
+from tests.control.cluster import ControlCluster
 from tests.gossip.net import Net, knows, settled
 
 
 def test_the_newest_of_each_thing_is_handed_over_once() -> None:
     held = HintStore()
-    assert held.missing("a", 1.0)
-    held.keep("x", 100)
-    held.keep("y", 50)
-    held.keep("x", 300)
-    held.keep("a", 70)  # its own words it knows
-    assert (held.all_entries, held.all_bytes) == (2, 350)
-    assert held.returned("a") == ["x", "y"]
-    assert held.returned("a") == []
-    assert (held.all_entries, held.all_bytes, held.handed) == (0, 0, 2)
+    assert held.begin("a", 1.0)
+    held.add("x", 100)
+    held.add("y", 50)
+    held.add("x", 300)
+    held.add("a", 70)  # its own words it knows
+    assert (held.total_entries, held.total_bytes) == (2, 350)
+    assert held.take("a") == ["x", "y"]
+    assert held.take("a") == []
+    assert (held.total_entries, held.total_bytes, held.handed_over) == (0, 0, 2)
 
 
 def test_each_machine_and_all_together_are_bounded_and_a_full_hinted_handoff_says_so_once() -> None:
     lines: list[str] = []
     held = HintStore(lines.append)
-    held.missing("a", 1.0)
-    for number in range(hints.ENTRIES + 5):
-        held.keep(f"n{number}", 10)
-    assert held.all_entries == hints.ENTRIES
+    held.begin("a", 1.0)
+    for number in range(hints.MAX_ENTRIES_PER_MACHINE + 5):
+        held.add(f"n{number}", 10)
+    assert held.total_entries == hints.MAX_ENTRIES_PER_MACHINE
     assert held.spilled == 5
     assert len(lines) == 1
-    held.keep("n0", 20)  # what is there may be renewed
+    held.add("n0", 20)  # what is there may be renewed
     assert held.spilled == 5
-    held.returned("a")
-    held.missing("b", 1.0)
-    held.keep("big", hints.BYTES + 1)
-    assert held.held["b"].spilled
+    held.take("a")
+    held.begin("b", 1.0)
+    held.add("big", hints.MAX_BYTES_PER_MACHINE + 1)
+    assert held.by_machine["b"].spilled
     assert len(lines) == 2
     for number in range(hints.MAX_MACHINES + 3):
-        held.missing(f"m{number}", 1.0)
-    assert len(held.held) == hints.MAX_MACHINES
-    for number in range(hints.ENTRIES):
-        held.keep(f"n{number}", 1)
-    assert held.all_entries <= hints.ALL_ENTRIES
-    assert held.all_bytes <= hints.ALL_BYTES
+        held.begin(f"m{number}", 1.0)
+    assert len(held.by_machine) == hints.MAX_MACHINES
+    for number in range(hints.MAX_ENTRIES_PER_MACHINE):
+        held.add(f"n{number}", 1)
+    assert held.total_entries <= hints.MAX_ENTRIES
+    assert held.total_bytes <= hints.MAX_BYTES
 
 
 def test_bytes_of_all_are_bounded() -> None:
     held = HintStore()
     for name in "abcdefgh":
-        held.missing(name, 1.0)
+        held.begin(name, 1.0)
     for number in range(100):
-        held.keep(f"n{number}", 600)
-    assert hints.ALL_BYTES - 600 * 8 < held.all_bytes <= hints.ALL_BYTES
-    assert held.all_bytes == sum(kept.bytes for kept in held.held.values())
+        held.add(f"n{number}", 600)
+    assert hints.MAX_BYTES - 600 * 8 < held.total_bytes <= hints.MAX_BYTES
+    assert held.total_bytes == sum(kept.bytes for kept in held.by_machine.values())
 
 
 def test_who_stays_away_is_kept_for_no_more() -> None:
     held = HintStore()
-    held.missing("a", 1.0)
-    held.keep("x", 100)
-    held.sweep(1.0 + hints.KEPT)
-    assert held.held
-    held.sweep(1.1 + hints.KEPT)
-    assert (held.all_entries, held.all_bytes, held.stale, held.returned("a")) == (0, 0, 1, [])
+    held.begin("a", 1.0)
+    held.add("x", 100)
+    held.sweep(1.0 + hints.HINT_LIFETIME_S)
+    assert held.by_machine
+    held.sweep(1.1 + hints.HINT_LIFETIME_S)
+    assert (held.total_entries, held.total_bytes, held.expired, held.take("a")) == (0, 0, 1, [])
 
 
 def test_what_came_since_its_last_sign_is_kept_too_and_a_new_life_asks_by_itself() -> None:
-    held = NewsHintStore(lambda line: None)
+    held = GossipHintStore(lambda line: None)
     entries = [("old", 3.0, 10), ("late", 9.7, 10), ("fresh", 10.5, 10)]
-    held.look(11.2, {"a": 10.0, "b": 10.1}, 4, entries)
-    held.changed("newest", 10)
-    assert held.returned("a", 5) == (["late", "fresh", "newest"], True)
-    assert held.returned("a", 5) == ([], False)
-    held.renewed("b")
+    held.update(11.2, {"a": 10.0, "b": 10.1}, 4, entries)
+    held.entry_changed("newest", 10)
+    assert held.take("a", 5) == (["late", "fresh", "newest"], True)
+    assert held.take("a", 5) == ([], False)
+    held.restarted("b")
     assert "b" not in held
 
 
@@ -131,17 +131,17 @@
 
 
 def test_a_control_node_that_returns_is_handed_the_word() -> None:
-    town = Town(8)
-    town.run(1.0)
-    town.split(["10.0.0.3"], ["10.0.0.1", "10.0.0.2"])
-    town.run(2.0)
-    taken = town.replace("10.0.0.1", 5, "five")
-    town.run(1.0)
+    cluster = ControlCluster(8)
+    cluster.run(1.0)
+    cluster.split(["10.0.0.3"], ["10.0.0.1", "10.0.0.2"])
+    cluster.run(2.0)
+    taken = cluster.replace("10.0.0.1", 5, "five")
+    cluster.run(1.0)
     assert taken.status == 200
-    held = [town.programs[ip].handing.tank for ip in ("10.0.0.1", "10.0.0.2")]
-    assert [tank.all_entries for tank in held] == [1, 1]
-    town.world.cuts = set()
-    town.run(1.5)
-    assert town.known("10.0.0.3").version == 5
-    assert [tank.handed for tank in held] == [1, 1]
-    assert [tank.all_entries for tank in held] == [0, 0]
+    held = [cluster.programs[ip].hinted_handoff.hints for ip in ("10.0.0.1", "10.0.0.2")]
+    assert [tank.total_entries for tank in held] == [1, 1]
+    cluster.network.cuts = set()
+    cluster.run(1.5)
+    assert cluster.known("10.0.0.3").version == 5
+    assert [tank.handed_over for tank in held] == [1, 1]
+    assert [tank.total_entries for tank in held] == [0, 0]
--- a/tests/lease/net.py
+++ b/tests/lease/cluster.py
@@ -1,4 +1,7 @@
-"""Machines that grant and want duties: clocks that run apart and are set, freezes, cuts, starts, rosters."""
+"""Machines that grant and want roles.
+
+Clocks that run apart and are set, freezes, cuts, starts, memberships.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,17 @@
 from functools import partial
 from typing import Any, cast
 
+from honeywharf import rpc_methods
 from honeywharf.lease.acquisition import LeaseAcquisition
-from honeywharf.lease.grants import Grantor
-from honeywharf.lease.lease import RATE
+from honeywharf.lease.grantor import MEMBER_REMOVAL, Grantor, Role
+from honeywharf.lease.lease import CLOCK_RATE_ERROR
 from honeywharf.transport.host import Address, Host
 
 Key = tuple[str, str]  # address, disk
 
 PORT = 7620
-ROSTER_EVERY = (3.0, 8.0)  # seconds between changes of the roster
-PAUSE = (0.002, 0.04)  # seconds until a machine that was refused, or had the duty, wants it again
+MEMBERSHIP_INTERVAL_S = (3.0, 8.0)  # seconds between changes of the membership
+PAUSE_S = (0.002, 0.04)  # seconds until a machine that was refused, or had the role, wants it again
 
 
 class Due:
@@ -31,12 +35,12 @@
 
 
 class Node:
-    """One machine: its grantor, and its acquisition while it wants the duty."""
+    """One machine: its grantor, and its acquisition while it wants the role."""
 
-    def __init__(self, net: Net, name: str) -> None:
-        self.net, self.name, self.key = net, name, (f"{name}:{PORT}", "disk")
-        self.rate = 1 + net.rng.choice((-RATE, RATE))
-        self.offset, self.step = net.rng.uniform(10.0, 900.0), 0.0
+    def __init__(self, cluster: Cluster, name: str) -> None:
+        self.cluster, self.name, self.key = cluster, name, (f"{name}:{PORT}", "disk")
+        self.rate = 1 + cluster.rng.choice((-CLOCK_RATE_ERROR, CLOCK_RATE_ERROR))
+        self.offset, self.step = cluster.rng.uniform(10.0, 900.0), 0.0
         self.epoch = self.accepted = 1
         self.life, self.frozen = 0, False
         self.late: list[Callable[[], None]] = []
@@ -47,19 +51,19 @@
         self.late = []
         self.acquisition: LeaseAcquisition | None = None
         self.grantor = Grantor(self.now(), lambda kind, scope: 1)
-        self.after(self.net.rng.uniform(0.0, 0.1), self.want)
+        self.after(self.cluster.rng.uniform(0.0, 0.1), self.want)
 
     # A host.
 
     def now(self) -> float:
-        return self.offset + self.rate * self.net.time
+        return self.offset + self.rate * self.cluster.time
 
     def wall(self) -> float:
-        return 1.7e9 + self.step + self.net.time
+        return 1.7e9 + self.step + self.cluster.time
 
     def after(self, seconds: float, call: Callable[[], None]) -> Due:
         due, life = Due(call), self.life
-        self.net.at(
+        self.cluster.at(
             seconds / self.rate, lambda: self.run(life, lambda: due.call() if due.call is not None else None)
         )
         return due
@@ -71,45 +75,45 @@
             else:
                 call()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         self.frozen = False
         late, self.late = self.late, []
-        self.net.rng.shuffle(late)
+        self.cluster.rng.shuffle(late)
         for call in late:
             call()
 
-    # The duty.
+    # As a holder.
 
     def want(self) -> None:
         self.acquisition = LeaseAcquisition(
             cast("Host", self),
             self.call,
-            self.roster,
+            self.membership,
             f"{self.name}/{self.life}",
-            [[("upkeep", "", 0)]],
-            self.over,
+            [[Role(MEMBER_REMOVAL, "", 0)]],
+            self.ended,
         )
-        self.acquisition.begin(self.told)
+        self.acquisition.begin(self.acquired)
 
-    def roster(self) -> tuple[int, Sequence[Key]]:
-        return self.epoch, self.net.rosters[self.epoch]
+    def membership(self) -> tuple[int, Sequence[Key]]:
+        return self.epoch, self.cluster.memberships[self.epoch]
 
-    def told(self, granted: bool) -> None:
+    def acquired(self, granted: bool) -> None:
         if granted:
             assert self.acquisition is not None
-            self.net.granted.append((self.net.time, self.name, self.acquisition.numbers()[0]))
-            self.after(self.net.rng.uniform(0.0, 4.0), partial(self.give_back, self.acquisition))
+            self.cluster.granted.append((self.cluster.time, self.name, self.acquisition.numbers()[0]))
+            self.after(self.cluster.rng.uniform(0.0, 4.0), partial(self.release, self.acquisition))
         else:
-            self.over()
+            self.ended()
 
-    def give_back(self, acquisition: LeaseAcquisition) -> None:
+    def release(self, acquisition: LeaseAcquisition) -> None:
         if self.acquisition is acquisition:
             acquisition.end()
-            self.over()
+            self.ended()
 
-    def over(self) -> None:
+    def ended(self) -> None:
         self.acquisition = None
-        self.after(self.net.rng.uniform(*PAUSE), self.want)
+        self.after(self.cluster.rng.uniform(*PAUSE_S), self.want)
 
     def call(self, to: Address, method: str, args: Any, within: float, done: Callable[[Any], None]) -> None:
         answered: list[bool] = []
@@ -121,28 +125,28 @@
                 done(answer)
 
         self.after(within, lambda: finish(None))
-        self.net.carry(
+        self.cluster.carry(
             self,
-            self.net.nodes[to[0]],
+            self.cluster.nodes[to[0]],
             lambda there: there.take(
-                method, args, lambda answer: self.net.carry(there, self, lambda here: finish(answer))
+                method, args, lambda answer: self.cluster.carry(there, self, lambda here: finish(answer))
             ),
         )
 
     def take(self, method: str, args: Any, reply: Callable[[Any], None]) -> None:
-        if method == "lease.ask":
-            kind, scope, place, holder, number, epoch, _ = args
-            self.grantor.roster(self.now(), self.epoch, self.accepted)
-            reply(self.grantor.ask(self.now(), (kind, scope, place), holder, number, epoch))
+        if method == rpc_methods.LEASE_REQUEST:
+            kind, scope, slot, holder, number, epoch, _ = args
+            self.grantor.adopt_epoch(self.now(), self.epoch, self.accepted)
+            reply(self.grantor.request(self.now(), Role(kind, scope, slot), holder, number, epoch))
         else:
-            self.grantor.free((args[0], args[1], args[2]), args[3], args[4])
+            self.grantor.release(Role(*args[:3]), args[3], args[4])
 
     def holds(self) -> bool:
         return not self.frozen and self.acquisition is not None and self.acquisition.holds()
 
 
-class Net:
-    """Five machines, three of them in the roster. `found` is what broke: when, and who held at once."""
+class Cluster:
+    """Five machines, three of them in the membership. `found` is what broke: when, and who held at once."""
 
     def __init__(self, seed: int, steps: bool = True) -> None:
         self.rng, self.time, self.order = random.Random(seed), 0.0, 0
@@ -154,9 +158,9 @@
         self.nodes: dict[str, Node] = {}
         for name in [f"10.0.0.{at}" for at in range(1, 6)]:
             self.nodes[name] = Node(self, name)
-        self.rosters: dict[int, list[Key]] = {1: [self.nodes[name].key for name in list(self.nodes)[:3]]}
-        self.at(2.0, self.trouble)
-        self.at(3.0, self.another_roster)
+        self.memberships: dict[int, list[Key]] = {1: [self.nodes[name].key for name in list(self.nodes)[:3]]}
+        self.at(2.0, self.inject_fault)
+        self.at(3.0, self.change_membership)
 
     def at(self, seconds: float, call: Callable[[], None]) -> None:
         self.order += 1
@@ -172,16 +176,16 @@
             lambda: other.run(life, lambda: do(other)) if (one.name, other.name) not in self.cuts else None,
         )
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """One machine stands still, is cut off, starts anew, or has its time of day set."""
-        self.at(self.rng.uniform(0.1, 0.9), self.trouble)
+        self.at(self.rng.uniform(0.1, 0.9), self.inject_fault)
         node = self.rng.choice(list(self.nodes.values()))
         kind = self.rng.choice(("freeze", "cut", "start", "wall"))
-        if self.rng.random() < 0.6:  # who has the duty
+        if self.rng.random() < 0.6:  # who had the role
             node = next((one for one in self.nodes.values() if one.holds()), node)
         if kind == "freeze" and not node.frozen:
             node.frozen = True
-            self.at(self.rng.uniform(0.05, 2.5), node.thaw)
+            self.at(self.rng.uniform(0.05, 2.5), node.resume)
         elif kind == "cut":
             pairs = {
                 (a, b)
@@ -197,15 +201,15 @@
         elif self.steps:
             node.step += self.rng.uniform(-500.0, 500.0)
 
-    def another_roster(self) -> None:
+    def change_membership(self) -> None:
         """A majority of the old roster accepts another one, which then is decided."""
-        self.at(self.rng.uniform(*ROSTER_EVERY), self.another_roster)
-        epoch = max(self.rosters)
-        old = self.rosters[epoch]
+        self.at(self.rng.uniform(*MEMBERSHIP_INTERVAL_S), self.change_membership)
+        epoch = max(self.memberships)
+        old = self.memberships[epoch]
         keys = [node.key for node in self.nodes.values()]
         fresh = [key for key in keys if key not in old]
         new = [*self.rng.sample(old, 2), self.rng.choice(fresh)]
-        self.rosters[epoch + 1] = new
+        self.memberships[epoch + 1] = new
         accepting = {*self.rng.sample(old, 2), *self.rng.sample(new, 2)}
         for node in self.nodes.values():
             if node.key in accepting:
@@ -219,8 +223,8 @@
         node.epoch = max(node.epoch, epoch)
         node.accepted = max(node.accepted, node.epoch)
 
-    def run(self, until: float) -> Net:
-        """Let time pass; after each step nobody may hold the duty beside another one."""
+    def run(self, until: float) -> Cluster:
+        """Let time pass; after each step nobody may hold the role beside another one."""
         while self.events and self.events[0][0] <= until and not self.found:
             self.time, _, call = heapq.heappop(self.events)
             call()
--- a/tests/lease/test_duties.py
+++ b/tests/lease/test_control_leases.py
@@ -1,4 +1,4 @@
-"""Leases in whole control nodes and sidecars: upkeep of the roster, and leave to stand aside."""
+"""Leases in whole control nodes and sidecars: removal of members, and quarantine."""
 
 from __future__ import annotations
 
@@ -6,61 +6,61 @@
 from typing import Any, cast
 
 from honeywharf.drift import states
-from honeywharf.lease.grants import TERMS
+from honeywharf.lease.grantor import MEMBER_REMOVAL, QUARANTINE, TERMS
 from honeywharf.simulation.slips import Trial
-from tests.control.town import Town
-
-
-def test_upkeep_of_the_roster_is_done_under_a_lease_and_given_back() -> None:
-    town = Town(4)
-    town.run(1.5)
-    town.world.machines["10.0.0.1"].off(power=True)
-    del town.world.machines["10.0.0.1"]
-    town.add("10.0.0.9")
-    town.run(4.0)
-    duties = [town.programs[ip].duties for ip in ("10.0.0.2", "10.0.0.3")]
-    assert town.programs["10.0.0.9"].replica.member()
-    assert sum(one.done["granted"] for one in duties) >= 1
-    assert [one.holds() for one in duties] == [False, False]
-    assert [one.grantor.view(town.world.time) for one in duties] == [[], []]
-
-
-def test_without_a_majority_no_upkeep_is_done_and_nobody_waits_for_it() -> None:
-    town = Town(5)
-    town.run(1.5)
+from tests.control.cluster import ControlCluster
+
+
+def test_members_are_removed_under_a_lease_that_is_released() -> None:
+    cluster = ControlCluster(4)
+    cluster.run(1.5)
+    cluster.network.machines["10.0.0.1"].off(power=True)
+    del cluster.network.machines["10.0.0.1"]
+    cluster.add("10.0.0.9")
+    cluster.run(4.0)
+    leases = [cluster.programs[ip].leases for ip in ("10.0.0.2", "10.0.0.3")]
+    assert cluster.programs["10.0.0.9"].replica.is_member()
+    assert sum(one.outcomes["granted"] for one in leases) >= 1
+    assert [one.holds() for one in leases] == [False, False]
+    assert [one.grantor.view(cluster.network.time) for one in leases] == [[], []]
+
+
+def test_without_a_majority_nobody_is_removed_and_nobody_waits_for_it() -> None:
+    cluster = ControlCluster(5)
+    cluster.run(1.5)
     for ip in ("10.0.0.1", "10.0.0.2"):
-        town.world.machines[ip].off(power=True)
-    town.add("10.0.0.9")
-    town.run(4.0)
-    duties = town.programs["10.0.0.3"].duties
-    assert duties.done["refused"] >= 1
-    assert duties.done["granted"] == 0
-    assert not duties.holds()
-    assert not town.programs["10.0.0.9"].replica.member()
-    town.world.machines["10.0.0.1"].on = False
-    town.start("10.0.0.1")
-    town.run(2.0 + TERMS["upkeep"])
-    taken = town.replace("10.0.0.3", 5, "five")
-    town.run(1.0)
+        cluster.network.machines[ip].off(power=True)
+    cluster.add("10.0.0.9")
+    cluster.run(4.0)
+    leases = cluster.programs["10.0.0.3"].leases
+    assert leases.outcomes["refused"] >= 1
+    assert leases.outcomes["granted"] == 0
+    assert not leases.holds()
+    assert not cluster.programs["10.0.0.9"].replica.is_member()
+    cluster.network.machines["10.0.0.1"].on = False
+    cluster.start("10.0.0.1")
+    cluster.run(2.0 + TERMS[MEMBER_REMOVAL])
+    taken = cluster.replace("10.0.0.3", 5, "five")
+    cluster.run(1.0)
     assert taken.status == 200
 
 
-def test_an_operator_reads_duties_of_a_control_node() -> None:
-    town = Town(6)
-    town.run(0.2)
-    program = town.programs["10.0.0.1"]
-    view = program.duties.view()
+def test_an_operator_reads_the_leases_of_a_control_node() -> None:
+    cluster = ControlCluster(6)
+    cluster.run(0.2)
+    program = cluster.programs["10.0.0.1"]
+    view = program.leases.view()
     assert view["waits"] == ["upkeep", "aside"]
     assert view["upkeep"] == {"granted": 0, "refused": 0, "lost": 0, "held": False}
     assert json.loads(json.dumps(view)) == view
-    town.run(TERMS["aside"])
-    assert program.duties.view()["waits"] == []
+    cluster.run(TERMS[QUARANTINE])
+    assert program.leases.view()["waits"] == []
 
 
 def test_calls_that_make_no_sense_are_no_votes() -> None:
-    town = Town(7)
-    town.run(1.5)
-    program = town.programs["10.0.0.1"]
+    cluster = ControlCluster(7)
+    cluster.run(1.5)
+    program = cluster.programs["10.0.0.1"]
     for args in (
         [1, "", 0, "a", 5, 1, "first"],
         ["upkeep", "", "0", "a", 5, 1, "first"],
@@ -130,7 +130,7 @@
     assert drift_monitor.leave.holds()
     for core in trial.field.cores:
         core.freeze()
-    trial.world.run(9.2 + TERMS["aside"] + 0.4)
+    trial.world.run(9.2 + TERMS[QUARANTINE] + 0.4)
     assert not drift_monitor.standing
     assert not drift_monitor.leave.holds()
     assert drift_monitor.state.aside, "it is doubted all the same"
--- a/tests/sidecar/test_mesh_state.py
+++ b/tests/sidecar/test_mesh_state.py
@@ -8,7 +8,7 @@
 
 from honeywharf.sidecar.mesh_state import Word
 from honeywharf.simulation.field import ROUTES
-from tests.control.world import World
+from tests.control.virtual_network import VirtualNetwork
 
 CORES = [("10.0.0.1", 7620), ("10.0.0.2", 7620)]
 HOST, PREFIX = ROUTES[0][:2]
@@ -47,7 +47,7 @@
 
     def __init__(self, answers: dict[str, Any]) -> None:
         self.answers, self.methods = answers, list[str]()
-        self.machine = World(1).machine("10.0.0.9")
+        self.machine = VirtualNetwork(1).machine("10.0.0.9")
 
     def call(self, to: object, method: str, args: object, within: float, done: Any) -> None:
         self.methods.append(method)
@@ -60,7 +60,7 @@
     asked.machine.start(lambda machine: None)
     word = Word(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
     word.start()
-    asked.machine.world.run(asked.machine.world.time + seconds)
+    asked.machine.network.run(asked.machine.network.time + seconds)
     return word, asked
 
 
@@ -86,7 +86,7 @@
     state.start()
     for _ in range(60):
         state.heard(4, CORES[0])
-        asked.machine.world.run(asked.machine.world.time + 1.0)
+        asked.machine.network.run(asked.machine.network.time + 1.0)
     assert not state.ready
     assert len(asked.methods) > 50
     assert set(asked.methods) == {"word.read"}
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -16,11 +16,11 @@
 from honeywharf.admission.cold import ColdBound
 from honeywharf.control import mesh_state
 from honeywharf.control.acceptor import Acceptor
-from honeywharf.control.messages import NO_BALLOT
-from honeywharf.control.operator import Operator
+from honeywharf.control.messages import NO_PROPOSAL
+from honeywharf.control.operator_api import OperatorApi
 from honeywharf.control.quorum import Quorums
 from honeywharf.control.quorum_client import QuorumClient
-from honeywharf.control.register import Asking, Phase, Round
+from honeywharf.control.register import AcceptedValue, Phase, QuorumOperation, QuorumWrite
 from honeywharf.control.store import Store
 from honeywharf.control.voter import Voter
 from honeywharf.gossip.table import News
@@ -100,7 +100,7 @@
             self.acceptor.state = state
             self.host.after(0.05, lambda: self.store.save(state))
 
-    put(Voter, "keep", keep)
+    put(Voter, "persist", keep)
 
 
 def text_before_sync(put: Put) -> None:
@@ -118,26 +118,26 @@
         was_keep(self, digest, packed)
 
     held: dict[tuple[int, str], bytes] = {}
-    was_keep, was_get = Store.keep, Store.get
-    put(Store, "keep", keep)
-    put(Store, "get", get)
+    was_keep, was_get = Store.put_text, Store.read_text
+    put(Store, "put_text", keep)
+    put(Store, "read_text", get)
 
 
 def majority_of_the_living(put: Put) -> None:
     """Who does not answer counts as having agreed."""
 
-    def lost(asking: Asking, now: float, key: Any) -> Any:
-        asking.lost(now, key)
-        if isinstance(asking, Round) and asking.phase is Phase.PREPARE:
-            asking.promises.setdefault(key, (NO_BALLOT, None))
-            return asking._cover()
-        if isinstance(asking, Round) and asking.phase is Phase.ACCEPT:
-            asking.accepts.add(key)
-            if asking.quorums.covered(asking.accepts):
-                asking._committed()
+    def lost(asking: QuorumOperation, now: float, key: Any) -> Any:
+        asking.message_lost(now, key)
+        if isinstance(asking, QuorumWrite) and asking.phase is Phase.PREPARE:
+            asking.promises.setdefault(key, AcceptedValue(NO_PROPOSAL, None))
+            return asking._propose_when_promised()
+        if isinstance(asking, QuorumWrite) and asking.phase is Phase.ACCEPT:
+            asking.accepted_by.add(key)
+            if asking.quorums.covered(asking.accepted_by):
+                asking._commit()
         return []
 
-    put(QuorumClient, "_lost", staticmethod(lost))
+    put(QuorumClient, "_message_lost", staticmethod(lost))
 
 
 def one_vote_is_enough(put: Put) -> None:
@@ -170,36 +170,36 @@
 def begins_from_own_word(put: Put) -> None:
     """A round takes its own acceptor's value, not the one accepted under the highest ballot."""
 
-    def cover(self: Round) -> Any:
-        mine = [told for key, told in self.promises.items() if key[0] == self.proposer[0]]
+    def cover(self: QuorumWrite) -> Any:
+        mine = [told for key, told in self.promises.items() if key.address == self.proposer.address]
         if mine and self.quorums.covered(self.promises):
             self.promises = dict.fromkeys(self.promises, mine[0])
         return was(self)
 
-    was = Round._cover
-    put(Round, "_cover", cover)
+    was = QuorumWrite._propose_when_promised
+    put(QuorumWrite, "_propose_when_promised", cover)
 
 
 # The operator's word.
 
 
 def ack_without_majority(put: Put) -> None:
-    def replaced(self: Operator, call: Any, result: Any, answer: Any) -> None:
-        self._answer(call, 200, b"{}")
+    def replaced(self: OperatorApi, call: Any, result: Any, answer: Any) -> None:
+        self.answer(call, 200, b"{}")
 
-    put(Operator, "_replaced", replaced)
+    put(OperatorApi, "_replaced", replaced)
 
 
 def version_by_arrival(put: Put) -> None:
     def replace(version: int, digest: str) -> Any:
         taken = mesh_state.Confirmation(mesh_state.Outcome.IN_FORCE, version, digest, digest)
-        return lambda state: (mesh_state.changed(state, version=version, digest=digest), taken)
+        return lambda state: (state.with_changes(version=version, digest=digest), taken)
 
-    put(mesh_state, "replace", replace)
+    put(mesh_state, "replace_configuration", replace)
 
 
 def invalid_is_taken(put: Put) -> None:
-    def load(self: Operator) -> None:
+    def load(self: OperatorApi) -> None:
         from honeywharf.mesh_config import configuration
 
         def lenient(raw: bytes) -> Any:
@@ -219,7 +219,7 @@
         was = configuration.check
         self.check = lenient
 
-    put(Operator, "load", load)
+    put(OperatorApi, "preload", load)
 
 
 def change_drops_evacuations(put: Put) -> None:
@@ -230,8 +230,8 @@
 
         return change
 
-    was = mesh_state.replace
-    put(mesh_state, "replace", replace)
+    was = mesh_state.replace_configuration
+    put(mesh_state, "replace_configuration", replace)
 
 
 def word_from_the_first(put: Put) -> None:
--- a/tests/simulation/test_operator_days.py
+++ b/tests/simulation/test_operator_days.py
@@ -29,7 +29,7 @@
 
 
 def test_a_control_plane_that_looks_at_versions_only_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = mesh_state.replace
+    right = mesh_state.replace_configuration
 
     def by_version(version: int, digest: str) -> Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
@@ -39,7 +39,7 @@
 
         return change
 
-    monkeypatch.setattr(mesh_state, "replace", by_version)
+    monkeypatch.setattr(mesh_state, "replace_configuration", by_version)
     report = run(1, RACE, after=4.0)
     assert [rule for rule, _, _ in report.broken] == ["CONFIG"]
     assert "two contents were acknowledged" in report.broken[0][2]
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -8,13 +8,13 @@
 from honeywharf.transport.frames import FrameReader, encode
 from honeywharf.transport.host import Address, Connection, Handler
 from honeywharf.transport.rpc import Answerer, Caller
-from tests.control.world import Machine, World
+from tests.control.virtual_network import Machine, VirtualNetwork
 
 AT = ("10.0.0.2", 7000)
 
 
-def pair(methods: dict[str, rpc.Method]) -> tuple[World, Machine, Machine, Caller, Answerer]:
-    world = World(3)
+def pair(methods: dict[str, rpc.Method]) -> tuple[VirtualNetwork, Machine, Machine, Caller, Answerer]:
+    world = VirtualNetwork(3)
     a, b = world.machine("10.0.0.1"), world.machine("10.0.0.2")
     a.start(lambda host: None)
     b.start(lambda host: None)
