--- a/bench/hinted_handoff.py
+++ b/bench/hinted_handoff.py
@@ -4,11 +4,12 @@
     python -m bench.hinted_handoff [--nodes 13,100,300] [--seeds 10] [--away 6] [--changes 8] [--loss 0.02]
         [--hows freeze,cut,restart]
 
-In virtual time, with the real classes on the simulated network of three zones of tests/gossip/net.py. While
-one node is away, `changes` others change what they say, one of them settles a word, and one ends. Printed:
-seconds from the return until the node holds the newest entry of every live node (median, most), until it has
-heard of the word, until all hold it alive; bytes that all nodes sent in the first 2 s after the return, above
-those of 2 s without a return; names handed over. Status 1 where a node does not know all within 20 s.
+In virtual time, with the real classes on the simulated network of three zones of tests/gossip/network.py.
+While one node is away, `changes` others change what they say, one of them settles a word, and one ends.
+Printed: seconds from the return until the node holds the newest entry of every live node (median, most),
+until it has heard of the word, until all hold it alive; bytes that all nodes sent in the first 2 s after
+the return, above those of 2 s without a return; names handed over. Status 1 where a node does not know all
+within 20 s.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from collections.abc import Callable
 
 from honeywharf.gossip.membership import Membership
-from tests.gossip.net import Net, knows, sample
+from tests.gossip.network import GossipNetwork, knows, sample
 
 HOWS = ("freeze", "cut", "restart")
 
@@ -60,74 +61,72 @@
 
 def measure(nodes: int, seed: int, how: str, keeps: bool, args: argparse.Namespace) -> dict[str, float]:
     """One return."""
-    net = Net(seed, nodes, args.loss)
-    net.start_all(0.5)
-    net.run(0.6)
-    net.run(30.0, net.all_know)
-    for membership in net.live():
-        membership.keeps = keeps
-    net.run(3.0)
-    gone = net.names[nodes // 2]
-    others = [name for name in net.names if name != gone]
-    back = leave(net, gone, how, others)
-    net.run(args.away / 2)
-    trouble(net, others, args.changes, seed)
-    net.run(args.away / 2)
-    quiet = sum(net.bytes.values())
-    net.run(2.0)
-    quiet = sum(net.bytes.values()) - quiet
-    begun, spent = net.now, sum(net.bytes.values())
+    network = GossipNetwork(seed, nodes, args.loss)
+    network.start_all(0.5)
+    network.run(0.6)
+    network.run(30.0, network.all_know)
+    for membership in network.live():
+        membership.keeps_hints = keeps
+    network.run(3.0)
+    gone = network.names[nodes // 2]
+    others = [name for name in network.names if name != gone]
+    back = leave(network, gone, how, others)
+    network.run(args.away / 2)
+    trouble(network, others, args.changes, seed)
+    network.run(args.away / 2)
+    quiet = sum(network.bytes.values())
+    network.run(2.0)
+    quiet = sum(network.bytes.values()) - quiet
+    begun, spent = network.now, sum(network.bytes.values())
     back()
     found = {"known": 20.0, "word": 20.0, "alive": 20.0}
     heard: list[float] = []
-    net.societies[gone].on_word = lambda revision, _: heard.append(net.now)
+    network.memberships[gone].on_newer_revision = lambda revision, _: heard.append(network.now)
 
     def look() -> bool:
-        membership = net.societies[gone]
-        truth = {one.news.me: one.news.table[one.news.me].version for one in net.live()}
+        membership = network.memberships[gone]
+        truth = {one.local_node: one.gossip.table.own.version for one in network.live()}
         if found["known"] == 20.0 and knows(membership, truth):
-            found["known"] = net.now - begun
-        if found["alive"] == 20.0 and all(one.alive(gone) for one in net.live()):
-            found["alive"] = net.now - begun
+            found["known"] = network.now - begun
+        if found["alive"] == 20.0 and all(one.is_alive(gone) for one in network.live()):
+            found["alive"] = network.now - begun
         return "bytes" in found and found["known"] < 20.0 and found["alive"] < 20.0 and bool(heard)
 
-    net.run(2.0, look)
-    found["bytes"] = sum(net.bytes.values()) - spent - quiet
-    net.run(18.0, look)
+    network.run(2.0, look)
+    found["bytes"] = sum(network.bytes.values()) - spent - quiet
+    network.run(18.0, look)
     found["word"] = heard[0] - begun if heard else 20.0
-    found["handed"] = sum(
-        one.hinted_handoff.hints.handed_over for one in net.live() if one.hinted_handoff is not None
-    )
+    found["handed"] = sum(one.hints.hints.handed_over for one in network.live() if one.hints is not None)
     return found
 
 
-def leave(net: Net, gone: str, how: str, others: list[str]) -> Callable[[], object]:
+def leave(network: GossipNetwork, gone: str, how: str, others: list[str]) -> Callable[[], object]:
     """Have a node go; what brings it back."""
     if how == "freeze":
-        net.machines[gone].frozen = True
-        return net.machines[gone].thaw
+        network.machines[gone].frozen = True
+        return network.machines[gone].resume
     if how == "cut":
-        net.cut([gone], others)
-        return net.cuts.clear
-    net.kill(gone)
-    return lambda: restart(net, gone)
+        network.cut([gone], others)
+        return network.cuts.clear
+    network.kill(gone)
+    return lambda: restart(network, gone)
 
 
-def restart(net: Net, gone: str) -> Membership:
+def restart(network: GossipNetwork, gone: str) -> Membership:
     """Start it anew, with a higher incarnation."""
-    return net.start(gone, 2, **sample(gone))
+    return network.start(gone, 2, **sample(gone))
 
 
-def trouble(net: Net, others: list[str], changes: int, seed: int) -> None:
+def trouble(network: GossipNetwork, others: list[str], changes: int, seed: int) -> None:
     """Others change, one settles a word, one ends."""
-    chosen = net.rng.sample(others, min(changes + 1, len(others)))
+    chosen = network.rng.sample(others, min(changes + 1, len(others)))
     for name in chosen[:-1]:
-        net.societies[name].tell(state="draining", turn=seed)
-    for membership in net.live():
-        if membership.news.me in others:
-            membership.tell(rev=7)  # as if each had taken it
-    net.societies[chosen[0]].shout_word(7)
-    net.kill(chosen[-1])
+        network.memberships[name].publish(state="draining", turn=seed)
+    for membership in network.live():
+        if membership.local_node in others:
+            membership.publish(rev=7)  # as if each had taken it
+    network.memberships[chosen[0]].broadcast_revision(7)
+    network.kill(chosen[-1])
 
 
 if __name__ == "__main__":
--- a/bench/mesh_membership.py
+++ b/bench/mesh_membership.py
@@ -2,11 +2,11 @@
 
     python -m bench.mesh_membership [--nodes 13,100,1000] [--span 6] [--seed 1]
 
-One network of three zones for each size, in virtual time with the real classes (`tests/gossip/net.py`), goes
-through the troubles below, one after another with a pause between. In each, a node ends after a third of the
-span. Printed: seconds until all others hold that node down; how many (observer, node) held a node down that
-ran; doubts that were raised against nodes that ran; bytes a second that a node sends within its zone and to
-others.
+One network of three zones for each size, in virtual time with the real classes (`tests/gossip/network.py`),
+goes through the troubles below, one after another with a pause between. In each, a node ends after a third
+of the span. Printed: seconds until all others hold that node down; how many (observer, node) held a node
+down that ran; doubts that were raised against nodes that ran; bytes a second that a node sends within its
+zone and to others.
 
     quiet       one datagram of a hundred is lost
     loss        one of five is lost
@@ -25,26 +25,26 @@
 import sys
 from collections.abc import Callable
 
-from honeywharf.failure_detector.watch import Watch
+from honeywharf.failure_detector.detector import FailureDetector
 from honeywharf.gossip.entry import node_of
-from tests.gossip.net import ZONES, Machine, Net
+from tests.gossip.network import ZONES, GossipNetwork, Machine
 
 PAUSE = 8.0  # seconds between troubles: what was doubted has time to be forgiven
 PERIOD, SHARE, CALL = 0.1, 0.43, 0.0014  # seconds, share of them, seconds that a call takes at that share
 FROZEN = 1.2  # seconds
 
 
-def slowed(net: Net, machine: Machine) -> Callable[[], None]:
+def slowed(network: GossipNetwork, machine: Machine) -> Callable[[], None]:
     """Let a machine run only in a part of each period, one call after another; gives what undoes it."""
     run, free = machine.run, 0.0
 
     def later(call: Callable[[], None]) -> None:
         nonlocal free
-        begin = max(net.now, free)
+        begin = max(network.now, free)
         if begin % PERIOD > PERIOD * SHARE:
             begin = (math.floor(begin / PERIOD) + 1) * PERIOD
         free = begin + CALL
-        net.at(free - net.now, lambda: run(call))
+        network.at(free - network.now, lambda: run(call))
 
     machine.run = later  # type: ignore[method-assign]
     return lambda: setattr(machine, "run", run)
@@ -58,15 +58,17 @@
 class Troubles:
     """What is done to a network; each method gives what ends it."""
 
-    def __init__(self, net: Net) -> None:
-        self.net = net
+    def __init__(self, network: GossipNetwork) -> None:
+        self.network = network
 
     def some(self, share: float) -> list[str]:
         """Live nodes, none of them a seed."""
         live = [
-            membership.news.me for membership in self.net.live() if membership.news.me not in self.net.seeds
+            membership.local_node
+            for membership in self.network.live()
+            if membership.local_node not in self.network.seeds
         ]
-        return self.net.rng.sample(live, max(1, round(share * len(live))))
+        return self.network.rng.sample(live, max(1, round(share * len(live))))
 
     def quiet(self) -> Callable[[], None]:
         """Nothing more."""
@@ -74,28 +76,30 @@
 
     def loss(self) -> Callable[[], None]:
         """Many datagrams are lost."""
-        self.net.loss = 0.2
-        return lambda: setattr(self.net, "loss", 0.01)
+        self.network.loss = 0.2
+        return lambda: setattr(self.network, "loss", 0.01)
 
     def freezes(self) -> Callable[[], None]:
         """Watchers stand still, by turns."""
         for turn in range(3):
             for node in self.some(1 / 30):
-                machine = self.net.machines[node]
-                self.net.at(1.3 * turn, lambda machine=machine: setattr(machine, "frozen", True))  # type: ignore[misc]
-                self.net.at(1.3 * turn + FROZEN, machine.thaw)
+                machine = self.network.machines[node]
+                self.network.at(1.3 * turn, lambda machine=machine: setattr(machine, "frozen", True))  # type: ignore[misc]
+                self.network.at(1.3 * turn + FROZEN, machine.resume)
         return lambda: None
 
     def one_way(self) -> Callable[[], None]:
         """Some are not heard elsewhere."""
         for node in self.some(0.1):
-            zone = self.net.rng.choice([zone for zone in ZONES if zone != zone_of(node)])
-            self.net.cut([node], [other for other in self.net.names if zone_of(other) == zone], both=False)
-        return self.net.cuts.clear
+            zone = self.network.rng.choice([zone for zone in ZONES if zone != zone_of(node)])
+            self.network.cut(
+                [node], [other for other in self.network.names if zone_of(other) == zone], both=False
+            )
+        return self.network.cuts.clear
 
     def slow(self) -> Callable[[], None]:
         """Some have little of a processor."""
-        undo = [slowed(self.net, self.net.machines[node]) for node in self.some(1 / 3)]
+        undo = [slowed(self.network, self.network.machines[node]) for node in self.some(1 / 3)]
 
         def over() -> None:
             for end in undo:
@@ -105,9 +109,9 @@
 
     def zone_cut(self) -> Callable[[], None]:
         """Two zones do not hear each other."""
-        names = {zone: [node for node in self.net.names if zone_of(node) == zone] for zone in ZONES}
-        self.net.cut(names[ZONES[0]], names[ZONES[1]])
-        return self.net.cuts.clear
+        names = {zone: [node for node in self.network.names if zone_of(node) == zone] for zone in ZONES}
+        self.network.cut(names[ZONES[0]], names[ZONES[1]])
+        return self.network.cuts.clear
 
 
 TROUBLES: tuple[tuple[str, Callable[[Troubles], Callable[[], None]]], ...] = (
@@ -123,13 +127,13 @@
 class Doubts:
     """Doubts of others that are raised, by doubter and node."""
 
-    def __init__(self, net: Net) -> None:
+    def __init__(self, network: GossipNetwork) -> None:
         self.raised: list[tuple[str, str]] = []
-        for membership in net.live():
-            self._heed(membership.news.me, membership.watch)
+        for membership in network.live():
+            self._heed(membership.local_node, membership.failure_detector)
 
-    def _heed(self, me: str, watch: Watch) -> None:
-        told = watch.tell
+    def _heed(self, me: str, watch: FailureDetector) -> None:
+        told = watch.on_suspicions
         before: set[str] = set()
 
         def tell(doubts: list[tuple[int, int, int]]) -> None:
@@ -140,31 +144,33 @@
             if told is not None:
                 told(doubts)
 
-        watch.tell = tell
+        watch.on_suspicions = tell
 
 
 def played(
-    net: Net, doubts: Doubts, trouble: Callable[[Troubles], Callable[[], None]], span: float
+    network: GossipNetwork, doubts: Doubts, trouble: Callable[[Troubles], Callable[[], None]], span: float
 ) -> dict[str, float]:
     """One trouble: what it showed."""
-    downs, raised, nodes = len(net.downs), len(doubts.raised), len(net.live())
-    net.bytes = dict.fromkeys(net.bytes, 0)
-    began = net.now
-    undo = trouble(Troubles(net))
-    net.run(span / 3)
-    ended = Troubles(net).some(0.0)[0]
-    while net.machines[ended].frozen:
-        ended = Troubles(net).some(0.0)[0]
-    net.kill(ended)
-    at = net.now
-    known = net.run(span * 2 / 3, lambda: all(not membership.alive(ended) for membership in net.live()))
-    took = net.now - at if known else float("inf")
-    net.run(max(0.0, began + span - net.now))
-    spent = {place: count / nodes / span for place, count in net.bytes.items()}
+    downs, raised, nodes = len(network.downs), len(doubts.raised), len(network.live())
+    network.bytes = dict.fromkeys(network.bytes, 0)
+    began = network.now
+    undo = trouble(Troubles(network))
+    network.run(span / 3)
+    ended = Troubles(network).some(0.0)[0]
+    while network.machines[ended].frozen:
+        ended = Troubles(network).some(0.0)[0]
+    network.kill(ended)
+    at = network.now
+    known = network.run(
+        span * 2 / 3, lambda: all(not membership.is_alive(ended) for membership in network.live())
+    )
+    took = network.now - at if known else float("inf")
+    network.run(max(0.0, began + span - network.now))
+    spent = {place: count / nodes / span for place, count in network.bytes.items()}
     undo()
     return {
         "an end is known to all, s": took,
-        "held down in vain": sum(node != ended for _, _, node in net.downs[downs:]),
+        "held down in vain": sum(node != ended for _, _, node in network.downs[downs:]),
         "doubts in vain": sum(node != ended for _, node in doubts.raised[raised:]),
         "bytes/s within": spent["within"],
         "bytes/s between": spent["between"],
@@ -173,15 +179,15 @@
 
 def measured(nodes: int, seed: int, span: float) -> dict[str, dict[str, float]]:
     """All troubles of one network."""
-    net = Net(seed, nodes, 0.01)
-    net.start_all(0.5)
-    net.run(0.6)
-    net.run(30.0, net.all_know)
-    net.run(3.0)
-    doubts, out = Doubts(net), {}
+    network = GossipNetwork(seed, nodes, 0.01)
+    network.start_all(0.5)
+    network.run(0.6)
+    network.run(30.0, network.all_know)
+    network.run(3.0)
+    doubts, out = Doubts(network), {}
     for name, trouble in TROUBLES:
-        out[name] = played(net, doubts, trouble, span)
-        net.run(PAUSE)
+        out[name] = played(network, doubts, trouble, span)
+        network.run(PAUSE)
     return out
 
 
--- a/bench/mesh_news.py
+++ b/bench/mesh_news.py
@@ -18,8 +18,8 @@
 import sys
 import tracemalloc
 
-from honeywharf.gossip.table import News
-from tests.gossip.net import Net, sample
+from honeywharf.gossip.gossip import Gossip
+from tests.gossip.network import GossipNetwork, sample
 
 
 def main() -> int:
@@ -48,68 +48,70 @@
 
 def measure(nodes: int, seed: int, loss: float) -> dict[str, float]:
     """One network through a start, idle time, a change, a word and an end."""
-    net = Net(seed, nodes, loss)
-    net.start_all(0.5)
-    net.run(0.5)
-    net.run(60.0, net.all_know)
-    out = {"all know all after the first start, s": net.now - 100.0, **spent(net, "start", nodes)}
-    net.run(3.0)
-    spent(net, "", nodes)
-    net.run(10.0)
-    out |= {f"idle, {name}/s": value / 10.0 for name, value in spent(net, "", nodes).items()}
-    out |= reach(net, "change", nodes)
-    out |= reach(net, "word", nodes)
-    vain = len(net.downs)
-    ended = net.names[nodes // 2]
-    began = net.now
-    net.kill(ended)
-    net.run(20.0, lambda: all(not membership.alive(ended) for membership in net.live()))
-    out["all hold an ended node down, s"] = net.now - began
-    out["held down in vain"] = vain + sum(node != ended for _, _, node in net.downs[vain:])
+    network = GossipNetwork(seed, nodes, loss)
+    network.start_all(0.5)
+    network.run(0.5)
+    network.run(60.0, network.all_know)
+    out = {"all know all after the first start, s": network.now - 100.0, **spent(network, "start", nodes)}
+    network.run(3.0)
+    spent(network, "", nodes)
+    network.run(10.0)
+    out |= {f"idle, {name}/s": value / 10.0 for name, value in spent(network, "", nodes).items()}
+    out |= reach(network, "change", nodes)
+    out |= reach(network, "word", nodes)
+    vain = len(network.downs)
+    ended = network.names[nodes // 2]
+    began = network.now
+    network.kill(ended)
+    network.run(20.0, lambda: all(not membership.is_alive(ended) for membership in network.live()))
+    out["all hold an ended node down, s"] = network.now - began
+    out["held down in vain"] = vain + sum(node != ended for _, _, node in network.downs[vain:])
     return out
 
 
-def spent(net: Net, name: str, nodes: int) -> dict[str, float]:
+def spent(network: GossipNetwork, name: str, nodes: int) -> dict[str, float]:
     """Bytes a node sent since the last call."""
-    out = {f"{name} {place} zones, bytes a node".strip(): count / nodes for place, count in net.bytes.items()}
-    net.bytes = dict.fromkeys(net.bytes, 0)
+    out = {
+        f"{name} {place} zones, bytes a node".strip(): count / nodes for place, count in network.bytes.items()
+    }
+    network.bytes = dict.fromkeys(network.bytes, 0)
     return out
 
 
-def reach(net: Net, what: str, nodes: int) -> dict[str, float]:
+def reach(network: GossipNetwork, what: str, nodes: int) -> dict[str, float]:
     """Let one node change or shout, and see when the others hear of it."""
-    began, heard, first = net.now, dict[str, float](), net.names[nodes // 3]
-    for membership in net.live():
-        listen(net, membership.news.me, what, first, heard)
-    spent(net, "", nodes)
+    began, heard, first = network.now, dict[str, float](), network.names[nodes // 3]
+    for membership in network.live():
+        listen(network, membership.local_node, what, first, heard)
+    spent(network, "", nodes)
     if what == "word":
-        net.societies[first].shout_word(7)
+        network.memberships[first].broadcast_revision(7)
     else:
-        net.societies[first].tell(state="draining")
-    net.run(20.0, lambda: len(heard) >= nodes - 1)
+        network.memberships[first].publish(state="draining")
+    network.run(20.0, lambda: len(heard) >= nodes - 1)
     times = [at - began for at in heard.values()]
     return {
         f"{what}, median, s": statistics.median(times),
         f"{what}, most, s": max(times) if len(times) == nodes - 1 else float("inf"),
-        **spent(net, what, nodes),
+        **spent(network, what, nodes),
     }
 
 
-def listen(net: Net, name: str, what: str, first: str, heard: dict[str, float]) -> None:
+def listen(network: GossipNetwork, name: str, what: str, first: str, heard: dict[str, float]) -> None:
     """Note when a node hears of the change or the word, and let it take the word."""
-    membership = net.societies[name]
+    membership = network.memberships[name]
 
     def changed(node: str, *_: object) -> None:
         if what == "change" and node == first:
-            heard.setdefault(name, net.now)
+            heard.setdefault(name, network.now)
 
     def word(revision: int, _: str) -> None:
         if what == "word":
-            heard.setdefault(name, net.now)
-            membership.tell(rev=revision)
+            heard.setdefault(name, network.now)
+            membership.publish(rev=revision)
 
     membership.on_change = changed
-    membership.on_word = word
+    membership.on_newer_revision = word
 
 
 def memory() -> float:
@@ -117,9 +119,9 @@
     told: list[bytes] = []
     for at in range(1000):
         name = f"10.1.{at >> 8}.{at & 255}"
-        other = News(name, "east", NoChance(), sample(name), 1, ["10.9.0.1"])
+        other = Gossip(name, "east", NoChance(), sample(name), 1, ["10.9.0.1"])
         told.append(next(data for _, data in other.tick(0.0) if data[:1] == b"h"))
-    table = News("10.9.0.1", "east", NoChance(), {}, 1)
+    table = Gossip("10.9.0.1", "east", NoChance(), {}, 1)
     tracemalloc.start()
     for data in told:
         table.received(0.0, "10.9.0.1", b"r" + data[1:])
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -90,7 +90,7 @@
 
     def held_down(self) -> int:
         """Nodes that this one holds unreachable."""
-        return 0 if self.program is None else len(self.program.membership.watch.down)
+        return 0 if self.program is None else len(self.program.membership.failure_detector.down)
 
     def known(self) -> int:
         """Entries of its table."""
--- a/honeywharf/drift/gather.py
+++ b/honeywharf/drift/gather.py
@@ -142,7 +142,7 @@
             else [
                 node
                 for node, entry in self.program.membership.entries().items()
-                if entry.say is not None and entry.say.get("s")
+                if entry.attributes is not None and entry.attributes.get("s")
             ]
         )
         _Collecting(self, call, nodes[:MAX_NODES]).go_on()
--- a/honeywharf/drift/requests.py
+++ b/honeywharf/drift/requests.py
@@ -135,7 +135,7 @@
         Who stands aside accuses nobody, and what two say of a rule counts only until a third one runs by it.
         """
         now, entry = self.host.now(), self.sidecar.membership.entries().get(key)
-        if entry is not None and entry.say is not None and entry.say.get("q"):
+        if entry is not None and entry.attributes is not None and entry.attributes.get("q"):
             return
         self.accused = {gate: (held, at) for gate, (held, at) in self.accused.items() if now - at < ACCUSED_S}
         self.accused[key] = rule, now
--- a/honeywharf/drift/scan.py
+++ b/honeywharf/drift/scan.py
@@ -99,7 +99,7 @@
 
 def _as_told(sidecar: Sidecar, node: str, entry: Entry | None) -> bool:
     source = sidecar.source
-    found, say = source.list.get(node), entry.say if entry is not None else None
+    found, say = source.list.get(node), entry.attributes if entry is not None else None
     if entry is None or say is None or not say.get("s"):
         return found is None
     if found is None or (found.service, found.instance, found.state, found.zone) != (
@@ -113,6 +113,6 @@
     usable = (
         found.state == READY
         and entry.zone not in sidecar.word.evacuated
-        and node not in sidecar.membership.watch.down
+        and node not in sidecar.membership.failure_detector.down
     )
     return target is not None and target.zone == entry.zone and target.usable == usable
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -179,7 +179,7 @@
 
     def _may_stand(self, granted: bool) -> None:
         if granted and self.state.aside:
-            self.sidecar.membership.tell(q=1)
+            self.sidecar.membership.publish(q=1)
             return
         if not granted:
             self.grudged, self.grudged_at = self.grudged + 1, self.host.now()
@@ -189,7 +189,7 @@
         """Healed, without leave, or it has ended: refuse request by request at most."""
         self.standing = False
         self.leave.end()
-        self.sidecar.membership.tell(q=0)
+        self.sidecar.membership.publish(q=0)
 
     def _refuses(self) -> bool:
         """Whether it may refuse now: a process that stood still finds that its leave has ended."""
@@ -200,7 +200,7 @@
         zones = [
             entry.zone
             for node, entry in self.sidecar.membership.entries().items()
-            if node != self.sidecar.settings.ip and entry.say is not None and entry.say.get("s")
+            if node != self.sidecar.settings.ip and entry.attributes is not None and entry.attributes.get("s")
         ]
         return len(zones) + 1, zones.count(self.sidecar.settings.zone) + 1
 
@@ -208,11 +208,12 @@
         entries = [
             entry
             for node, entry in self.sidecar.membership.entries().items()
-            if node != self.sidecar.settings.ip and entry.say is not None and entry.say.get("s")
+            if node != self.sidecar.settings.ip and entry.attributes is not None and entry.attributes.get("s")
         ]
         zone = [entry for entry in entries if entry.zone == self.sidecar.settings.zone]
         aside, aside_all = (
-            sum(bool(entry.say and entry.say.get("q")) for entry in some) for some in (zone, entries)
+            sum(bool(entry.attributes and entry.attributes.get("q")) for entry in some)
+            for some in (zone, entries)
         )
         return states.room(aside, len(zone) + 1, aside_all, len(entries) + 1)
 
@@ -240,13 +241,15 @@
     def _relist(self) -> None:
         sidecar = self.sidecar
         entries = sidecar.membership.entries()
-        sidecar.source.doubted = {node for node in entries if node in sidecar.membership.watch.down}
+        sidecar.source.doubted = {
+            node for node in entries if node in sidecar.membership.failure_detector.down
+        }
         for node in list(sidecar.source.list):
             if node != sidecar.settings.ip:
                 sidecar.source.told(node, None, "")
         for node, entry in entries.items():
             if node != sidecar.settings.ip:
-                sidecar.source.told(node, entry.say, entry.zone)
+                sidecar.source.told(node, entry.attributes, entry.zone)
 
     def renew(self) -> None:
         """Ask a control node's majority for the word."""
--- a/honeywharf/failure_detector/__init__.py
+++ b/honeywharf/failure_detector/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: a ring of watchers, beats to them, doubts that two must share. Rules without I/O."""
+"""Which nodes are down: heartbeats to a few watchers on rings, suspicions, and the verdict when two agree."""
--- a/honeywharf/gossip/__init__.py
+++ b/honeywharf/gossip/__init__.py
@@ -1,1 +1,7 @@
-"""News: what each node says of itself, told to all by rumours and mended by digests. Rules without I/O."""
+"""Gossip: what each node tells of itself, spread by rumours and repaired by anti-entropy. Rules without I/O.
+
+`entry` is what one node tells, and its form in datagrams; `table` keeps the newest entry of each node;
+`peers` chooses whom to send to; `dissemination` spreads what is new; `anti_entropy` finds and repairs what
+rumours missed; `gossip` joins these for one node; `membership` runs it on a host beside the failure
+detector.
+"""
--- a/honeywharf/gossip/entry.py
+++ b/honeywharf/gossip/entry.py
@@ -1,4 +1,8 @@
-"""What one node says of itself, and how that is written in datagrams of at most 1,400 bytes."""
+"""What one node tells of itself, and how that is written in datagrams of at most 1,400 bytes.
+
+A datagram is one byte for its kind, then a body in msgpack or in fixed records. Kinds and bodies are on the
+wire between builds and never change.
+"""
 
 from __future__ import annotations
 
@@ -7,60 +11,71 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-TYPE_CHECKING = False
+TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from typing import Any, TypeGuard
 
-SIZE = 1400  # bytes in a datagram, at most
-ENTRY_SIZE = 1200  # bytes that one entry may take
-NUMBERS = 1 << 62  # incarnations, numbers and revisions lie below
+MAX_DATAGRAM = 1400  # bytes
+MAX_ENTRY = 1200  # bytes that one entry may take
+MAX_NUMBER = 1 << 62  # incarnations, sequence numbers and revisions lie below
+KEY_SIZE = 4  # bytes
+BUCKETS = 256
 
 RUMOUR = b"r"  # array of entries
 HELLO = b"h"  # array of one entry, the sender's
-SUMMARY = b"s"  # [revision, sum of all stamps]
+SUMMARY = b"s"  # [revision, checksum of the table]
 DIGEST = b"d"  # [revision, buckets or nil for all, (key, stamp) of 8 bytes each]
-SUMS = b"b"  # [revision, 4 bytes a bucket]
-ASK = b"a"  # keys of 4 bytes each
-WORD = b"w"  # [revision, key of the holder]
+BUCKET_SUMS = b"b"  # [revision, 4 bytes a bucket]
+ENTRY_REQUEST = b"a"  # keys of 4 bytes each
+REVISION_RUMOUR = b"w"  # [revision, key of a node that holds it]
 
-_pair = struct.Struct(">II")
+ARRAY_HEADER = b"\xdc"  # msgpack's array of 16-bit length
+ARRAY_HEADER_SIZE = 4  # bytes, the datagram's kind included
+_stamp_record = struct.Struct(">II")
 
 
 class Entry:
-    """What one node said last. `say` is None once it has left (a tombstone)."""
+    """What one node told last. `attributes` is None once it has left (a tombstone).
+
+    `key`: its IPv4 address as a number; the entry with the higher (`incarnation`, `sequence`) is the newer
+    one.
+    """
 
-    __slots__ = ("gone_at", "hidden", "incarnation", "key", "number", "received_at", "say", "stamp", "zone")
+    __slots__ = (
+        "attributes", "gone_at", "incarnation", "is_hidden", "key", "received_at", "sequence", "stamp",
+        "zone",
+    )  # fmt: skip
 
     def __init__(
-        self, key: int, incarnation: int, number: int, zone: str, say: dict[str, Any] | None
+        self, key: int, incarnation: int, sequence: int, zone: str, attributes: dict[str, Any] | None
     ) -> None:
         self.key = key
         self.incarnation = incarnation
-        self.number = number
+        self.sequence = sequence
         self.zone = zone
-        self.say = say
+        self.attributes = attributes
         self.received_at = 0.0  # seconds, steady clock
         self.gone_at: float | None = None  # since when it has left or is held down
-        self.hidden = False  # gone for so long that it is no more offered
-        self.stamp = mixed(b"%d %d %d" % (key, incarnation, number))
+        self.is_hidden = False  # gone for so long that it is no more offered
+        self.stamp = hash32(b"%d %d %d" % (key, incarnation, sequence))
 
     @property
     def version(self) -> tuple[int, int, bool]:
         """The higher one is the newer one; of equals, the tombstone."""
-        return self.incarnation, self.number, self.say is None
+        return self.incarnation, self.sequence, self.attributes is None
 
-    def pack(self, hop: int) -> bytes:
-        """As one element of a datagram. `hop`: times that it was passed on."""
-        whole = (self.key, self.incarnation, self.number, self.zone, self.say, hop)
-        packed: bytes = msgpack.packb(whole)
+    def pack(self, hops: int) -> bytes:
+        """As one element of a datagram. `hops`: times that it was passed on."""
+        fields = (self.key, self.incarnation, self.sequence, self.zone, self.attributes, hops)
+        packed: bytes = msgpack.packb(fields)
         return packed
 
 
-def mixed(data: bytes) -> int:
+def hash32(data: bytes) -> int:
     """A hash below 2**32. Not a bare checksum: that is linear, and like changes of two nodes would cancel."""
     value = crc32(data)
-    for factor in (0x85EBCA6B, 0xC2B2AE35):
+    for factor in (0x85EBCA6B, 0xC2B2AE35):  # the finalizer of MurmurHash3
         value = (value ^ value >> 15) * factor & 0xFFFFFFFF
     return value ^ value >> 16
 
@@ -73,7 +88,7 @@
         if not part.isdecimal() or int(part) > 255:
             raise ValueError(f"not an IPv4 address: {node!r}")
         key = key << 8 | int(part)
-    if len(parts) != 4:
+    if len(parts) != KEY_SIZE:
         raise ValueError(f"not an IPv4 address: {node!r}")
     return key
 
@@ -88,59 +103,64 @@
     return (key * 0x9E3779B1 & 0xFFFFFFFF) >> 24
 
 
-def datagrams(kind: bytes, packed: Iterable[bytes], most: int) -> list[bytes]:
-    """Arrays of packed elements, each in one datagram; what does not fit `most` of them is left out."""
-    out: list[bytes] = []
-    held: list[bytes] = []
-    size = 4
-    for element in packed:
-        if size + len(element) > SIZE:
-            out.append(_array(kind, held))
-            if len(out) == most:
-                return out
-            held, size = [], 4
-        held.append(element)
+def pack_datagrams(kind: bytes, elements: Iterable[bytes], limit: int) -> list[bytes]:
+    """Arrays of packed elements, each in one datagram; what does not fit `limit` of them is left out."""
+    datagrams: list[bytes] = []
+    pending: list[bytes] = []
+    size = ARRAY_HEADER_SIZE
+    for element in elements:
+        if size + len(element) > MAX_DATAGRAM:
+            datagrams.append(_pack_array(kind, pending))
+            if len(datagrams) == limit:
+                return datagrams
+            pending, size = [], ARRAY_HEADER_SIZE
+        pending.append(element)
         size += len(element)
-    if held:
-        out.append(_array(kind, held))
-    return out
+    if pending:
+        datagrams.append(_pack_array(kind, pending))
+    return datagrams
 
 
-def _array(kind: bytes, elements: list[bytes]) -> bytes:
-    return kind + b"\xdc" + len(elements).to_bytes(2, "big") + b"".join(elements)
+def _pack_array(kind: bytes, elements: list[bytes]) -> bytes:
+    return kind + ARRAY_HEADER + len(elements).to_bytes(2, "big") + b"".join(elements)
 
 
-def pairs_of(entries: Iterable[Entry]) -> bytes:
+def pack_stamps(entries: Iterable[Entry]) -> bytes:
     """(key, stamp) of each entry, 8 bytes each."""
-    return b"".join([_pair.pack(entry.key, entry.stamp) for entry in entries])
+    return b"".join([_stamp_record.pack(entry.key, entry.stamp) for entry in entries])
 
 
-def pairs(data: bytes) -> dict[int, int]:
+def unpack_stamps(data: bytes) -> dict[int, int]:
     """Stamps by key. ValueError where the size is wrong."""
-    if len(data) % 8:
+    if len(data) % _stamp_record.size:
         raise ValueError("not pairs")
-    return dict(_pair.iter_unpack(data))
+    return dict(_stamp_record.iter_unpack(data))
+
+
+def pack_keys(keys: Iterable[int]) -> bytes:
+    """Keys of 4 bytes each."""
+    return b"".join([key.to_bytes(KEY_SIZE, "big") for key in keys])
 
 
-def keys_of(data: bytes) -> list[int]:
-    """Keys of 4 bytes each. ValueError where the size is wrong."""
-    if len(data) % 4:
+def unpack_keys(data: bytes) -> list[int]:
+    """Keys, or sums, of 4 bytes each. ValueError where the size is wrong."""
+    if len(data) % KEY_SIZE:
         raise ValueError("not keys")
-    return [int.from_bytes(data[at : at + 4], "big") for at in range(0, len(data), 4)]
+    return [int.from_bytes(data[at : at + KEY_SIZE], "big") for at in range(0, len(data), KEY_SIZE)]
 
 
-def number_in(value: object) -> TypeGuard[int]:
-    """Whether it is a whole number that may stand for an incarnation, a number or a revision."""
-    return type(value) is int and 0 <= value < NUMBERS
+def is_number(value: object) -> TypeGuard[int]:
+    """Whether it is a whole number that may be an incarnation, a sequence number or a revision."""
+    return type(value) is int and 0 <= value < MAX_NUMBER
 
 
-def element(value: object) -> tuple[Entry, int]:
+def unpack_entry(value: object) -> tuple[Entry, int]:
     """An entry and its hops from one element of an array. ValueError where it is none."""
     if not isinstance(value, list) or len(value) != 6:
         raise ValueError("not an entry")
-    key, incarnation, number, zone, say, hop = value
-    if not (number_in(key) and number_in(incarnation) and number_in(number) and number_in(hop)):
+    key, incarnation, sequence, zone, attributes, hops = value
+    if not (is_number(key) and is_number(incarnation) and is_number(sequence) and is_number(hops)):
         raise ValueError("not numbers")
-    if key >> 32 or not isinstance(zone, str) or not (say is None or isinstance(say, dict)):
+    if key >> 32 or not isinstance(zone, str) or not (attributes is None or isinstance(attributes, dict)):
         raise ValueError("not an entry")
-    return Entry(key, incarnation, number, zone, say), hop
+    return Entry(key, incarnation, sequence, zone, attributes), hops
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -100,7 +100,7 @@
             {"core": True, "disk": self.replica.state.disk, "rev": revision},
             int(host.wall() * 1000),
         )
-        membership.on_word = self._newer_revision
+        membership.on_newer_revision = self._newer_revision
         return membership
 
     def _state_changed(self, state: MeshState) -> None:
@@ -109,7 +109,7 @@
         self.gather.word(state)
         self.hinted_handoff.state_changed(state)
         if self.membership is not None:
-            self.membership.shout_word(state.revision)
+            self.membership.broadcast_revision(state.revision)
 
     def _newer_revision(self, revision: int, node: str) -> None:
         """Gossip tells of a node that holds a newer revision."""
@@ -123,7 +123,7 @@
         return [
             (node, self.local_address[1])
             for node, entry in self.membership.entries().items()
-            if node != self.local_address[0] and entry.say is not None and entry.say.get("core")
+            if node != self.local_address[0] and entry.attributes is not None and entry.attributes.get("core")
         ]
 
     def stop(self) -> None:
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -54,7 +54,7 @@
         if membership is None:
             return []
         entries = membership.entries().values()
-        return [entry.zone for entry in entries if entry.say is not None and entry.say.get("s")]
+        return [entry.zone for entry in entries if entry.attributes is not None and entry.attributes.get("s")]
 
     def _answer_request(self, args: Any, reply: Reply, peer: Address) -> None:
         kind, scope, slot, holder, number, epoch, disk = args
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -11,7 +11,7 @@
 from honeywharf.drift.judge import host_of
 from honeywharf.drift.requests import DriftMonitor
 from honeywharf.drift.watch import is_named
-from honeywharf.gossip.membership import Draws, Membership
+from honeywharf.gossip.membership import Membership, XorShift
 from honeywharf.programs.start import load_settings
 from honeywharf.sidecar.backend import Taps
 from honeywharf.sidecar.beats import Beats
@@ -68,7 +68,7 @@
         self.membership = Membership(
             host, settings.ip, port, settings.zone, seeds, say, int(host.wall() * 1000.0)
         )
-        draw = Draws(host.random(8)).random
+        draw = XorShift(host.random(8)).random
         self.source = Source(host, settings, self.word, self.inbound, draw)
         self.source.proxies, self.source.helper = self._proxies, self.helper
         if settings.gateways:
@@ -76,7 +76,7 @@
 
             self.source.abroad = joined(host, settings, self.inbound.begin, draw)
         self.membership.on_change = self._news
-        self.membership.on_word = self._word_news
+        self.membership.on_newer_revision = self._word_news
         self.membership.on_down = lambda node: self.source.doubt(node, True)
         self.membership.on_up = lambda node: self.source.doubt(node, False)
         self.probe = Probe(host, application, self.gate, self._gate_changed)
@@ -117,14 +117,16 @@
         known = [
             (node, port)
             for node, entry in self.membership.entries().items()
-            if entry.say is not None and entry.say.get("core") and self.membership.alive(node)
+            if entry.attributes is not None
+            and entry.attributes.get("core")
+            and self.membership.is_alive(node)
         ]
         near = [a for a in known if self.membership.entries()[a[0]].zone == self.settings.zone]
         return near + [a for a in known if a not in near] or [(seed[0], port) for seed in self.settings.seeds]
 
     def _news(self, node: str, entry: Entry | None, old: Entry | None) -> None:
         if node != self.settings.ip:
-            say = None if entry is None else entry.say
+            say = None if entry is None else entry.attributes
             self.source.told(node, say, entry.zone if entry is not None else "")
 
     def _word_news(self, revision: int, holder: str) -> None:
@@ -133,7 +135,7 @@
     def _word_changed(self) -> None:
         self.apply()
         self._gate_changed()
-        self.membership.shout_word(self.word.revision)
+        self.membership.broadcast_revision(self.word.revision)
         self.drift_monitor.word_changed()
 
     def apply(self) -> None:
@@ -167,7 +169,7 @@
             self.said = gate.state
             self.host.log(f"backend {gate.instance or '-'} is {STATES[gate.state]}")
         self.source.told(self.settings.ip, say, self.settings.zone)
-        self.membership.tell(**say)
+        self.membership.publish(**say)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
         reader.most = MAX_FRAME
@@ -185,13 +187,13 @@
         """A sidecar of this region that is well, of this zone where there is one; None without one."""
         settings, near, far = self.settings, [], []
         for node, entry in self.membership.entries().items():
-            say = entry.say
+            say = entry.attributes
             if (
                 say is None
                 or not say.get("s")
                 or say.get("q")
                 or say.get("st") == DRAINING
-                or (node == settings.ip or node in passed or not self.membership.alive(node))
+                or (node == settings.ip or node in passed or not self.membership.is_alive(node))
             ):
                 continue
             if entry.zone == settings.zone:
--- a/tests/compatibility/golden_messages.py
+++ b/tests/compatibility/golden_messages.py
@@ -17,7 +17,7 @@
 from honeywharf.control.messages import DecidedMembership, Heartbeat, ProposalNumber
 from honeywharf.control.store import decode_register, encode_register
 from honeywharf.control.version_history import MAX_VERSIONS, VersionHistory
-from honeywharf.failure_detector.watch import Watch
+from honeywharf.failure_detector.detector import FailureDetector
 from honeywharf.gossip import entry as gossip_entry
 from honeywharf.gossip.entry import Entry
 from honeywharf.handover import frames as handover_frames
@@ -100,9 +100,9 @@
 
 def failure_detector_heartbeat() -> bytes:
     """A heartbeat of a node that holds a revision."""
-    watch = Watch("10.0.0.1", "a", {})
-    watch.revision = 70000
-    return watch.beat()
+    detector = FailureDetector("10.0.0.1", "a", {})
+    detector.revision = 70000
+    return detector.heartbeat()
 
 
 def backup() -> bytes:
@@ -132,19 +132,20 @@
 
 def _rewrite_entries(data: bytes) -> bytes:
     kind, body = data[:1], data[1:]
-    entries = [gossip_entry.element(value) for value in msgpack.unpackb(body)]
-    (datagram,) = gossip_entry.datagrams(kind, [entry.pack(hop) for entry, hop in entries], 1)
+    entries = [gossip_entry.unpack_entry(value) for value in msgpack.unpackb(body)]
+    (datagram,) = gossip_entry.pack_datagrams(kind, [entry.pack(hops) for entry, hops in entries], 1)
     return datagram
 
 
 def _entries_datagram(kind: bytes) -> bytes:
-    (datagram,) = gossip_entry.datagrams(kind, [node_entry().pack(0), tombstone().pack(2)], 1)
+    (datagram,) = gossip_entry.pack_datagrams(kind, [node_entry().pack(0), tombstone().pack(2)], 1)
     return datagram
 
 
 def _pairs_rewritten(data: bytes) -> bytes:
     return b"".join(
-        key.to_bytes(4, "big") + stamp.to_bytes(4, "big") for key, stamp in gossip_entry.pairs(data).items()
+        key.to_bytes(4, "big") + stamp.to_bytes(4, "big")
+        for key, stamp in gossip_entry.unpack_stamps(data).items()
     )
 
 
@@ -174,7 +175,7 @@
     "gossip rumour": Golden(lambda: _entries_datagram(gossip_entry.RUMOUR), _rewrite_entries),
     "gossip hello": Golden(lambda: _entries_datagram(gossip_entry.HELLO), _rewrite_entries),
     "gossip digest pairs": Golden(
-        lambda: gossip_entry.pairs_of([node_entry(), tombstone()]), _pairs_rewritten
+        lambda: gossip_entry.pack_stamps([node_entry(), tombstone()]), _pairs_rewritten
     ),
     "failure detector heartbeat": Golden(failure_detector_heartbeat, lambda data: data),
     "stream open": Golden(
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -41,7 +41,7 @@
     trial.world.run(8.0)
     sidecar = cast(Any, trial.field.sides[0].proxy.program)
     gates, rule = [side.ip for side in trial.field.sides[1:4]], b"12345678"
-    trial.field.sides[1].proxy.program.membership.tell(q=1)  # type: ignore[attr-defined]
+    trial.field.sides[1].proxy.program.membership.publish(q=1)  # type: ignore[attr-defined]
     trial.world.run(9.0)
     for gate in gates[:2]:
         sidecar.drift_monitor._accuse(gate, rule)
--- a/tests/failure_detector/test_ring.py
+++ b/tests/failure_detector/test_ring.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from honeywharf.failure_detector.ring import FAR, NEAR, Ring, Rings
+from honeywharf.failure_detector.ring import FAR_WATCHERS, NEAR_WATCHERS, Ring, Rings
 
 SIZES = [(1, 1), (1, 2), (1, 9), (2, 3), (2, 20), (3, 4), (3, 100), (5, 60)]
 
@@ -44,8 +44,8 @@
         rings.add(f"10.{at % 3}.0.{at}", f"z{at % 3}")
     for at in range(30):
         near, far = rings.watchers(f"10.{at % 3}.0.{at}", f"z{at % 3}")
-        assert len(near) == NEAR
-        assert len({by.split(".")[1] for by in far}) == FAR
+        assert len(near) == NEAR_WATCHERS
+        assert len({by.split(".")[1] for by in far}) == FAR_WATCHERS
 
 
 def test_the_work_is_spread() -> None:
@@ -54,7 +54,7 @@
     for node, zone in nodes:
         rings.add(node, zone)
     loads = [sum(map(len, rings.watched(node, zone))) for node, zone in nodes]
-    assert sum(loads) == 90 * (NEAR + FAR)
+    assert sum(loads) == 90 * (NEAR_WATCHERS + FAR_WATCHERS)
     assert max(loads) <= 20
 
 
--- a/tests/gossip/net.py
+++ b/tests/gossip/network.py
@@ -1,4 +1,4 @@
-"""A simulated network of societies: one heap of events, datagrams with delay and loss, cuts and freezes."""
+"""A simulated network of memberships: one heap of events, datagrams with delay and loss, cuts and freezes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from honeywharf.gossip.entry import Entry
 from honeywharf.gossip.membership import Membership
-from honeywharf.gossip.table import BURIED, KEPT
+from honeywharf.gossip.table import DROPPED_S, KEPT_S
 from honeywharf.transport.host import Address, Host
 
 PORT = 7620
@@ -31,19 +31,19 @@
 class Machine:
     """What `Membership` uses of a host."""
 
-    def __init__(self, net: Net, ip: str, zone: str) -> None:
-        self.net, self.ip, self.zone = net, ip, zone
+    def __init__(self, network: GossipNetwork, ip: str, zone: str) -> None:
+        self.network, self.ip, self.zone = network, ip, zone
         self.frozen = False
         self.off = False
         self.late: list[Callable[[], None]] = []
         self.take: Callable[[Address, bytes], None] | None = None
 
     def now(self) -> float:
-        return self.net.now
+        return self.network.now
 
     def after(self, seconds: float, call: Callable[[], None]) -> Due:
         due = Due(call)
-        self.net.at(seconds, lambda: self.run(lambda: due.call() if due.call else None))
+        self.network.at(seconds, lambda: self.run(lambda: due.call() if due.call else None))
         return due
 
     def run(self, call: Callable[[], None]) -> None:
@@ -54,27 +54,27 @@
         else:
             call()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         self.frozen = False
         late, self.late = self.late, []
         for call in late:
-            self.net.at(0.0, lambda call=call: self.run(call))  # type: ignore[misc]
+            self.network.at(0.0, lambda call=call: self.run(call))  # type: ignore[misc]
 
     def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         self.take = received
 
     def send_datagram(self, to: Address, data: bytes) -> None:
         assert len(data) <= 1400
-        self.net.carry(self, to[0], data)
+        self.network.carry(self, to[0], data)
 
     def random(self, size: int) -> bytes:
-        return self.net.rng.randbytes(size)
+        return self.network.rng.randbytes(size)
 
     def log(self, line: str) -> None:
-        self.net.lines.append(f"{self.ip} {line}")
+        self.network.lines.append(f"{self.ip} {line}")
 
 
-class Net:
+class GossipNetwork:
     """`nodes` machines, of which the first three are seeds, one in each zone."""
 
     def __init__(self, seed: int, nodes: int, loss: float = 0.05) -> None:
@@ -88,7 +88,7 @@
         self.sent = 0
         self.lines: list[str] = []
         self.machines: dict[str, Machine] = {}
-        self.societies: dict[str, Membership] = {}
+        self.memberships: dict[str, Membership] = {}
         self.seen: dict[tuple[str, str], tuple[tuple[int, int, bool], float]] = {}
         self.downs: list[tuple[float, str, str]] = []
         self.names = [f"10.{at % 3 + 1}.{at // 250}.{at % 250 + 1}" for at in range(nodes)]
@@ -125,7 +125,7 @@
         )
         membership.on_change = lambda node, entry, old: self.check(name, node, entry, old)
         membership.on_down = lambda node: self.downs.append((self.now, name, node))
-        self.societies[name] = membership
+        self.memberships[name] = membership
         return membership
 
     def start_all(self, spread: float = 0.5) -> None:
@@ -140,7 +140,7 @@
         if entry is None:
             return
         seen, at = self.seen.get((name, node), ((-1, -1, False), 0.0))
-        if old or self.now - at < KEPT + BURIED:  # then the dropped one is forgotten
+        if old or self.now - at < KEPT_S + DROPPED_S:  # then the dropped one is forgotten
             assert entry.version > seen, f"{name} took over {entry.version} of {node} after {seen}"
         self.seen[name, node] = entry.version, self.now
 
@@ -162,31 +162,28 @@
         self.cuts |= {*pairs, *((b, a) for a, b in pairs if both)}
 
     def live(self) -> list[Membership]:
-        return [self.societies[name] for name, machine in self.machines.items() if not machine.off]
+        return [self.memberships[name] for name, machine in self.machines.items() if not machine.off]
 
     def kill(self, name: str) -> None:
         self.machines[name].off = True
 
     def all_know(self) -> bool:
         """Whether every live node knows every live node under its present number, and holds it alive."""
-        truth = {
-            membership.news.me: membership.news.table[membership.news.me].version
-            for membership in self.live()
-        }
+        truth = {membership.local_node: membership.gossip.table.own.version for membership in self.live()}
         return all(knows(membership, truth) for membership in self.live())
 
 
-def settled(nodes: int, seed: int = 1, loss: float = 0.05) -> Net:
+def settled(nodes: int, seed: int = 1, loss: float = 0.05) -> GossipNetwork:
     """A network whose nodes have all come to know one another."""
-    net = Net(seed, nodes, loss)
-    net.start_all()
-    net.run(0.6)
-    assert net.run(10.0, net.all_know)
-    return net
+    network = GossipNetwork(seed, nodes, loss)
+    network.start_all()
+    network.run(0.6)
+    assert network.run(10.0, network.all_know)
+    return network
 
 
 def knows(membership: Membership, truth: dict[str, tuple[int, int, bool]]) -> bool:
-    table = membership.news.table
+    table = membership.gossip.table.entries
     return all(node in table and table[node].version == version for node, version in truth.items())
 
 
@@ -194,3 +191,8 @@
     """What a sidecar would say."""
     backend = {"service": "huvo11a", "id": f"i-{name}", "state": "ready", "slots": 12}
     return {"kind": "sidecar", "port": 8300, **backend}
+
+
+def attribute(membership: Membership, node: str, name: str) -> Any:
+    """What a node tells under a name, as another node knows it; None for nothing."""
+    return (membership.entries()[node].attributes or {}).get(name)
--- a/tests/hinted_handoff/test_hints.py
+++ b/tests/hinted_handoff/test_hints.py
@@ -6,7 +6,7 @@
 from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
 from honeywharf.hinted_handoff.hints import HintStore
 from tests.control.cluster import ControlCluster
-from tests.gossip.net import Net, knows, settled
+from tests.gossip.network import GossipNetwork, knows, settled
 
 
 def test_the_newest_of_each_thing_is_handed_over_once() -> None:
@@ -80,27 +80,28 @@
 
 def returned(keeps: bool, seed: int) -> float:
     """Seconds until a node whose datagrams were cut off knows all again."""
-    net = settled(13, seed, loss=0.0)
-    for membership in net.live():
-        membership.keeps = keeps
-    net.run(2.0)
-    gone = net.names[6]
-    others = [name for name in net.names if name != gone]
-    net.cut([gone], others)
-    net.run(4.0)
+    network = settled(13, seed, loss=0.0)
+    for membership in network.live():
+        membership.keeps_hints = keeps
+    network.run(2.0)
+    gone = network.names[6]
+    others = [name for name in network.names if name != gone]
+    network.cut([gone], others)
+    network.run(4.0)
     for name in others[:6]:
-        net.societies[name].tell(state="draining")
-    net.run(3.0)
-    back = net.now
-    net.cuts.clear()
+        network.memberships[name].publish(state="draining")
+    network.run(3.0)
+    back = network.now
+    network.cuts.clear()
 
     def all_known() -> bool:
         return knows(
-            net.societies[gone], {one.news.me: one.news.table[one.news.me].version for one in net.live()}
+            network.memberships[gone],
+            {one.local_node: one.gossip.table.own.version for one in network.live()},
         )
 
-    assert net.run(10.0, all_known)
-    return net.now - back
+    assert network.run(10.0, all_known)
+    return network.now - back
 
 
 def test_a_node_that_returns_is_told_before_a_digest_finds_what_it_lacks() -> None:
@@ -110,24 +111,26 @@
 
 
 def test_only_the_first_watchers_hand_over() -> None:
-    net = settled(13, loss=0.0)
-    net.run(2.0)
-    gone = net.names[6]
-    net.cut([gone], [name for name in net.names if name != gone])
-    net.run(4.0)
-    keepers = [one for one in net.live() if one.hinted_handoff is not None and gone in one.hinted_handoff]
+    network = settled(13, loss=0.0)
+    network.run(2.0)
+    gone = network.names[6]
+    network.cut([gone], [name for name in network.names if name != gone])
+    network.run(4.0)
+    keepers = [one for one in network.live() if one.hints is not None and gone in one.hints]
     assert 3 <= len(keepers) <= 4
-    assert sum(one.watch.first(gone, net.machines[gone].zone) for one in keepers) == 2
-    net.cuts.clear()
-    net.run(2.0)
-    assert not any(gone in one.hinted_handoff for one in keepers if one.hinted_handoff is not None)
+    assert (
+        sum(one.failure_detector.is_first_watcher(gone, network.machines[gone].zone) for one in keepers) == 2
+    )
+    network.cuts.clear()
+    network.run(2.0)
+    assert not any(gone in one.hints for one in keepers if one.hints is not None)
 
 
 def test_nobody_has_a_hinted_handoff_while_nobody_was_missed() -> None:
-    net = Net(1, 9, 0.0)
-    net.start_all()
-    net.run(8.0)
-    assert all(one.hinted_handoff is None for one in net.live())
+    network = GossipNetwork(1, 9, 0.0)
+    network.start_all()
+    network.run(8.0)
+    assert all(one.hints is None for one in network.live())
 
 
 def test_a_control_node_that_returns_is_handed_the_word() -> None:
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -23,7 +23,9 @@
 from honeywharf.control.register import AcceptedValue, Phase, QuorumOperation, QuorumWrite
 from honeywharf.control.store import Store
 from honeywharf.control.voter import Voter
-from honeywharf.gossip.table import News
+from honeywharf.gossip.anti_entropy import AntiEntropy
+from honeywharf.gossip.dissemination import RevisionRumours
+from honeywharf.gossip.gossip import Gossip
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sidecar.backend import Tap
 from honeywharf.sidecar.course import Course
@@ -528,9 +530,9 @@
 
 def digest_never_sent(put: Put) -> None:
     """Nor any head that tells of a revision, nor rumours of the word."""
-    put(News, "_summary", lambda self: b"")
-    put(News, "holds", lambda self, sender, revision: None)
-    put(News, "_pass_word", lambda self, now, word: [])
+    put(AntiEntropy, "summary", lambda self: b"")
+    put(Gossip, "note_revision", lambda self, sender, revision: None)
+    put(RevisionRumours, "pass_on", lambda self, now, rumour: [])
 
 
 def slots_never_given_back(put: Put) -> None:
