--- a/bench/scale/shared_readings.py
+++ b/bench/scale/shared_readings.py
@@ -15,7 +15,7 @@
 
 from honeywharf.drift import requests
 from honeywharf.drift.second import Told
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar import mesh_state
 
 READINGS = 4  # of the latest texts that are kept
@@ -28,5 +28,5 @@
 
 def share() -> None:
     """From now on all nodes of this process share their readings."""
-    cast(Any, mesh_state).Table = once(Table)
+    cast(Any, mesh_state).Table = once(RoutingTable)
     cast(Any, requests).Told = once(Told)
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -21,7 +21,7 @@
 from honeywharf.cli.ending import DONE, NO, UNKNOWN, WrongError
 from honeywharf.mesh_config import changes, configuration, settings
 from honeywharf.mesh_config.quantities import address
-from honeywharf.mesh_config.routes import Route, Table
+from honeywharf.mesh_config.routes import Route, RoutingTable
 
 REDIRECTS = 2  # as many as the callers of the mesh follow
 MAX_ANSWER = 64 << 20  # bytes of an answer that are read
@@ -34,6 +34,15 @@
 Within = Annotated[float, cappa.Arg(long=True, help="Seconds to wait for each answer.")]
 
 
+#: How settings are printed where scripts of operators may know them by other names than the attributes have.
+SHOWN_SETTINGS = {
+    "internal_ports": "ports",
+    "listen_addresses": "listen",
+    "max_file_descriptors": "fds",
+}
+NOT_SHOWN_AS_SETTINGS = ("bounds", "unknown_bounds", "file")
+
+
 @cappa.command(name="check", help="Tell every fault of a configuration, one a line.")
 @dataclass
 class Check:
@@ -82,7 +91,7 @@
         if _checked(self.file):
             return UNKNOWN
         path = self.path.partition("?")[0].encode()
-        found = Table(_read(self.file)).find(self.host.encode(), path)
+        found = RoutingTable(_read(self.file)).find(self.host.encode(), path)
         if found is None:
             print("no route: such a request is answered 404")
             return NO
@@ -103,7 +112,7 @@
         """Exit status, as diff(1)."""
         if _checked(self.before) or _checked(self.after):
             return UNKNOWN
-        lines = list(changes.changes(Table(_read(self.before)), Table(_read(self.after))))
+        lines = list(changes.changes(RoutingTable(_read(self.before)), RoutingTable(_read(self.after))))
         for line in lines:
             print(line)
         return NO if lines else DONE
@@ -280,25 +289,26 @@
 def _checked(file: str) -> int:
     """Print every fault of a configuration; NO where there are any."""
     status = DONE
-    for fault in configuration.faults(_read(file)):
+    for fault in configuration.errors(_read(file)):
         print(f"{file}: {fault}")
         status = NO
     return status
 
 
 def _summary(text: bytes) -> str:
-    table = Table(text)
+    table = RoutingTable(text)
     return (
-        f"r{table.version}, {table.routes} routes, {len(table.services)} services,"
+        f"r{table.version}, {table.route_count} routes, {len(table.services)} services,"
         f" digest {configuration.digest(text)}"
     )
 
 
 def _settings_lines(found: settings.Settings) -> Iterator[str]:
-    for name in found.__slots__:
-        value = getattr(found, name)
-        if name in ("bounds", "unread", "file"):
+    for attribute in found.__slots__:
+        value = getattr(found, attribute)
+        if attribute in NOT_SHOWN_AS_SETTINGS:
             continue
+        name = SHOWN_SETTINGS.get(attribute, attribute)
         if isinstance(value, dict):
             for key, each in value.items():
                 yield f"{name}.{key}: {_plain(each)}"
@@ -306,7 +316,7 @@
             yield f"{name}: {_plain(value)}"
     for name, number in found.bounds.items():
         yield f"bound {name}: {number:g}"
-    for line in found.unread:
+    for line in found.unknown_bounds:
         yield f"bound not understood: {line}"
 
 
@@ -319,10 +329,10 @@
 
 
 def _route_lines(route: Route) -> Iterator[str]:
-    yield f"{changes.place(route)}: {route.name}"
-    yield f"to: {changes.shares(route)}"
+    yield f"{changes.format_route(route)}: {route.name}"
+    yield f"to: {changes.format_split(route)}"
     for name, told in changes.ROUTE_FIELDS[1:]:
-        yield f"{told}: {changes.value(name, getattr(route, name))}"
+        yield f"{told}: {changes.format_value(name, getattr(route, name))}"
 
 
 def _order(at: str, zone: str, order: str, within: float) -> int:
--- a/honeywharf/drift/digests.py
+++ b/honeywharf/drift/digests.py
@@ -90,7 +90,9 @@
 
 def of_service(it: Service) -> bytes:
     """A live service's digest."""
-    return service(it.name, it.health, it.most_connections, it.cold_start_s, it.cold_per_s)
+    return service(
+        it.name, it.health_check_path, it.max_connections, it.slow_start_s, it.slow_start_requests_per_s
+    )
 
 
 def of_limits(it: Limits) -> bytes:
@@ -113,11 +115,11 @@
             it.prefix,
             it.kind,
             it.timeout_s,
-            it.aim_s,
+            it.latency_target_s,
             it.priority,
-            it.attempts,
+            it.max_attempts,
             it.split,
-            it.homes,
+            it.allowed_regions,
         )
         found = self.held.get(key)
         if found is None:
--- a/honeywharf/drift/history.py
+++ b/honeywharf/drift/history.py
@@ -16,7 +16,7 @@
 import msgpack  # type: ignore[import-untyped]
 
 from honeywharf.mesh_config import changes
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -122,7 +122,7 @@
 
         `text`: gives the compressed text of a digest from elsewhere on this disk, or None.
         """
-        tables = [Table(self._text(version, text)) for version in (before, after)]
+        tables = [RoutingTable(self._text(version, text)) for version in (before, after)]
         lines = [str(line) for line in changes.changes(*tables)]
         many = len(lines)
         return lines[:MAX_LINES] + ([f"and {many - MAX_LINES} more"] if many > MAX_LINES else [])
--- a/honeywharf/drift/judge.py
+++ b/honeywharf/drift/judge.py
@@ -23,7 +23,7 @@
 
 def number(route: Route) -> int:
     """A route's kind as it travels."""
-    return 0 if route.repeatable else 2 if route.upload else 1
+    return 0 if route.is_idempotent else 2 if route.is_upload else 1
 
 
 def judge(told: tuple[int, bytes, int, str], revision: int, route: Route | None, rule: bytes) -> int:
--- a/honeywharf/drift/requests.py
+++ b/honeywharf/drift/requests.py
@@ -55,7 +55,7 @@
         if self.scanning and word.table is not None and word.table.version != word.version:
             self.slip("scan", f"r{word.table.version} decides, stored is r{word.version}")
             route = word.find(host, path)
-        strict = route is None or not route.repeatable
+        strict = route is None or not route.is_idempotent
         if (
             self.reading
             and told is not None
@@ -67,7 +67,7 @@
             route = self.word.find(host, path)
             if not self._agree(host, path, route):
                 return route, self._refuse()
-        if self.standing and route is not None and not route.repeatable and self._refuses():
+        if self.standing and route is not None and not route.is_idempotent and self._refuses():
             return route, self._refuse()
         return route, 0.0
 
@@ -109,7 +109,8 @@
             self._begin()
             rule = self.rules.of(course.route)
             self._fetch(
-                (key, self.sidecar.settings.ports[0]), lambda value: self._compared(key, by, rule, value)
+                (key, self.sidecar.settings.internal_ports[0]),
+                lambda value: self._compared(key, by, rule, value),
             )
 
     def _compared(self, key: str, by: int, rule: bytes, value: Any) -> None:
@@ -167,7 +168,7 @@
         ask, now = job.ask, self.host.now()
         host, path = judge.host_of(ask.fields), ask.target.partition(b"?")[0]
         route = self.word.find(host, path)
-        strict = ask.kind != 0 or (route is not None and not route.repeatable)
+        strict = ask.kind != 0 or (route is not None and not route.is_idempotent)
         if strict and self.standing and self._refuses():
             return self._refuse_job(job, self.state.again_s())
         if strict and self.judging and not asked and now - self.ticked > GAP_S:
@@ -186,7 +187,7 @@
         if verdict == judge.RUN:
             return True
         if verdict == judge.ASK and not asked:
-            return self._hold(job, (ask.peer, self.sidecar.settings.ports[0]))
+            return self._hold(job, (ask.peer, self.sidecar.settings.internal_ports[0]))
         return self._refuse_job(job, 0.0 if verdict != judge.ASK else 0.05)
 
     def still(self, job: Job) -> bool:
--- a/honeywharf/drift/scan.py
+++ b/honeywharf/drift/scan.py
@@ -16,14 +16,16 @@
 
     from honeywharf.drift.second import Told
     from honeywharf.gossip.entry import Entry
-    from honeywharf.mesh_config.routes import Route, Table
+    from honeywharf.mesh_config.routes import Route, RoutingTable
     from honeywharf.programs.sidecar import Sidecar
 
 READ_ONLY = "read_only"
 READY = 1  # a gate's state, as news tell it
 
 
-def _route(table: Table, told: Told, rules: digests.Rules, place: tuple[bytes, bytes], route: Route) -> str:
+def _route(
+    table: RoutingTable, told: Told, rules: digests.Rules, place: tuple[bytes, bytes], route: Route
+) -> str:
     host, prefix = place
     if not told.holds(host, prefix, rules.of(route)):
         return f"route {host.decode()}{prefix.decode()} is not the one told"
@@ -34,7 +36,7 @@
     return ""
 
 
-def routes(table: Table, told: Told, rules: digests.Rules) -> Iterator[str]:
+def routes(table: RoutingTable, told: Told, rules: digests.Rules) -> Iterator[str]:
     """A fault or "" for each route, then for the table as a whole. RuntimeError: it changed meanwhile."""
     many = 0
     for host, of in table._hosts.items():
@@ -51,7 +53,7 @@
     yield "" if table.version == told.version else f"r{table.version} in force, told r{told.version}"
 
 
-def tree(table: Table, rules: digests.Rules, evacuated: set[str]) -> dict[str, bytes]:
+def tree(table: RoutingTable, rules: digests.Rules, evacuated: set[str]) -> dict[str, bytes]:
     """The branches of what is alive, for whoever asks."""
     branches = {
         digests.ROUTES + host.decode(): digests.branch(map(rules.of, of.routes.values()))
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -16,7 +16,7 @@
 from honeywharf import rpc_methods
 from honeywharf.drift import digests, scan, states
 from honeywharf.drift.second import Told
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 
 try:
     from _sha256 import sha256  # type: ignore[import-not-found]  # without OpenSSL, which is 2 MB
@@ -67,11 +67,11 @@
         now = self.host.now()
         self.state = states.State(now)
         self.rules = digests.Rules()
-        self.build = Table  # what reads a told text for those who decide
+        self.build = RoutingTable  # what reads a told text for those who decide
         self.told: Told | None = None
         self.told_digest = ""
         self.parts: Any = None
-        self.parts_of: Table | None = None
+        self.parts_of: RoutingTable | None = None
         self.bounds: tuple[object, ...] = ()  # at the backend, as the word in force gave them
         self.looked = now - LOOK_S
         self.relapses = 0
--- a/honeywharf/mesh_config/__init__.py
+++ b/honeywharf/mesh_config/__init__.py
@@ -1,1 +1,1 @@
-"""What the mesh is told, checked before anything acts on it: settings files, configurations, route tables."""
+"""Settings files, configurations and routing tables, checked before anything acts on them."""
--- a/honeywharf/mesh_config/changes.py
+++ b/honeywharf/mesh_config/changes.py
@@ -1,26 +1,26 @@
-"""What one configuration changes of another, line by line, for who reviews it before it is sent."""
+"""The differences between two configurations, a line each, for who reviews one before it is sent."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from honeywharf.mesh_config.routes import Route, Service, Table
+from honeywharf.mesh_config.routes import Route, RoutingTable, Service
 
 #: What is compared, as the configuration calls it.
 ROUTE_FIELDS = (
     ("name", "name"),
     ("kind", "route-kind"),
     ("timeout_s", "timeout"),
-    ("aim_s", "target-latency"),
+    ("latency_target_s", "target-latency"),
     ("priority", "priority"),
-    ("attempts", "max-attempts"),
-    ("homes", "allowed-regions"),
+    ("max_attempts", "max-attempts"),
+    ("allowed_regions", "allowed-regions"),
 )
 SERVICE_FIELDS = (
-    ("health", "health-check-path"),
-    ("most_connections", "max-connections"),
-    ("cold_start_s", "cold-start"),
-    ("cold_per_s", "cold-per-s"),
+    ("health_check_path", "health-check-path"),
+    ("max_connections", "max-connections"),
+    ("slow_start_s", "cold-start"),
+    ("slow_start_requests_per_s", "cold-per-s"),
 )
 LIMIT_FIELDS = (
     ("max_header_bytes", "max-header-bytes"),
@@ -30,25 +30,25 @@
 )
 
 
-def changes(before: Table, after: Table) -> Iterator[str]:
+def changes(before: RoutingTable, after: RoutingTable) -> Iterator[str]:
     """Each change as one line: the version, limits, services by name, then routes by host and prefix."""
     if before.version != after.version:
         yield f"version: r{before.version} -> r{after.version}"
     yield from _fields("limits", before.limits, after.limits, LIMIT_FIELDS)
     for name in sorted({*before.services, *after.services}):
         yield from _service(name, before.services.get(name), after.services.get(name))
-    old = {(route.host, route.prefix): route for route in before.all()}
-    new = {(route.host, route.prefix): route for route in after.all()}
+    old = {(route.host, route.prefix): route for route in before.all_routes()}
+    new = {(route.host, route.prefix): route for route in after.all_routes()}
     for key in sorted({*old, *new}):
         yield from _route(old.get(key), new.get(key))
 
 
-def place(route: Route) -> str:
-    """Where a route stands: host and prefix."""
+def format_route(route: Route) -> str:
+    """A route's host and prefix."""
     return (route.host + route.prefix).decode("utf-8", "backslashreplace")
 
 
-def shares(route: Route) -> str:
+def format_split(route: Route) -> str:
     """Which services a route goes to, with the percentage of each where there are several."""
     total = sum(weight for _, weight in route.split)
     if len(route.split) == 1:
@@ -56,10 +56,11 @@
     return ", ".join(f"{name} {100 * weight / total:.4g}%" for name, weight in route.split)
 
 
-def value(name: str, found: object) -> str:
-    """A field's value with its unit; names of times end in `_s`."""
+def format_value(name: str, found: object) -> str:
+    """A field's value with its unit; names of times end in `_s`, of rates in `_per_s`."""
     if isinstance(found, float):
-        return f"{found:g}s" if name.endswith("_s") and name != "cold_per_s" else f"{found:g}"
+        is_time = name.endswith("_s") and not name.endswith("_per_s")
+        return f"{found:g}s" if is_time else f"{found:g}"
     return str(found)
 
 
@@ -70,10 +71,10 @@
     names: tuple[tuple[str, str], ...],
 ) -> Iterator[str]:
     parts = []
-    for name, told in names:
+    for name, setting in names:
         old, new = getattr(before, name), getattr(after, name)
         if old != new:
-            parts.append(f"{told} {value(name, old)} -> {value(name, new)}")
+            parts.append(f"{setting} {format_value(name, old)} -> {format_value(name, new)}")
     if parts:
         yield f"{what}: {'; '.join(parts)}"
 
@@ -90,8 +91,8 @@
         one = after if before is None else before
         if one is not None:
             done = "added" if before is None else "removed"
-            yield f"{place(one)}: {done}, {one.kind}, to {shares(one)}"
+            yield f"{format_route(one)}: {done}, {one.kind}, to {format_split(one)}"
         return
     if sorted(before.split) != sorted(after.split):
-        yield f"{place(after)}: to {shares(before)} -> {shares(after)}"
-    yield from _fields(place(after), before, after, ROUTE_FIELDS)
+        yield f"{format_route(after)}: to {format_split(before)} -> {format_split(after)}"
+    yield from _fields(format_route(after), before, after, ROUTE_FIELDS)
--- a/honeywharf/mesh_config/routes.py
+++ b/honeywharf/mesh_config/routes.py
@@ -1,11 +1,11 @@
-"""Which service a request is for: a table built from a checked configuration, kept by every sidecar.
-
-Theory of operation. By host, then by prefix: one dictionary of prefixes for each host. A path is looked up by
-its longest beginning that ends with a slash and is no longer than the host's longest prefix, then by the next
-shorter, and so on: the cost is the number of slashes there, whatever the number of routes. Prefixes begin and
-end with a slash, so nothing else can match. What many routes share (names, times, splits) is held once, and
-each route's JSON is dropped as soon as it is read: a table takes some 260 bytes a route, and 460 beside the
-text while it is built (1,000 routes).
+"""Which service a request is for: a routing table built from a checked configuration, kept by every sidecar.
+
+Theory of operation. By host, then by prefix: one dictionary of prefixes for each host. A path is looked up
+by its longest beginning that ends with a slash and is no longer than the host's longest prefix, then by the
+next shorter, and so on: the cost is the number of slashes there, whatever the number of routes. Prefixes
+begin and end with a slash, so nothing else can match. Values that many routes share (names, times, splits)
+are interned, and each route's JSON is dropped as soon as it is read: a table takes some 260 bytes a route,
+and 460 beside the text while it is built (1,000 routes).
 """
 
 from __future__ import annotations
@@ -19,28 +19,32 @@
 MUTATING = "mutating"
 UPLOAD = "upload"
 
-#: What stands in for a field that a configuration leaves out.
-HEALTH = "/health"
-MAX_CONNECTIONS = 100
-MAX_HEADER_BYTES = 16384
-MAX_BODY_BYTES = 64 << 20
-HEADER_TIMEOUT_S = 3.0
-IDLE_TIMEOUT_S = 15.0
+#: Of fields that a configuration leaves out. Source: PROTOCOL, "Configurations".
+DEFAULT_HEALTH_CHECK_PATH = "/health"
+DEFAULT_MAX_CONNECTIONS = 100
+DEFAULT_MAX_HEADER_BYTES = 16384
+DEFAULT_MAX_BODY_BYTES = 64 << 20
+DEFAULT_HEADER_TIMEOUT_S = 3.0
+DEFAULT_IDLE_TIMEOUT_S = 15.0
 SLASH = b"/"
 
 
 class Service:
-    """One service: where its health is asked for, what its backends bear."""
+    """One service: its health check, and what its backends can take.
 
-    __slots__ = ("cold_per_s", "cold_start_s", "health", "most_connections", "name")
+    `slow_start_s`: for how long a backend is warming up after its start; `slow_start_requests_per_s`: what it
+    can take meanwhile.
+    """
+
+    __slots__ = ("health_check_path", "max_connections", "name", "slow_start_requests_per_s", "slow_start_s")
 
     def __init__(self, fields: dict[str, object]) -> None:
         """From its JSON object. KeyError, TypeError or ValueError where that was never checked."""
         self.name = str(fields["name"])
-        self.health = str(_or(fields, "health-check-path", HEALTH))
-        self.most_connections = _whole(_or(fields, "max-connections", MAX_CONNECTIONS))
-        self.cold_start_s = seconds(_or(fields, "cold-start", "0s"))
-        self.cold_per_s = _float(_or(fields, "cold-per-s", float("inf")))  # requests a second
+        self.health_check_path = str(_get(fields, "health-check-path", DEFAULT_HEALTH_CHECK_PATH))
+        self.max_connections = _integer(_get(fields, "max-connections", DEFAULT_MAX_CONNECTIONS))
+        self.slow_start_s = seconds(_get(fields, "cold-start", "0s"))
+        self.slow_start_requests_per_s = _float(_get(fields, "cold-per-s", float("inf")))  # requests a second
 
 
 class Limits:
@@ -50,21 +54,21 @@
 
     def __init__(self, fields: dict[str, object]) -> None:
         """From its JSON object. TypeError or ValueError where that was never checked."""
-        self.max_header_bytes = _whole(_or(fields, "max-header-bytes", MAX_HEADER_BYTES))
-        self.max_body_bytes = _whole(_or(fields, "max-body-bytes", MAX_BODY_BYTES))
-        self.header_timeout_s = seconds(_or(fields, "header-timeout", f"{HEADER_TIMEOUT_S}s"))
-        self.idle_timeout_s = seconds(_or(fields, "idle-timeout", f"{IDLE_TIMEOUT_S}s"))
+        self.max_header_bytes = _integer(_get(fields, "max-header-bytes", DEFAULT_MAX_HEADER_BYTES))
+        self.max_body_bytes = _integer(_get(fields, "max-body-bytes", DEFAULT_MAX_BODY_BYTES))
+        self.header_timeout_s = seconds(_get(fields, "header-timeout", f"{DEFAULT_HEADER_TIMEOUT_S}s"))
+        self.idle_timeout_s = seconds(_get(fields, "idle-timeout", f"{DEFAULT_IDLE_TIMEOUT_S}s"))
 
 
 class Route:
     """One route. Times are seconds; `split` holds (service, weight), weights above 0 only."""
 
     __slots__ = (
-        "aim_s",
-        "attempts",
-        "homes",
+        "allowed_regions",
         "host",
         "kind",
+        "latency_target_s",
+        "max_attempts",
         "name",
         "prefix",
         "priority",
@@ -77,19 +81,21 @@
     prefix: bytes
     kind: str
     timeout_s: float
-    aim_s: float
+    latency_target_s: float
     priority: int  # 0 is highest
-    attempts: int  # the most backends that one try may be sent to
-    homes: tuple[str, ...]  # regions that may run it and hold its body, in order of their names; none: any
+    max_attempts: int  # backends that one request of a client may be sent to
+    allowed_regions: tuple[
+        str, ...
+    ]  # regions that may run it and hold its body, in order of their names; none: any
     split: tuple[tuple[str, float], ...]
 
     @property
-    def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+    def is_idempotent(self) -> bool:
+        """Whether a request may run more than once (read only)."""
         return self.kind == READ_ONLY
 
     @property
-    def upload(self) -> bool:
+    def is_upload(self) -> bool:
         """Whether its bodies are large."""
         return self.kind == UPLOAD
 
@@ -106,12 +112,12 @@
         return split[-1][0]  # rounding
 
 
-def _or(fields: dict[str, object], key: str, default: object) -> object:
+def _get(fields: dict[str, object], key: str, default: object) -> object:
     found = fields.get(key)
     return default if found is None else found
 
 
-def _whole(value: object) -> int:
+def _integer(value: object) -> int:
     if not isinstance(value, int | float):
         raise ValueError(f"{value!r} is not a number")
     return int(value)
@@ -144,25 +150,25 @@
     raise ValueError(f"{value!r} is not a version such as 'r12'")
 
 
-class _Shared:
-    """Holds one object for all equal ones while a table is built."""
+class _InternedValues:
+    """Gives one object for all equal ones while a table is built."""
 
-    __slots__ = ("held", "times")
+    __slots__ = ("times", "values")
 
     def __init__(self) -> None:
-        self.held: dict[object, object] = {}
+        self.values: dict[object, object] = {}
         self.times: dict[object, float] = {}
 
     def host(self, value: object) -> bytes:
         name = bare_host(str(value).encode())
-        held = self.held.setdefault(name, name)
-        return held if isinstance(held, bytes) else name
+        interned = self.values.setdefault(name, name)
+        return interned if isinstance(interned, bytes) else name
 
     def text(self, value: object) -> str:
-        held = self.held.setdefault(value, value)
-        if not isinstance(held, str):
+        interned = self.values.setdefault(value, value)
+        if not isinstance(interned, str):
             raise ValueError(f"{value!r} is not text")
-        return held
+        return interned
 
     def seconds(self, value: object) -> float:
         found = self.times.get(value)
@@ -170,14 +176,14 @@
             found = self.times[value] = seconds(value)
         return found
 
-    def homes(self, value: object) -> tuple[str, ...]:
+    def regions(self, value: object) -> tuple[str, ...]:
         if value is None:
             return ()
         if not isinstance(value, list):
             raise ValueError(f"{value!r} is not a list of regions")
         made = tuple(sorted({self.text(region) for region in value}))
-        held = self.held.setdefault(("homes", made), made)
-        return held if isinstance(held, tuple) else made
+        interned = self.values.setdefault(("regions", made), made)
+        return interned if isinstance(interned, tuple) else made
 
     def split(self, fields: dict[str, object]) -> tuple[tuple[str, float], ...]:
         shares = fields.get("traffic-split")
@@ -186,28 +192,28 @@
         else:
             pairs = [(self.text(s["target-service"]), _float(s["weight"])) for s in _objects(shares)]
             made = tuple(pair for pair in pairs if pair[1] > 0)
-        held = self.held.setdefault(made, made)
-        if not isinstance(held, tuple) or not held:
+        interned = self.values.setdefault(made, made)
+        if not isinstance(interned, tuple) or not interned:
             raise ValueError("no weight above 0")
-        return held
+        return interned
 
 
-def _route(fields: dict[str, object], shared: _Shared) -> Route:
+def _route(fields: dict[str, object], shared: _InternedValues) -> Route:
     route = Route()
     route.name = str(fields["name"])
     route.host = shared.host(fields["hostname"])
     route.prefix = str(fields["path-prefix"]).encode()
     route.kind = shared.text(fields["route-kind"])
     route.timeout_s = shared.seconds(fields["timeout"])
-    route.aim_s = shared.seconds(_or(fields, "target-latency", fields["timeout"]))
-    route.priority = _whole(_or(fields, "priority", 0))
-    route.attempts = _whole(_or(fields, "max-attempts", 1))
-    route.homes = shared.homes(fields.get("allowed-regions"))
+    route.latency_target_s = shared.seconds(_get(fields, "target-latency", fields["timeout"]))
+    route.priority = _integer(_get(fields, "priority", 0))
+    route.max_attempts = _integer(_get(fields, "max-attempts", 1))
+    route.allowed_regions = shared.regions(fields.get("allowed-regions"))
     route.split = shared.split(fields)
     return route
 
 
-def _reader(shared: _Shared) -> Callable[[dict[str, object]], object]:
+def _route_reader(shared: _InternedValues) -> Callable[[dict[str, object]], object]:
     """What turns each JSON object of a text into a Route as soon as it is read whole, if it is one."""
 
     def read(fields: dict[str, object]) -> object:
@@ -221,7 +227,7 @@
     return read
 
 
-class _Host:
+class _HostRoutes:
     """The routes of one host."""
 
     __slots__ = ("longest", "routes")
@@ -231,24 +237,24 @@
         self.routes: dict[bytes, Route] = {}
 
 
-class Table:
+class RoutingTable:
     """All routes, services and limits of one configuration."""
 
-    __slots__ = ("_hosts", "limits", "routes", "services", "version")
+    __slots__ = ("_hosts", "limits", "route_count", "services", "version")
 
     def __init__(self, text: bytes) -> None:
         """Built from a checked configuration's text. ValueError where it is not one."""
         try:
-            whole = json.loads(text, object_hook=_reader(_Shared()))
-            self.version: int = version_number(whole["config-version"])
+            document = json.loads(text, object_hook=_route_reader(_InternedValues()))
+            self.version: int = version_number(document["config-version"])
             self.services: dict[str, Service] = {}
-            for fields in whole["services"]:
+            for fields in document["services"]:
                 service = Service(fields)
                 self.services[service.name] = service
-            self.limits: Limits = Limits(whole.get("limits") or {})
-            self._hosts: dict[bytes, _Host] = {}
-            self.routes: int = 0  # how many
-            self._fill(whole["routes"])
+            self.limits: Limits = Limits(document.get("limits") or {})
+            self._hosts: dict[bytes, _HostRoutes] = {}
+            self.route_count: int = 0  # how many
+            self._fill(document["routes"])
         except (KeyError, TypeError, AttributeError, RecursionError) as fault:
             raise ValueError(f"not a checked configuration: {fault!r}") from None
 
@@ -258,23 +264,23 @@
                 raise ValueError(f"not a checked route: {route!r}")
             host = self._hosts.get(route.host)
             if host is None:
-                host = self._hosts[route.host] = _Host()
+                host = self._hosts[route.host] = _HostRoutes()
             host.longest = max(host.longest, len(route.prefix))
             host.routes[route.prefix] = route
-        self.routes = sum(len(host.routes) for host in self._hosts.values())
+        self.route_count = sum(len(host.routes) for host in self._hosts.values())
 
     def find(self, host: bytes, path: bytes) -> Route | None:
         """The route with the longest prefix that begins `path` (without its query), among those of `host`.
 
         `host` is the `Host` header's value; case and port make no difference. None where there is no route.
         """
-        of = self._hosts.get(host)
-        if of is None:
-            of = self._hosts.get(bare_host(host))
-            if of is None:
+        routes = self._hosts.get(host)
+        if routes is None:
+            routes = self._hosts.get(bare_host(host))
+            if routes is None:
                 return None
-        get = of.routes.get
-        end = path.rfind(SLASH, 0, of.longest) + 1
+        get = routes.routes.get
+        end = path.rfind(SLASH, 0, routes.longest) + 1
         while end:
             found = get(path[:end])
             if found is not None:
@@ -282,6 +288,6 @@
             end = path.rfind(SLASH, 0, end - 1) + 1
         return None
 
-    def all(self) -> list[Route]:
+    def all_routes(self) -> list[Route]:
         """Every route, by host and in the order of the configuration."""
         return [route for host in self._hosts.values() for route in host.routes.values()]
--- a/honeywharf/mesh_config/settings.py
+++ b/honeywharf/mesh_config/settings.py
@@ -1,10 +1,10 @@
 """The settings file that a process of the mesh is started with, read and checked.
 
 Theory of operation. The file is YAML; what is read becomes one plain object with every time in seconds. A
-field that is not known is ignored, for the file may grow. A field that a process cannot do without is either
-read or refused: the refusal names the file, the key, what was found and what was wanted. A bound that is not
-understood is kept aside in `unread` and does not stop the process; asking for it by name then tells that it
-is not there.
+field that is not known is ignored, for the file may grow. A required field is either read or rejected with
+a SettingsError, which names the file, the key, what was found and what was wanted. A bound that is not
+understood is kept in `unknown_bounds` and does not stop the process; asking for it by name then raises
+SettingsError.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from honeywharf.mesh_config.quantities import address, ipv4, number, seconds
 
-TYPE_CHECKING = False  # as a type checker knows it, without the memory of `typing`
+TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
     from typing import TypeVar
 
     T = TypeVar("T")
 
 #: The addresses of ours that must be addresses; what else `listen-addresses` holds is kept where it is one.
-LISTENS = ("inbound", "outbound", "readiness", "control-plane")
+REQUIRED_ADDRESSES = ("inbound", "outbound", "readiness", "control-plane")
 MAX_BYTES = 1 << 20  # a settings file is some 2 KiB; what is larger is not one
-WORDS = {"true": 1.0, "false": 0.0}
+BOOLEAN_BOUNDS = {"true": 1.0, "false": 0.0}
 
 
 class SettingsError(ValueError):
@@ -47,32 +47,32 @@
         "cpu_share",
         "data_directory",
         "disk_mb",
-        "fds",
         "file",
         "gateways",
         "heartbeat_s",
         "initial_start",
+        "internal_ports",
         "ip",
         "link_mbps",
-        "listen",
+        "listen_addresses",
         "loss_counted",
         "machine_class",
         "machine_failures",
+        "max_file_descriptors",
         "memory_mb",
         "node_name",
-        "ports",
         "region",
         "role",
         "seeds",
         "serves",
         "service",
-        "unread",
+        "unknown_bounds",
         "zone",
         "zone_failures",
         "zones",
     )
 
-    file: str  # where it was read from, for refusals
+    file: str  # where it was read from, for errors
     node_name: str
     role: str
     machine_class: str
@@ -81,14 +81,14 @@
     zone: str
     region: str
     zones: dict[str, str]  # region by zone
-    listen: dict[str, tuple[str, int]]  # by what it is for: see LISTENS
-    ports: tuple[int, int]  # first and last of those free for the mesh itself
+    listen_addresses: dict[str, tuple[str, int]]  # by what it is for: see LISTENS
+    internal_ports: tuple[int, int]  # first and last of those free for the mesh itself
     seeds: list[tuple[str, int]]
     gateways: list[tuple[tuple[str, int], str, str]]  # address, region, zone
     initial_start: bool
     loss_counted: bool
     memory_mb: float
-    fds: int
+    max_file_descriptors: int
     cpu_share: float
     cpu_cores: float
     link_mbps: float
@@ -99,7 +99,7 @@
     machine_failures: int
     zone_failures: int
     bounds: dict[str, float]  # times in seconds, truths as 1.0 and 0.0
-    unread: list[str]  # bounds that were not understood, as they stand
+    unknown_bounds: list[str]  # bounds that were not understood, as they stand
     config_mode: str
     application: tuple[str, int] | None
     service: str | None
@@ -112,37 +112,37 @@
         return found
 
 
-class _Field:
-    """Reads fields out of one mapping of the file and makes refusals of what is wrong."""
+class _FieldReader:
+    """Reads fields out of one mapping of the file; what is wrong raises SettingsError."""
 
-    __slots__ = ("file", "inside", "values")
+    __slots__ = ("file", "prefix", "values")
 
     def __init__(self, file: str, inside: str, values: Mapping[object, object]) -> None:
         self.file = file
-        self.inside = inside
+        self.prefix = inside
         self.values = values
 
-    def refusal(self, key: str, found: object, wanted: str) -> SettingsError:
+    def error(self, key: str, found: object, wanted: str) -> SettingsError:
         shown = "nothing" if found is None else repr(found)
         if len(shown) > 80:
             shown = shown[:77] + "..."
-        return SettingsError(self.file, self.inside + key, shown, wanted)
+        return SettingsError(self.file, self.prefix + key, shown, wanted)
 
     def read(self, key: str, how: Callable[[object], T], wanted: str) -> T:
-        """A field that must be there."""
+        """A required field."""
         found = self.values.get(key)
         try:
             return how(found)
         except (ValueError, TypeError):
-            raise self.refusal(key, found, wanted) from None
+            raise self.error(key, found, wanted) from None
 
-    def maybe(self, key: str, how: Callable[[object], T], wanted: str, default: T) -> T:
+    def read_optional(self, key: str, how: Callable[[object], T], wanted: str, default: T) -> T:
         """A field that may be missing or null."""
         return default if self.values.get(key) is None else self.read(key, how, wanted)
 
-    def within(self, key: str) -> _Field:
+    def nested(self, key: str) -> _FieldReader:
         """The mapping under a key."""
-        return _Field(self.file, f"{self.inside}{key}.", self.read(key, _mapping, "a mapping"))
+        return _FieldReader(self.file, f"{self.prefix}{key}.", self.read(key, _mapping, "a mapping"))
 
 
 def _mapping(value: object) -> Mapping[object, object]:
@@ -157,7 +157,7 @@
     return value
 
 
-def _truth(value: object) -> bool:
+def _boolean(value: object) -> bool:
     if not isinstance(value, bool):
         raise ValueError
     return value
@@ -194,7 +194,7 @@
     return [address(each) for each in value]
 
 
-def _span(value: object) -> tuple[int, int]:
+def _port_range(value: object) -> tuple[int, int]:
     if not isinstance(value, list) or len(value) != 2:
         raise ValueError
     first, last = _count(value[0]), _count(value[1])
@@ -213,29 +213,29 @@
 
 
 def _bound(text: str) -> float:
-    if text in WORDS:
-        return WORDS[text]
+    if text in BOOLEAN_BOUNDS:
+        return BOOLEAN_BOUNDS[text]
     return seconds(text) if text.endswith("s") else number(text)
 
 
 def _bounds(lines: list[str]) -> tuple[dict[str, float], list[str]]:
     """Bounds by name, and the lines that were not understood."""
     read: dict[str, float] = {}
-    unread = []
+    unknown = []
     for line in lines:
         name, _, value = line.partition("=")
         try:
             read[name.strip()] = _bound(value.strip())
         except ValueError:
-            unread.append(line)
-    return read, unread
+            unknown.append(line)
+    return read, unknown
 
 
-def _listens(field: _Field) -> dict[str, tuple[str, int]]:
+def _listen_addresses(field: _FieldReader) -> dict[str, tuple[str, int]]:
     """Our own addresses; a name that is not known may stand for something that is no address."""
     read = {}
     for name, value in field.values.items():
-        if name in LISTENS:
+        if name in REQUIRED_ADDRESSES:
             read[str(name)] = field.read(str(name), address, "an address such as '10.1.0.8:8300'")
             continue
         try:
@@ -245,57 +245,63 @@
     return read
 
 
-def _who(to: Settings, top: _Field) -> None:
-    """The names of the process and its place."""
-    to.node_name = top.read("node-name", _text, "a name")
-    to.role = top.read("role", _text, "a name")
-    to.machine_class = top.maybe("machine-class", _text, "a name", "")
-    to.serves = top.maybe("serves", _texts, "a list of names", [])
-    to.ip = top.read("ip-address", ipv4, "an IPv4 address")
-    to.zone = top.read("zone", _text, "a name")
-    zones = top.within("zones")
-    to.zones = {str(zone): zones.read(str(zone), _text, "the name of a region") for zone in zones.values}
-    to.region = top.maybe("region", _text, "a name", to.zones.get(to.zone, ""))
-    to.application = top.maybe("application", address, "an address", None)
-    to.service = top.maybe("target-service", _text, "a name", None)
+def _read_identity(settings: Settings, top: _FieldReader) -> None:
+    """The names of the process, its zone and region."""
+    settings.node_name = top.read("node-name", _text, "a name")
+    settings.role = top.read("role", _text, "a name")
+    settings.machine_class = top.read_optional("machine-class", _text, "a name", "")
+    settings.serves = top.read_optional("serves", _texts, "a list of names", [])
+    settings.ip = top.read("ip-address", ipv4, "an IPv4 address")
+    settings.zone = top.read("zone", _text, "a name")
+    zones = top.nested("zones")
+    settings.zones = {
+        str(zone): zones.read(str(zone), _text, "the name of a region") for zone in zones.values
+    }
+    settings.region = top.read_optional("region", _text, "a name", settings.zones.get(settings.zone, ""))
+    settings.application = top.read_optional("application", address, "an address", None)
+    settings.service = top.read_optional("target-service", _text, "a name", None)
+
+
+def _read_addresses(settings: Settings, top: _FieldReader) -> None:
+    """Addresses, ports and the disk."""
+    settings.listen_addresses = _listen_addresses(top.nested("listen-addresses"))
+    settings.internal_ports = top.read(
+        "internal-port-range", _port_range, "two ports, the first not above the second"
+    )
+    settings.seeds = top.read("seed-nodes", _addresses, "a list of addresses")
+    settings.gateways = top.read_optional("gateways", _gateways, "a list of {address, region, zone}", [])
+    settings.initial_start = top.read("initial-start", _boolean, "true or false")
+    settings.loss_counted = top.read_optional("loss-counted", _boolean, "true or false", False)
+    settings.data_directory = top.read_optional("data-directory", _text, "a path, or null", None)
+
+
+def _read_limits(settings: Settings, top: _FieldReader) -> None:
+    """Limits of the machine, and how many may fail."""
+    limits = top.nested("limits")
+    settings.memory_mb = limits.read("memory-mb", _amount, "megabytes")
+    settings.max_file_descriptors = limits.read("max-file-descriptors", _count, "a whole number")
+    settings.cpu_share = limits.read_optional("cpu-share", _amount, "a share of a core", 1.0)
+    settings.cpu_cores = limits.read_optional("cpu-cores", _amount, "a number", 1.0)
+    settings.link_mbps = limits.read_optional("link-mbps", _amount, "megabits a second", 1000.0)
+    settings.disk_mb = limits.read_optional("disk-mb", _amount, "megabytes", 0.0)
+    losses = top.nested("fault-tolerance")
+    settings.machine_failures = losses.read("machine-failures", _count, "a whole number")
+    settings.zone_failures = losses.read_optional("zones", _count, "a whole number", 0)
+
+
+def _read_rules(settings: Settings, top: _FieldReader) -> None:
+    """Contracts in force, and bounds."""
+    settings.heartbeat_s = top.read("heartbeat-interval", seconds, "a time such as '1300ms'")
+    settings.contracts = top.read_optional("contracts", _texts, "a list of names", [])
+    settings.config_mode = top.read_optional("config-mode", _text, "a name", "highest")
+    settings.bounds, settings.unknown_bounds = _bounds(
+        top.read_optional("bounds", _lines, "a list of texts name=value", [])
+    )
 
 
-def _where(to: Settings, top: _Field) -> None:
-    """Addresses, ports and the disk."""
-    to.listen = _listens(top.within("listen-addresses"))
-    to.ports = top.read("internal-port-range", _span, "two ports, the first not above the second")
-    to.seeds = top.read("seed-nodes", _addresses, "a list of addresses")
-    to.gateways = top.maybe("gateways", _gateways, "a list of {address, region, zone}", [])
-    to.initial_start = top.read("initial-start", _truth, "true or false")
-    to.loss_counted = top.maybe("loss-counted", _truth, "true or false", False)
-    to.data_directory = top.maybe("data-directory", _text, "a path, or null", None)
-
-
-def _how_much(to: Settings, top: _Field) -> None:
-    """Limits of the machine, and what may be lost."""
-    limits = top.within("limits")
-    to.memory_mb = limits.read("memory-mb", _amount, "megabytes")
-    to.fds = limits.read("max-file-descriptors", _count, "a whole number")
-    to.cpu_share = limits.maybe("cpu-share", _amount, "a share of a core", 1.0)
-    to.cpu_cores = limits.maybe("cpu-cores", _amount, "a number", 1.0)
-    to.link_mbps = limits.maybe("link-mbps", _amount, "megabits a second", 1000.0)
-    to.disk_mb = limits.maybe("disk-mb", _amount, "megabytes", 0.0)
-    losses = top.within("fault-tolerance")
-    to.machine_failures = losses.read("machine-failures", _count, "a whole number")
-    to.zone_failures = losses.maybe("zones", _count, "a whole number", 0)
-
-
-def _rules(to: Settings, top: _Field) -> None:
-    """What is in force, and its figures."""
-    to.heartbeat_s = top.read("heartbeat-interval", seconds, "a time such as '1300ms'")
-    to.contracts = top.maybe("contracts", _texts, "a list of names", [])
-    to.config_mode = top.maybe("config-mode", _text, "a name", "highest")
-    to.bounds, to.unread = _bounds(top.maybe("bounds", _lines, "a list of texts name=value", []))
-
-
-def _loaded(text: str, file: str) -> _Field:
+def _load_yaml(text: str, file: str) -> _FieldReader:
     """The file as one mapping."""
-    import yaml  # within, so that what uses the class alone does not pay for it
+    import yaml  # imported here, so that who uses the class alone does not load it
 
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # the one in C takes a tenth of the time
     try:
@@ -306,20 +312,20 @@
         raise SettingsError(file, place, str(getattr(fault, "problem", None) or fault), "YAML") from None
     if not isinstance(found, dict):
         raise SettingsError(file, "the file", type(found).__name__, "a mapping of settings")
-    return _Field(file, "", found)
+    return _FieldReader(file, "", found)
 
 
 def parse(text: str, file: str = "settings") -> Settings:
-    """Settings out of a file's text; `file` is for refusals. SettingsError where they cannot be used."""
+    """Settings out of a file's text; `file`: its name for errors. SettingsError where they cannot be used."""
     if len(text) > MAX_BYTES:
         raise SettingsError(file, "the file", f"{len(text)} characters", f"at most {MAX_BYTES}")
-    top = _loaded(text, file)
+    top = _load_yaml(text, file)
     read = Settings()
     read.file = file
-    _who(read, top)
-    _where(read, top)
-    _how_much(read, top)
-    _rules(read, top)
+    _read_identity(read, top)
+    _read_addresses(read, top)
+    _read_limits(read, top)
+    _read_rules(read, top)
     return read
 
 
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -40,7 +40,7 @@
 
     def __init__(self, host: Host, settings: Settings) -> None:
         self.host, self.settings = host, settings
-        self.local_address: Address = (settings.ip, settings.ports[0])
+        self.local_address: Address = (settings.ip, settings.internal_ports[0])
         self.caller = Caller(host)
         self.replica = Replica(
             host,
@@ -49,7 +49,7 @@
             ReplicaSettings(
                 self.local_address,
                 settings.zone,
-                [(ip, settings.ports[0]) for ip, _ in settings.seeds],
+                [(ip, settings.internal_ports[0]) for ip, _ in settings.seeds],
                 settings.initial_start,
             ),
             self._state_changed,
@@ -58,7 +58,9 @@
         self.membership: Membership | None = None
         self.http_server: HttpServer | None = None
         self.replica.client.set_link_rate(settings.link_mbps)
-        self.operator = OperatorApi(self.replica, settings.zones, settings.listen["control-plane"][1])
+        self.operator = OperatorApi(
+            self.replica, settings.zones, settings.listen_addresses["control-plane"][1]
+        )
         self.is_stopping = self.is_handing_over = False
         self.gather = Gather(self)
         self.leases = ControlLeases(self)
@@ -80,7 +82,7 @@
         self.hinted_handoff.start()
         host.listen(self.local_address, Answerer(self.replica.methods, log=host.log).accept)
         self.membership = self._start_gossip()
-        control_plane = settings.listen["control-plane"]
+        control_plane = settings.listen_addresses["control-plane"]
         self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY)
         host.after(PRELOAD_S, self.operator.preload)
         state = self.replica.state
@@ -94,7 +96,7 @@
         membership = Membership(
             host,
             settings.ip,
-            settings.ports[0],
+            settings.internal_ports[0],
             settings.zone,
             [ip for ip, _ in settings.seeds],
             {"core": True, "disk": self.replica.state.disk, "rev": revision},
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -289,13 +289,13 @@
     loop = Loop(None)
     keeper = GatewayNode(
         loop,
-        (settings.ip, settings.ports[0]),
+        (settings.ip, settings.internal_ports[0]),
         settings.region,
         settings.zone,
         [Place(*each) for each in settings.gateways],
-        settings.ports[0] + 1,
+        settings.internal_ports[0] + 1,
         settings.bound("grace-period", 8.0),
-        settings.listen.get("control-plane"),
+        settings.listen_addresses.get("control-plane"),
         granted_bytes(settings.memory_mb, settings.link_mbps),
         link_mbps=settings.link_mbps,
     )
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -62,7 +62,7 @@
         self.caller = Caller(host)
         self.word = Word(host, self.caller, self.cores, self._word_changed)
         self.word.named = is_named
-        port = settings.ports[0]
+        port = settings.internal_ports[0]
         say = {**self.gate.say(), "rev": 0}
         seeds = [seed[0] for seed in settings.seeds]
         self.membership = Membership(
@@ -89,10 +89,10 @@
         self.said = UNKNOWN
         self.beats = Beats(host, self.gate, self._gate_changed)
         self.doors = [
-            HttpServer(host, settings.listen["control-plane"], self.beats.take, 1 << 20),
-            HttpServer(host, settings.listen["readiness"], self._readiness, 1 << 16),
+            HttpServer(host, settings.listen_addresses["control-plane"], self.beats.take, 1 << 20),
+            HttpServer(host, settings.listen_addresses["readiness"], self._readiness, 1 << 16),
         ]
-        self.outbound = Outbound(host, settings.listen["outbound"], self.word, self.source)
+        self.outbound = Outbound(host, settings.listen_addresses["outbound"], self.word, self.source)
         self.shutdown = Shutdown(
             host,
             settings.bound("grace-period", 5.0),
@@ -113,7 +113,7 @@
 
     def cores(self) -> list[Address]:
         """Control nodes' internal addresses: those that news tell of, else the seeds."""
-        port = self.settings.ports[0]
+        port = self.settings.internal_ports[0]
         known = [
             (node, port)
             for node, entry in self.membership.entries().items()
@@ -130,7 +130,7 @@
             self.source.told(node, say, entry.zone if entry is not None else "")
 
     def _word_news(self, revision: int, holder: str) -> None:
-        self.word.heard(revision, (holder, self.settings.ports[0]))
+        self.word.heard(revision, (holder, self.settings.internal_ports[0]))
 
     def _word_changed(self) -> None:
         self.apply()
@@ -145,9 +145,9 @@
         if word.table is not None:
             service = word.table.services.get(self.gate.service)
             if service is not None:
-                self.gate.bound(service.cold_per_s, service.cold_start_s)
-                self.taps.most = max(1, service.most_connections - 2)
-                self.probe.path = service.health.encode()
+                self.gate.bound(service.slow_start_requests_per_s, service.slow_start_s)
+                self.taps.most = max(1, service.max_connections - 2)
+                self.probe.path = service.health_check_path.encode()
         self.source.relist()
 
     # The gate beside this proxy.
--- a/honeywharf/sessions/abroad.py
+++ b/honeywharf/sessions/abroad.py
@@ -27,7 +27,7 @@
         ip: str
         link_mbps: float
         memory_mb: float
-        ports: tuple[int, int]
+        internal_ports: tuple[int, int]
         zone: str
         zones: dict[str, str]
 
@@ -89,7 +89,7 @@
     return Abroad(
         host,
         settings.ip,
-        settings.ports[0],
+        settings.internal_ports[0],
         settings.zone,
         settings.zones,
         [Place(*each) for each in settings.gateways],
--- a/honeywharf/sidecar/course.py
+++ b/honeywharf/sidecar/course.py
@@ -86,9 +86,9 @@
 def _aside() -> Route:
     """The rule of what is decided elsewhere: no service, one attempt, never repeated from here."""
     route = Route()
-    route.homes = ()
+    route.allowed_regions = ()
     route.name, route.host, route.prefix, route.kind = "aside", b"", b"", "mutating"
-    route.timeout_s, route.aim_s, route.priority, route.attempts = 600.0, 1.0, 0, 1
+    route.timeout_s, route.latency_target_s, route.priority, route.max_attempts = 600.0, 1.0, 0, 1
     route.split = (("", 1.0),)
     return route
 
@@ -98,7 +98,7 @@
 
 def kind_of(route: Route) -> int:
     """A route's kind as it travels."""
-    return HANDED if route is ASIDE else 0 if route.repeatable else 2 if route.upload else 1
+    return HANDED if route is ASIDE else 0 if route.is_idempotent else 2 if route.is_upload else 1
 
 
 class Course:
@@ -198,7 +198,7 @@
             self.asked.add(key)
             self._ask(key, 0.0)
             return
-        patience = self.arrived_at + PATIENCE * self.route.aim_s - now
+        patience = self.arrived_at + PATIENCE * self.route.latency_target_s - now
         if patience > END_S and len(self.waited) < MAX_WAITED:
             key = levels.shortest(now, self.waited | barred if barred else self.waited)
             if key is not None:
@@ -226,7 +226,7 @@
 
     def _barred(self) -> set[str]:
         """Backends that its route's homes forbid; most routes have none."""
-        homes = self.route.homes
+        homes = self.route.allowed_regions
         return self.source.abroad_of(homes, self.service) if homes else set()
 
     def _ask(self, key: str, patience_s: float) -> None:
@@ -247,7 +247,7 @@
             remaining,
             patience_s,
             self.route.priority,
-            self.route.aim_s,
+            self.route.latency_target_s,
             caller,
             head.method,
             head.target,
@@ -304,7 +304,7 @@
 
     def _return_s(self) -> float:
         low, high = RETURN_S
-        return max(0.02, self.route.aim_s * (low + (high - low) * self.source.draw()))
+        return max(0.02, self.route.latency_target_s * (low + (high - low) * self.source.draw()))
 
     def _give_up(self, again_s: float) -> None:
         """The final answer of one that is tried no further; at once."""
@@ -542,7 +542,7 @@
         if (
             self.lost_body
             or not verdict.may_repeat(self.kind == 0)
-            or self.arrivals >= self.route.attempts
+            or self.arrivals >= self.route.max_attempts
             or verdict.why == TIMED_OUT
             or not self.source.spend(self.service)
         ):
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -13,7 +13,7 @@
 import zlib
 
 from honeywharf import rpc_methods
-from honeywharf.mesh_config.routes import Limits, Route, Table
+from honeywharf.mesh_config.routes import Limits, Route, RoutingTable
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self.digest = ""
         self.value: dict[str, Any] = {}
         self.evacuated: set[str] = set()
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.packed = b""  # the text, compressed
         self.ready = False
         self.newest = 0  # the highest revision heard of
@@ -122,7 +122,7 @@
                 core = cores[self.turn % len(cores)]
                 self.host.after(AGAIN_S, lambda: self.heard(self.newest, core))
 
-    def restore(self, value: dict[str, Any], table: Table, packed: bytes) -> None:
+    def restore(self, value: dict[str, Any], table: RoutingTable, packed: bytes) -> None:
         """Take over what a majority told, whatever is in force here: after a slip only."""
         self.newest = value["rev"]
         self._apply(value, table, packed)
@@ -158,7 +158,7 @@
                 text = zlib.decompressobj().decompress(packed, MAX_TEXT)
                 if not self.named(text, value["digest"]):
                     raise ValueError(f"not the text of {value['digest']}")
-                table = Table(text)
+                table = RoutingTable(text)
             except (ValueError, KeyError, TypeError, zlib.error) as fault:
                 self.host.log(f"word r{value['version']} from {holder[0]} can't be read: {fault}")
         self.vain = 0 if table is not None else self.vain + 1
@@ -168,7 +168,7 @@
             self.host.after(AGAIN_S, self.start)
         self._again()
 
-    def _apply(self, value: dict[str, Any], table: Table | None, packed: bytes) -> None:
+    def _apply(self, value: dict[str, Any], table: RoutingTable | None, packed: bytes) -> None:
         if table is not None:
             self.table, self.packed, self.digest = table, packed, value["digest"]
         self.value, self.revision, self.version = value, value["rev"], value["version"]
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -415,7 +415,7 @@
 
     def ends_before(self, now: float, route: Route) -> bool:
         """Whether this process is likely to end before a request that begins now has its answer."""
-        return now + min(route.aim_s, self.last_s) > self.source.end_at
+        return now + min(route.latency_target_s, self.last_s) > self.source.end_at
 
     def return_s(self, now: float) -> float:
         """Seconds after which the next process of this program may serve a client that returns."""
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -107,7 +107,7 @@
         self.slack = settings.bound("retry-budget-slack", 10.0)
         self.window_s = settings.bound("retry-window", 10.0)
         self.regions = settings.zones  # by zone
-        self.links = Links(host, settings.ports[0])
+        self.links = Links(host, settings.internal_ports[0])
         self.levels: dict[str, Levels] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.list: dict[str, _Listed] = {}
@@ -223,7 +223,7 @@
         if key == self.me:
             return self.inbound.begin(ask, Local(course))
         if self.abroad is not None and key in self.list and self.abroad.far(self.list[key].zone):
-            return self.abroad.open(key, ask, _Remote(course), course.route.homes)
+            return self.abroad.open(key, ask, _Remote(course), course.route.allowed_regions)
         return self.links.to(key).open(ask, _Remote(course))
 
     def served(self, service: str, key: str, status: int) -> None:
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -15,7 +15,7 @@
 
 from honeywharf.drift import second
 from honeywharf.drift.requests import DriftMonitor
-from honeywharf.mesh_config.routes import Route, Table
+from honeywharf.mesh_config.routes import Route, RoutingTable
 from honeywharf.sidecar.inbound import Job
 from honeywharf.simulation.field import SERVICES, SMALL, ZONES, Field, Side
 from honeywharf.simulation.rules import Ask, Order
@@ -74,7 +74,7 @@
         elif how == 1:
             word.value = {**value, "version": value["version"] + chance.choice((-1, 1))}
         else:
-            word.table = Table(self.trial.older)
+            word.table = RoutingTable(self.trial.older)
 
         def undo() -> None:
             word.table, word.revision, word.version, word.value = table, revision, version, value
@@ -104,7 +104,7 @@
         before = of.routes[prefix]
         odd = prefix + b"1" + b"/"
         of.routes[odd] = _copy(before, prefix=odd, kind="read_only")
-        of.routes[prefix] = _copy(before, attempts=before.attempts + 1)
+        of.routes[prefix] = _copy(before, max_attempts=before.max_attempts + 1)
         longest, of.longest = of.longest, max(of.longest, len(odd))
 
         def undo() -> None:
@@ -125,7 +125,7 @@
         """Bounds or attempts of an older version are kept."""
         how = chance.randrange(4)
         if how == 0:
-            return _change(sidecar, chance, attempts=5)
+            return _change(sidecar, chance, max_attempts=5)
         if how == 1:
             most, sidecar.taps.most = sidecar.taps.most, sidecar.taps.most + 50
             return lambda: setattr(sidecar.taps, "most", most)
@@ -191,7 +191,7 @@
         word = sidecar.word
         kept = word.table, word.packed, word.digest, word.value
         text, other = self.trial.odd(chance)
-        word.table, word.packed = Table(text), other
+        word.table, word.packed = RoutingTable(text), other
         if chance.random() < 0.5:  # as if somebody had told it so
             word.restore({**word.value, "digest": self.trial.digest(text)}, word.table, other)
 
@@ -206,18 +206,18 @@
         """A program of another build reads the same text otherwise, each time."""
         drift_monitor, word = sidecar.drift_monitor, sidecar.word
 
-        def other(text: bytes) -> Table:
-            table = Table(text)
+        def other(text: bytes) -> RoutingTable:
+            table = RoutingTable(text)
             for of in table._hosts.values():
                 for route in of.routes.values():
-                    route.aim_s, route.attempts = route.timeout_s, 1
+                    route.latency_target_s, route.max_attempts = route.timeout_s, 1
             return table
 
         drift_monitor.build, kept = other, word.table
         word.table = other(self.trial.newest)
 
         def undo() -> None:
-            drift_monitor.build, word.table = Table, kept
+            drift_monitor.build, word.table = RoutingTable, kept
 
         return undo
 
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -21,7 +21,7 @@
     """As the file would tell it."""
     made = Settings()
     made.node_name, made.ip, made.zone, made.zones = f"core-{ip}", ip, "abc"[int(ip[-1]) % 3], ZONES
-    made.listen, made.ports = {"control-plane": (ip, PORT)}, (INNER, INNER + 15)
+    made.listen_addresses, made.internal_ports = {"control-plane": (ip, PORT)}, (INNER, INNER + 15)
     made.bounds = {"grace-period": 6.0}
     made.link_mbps = 1000.0
     made.seeds, made.initial_start = [(seed, PORT) for seed in seeds], first
--- a/tests/drift/test_digests.py
+++ b/tests/drift/test_digests.py
@@ -8,22 +8,22 @@
 
 from honeywharf.drift import digests, scan
 from honeywharf.drift.second import Told, bare, pick, tree
-from honeywharf.mesh_config.routes import Route, Table
+from honeywharf.mesh_config.routes import Route, RoutingTable
 from tests.mesh_config.examples import drawn, text
 
 SEEDS = range(12)
 
 
-def faults(table: Table, told: Told) -> list[str]:
+def faults(table: RoutingTable, told: Told) -> list[str]:
     return [fault for fault in scan.routes(table, told, digests.Rules()) if fault]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_both_readings_agree_on_every_request(seed: int) -> None:
     whole = text(drawn(seed, 80, hosts=3))
-    table, told, rules, random = Table(whole), Told(whole), digests.Rules(), Random(seed)
+    table, told, rules, random = RoutingTable(whole), Told(whole), digests.Rules(), Random(seed)
     assert faults(table, told) == []
-    prefixes = [route.prefix for route in table.all()]
+    prefixes = [route.prefix for route in table.all_routes()]
     for _ in range(300):
         host = random.choice([b"ho0.example", b"HO1.example:80", b"ho2.example:", b"ho9.example"])
         path = random.choice(prefixes) + random.choice([b"", b"x", b"/", b"a/b/", b"1/2"])
@@ -40,7 +40,7 @@
     one = drawn(3, 40, hosts=3)
     other = {**one, "config-version": "r99", "routes": [dict(route) for route in one["routes"][::-1]]}
     assert tree(text(one), {"a", "b"}) == tree(text(other), {"b", "a"})
-    table = Table(text(one))
+    table = RoutingTable(text(one))
     assert scan.tree(table, digests.Rules(), {"a", "b"}) == tree(text(one), {"a", "b"})
     other["routes"][0]["timeout"] = "9999ms"
     host = bare(str(other["routes"][0]["hostname"]).encode()).decode()
@@ -49,10 +49,12 @@
     assert digests.root(tree(text(one), set())) != digests.root(tree(text(one), {"a"}))
 
 
-@pytest.mark.parametrize("field", ["timeout_s", "aim_s", "priority", "attempts", "kind", "split", "prefix"])
+@pytest.mark.parametrize(
+    "field", ["timeout_s", "latency_target_s", "priority", "max_attempts", "kind", "split", "prefix"]
+)
 def test_each_field_that_decides_is_in_the_digest_at_once(field: str) -> None:
-    table, rules = Table(text(drawn(1, 5, hosts=1))), digests.Rules()
-    route = table.all()[0]
+    table, rules = RoutingTable(text(drawn(1, 5, hosts=1))), digests.Rules()
+    route = table.all_routes()[0]
     before = rules.of(route)
     kept = getattr(route, field)
     odd = {"kind": "odd", "split": (("x", 1.0),), "prefix": b"/odd/"}
@@ -63,14 +65,14 @@
 
 
 def test_the_digests_held_are_bounded() -> None:
-    rules, route = digests.Rules(), Table(text(drawn(1, 5, hosts=1))).all()[0]
+    rules, route = digests.Rules(), RoutingTable(text(drawn(1, 5, hosts=1))).all_routes()[0]
     for priority in range(3 * digests.MAX_KEPT):
         route.priority = priority
         rules.of(route)
     assert len(rules.held) <= digests.MAX_KEPT
 
 
-def _spoil(table: Table, random: Random) -> None:
+def _spoil(table: RoutingTable, random: Random) -> None:
     of = random.choice([of for of in table._hosts.values() if of.routes])
     prefix = random.choice(list(of.routes))
     route, how = of.routes[prefix], random.randrange(6)
@@ -95,7 +97,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_the_scan_finds_one_wrong_part_of_many(seed: int) -> None:
     whole = text(drawn(seed, 60, hosts=3))
-    table, told = Table(whole), Told(whole)
+    table, told = RoutingTable(whole), Told(whole)
     _spoil(table, Random(seed))
     assert faults(table, told)
 
--- a/tests/mesh_config/test_configuration.py
+++ b/tests/mesh_config/test_configuration.py
@@ -12,14 +12,14 @@
 
 from honeywharf.mesh_config.configuration import (
     MAX_BYTES,
-    MAX_FAULTS,
+    MAX_ERRORS,
     MAX_VERSION,
     Configuration,
     check,
     digest,
-    faults,
+    errors,
 )
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 from tests.mesh_config.examples import CONFIGURATION, drawn, example, text
 
 Change = Callable[[Any], object]
@@ -66,7 +66,7 @@
     sent = changed(change)
     taken = check(sent).unwrap()
     assert taken.text == sent
-    assert Table(sent).version == taken.version
+    assert RoutingTable(sent).version == taken.version
 
 
 REFUSED: list[tuple[Change, str]] = [
@@ -170,7 +170,7 @@
     refused = check(sent)
     assert isinstance(refused, Err)
     assert refused.err_value.startswith(told)
-    assert len(list(faults(sent))) == 1
+    assert len(list(errors(sent))) == 1
 
 
 @pytest.mark.parametrize(
@@ -206,8 +206,8 @@
     whole = drawn(1, 200)
     for route in whole["routes"]:
         route["max-attempts"] = 0
-    assert check(text(whole)).unwrap_err().count("; ") == MAX_FAULTS - 1
-    assert len(list(faults(text(whole)))) == 200
+    assert check(text(whole)).unwrap_err().count("; ") == MAX_ERRORS - 1
+    assert len(list(errors(text(whole)))) == 200
 
 
 def test_every_fault_is_told_by_its_place_whatever_else_is_wrong() -> None:
@@ -215,7 +215,7 @@
     whole["routes"][0]["route-kind"] = 5
     whole["routes"][1]["timeout"] = "601s"
     whole["services"][2]["max-connections"] = "many"
-    assert [fault.partition(":")[0] for fault in faults(text(whole))] == [
+    assert [fault.partition(":")[0] for fault in errors(text(whole))] == [
         "services[2].max-connections",
         "routes[0].route-kind",
         "routes[1].timeout",
@@ -272,7 +272,7 @@
         sent = text(whole)
         if check(sent).is_ok():
             taken += 1
-            assert Table(sent).routes == len(whole["routes"])
+            assert RoutingTable(sent).route_count == len(whole["routes"])
         else:
             refused += 1
     assert taken > 100
--- a/tests/mesh_config/test_routes.py
+++ b/tests/mesh_config/test_routes.py
@@ -10,26 +10,31 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from honeywharf.mesh_config.routes import Route, Table, bare_host
+from honeywharf.mesh_config.routes import Route, RoutingTable, bare_host
 from tests.mesh_config.examples import CONFIGURATION, drawn, example, text
 
 
-def searched(table: Table, host: bytes, path: bytes) -> Route | None:
+def searched(table: RoutingTable, host: bytes, path: bytes) -> Route | None:
     """What the pages say, word for word: of the host's routes the longest prefix that begins the path."""
-    found = [route for route in table.all() if route.host == host and path.startswith(route.prefix)]
+    found = [route for route in table.all_routes() if route.host == host and path.startswith(route.prefix)]
     return max(found, key=lambda route: len(route.prefix), default=None)
 
 
 def test_the_example_is_read() -> None:
-    table = Table(CONFIGURATION)
+    table = RoutingTable(CONFIGURATION)
     route = table.find(b"jepu9.example", b"/lepu270/2f")
     assert route is not None
-    assert (route.name, route.kind, route.repeatable, route.upload) == ("r-n2ctnfz", "read_only", True, False)
-    assert (route.timeout_s, route.aim_s, route.priority, route.attempts) == (1.5, 0.4, 2, 2)
+    assert (route.name, route.kind, route.is_idempotent, route.is_upload) == (
+        "r-n2ctnfz",
+        "read_only",
+        True,
+        False,
+    )
+    assert (route.timeout_s, route.latency_target_s, route.priority, route.max_attempts) == (1.5, 0.4, 2, 2)
     assert route.split == (("huvo11a", 90.0), ("kafi81c", 10.0))
     service = table.services["kafi81c"]
-    assert (service.health, service.most_connections) == ("/health", 130)
-    assert (service.cold_start_s, service.cold_per_s) == (3.0, 22.0)
+    assert (service.health_check_path, service.max_connections) == ("/health", 130)
+    assert (service.slow_start_s, service.slow_start_requests_per_s) == (3.0, 22.0)
     limits = table.limits
     assert (limits.max_header_bytes, limits.max_body_bytes) == (16384, 67108864)
     assert (limits.header_timeout_s, limits.idle_timeout_s, table.version) == (3.0, 15.0, 7)
@@ -38,9 +43,9 @@
 @given(st.integers(0, 2**32), st.integers(1, 120))
 @settings(max_examples=60, deadline=None)
 def test_a_path_takes_the_route_with_the_longest_prefix(seed: int, routes: int) -> None:
-    table = Table(text(drawn(seed, routes, hosts=3)))
+    table = RoutingTable(text(drawn(seed, routes, hosts=3)))
     random = Random(seed)
-    paths = [route.prefix for route in table.all()]
+    paths = [route.prefix for route in table.all_routes()]
     for _ in range(200):
         host = f"ho{random.randrange(4)}.example".encode()
         path = random.choice(paths)
@@ -52,7 +57,7 @@
     "path", [b"", b"*", b"/", b"lepu270/", b"/lepu270", b"/lepu2701/x", b"/LEPU270/", b"//lepu270/"]
 )
 def test_what_no_prefix_begins_has_no_route(path: bytes) -> None:
-    assert Table(CONFIGURATION).find(b"jepu9.example", path) is None
+    assert RoutingTable(CONFIGURATION).find(b"jepu9.example", path) is None
 
 
 def test_a_prefix_of_one_slash_takes_what_is_left() -> None:
@@ -60,7 +65,7 @@
     whole["routes"].append(
         {**whole["routes"][1], "hostname": "jepu9.example", "path-prefix": "/", "name": "rest"}
     )
-    table = Table(text(whole))
+    table = RoutingTable(text(whole))
     for path, name in ((b"/lepu270/x", "r-n2ctnfz"), (b"/lepu270", "rest"), (b"/", "rest")):
         found = table.find(b"jepu9.example", path)
         assert found is not None
@@ -71,14 +76,14 @@
     "host", [b"JEPU9.example", b"jepu9.example:8304", b"Jepu9.Example:", b"jepu9.example"]
 )
 def test_case_and_port_of_a_host_make_no_difference(host: bytes) -> None:
-    assert Table(CONFIGURATION).find(host, b"/lepu270/") is not None
+    assert RoutingTable(CONFIGURATION).find(host, b"/lepu270/") is not None
 
 
 @pytest.mark.parametrize(
     "host", [b"", b":80", b"jepu9", b"jepu9.example.org", b"jepu9.example:x", b"[::1]:80"]
 )
 def test_another_host_has_no_route(host: bytes) -> None:
-    assert Table(CONFIGURATION).find(host, b"/lepu270/") is None
+    assert RoutingTable(CONFIGURATION).find(host, b"/lepu270/") is None
 
 
 def test_a_bare_host_keeps_the_brackets_of_ipv6() -> None:
@@ -93,7 +98,7 @@
         {"target-service": "wuno96b", "weight": 1.5},
         {"target-service": "huvo11a", "weight": 0},
     ]
-    route = Table(text(whole)).all()[0]
+    route = RoutingTable(text(whole)).all_routes()[0]
     drawn_of = Counter(route.service(step / 1000) for step in range(1000))
     assert drawn_of == {"kafi81c": 250, "wuno96b": 750}
     assert route.service(1.0 - 2**-53) == "wuno96b"
@@ -112,21 +117,21 @@
 def test_the_cost_is_the_depth_of_prefixes_not_their_number_nor_the_length_of_the_path() -> None:
     for routes in (10, 2000):
         Counted.searches = 0
-        assert Table(text(drawn(1, routes))).find(b"ho1.example", Counted(b"/a" * 8000)) is None
+        assert RoutingTable(text(drawn(1, routes))).find(b"ho1.example", Counted(b"/a" * 8000)) is None
         assert Counted.searches <= 10
 
 
 def test_a_table_of_a_thousand_routes_is_small_and_is_built_without_much_beside_it() -> None:
     sent = text(drawn(3, 1000))
-    Table(sent)
+    RoutingTable(sent)
     gc.collect()
     tracemalloc.start()
-    table = Table(sent)
+    table = RoutingTable(sent)
     held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert table.routes == 1000
-    assert held < 330 * table.routes
-    assert peak < 600 * table.routes
+    assert table.route_count == 1000
+    assert held < 330 * table.route_count
+    assert peak < 600 * table.route_count
 
 
 def test_a_field_that_is_left_out_has_a_default() -> None:
@@ -135,11 +140,11 @@
     whole["limits"] = {}
     for key in ("target-latency", "priority"):
         del whole["routes"][0][key]
-    table = Table(text(whole))
-    assert table.services["huvo11a"].health == "/health"
-    assert table.services["huvo11a"].cold_per_s == float("inf")
+    table = RoutingTable(text(whole))
+    assert table.services["huvo11a"].health_check_path == "/health"
+    assert table.services["huvo11a"].slow_start_requests_per_s == float("inf")
     assert table.limits.idle_timeout_s == 15.0
-    assert table.all()[0].aim_s == 1.5
+    assert table.all_routes()[0].latency_target_s == 1.5
 
 
 @pytest.mark.parametrize(
@@ -159,10 +164,10 @@
 )
 def test_what_was_never_checked_is_refused_and_not_half_built(sent: bytes) -> None:
     with pytest.raises(ValueError):  # noqa: PT011  (json's own words among them)
-        Table(sent)
+        RoutingTable(sent)
 
 
 def test_what_looks_like_a_route_elsewhere_is_let_be() -> None:
     whole = example()
     whole["shadow"] = [{"path-prefix": 5}, whole["routes"][0]]
-    assert Table(text(whole)).routes == 2
+    assert RoutingTable(text(whole)).route_count == 2
--- a/tests/mesh_config/test_settings.py
+++ b/tests/mesh_config/test_settings.py
@@ -27,14 +27,19 @@
 def test_the_example_is_read_with_times_in_seconds_and_addresses_as_pairs() -> None:
     read = parse(SETTINGS)
     assert (read.node_name, read.zone, read.region) == ("sidecar-tartu-saal-1", "tartu-saal", "lounaeesti")
-    assert read.listen["outbound"] == ("10.1.0.8", 8304)
+    assert read.listen_addresses["outbound"] == ("10.1.0.8", 8304)
     assert read.seeds == [("10.1.0.12", 8306), ("10.2.0.9", 8306)]
-    assert read.ports == (7620, 7635)
+    assert read.internal_ports == (7620, 7635)
     assert (read.application, read.service) == (("10.1.0.8", 8301), "huvo11a")
     assert (read.heartbeat_s, read.bound("seed-lag"), read.bound("contact")) == (1.3, 3.0, 3.0)
     assert (read.bound("retry-budget-ratio"), read.bound("retry-budget-slack")) == (0.2, 56.0)
     assert (read.initial_start, read.loss_counted, read.data_directory) == (True, False, None)
-    assert (read.machine_failures, read.zone_failures, read.memory_mb, read.fds) == (1, 1, 300.0, 4100)
+    assert (read.machine_failures, read.zone_failures, read.memory_mb, read.max_file_descriptors) == (
+        1,
+        1,
+        300.0,
+        4100,
+    )
     assert (read.config_mode, read.serves, read.contracts) == ("highest", ["sidecar"], ["base", "drain"])
 
 
@@ -127,10 +132,10 @@
     text = SETTINGS.replace("bounds:\n", 'bounds:\n  - "mode=fast"\n  - "lone"\n  - "late=true"\n  - 5\n')
     text = text.replace("listen-addresses:\n", 'listen-addresses:\n  spy: "unix:/x"\n  probe: "10.1.0.8:1"\n')
     read = parse(text + "\nnew-thing: {deep: [1, 2]}\n")
-    assert read.unread == ["mode=fast", "lone", "5"]
+    assert read.unknown_bounds == ["mode=fast", "lone", "5"]
     assert read.bound("late") == 1.0
-    assert read.listen["probe"] == ("10.1.0.8", 1)
-    assert "spy" not in read.listen
+    assert read.listen_addresses["probe"] == ("10.1.0.8", 1)
+    assert "spy" not in read.listen_addresses
 
 
 def test_bounds_on_one_line_are_separated_by_commas() -> None:
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -23,7 +23,7 @@
 from itertools import count
 from typing import Any, NamedTuple, cast
 
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar.backend import Taps
 from honeywharf.sidecar.gate import Gate
 from honeywharf.sidecar.inbound import Inbound
@@ -171,7 +171,7 @@
         self.inbound = Inbound(host, self.gate, taps)
         self.inbound.linked(own.link_mbps)
         word = Word(host, RpcCaller(host), list, lambda: None)
-        word.table, word.ready, word.revision = Table(TABLE), True, 7
+        word.table, word.ready, word.revision = RoutingTable(TABLE), True, 7
         self.source = Source(host, own, word, self.inbound, lambda: 0.0)
         self.source.slack = 100.0  # the retry budget is no guard here: it never stands in the way
         answerer = Answerer({}, self._streams)
--- a/tests/sidecar/stage.py
+++ b/tests/sidecar/stage.py
@@ -9,7 +9,7 @@
 from typing import Any, cast
 
 from honeywharf.codecs.heads import Head
-from honeywharf.mesh_config.routes import Route, Table
+from honeywharf.mesh_config.routes import Route, RoutingTable
 from honeywharf.mesh_config.settings import Settings, parse
 from honeywharf.sidecar.backend import Taps
 from honeywharf.sidecar.course import Course
@@ -251,7 +251,7 @@
 
     def _sidecar(self, host: Process) -> Outbound:
         source = Scripted(host)
-        source.word.table = Table(TABLE)
+        source.word.table = RoutingTable(TABLE)
         source.word.ready = True
         source.list_gates("10.1.0.20", "10.1.0.21")
         return Outbound(host, (IP, OUTBOUND), source.word, source)
@@ -328,8 +328,8 @@
     """One route to the service."""
     made = Route()
     made.name, made.host, made.prefix, made.kind = "r-1", b"shop.example", b"/orders/", kind
-    made.timeout_s, made.aim_s, made.priority, made.attempts = timeout_s, aim_s, 1, attempts
-    made.split, made.homes = ((SERVICE, 1.0),), ()
+    made.timeout_s, made.latency_target_s, made.priority, made.max_attempts = timeout_s, aim_s, 1, attempts
+    made.split, made.allowed_regions = ((SERVICE, 1.0),), ()
     return made
 
 
--- a/tests/sidecar/test_bypass.py
+++ b/tests/sidecar/test_bypass.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar import bypass
 from honeywharf.sidecar.course import ASIDE, MAX_HELPERS, Course
 from honeywharf.transport.streams import FIRST_WINDOW, HANDED, Ask
@@ -139,7 +139,7 @@
     """A course whose gates all hold another rule, to its end."""
     clock, client = Clock(), Client()
     source: Any = Scripted(clock)
-    source.word.table, source.drift_monitor = Table(TABLE), DriftMonitor()
+    source.word.table, source.drift_monitor = RoutingTable(TABLE), DriftMonitor()
     source.list_gates("10.1.0.20", "10.1.0.21")
     source.helper = lambda passed: None if "10.1.0.30" in passed else "10.1.0.30"
     made = head(0)
@@ -201,7 +201,11 @@
         self.clock = Clock()
         source: Any = Scripted(self.clock)
         self.source = source
-        self.source.word.table, self.source.word.ready, self.source.word.revision = Table(TABLE), True, 7
+        self.source.word.table, self.source.word.ready, self.source.word.revision = (
+            RoutingTable(TABLE),
+            True,
+            7,
+        )
         source.inbound = SimpleNamespace(leaving=False)
         self.source.helper = lambda passed: "10.1.0.30"
         self.source.list_gates("10.1.0.20")
--- a/tests/sidecar/test_homes.py
+++ b/tests/sidecar/test_homes.py
@@ -11,7 +11,7 @@
 from honeywharf.drift import digests, second
 from honeywharf.mesh_config.changes import changes
 from honeywharf.mesh_config.configuration import check
-from honeywharf.mesh_config.routes import Table
+from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar.course import Course
 from honeywharf.verdict import DRAINING, FULL, NOT_RUN, Verdict
 from tests.sidecar.stage import TABLE, Client, Clock, Scripted, head, route
@@ -24,9 +24,13 @@
 
 
 def test_homes_are_read_sorted_and_once_and_none_means_any() -> None:
-    assert Table(text(["b", "a", "b"])).all()[0].homes == ("a", "b")
-    assert Table(text(None)).all()[0].homes == Table(text([])).all()[0].homes == ()
-    assert Table(TABLE).all()[0].homes == ()
+    assert RoutingTable(text(["b", "a", "b"])).all_routes()[0].allowed_regions == ("a", "b")
+    assert (
+        RoutingTable(text(None)).all_routes()[0].allowed_regions
+        == RoutingTable(text([])).all_routes()[0].allowed_regions
+        == ()
+    )
+    assert RoutingTable(TABLE).all_routes()[0].allowed_regions == ()
 
 
 @pytest.mark.parametrize("wrong", ["a", {"a": 1}, [1], [""], [None], ["x"] * 65])
@@ -40,20 +44,20 @@
     rules = digests.Rules()
     made = {}
     for homes in ((), ("a",), ("a", "b")):
-        one = Table(text(list(homes)[::-1])).all()[0]
+        one = RoutingTable(text(list(homes)[::-1])).all_routes()[0]
         made[homes] = rules.of(one)
         told = second.Told(text(list(homes)[::-1]))
         assert told.holds(one.host, one.prefix, made[homes])
     assert len(set(made.values())) == 3
-    assert made[()] == digests.Rules().of(Table(TABLE).all()[0])
-    lines = list(changes(Table(TABLE), Table(text(["a"]))))
+    assert made[()] == digests.Rules().of(RoutingTable(TABLE).all_routes()[0])
+    lines = list(changes(RoutingTable(TABLE), RoutingTable(text(["a"]))))
     assert len(lines) == 1
     assert "allowed-regions" in lines[0]
 
 
 def course(homes: tuple[str, ...], zones: dict[str, str]) -> tuple[Scripted, Client, Course]:
     source, client, one = Scripted(Clock()), Client(), route()
-    one.homes = homes
+    one.allowed_regions = homes
     source.regions = {zone: zone[0] for zone in zones.values()}
     for key, zone in zones.items():
         source.list_gates(key, zone=zone)
--- a/tests/test_mesh_demo.py
+++ b/tests/test_mesh_demo.py
@@ -85,8 +85,8 @@
 
 
 def test_what_it_gives_the_programs_is_valid(day: Day) -> None:
-    assert not list(configuration.faults(day.first.text))
-    assert not list(configuration.faults(day.change.text))
+    assert not list(configuration.errors(day.first.text))
+    assert not list(configuration.errors(day.change.text))
     for program in day.mesh.programs:
         found = settings.load(str(program.file))
         assert found.ip == program.ip
