--- a/bench/scale/backend_process.py
+++ b/bench/scale/backend_process.py
@@ -7,8 +7,8 @@
 
 import sys
 
+from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Connection, Handler
-from honeywharf.transport.loop import Loop
 
 END = b"\r\n\r\n"
 ATTEMPT = b"x-honeywharf-attempt-id"
@@ -59,7 +59,7 @@
 def main(arguments: list[str]) -> int:
     """Answer until the time is over."""
     ip, port, limit_s = arguments[0], int(arguments[1]), float(arguments[2])
-    loop = Loop(None)
+    loop = EventLoop(None)
 
     def accept(connection: Connection) -> Handler:
         return Served(connection)
--- a/bench/scale/counted_loop.py
+++ b/bench/scale/counted_loop.py
@@ -12,13 +12,14 @@
 
 from bench.scale.reach import TIMEOUT, Reach, Unreachable
 from bench.scale.traffic import CountedLink, Traffic
-from honeywharf.transport.loop import Loop, Wire
+from honeywharf.transport.event_loop import EventLoop
+from honeywharf.transport.tcp_connection import TcpConnection
 
 if TYPE_CHECKING:
     from honeywharf.transport.host import Address, Connection, Handler
 
 
-class CountedLoop(Loop):
+class CountedLoop(EventLoop):
     """A `Loop` for one machine. `ip` and `internal_port` tell which connections are counted.
 
     Each connection between machines has an end that asked for it, which is the end that a partition breaks.
@@ -33,21 +34,23 @@
     ) -> None:
         super().__init__(directory)
         self.reach = reach or Reach(lambda ip: "")
-        self.asked: dict[Wire, str] = {}  # open connections that this machine asked for, and where they lead
+        self.asked: dict[
+            TcpConnection, str
+        ] = {}  # open connections that this machine asked for, and where they lead
         self.ip, self.internal_port = ip, internal_port
         self.traffic = Traffic()
-        self.links: dict[Wire, CountedLink] = {}
+        self.links: dict[TcpConnection, CountedLink] = {}
 
-    def count(self, wire: Wire, traffic: Traffic) -> None:
+    def count(self, wire: TcpConnection, traffic: Traffic) -> None:
         """Count a connection for a machine."""
-        self.links[wire] = CountedLink(wire.sock, traffic)
+        self.links[wire] = CountedLink(wire.socket, traffic)
 
     def read_links(self) -> None:
         """Bring the counts of all open connections up to date."""
         for link in self.links.values():
             link.read()
 
-    def drop(self, wire: Wire, why: str) -> None:
+    def drop(self, wire: TcpConnection, why: str) -> None:
         """Take the last counts of a connection before it is closed."""
         self.asked.pop(wire, None)
         link = self.links.pop(wire, None)
@@ -62,10 +65,12 @@
 
     # One machine's traffic; a process of many hollow nodes counts by node in `NodeHost`.
 
-    def connect(self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0) -> Wire:
+    def connect(
+        self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0
+    ) -> TcpConnection:
         """Ask for a connection, counted where it leads to another machine."""
         if self.ip and self.reach.separates(self.ip, to[0]):
-            return cast(Wire, Unreachable(self.after, to, handler, within))
+            return cast(TcpConnection, Unreachable(self.after, to, handler, within))
         wire = super().connect(to, handler, within)
         if self.ip and to[0] != self.ip:
             self.count(wire, self.traffic)
@@ -85,7 +90,7 @@
             return
 
         def accept_counted(connection: Connection) -> Handler:
-            assert isinstance(connection, Wire)
+            assert isinstance(connection, TcpConnection)
             self.count(connection, self.traffic)
             return accept(connection)
 
--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -20,8 +20,8 @@
 from honeywharf.cli.mesh import call
 from honeywharf.programs.start import VARIABLE
 from honeywharf.simulation import field
-from honeywharf.transport.loop import Loop
-from honeywharf.transport.rpc import Caller
+from honeywharf.transport.event_loop import EventLoop
+from honeywharf.transport.rpc_client import RpcClient
 
 CONTROL_PROGRAM, SIDECAR_PROGRAM = "control", "sidecar"
 ANSWER_S = 20.0  # that a process of the run has for one answer
@@ -44,8 +44,8 @@
 
     def __init__(self, plan: Plan, folder: Path, real: int, processes: int, limit_s: float) -> None:
         self.plan, self.folder = plan, folder
-        self.loop = Loop(None)
-        self.caller = Caller(self.loop)
+        self.loop = EventLoop(None)
+        self.caller = RpcClient(self.loop)
         self.real_indexes = plan.real_nodes(real)
         self.controls = [self._control(index, limit_s) for index in range(plan.controls)]
         self.sidecars = [self._sidecar(index, limit_s) for index in self.real_indexes]
--- a/bench/scale/heartbeats.py
+++ b/bench/scale/heartbeats.py
@@ -6,7 +6,8 @@
 import random
 from typing import TYPE_CHECKING
 
-from honeywharf.transport.loop import Loop, Wire
+from honeywharf.transport.event_loop import EventLoop
+from honeywharf.transport.tcp_connection import TcpConnection
 
 if TYPE_CHECKING:
     from honeywharf.transport.host import Address, Connection, Handler
@@ -20,7 +21,7 @@
 class Heartbeats:
     """Sends heartbeats on one connection, for as long as it is not stopped."""
 
-    def __init__(self, loop: Loop, control: Address, instance: str, service: str, zone: str) -> None:
+    def __init__(self, loop: EventLoop, control: Address, instance: str, service: str, zone: str) -> None:
         self._loop, self._control = loop, control
         self._path = f"/api/instances/{instance}/heartbeat"
         self._details = {
@@ -30,7 +31,7 @@
             "capacity-slots": SLOTS,
         }
         self._sequence = 0
-        self._wire: Wire | None = None
+        self._wire: TcpConnection | None = None
         self.acknowledged = 0
         self.stopped = False
         self._beat()
@@ -45,7 +46,7 @@
         if self.stopped:
             return
         if self._wire is None:
-            self._wire = Loop.connect(self._loop, self._control, self._opening)
+            self._wire = EventLoop.connect(self._loop, self._control, self._opening)
         self._sequence += 1
         body = json.dumps(
             {
--- a/bench/scale/hollow_process.py
+++ b/bench/scale/hollow_process.py
@@ -24,7 +24,7 @@
 from bench.scale.reach import Reach
 from honeywharf.simulation import field
 from honeywharf.transport.host import Address
-from honeywharf.transport.rpc import Answerer
+from honeywharf.transport.rpc_server import RpcServer
 
 Reply = Any  # the way back of one call
 
@@ -37,7 +37,7 @@
         self.reach = Reach(plan.zone_of)
         self.nodes: dict[int, HollowNode] = {}
         self.backends: list[Heartbeats] = []
-        answerer = Answerer(
+        answerer = RpcServer(
             {
                 messages.START: self._start,
                 messages.KILL: self._kill,
--- a/bench/scale/load.py
+++ b/bench/scale/load.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from bench.scale.fits import percentile
+from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Address, Connection, Handler
-from honeywharf.transport.loop import Loop
 
 DEADLINE_MS = 1400
 HEAD_END = b"\r\n\r\n"
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         to: Address,
         host: str,
         path: str,
--- a/bench/scale/node_host.py
+++ b/bench/scale/node_host.py
@@ -9,7 +9,8 @@
 from bench.scale.counted_loop import CountedLoop
 from bench.scale.reach import TIMEOUT, Reach, Unreachable
 from bench.scale.traffic import Traffic
-from honeywharf.transport.loop import LoopTimer, Wire
+from honeywharf.transport.event_loop import EventLoopTimer
+from honeywharf.transport.tcp_connection import TcpConnection
 
 if TYPE_CHECKING:
     from honeywharf.transport.host import Address, Connection, Handler
@@ -25,10 +26,10 @@
         self.exited: Callable[[], None] = self.stop
         self._socket: socket.socket | None = None
         self._listening: list[Address] = []
-        self._wires: dict[Wire, Address] = {}  # open connections that this node asked for
+        self._wires: dict[TcpConnection, Address] = {}  # open connections that this node asked for
         self.now, self.wall, self.random = loop.now, loop.wall, loop.random
 
-    def after(self, seconds: float, call: Callable[[], None]) -> LoopTimer:
+    def after(self, seconds: float, call: Callable[[], None]) -> EventLoopTimer:
         """Call once, so much later, unless the node has stopped by then."""
         return self.loop.after(seconds, lambda: None if self.stopped else call())
 
@@ -52,7 +53,7 @@
         """Take connections; those at the internal port are counted."""
 
         def accept_counted(connection: Connection) -> Handler:
-            assert isinstance(connection, Wire)
+            assert isinstance(connection, TcpConnection)
             if at[1] == self.internal_port:
                 self.loop.count(connection, self.traffic)
             self._wires[connection] = (self.ip, 0)  # where it comes from is not known
@@ -75,7 +76,7 @@
             received(sender, data)
 
         self.loop.datagrams(at, received_counted)
-        self._socket = self.loop.mouth
+        self._socket = self.loop.send_socket
 
     def send_datagram(self, to: Address, data: bytes) -> None:
         """Send; what goes into a partition is sent, and lost."""
@@ -109,7 +110,7 @@
             self.loop.unlisten(at)
         if self._socket is not None:
             self.loop.epoll.unregister(self._socket.fileno())
-            del self.loop.ears[self._socket.fileno()]
+            del self.loop.datagram_sockets[self._socket.fileno()]
             self._socket.close()
         for wire in list(self._wires):
             self.loop.drop(wire, "reset")
--- a/bench/scale/real_process.py
+++ b/bench/scale/real_process.py
@@ -22,8 +22,8 @@
 from bench.scale.plan import MANAGEMENT, Plan
 from bench.scale.reach import Reach
 from honeywharf.programs.start import VARIABLE
-from honeywharf.transport import loop as loop_module
-from honeywharf.transport.rpc import Answerer
+from honeywharf.transport import event_loop as loop_module
+from honeywharf.transport.rpc_server import RpcServer
 
 
 def main(arguments: list[str]) -> int:
@@ -44,12 +44,12 @@
             loop.part()
             reply(True)
 
-        answerer = Answerer({messages.SAMPLE: sample, messages.PARTITION: partition})
+        answerer = RpcServer({messages.SAMPLE: sample, messages.PARTITION: partition})
         loop.listen((ip, plan.port(MANAGEMENT)), answerer.accept)
         loop.after(limit_s, lambda: loop.exit(0))
         return loop
 
-    loop_module.Loop = counted  # type: ignore[assignment,misc]
+    loop_module.EventLoop = counted  # type: ignore[assignment,misc]
     status: int = importlib.import_module(f"honeywharf.programs.{program}").main()
     return status
 
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -304,11 +304,12 @@
 
 
 def _settings_lines(found: settings.Settings) -> Iterator[str]:
-    for attribute in found.__slots__:
-        value = getattr(found, attribute)
-        if attribute in NOT_SHOWN_AS_SETTINGS:
-            continue
-        name = SHOWN_SETTINGS.get(attribute, attribute)
+    shown = {
+        SHOWN_SETTINGS.get(attribute, attribute): getattr(found, attribute)
+        for attribute in found.__slots__
+        if attribute not in NOT_SHOWN_AS_SETTINGS
+    }
+    for name, value in sorted(shown.items()):
         if isinstance(value, dict):
             for key, each in value.items():
                 yield f"{name}.{key}: {_plain(each)}"
--- a/honeywharf/cli/store.py
+++ b/honeywharf/cli/store.py
@@ -16,7 +16,7 @@
 from honeywharf.cli import ending
 from honeywharf.cli.ending import DONE, NO
 from honeywharf.control import backup, repair
-from honeywharf.transport.loop import Loop
+from honeywharf.transport.event_loop import EventLoop
 
 Directory = Annotated[str, cappa.Arg(help="The data directory of a control node.")]
 File = Annotated[str, cappa.Arg(help="The file of a backup.")]
@@ -115,7 +115,7 @@
     )  # FormatError is an OSError
 
 
-def _disk(directory: str) -> Loop:
+def _disk(directory: str) -> EventLoop:
     if not os.path.isdir(directory):
         raise NotADirectoryError(f"found no folder {directory}, wanted a data directory")
-    return Loop(directory)
+    return EventLoop(directory)
--- a/honeywharf/control/committed_state.py
+++ b/honeywharf/control/committed_state.py
@@ -17,7 +17,7 @@
     from honeywharf.control.store import Store
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller
+    from honeywharf.transport.rpc_client import RpcClient
 
 ANNOUNCE_INTERVAL_S = 0.3  # between looks whether a text that was missing has come
 NO_REVISION = -1
@@ -33,7 +33,7 @@
     def __init__(
         self,
         host: Host,
-        caller: Caller,
+        caller: RpcClient,
         store: Store,
         voter: Voter,
         texts: ConfigurationTexts,
--- a/honeywharf/control/configuration_texts.py
+++ b/honeywharf/control/configuration_texts.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from honeywharf.control.store import Store
     from honeywharf.transport.host import Host
-    from honeywharf.transport.rpc import Caller
+    from honeywharf.transport.rpc_client import RpcClient
 
 FETCH_TIMEOUT_S = 3.0  # that one source of a text has
 MAX_FETCHES = 8  # texts being fetched at once
@@ -26,7 +26,7 @@
     `sources`: addresses of peers that may have texts, in the order in which they are asked.
     """
 
-    def __init__(self, host: Host, store: Store, caller: Caller, sources: Callable[[], list[str]]) -> None:
+    def __init__(self, host: Host, store: Store, caller: RpcClient, sources: Callable[[], list[str]]) -> None:
         self.host, self.store, self.caller, self.sources = host, store, caller, sources
         self.proposed: dict[str, bytes] = {}  # texts of changes under way here, compressed
         self.fetches: dict[str, list[TextDone]] = {}  # who waits for each text that is fetched
--- a/honeywharf/control/interfaces.py
+++ b/honeywharf/control/interfaces.py
@@ -9,7 +9,7 @@
     from honeywharf.control.replica import Replica
     from honeywharf.gossip.membership import Membership
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller
+    from honeywharf.transport.rpc_client import RpcClient
 
 
 class StatisticsSource(Protocol):
@@ -24,7 +24,7 @@
 
     host: Host
     replica: Replica
-    caller: Caller
+    caller: RpcClient
     operator: OperatorApi
     local_address: Address
 
--- a/honeywharf/control/joining.py
+++ b/honeywharf/control/joining.py
@@ -22,7 +22,8 @@
     from honeywharf.control.register_queues import ChangeQueue
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller, Method, Reply
+    from honeywharf.transport.rpc_client import RpcClient
+    from honeywharf.transport.rpc_server import Method, Reply
 
 REFRESH_PROBABILITY = 0.2  # by heartbeat, that a joiner asks who the members are although it knows
 
@@ -53,7 +54,7 @@
     def __init__(
         self,
         host: Host,
-        caller: Caller,
+        caller: RpcClient,
         voter: Voter,
         changes: ChangeQueue,
         contacts: ContactTracker,
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -28,7 +28,8 @@
     from honeywharf.control.register_queues import ChangeQueue
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller, Method, Reply
+    from honeywharf.transport.rpc_client import RpcClient
+    from honeywharf.transport.rpc_server import Method, Reply
 
 HEARTBEAT_S = 0.3  # between two heartbeats, on average
 HEARTBEAT_JITTER = (0.9, 0.2)  # of that: the least, and the width of the range
@@ -55,7 +56,7 @@
     def __init__(
         self,
         host: Host,
-        caller: Caller,
+        caller: RpcClient,
         voter: Voter,
         changes: ChangeQueue,
         rng: Random,
--- a/honeywharf/control/operator_api.py
+++ b/honeywharf/control/operator_api.py
@@ -19,7 +19,7 @@
 from honeywharf.control.register import QuorumResult
 from honeywharf.control.register_queues import ConfigurationText
 from honeywharf.control.replica import Replica
-from honeywharf.transport.matchers import NotAllowed, Tree
+from honeywharf.transport.url_matcher import MethodNotAllowedError, UrlMatcher
 
 if TYPE_CHECKING:
     from result import Result
@@ -80,7 +80,7 @@
         self.replica, self.zones, self.sidecar_port, self.check = replica, zones, sidecar_port, check
         self.is_shutting_down = False
         self.pending_calls = 0  # not answered yet
-        self.routes = routes = Tree()
+        self.routes = routes = UrlMatcher()
         begin, end = partial(self._set_evacuation, True), partial(self._set_evacuation, False)
         self.majority_calls = [self._replace, self._describe, begin, end, self._readiness]
         routes.add("POST", "/api/configuration/replace", self._replace)
@@ -104,7 +104,7 @@
         self.pending_calls += 1
         try:
             found = self.routes.find(call.method, call.path)
-        except NotAllowed as other_methods:
+        except MethodNotAllowedError as other_methods:
             self.answer(call, 405, b"", b"Allow: " + b", ".join(other_methods.args[0]) + b"\r\n")
             return
         if found is None:
--- a/honeywharf/control/quorum_client.py
+++ b/honeywharf/control/quorum_client.py
@@ -18,7 +18,7 @@
     from honeywharf.control.mesh_state import MemberId
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Host
-    from honeywharf.transport.rpc import Caller
+    from honeywharf.transport.rpc_client import RpcClient
 
 CALL_TIMEOUT_S = 0.4  # of one message of the register; a text adds to it
 UNREQUESTED_TEXT_BYTES = 64 << 10  # a text up to here goes with a proposal though nobody has asked for it
@@ -43,7 +43,7 @@
     """Runs quorum operations. `on_contact` is called with each member that has answered."""
 
     def __init__(
-        self, host: Host, caller: Caller, voter: Voter, texts: ConfigurationTexts, on_contact: OnContact
+        self, host: Host, caller: RpcClient, voter: Voter, texts: ConfigurationTexts, on_contact: OnContact
     ) -> None:
         self.host, self.caller, self.voter, self.texts = host, caller, voter, texts
         self.on_contact = on_contact
--- a/honeywharf/control/replica.py
+++ b/honeywharf/control/replica.py
@@ -29,7 +29,8 @@
 if TYPE_CHECKING:
     from honeywharf.control.store import Store
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller, Method, Reply
+    from honeywharf.transport.rpc_client import RpcClient
+    from honeywharf.transport.rpc_server import Method, Reply
 
 READ_TIMEOUT_S = 0.8  # of a read for another process
 SEED_BYTES = 16  # of randomness for back-off and jitter
@@ -60,7 +61,7 @@
         self,
         host: Host,
         store: Store,
-        caller: Caller,
+        caller: RpcClient,
         settings: ReplicaSettings,
         on_state: Callable[[MeshState], None] = lambda state: None,
         other_control_nodes: Callable[[], list[Address]] = list,
--- a/honeywharf/drift/gather.py
+++ b/honeywharf/drift/gather.py
@@ -25,7 +25,7 @@
     from honeywharf.control.messages import Heartbeat
     from honeywharf.control.operator_api import HttpCall
     from honeywharf.transport.host import Address
-    from honeywharf.transport.rpc import Reply
+    from honeywharf.transport.rpc_server import Reply
 
 BATCH = 16  # sidecars asked at once
 WITHIN_S = 0.8  # for each
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -29,7 +29,7 @@
 
     from honeywharf.programs.sidecar import Sidecar
     from honeywharf.transport.host import Address
-    from honeywharf.transport.rpc import Reply
+    from honeywharf.transport.rpc_server import Reply
 
 LOOK_S = 0.25  # between looks at all of oneself that others or requests ask for
 MAX_STUBBORN = 16
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -21,7 +21,8 @@
 from honeywharf.programs.start import load_settings
 from honeywharf.transport.host import Address, Host
 from honeywharf.transport.http_server import HttpServer
-from honeywharf.transport.rpc import Answerer, Caller
+from honeywharf.transport.rpc_client import RpcClient
+from honeywharf.transport.rpc_server import RpcServer
 
 if TYPE_CHECKING:
     from honeywharf.mesh_config.settings import Settings
@@ -41,7 +42,7 @@
     def __init__(self, host: Host, settings: Settings) -> None:
         self.host, self.settings = host, settings
         self.local_address: Address = (settings.ip, settings.internal_ports[0])
-        self.caller = Caller(host)
+        self.caller = RpcClient(host)
         self.replica = Replica(
             host,
             Store(host),
@@ -80,7 +81,7 @@
         settings, host = self.settings, self.host
         self.gather.start()
         self.hinted_handoff.start()
-        host.listen(self.local_address, Answerer(self.replica.methods, log=host.log).accept)
+        host.listen(self.local_address, RpcServer(self.replica.methods, log=host.log).accept)
         self.membership = self._start_gossip()
         control_plane = settings.listen_addresses["control-plane"]
         self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY)
@@ -159,12 +160,12 @@
 
 def main() -> int:
     """Run by the settings file that the platform names; 2 where it can't be used."""
-    from honeywharf.transport.loop import Loop
+    from honeywharf.transport.event_loop import EventLoop
 
     settings = load_settings(DEFAULT_SETTINGS)
     if settings is None:
         return 2
-    loop = Loop(settings.data_directory)
+    loop = EventLoop(settings.data_directory)
     program = ControlNode(loop, settings)
     loop.on_signal(signal.SIGTERM, program.stop)
     loop.on_signal(signal.SIGHUP, lambda: None)
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -25,7 +25,7 @@
     from honeywharf.control.interfaces import ControlProgram
     from honeywharf.control.mesh_state import MemberId, MeshState
     from honeywharf.transport.host import Address
-    from honeywharf.transport.rpc import Reply
+    from honeywharf.transport.rpc_server import Reply
 
 KEEPERS = 2  # members that keep hints for an unreachable one
 LOOK_S = 0.3  # between looks at who is unreachable
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -18,7 +18,7 @@
     from honeywharf.control.interfaces import ControlProgram
     from honeywharf.control.operator_api import HttpCall
     from honeywharf.transport.host import Address
-    from honeywharf.transport.rpc import Reply
+    from honeywharf.transport.rpc_server import Reply
 
 REMOVAL_ROLE = Role(MEMBER_REMOVAL, "", 0)
 HOLDER_BYTES = 6  # of randomness in the name of this process as a holder
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -29,7 +29,7 @@
 from honeywharf.sessions.passage import Passages, Row
 from honeywharf.sessions.places import Place
 from honeywharf.sessions.spillway import LINK_MBPS, Spillway
-from honeywharf.transport.http_server import Call, HttpServer
+from honeywharf.transport.http_server import HttpRequest, HttpServer
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -217,7 +217,7 @@
         rows.sort(key=lambda row: self.order(row.rest, row.length, now - row.since))
         return rows
 
-    def _order(self, call: Call) -> None:
+    def _order(self, call: HttpRequest) -> None:
         """The operator's door: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
         if call.method == b"POST" and call.path == b"/api/gateway/drain":
             call.answer(200, NAMES[self.order_drain()].encode())
@@ -281,12 +281,12 @@
     """Run until the platform or an operator's SIGTERM ends it; the exit status."""
     from signal import SIGTERM
 
-    from honeywharf.transport.loop import Loop
+    from honeywharf.transport.event_loop import EventLoop
 
     settings = load_settings()
     if settings is None:
         return 2
-    loop = Loop(None)
+    loop = EventLoop(None)
     keeper = GatewayNode(
         loop,
         (settings.ip, settings.internal_ports[0]),
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -22,9 +22,11 @@
 from honeywharf.sidecar.probe import Probe
 from honeywharf.sidecar.shutdown import Shutdown
 from honeywharf.sidecar.source import Source
-from honeywharf.transport.http_server import Call, HttpServer
-from honeywharf.transport.rpc import Answerer, Caller
-from honeywharf.transport.streams import HANDED, MAX_FRAME, Reception
+from honeywharf.transport.http_server import HttpRequest, HttpServer
+from honeywharf.transport.link_server import LinkServer
+from honeywharf.transport.rpc_client import RpcClient
+from honeywharf.transport.rpc_server import RpcServer
+from honeywharf.transport.stream import DELEGATED, MAX_FRAME
 from honeywharf.verdict import WORDS
 
 TYPE_CHECKING = False
@@ -34,10 +36,10 @@
 
     from honeywharf.gossip.entry import Entry
     from honeywharf.mesh_config.settings import Settings
-    from honeywharf.sidecar.inbound import Answers
-    from honeywharf.transport.frames import FrameReader
+    from honeywharf.sidecar.inbound import Responder
+    from honeywharf.transport.framing import FrameReader
     from honeywharf.transport.host import Address, Connection, Handler, Host
-    from honeywharf.transport.streams import Ask, Work
+    from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
 COUNTERS_S = 10.0
 
@@ -59,7 +61,7 @@
         self.taps = Taps(host, application, self._handshake)
         self.inbound = Inbound(host, self.gate, self.taps)
         self.inbound.linked(settings.link_mbps)
-        self.caller = Caller(host)
+        self.caller = RpcClient(host)
         self.word = Word(host, self.caller, self.cores, self._word_changed)
         self.word.named = is_named
         port = settings.internal_ports[0]
@@ -81,7 +83,7 @@
         self.membership.on_up = lambda node: self.source.doubt(node, False)
         self.probe = Probe(host, application, self.gate, self._gate_changed)
         self.drift_monitor = self.source.drift_monitor = self.inbound.drift_monitor = DriftMonitor(self)
-        answerer = Answerer(
+        answerer = RpcServer(
             {**self.word.methods(), **self.drift_monitor.methods()}, self._streams, log=host.log
         )
         host.listen((settings.ip, port), answerer.accept)
@@ -172,12 +174,12 @@
         self.membership.publish(**say)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
-        reader.most = MAX_FRAME
-        return Reception(connection, reader, frames, self._begin)
+        reader.max_frame = MAX_FRAME
+        return LinkServer(connection, reader, frames, self._begin)
 
-    def _begin(self, ask: Ask, answers: Answers) -> Work | None:
+    def _begin(self, ask: ForwardedRequest, answers: Responder) -> RequestHandler | None:
         """A request of another sidecar: for the gate here, or to be decided here."""
-        if ask.kind != HANDED:
+        if ask.kind != DELEGATED:
             return self.inbound.begin(ask, answers)
         from honeywharf.sidecar.bypass import take  # only where another one is in doubt
 
@@ -205,7 +207,7 @@
 
     # The platform.
 
-    def _readiness(self, call: Call) -> None:
+    def _readiness(self, call: HttpRequest) -> None:
         if call.path != b"/api/readiness":
             call.answer(404)
         elif self.word.ready and not self.shutdown.begun and not self.drift_monitor.unfit:
@@ -250,12 +252,12 @@
     """Run until the platform ends it; the exit status."""
     from signal import SIGHUP, SIGTERM
 
-    from honeywharf.transport.loop import Loop
+    from honeywharf.transport.event_loop import EventLoop
 
     settings = load_settings()
     if settings is None:
         return 2
-    loop = Loop(None)
+    loop = EventLoop(None)
     sidecar = Sidecar(loop, settings)
     loop.on_signal(SIGTERM, sidecar.terminate)
     loop.on_signal(SIGHUP, lambda: loop.log("settings may have changed; they are read at the start"))
--- a/honeywharf/sessions/abroad.py
+++ b/honeywharf/sessions/abroad.py
@@ -18,7 +18,7 @@
 
     from honeywharf.sessions.conveyor import Carriage
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.streams import Ask, Replies, Work
+    from honeywharf.transport.stream import ForwardedRequest, RequestHandler, ResponseHandler
 
     class Settings(Protocol):
         """What is read of a sidecar's settings."""
@@ -50,7 +50,7 @@
         zone: str,
         zones: dict[str, str],
         gateways: list[Place],
-        begin: Callable[[Ask, Any], Work | None],
+        begin: Callable[[ForwardedRequest, Any], RequestHandler | None],
         draw: Callable[[], float],
         memory_mb: float = 300.0,
         link_mbps: float = LINK_MBPS,
@@ -68,8 +68,8 @@
     def open(
         self,
         key: str,
-        ask: Ask,
-        replies: Replies,
+        ask: ForwardedRequest,
+        replies: ResponseHandler,
         homes: tuple[str, ...] = (),
     ) -> Carriage | None:
         """The way to a sidecar of another region; None where there is no room for one more.
@@ -82,7 +82,7 @@
 def joined(
     host: Host,
     settings: Settings,
-    begin: Callable[[Ask, Any], Work | None],
+    begin: Callable[[ForwardedRequest, Any], RequestHandler | None],
     draw: Callable[[], float],
 ) -> Abroad:
     """The other regions by the gateways of a sidecar's settings."""
--- a/honeywharf/sessions/conveyor.py
+++ b/honeywharf/sessions/conveyor.py
@@ -26,7 +26,7 @@
 from honeywharf.sessions.line import TO_SOURCES, Line
 from honeywharf.sessions.outlet import APART_S
 from honeywharf.sessions.spillway import LINK_MBPS, Spillway
-from honeywharf.transport.streams import WINDOW_BYTES, Ask
+from honeywharf.transport.stream import WINDOW_SIZE, ForwardedRequest
 from honeywharf.verdict import DRAINING, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
@@ -36,7 +36,7 @@
 
     from honeywharf.sessions.places import Place
     from honeywharf.transport.host import Host, Timer
-    from honeywharf.transport.streams import Replies
+    from honeywharf.transport.stream import ResponseHandler
 
 TICK_S = 0.02
 STALL_S = 2.5  # nothing came on a way that owes a word; a full gateway says little for a second and more
@@ -47,19 +47,25 @@
 MAX_LIVES = 1024  # destinations whose life is remembered
 
 
-def head_of(ask: Ask) -> list[object]:
+def head_of(ask: ForwardedRequest) -> list[object]:
     """What a session carries of a request: first what is asked for, then what may differ from try to try."""
     return [
         [ask.service, ask.kind, ask.caller, ask.method, ask.target, ask.fields],
-        [int(ask.patience_s * 1000.0), ask.priority, int(ask.aim_s * 1000.0), ask.revision, ask.rule],
+        [
+            int(ask.max_queue_wait_s * 1000.0),
+            ask.priority,
+            int(ask.latency_target_s * 1000.0),
+            ask.revision,
+            ask.rule,
+        ],
     ]
 
 
-def lane_of(ask: Ask) -> int:
+def lane_of(ask: ForwardedRequest) -> int:
     """The lane of a request: by its body, its kind and its aim, which is the operator's word of its haste."""
     if not 0 <= ask.length <= SHORT:
         return BULK
-    return QUICK if ask.kind == 0 and ask.aim_s <= QUICK_AIM_S else BRIEF
+    return QUICK if ask.kind == 0 and ask.latency_target_s <= QUICK_AIM_S else BRIEF
 
 
 class Carriage:
@@ -81,7 +87,7 @@
         "way",
     )
 
-    def __init__(self, conveyor: Conveyor, replies: Replies, lane: int, read: bool) -> None:
+    def __init__(self, conveyor: Conveyor, replies: ResponseHandler, lane: int, read: bool) -> None:
         self.conveyor, self.replies, self.lane, self.read = conveyor, replies, lane, read
         self.inlet: Inlet
         self.way: Way | None = None
@@ -119,15 +125,15 @@
 
     __slots__ = ("answered", "data", "failed", "replies", "whole", "window")
 
-    def __init__(self, replies: Replies) -> None:
+    def __init__(self, replies: ResponseHandler) -> None:
         self.replies = replies
         self.answered, self.data, self.failed = replies.answered, replies.data, replies.failed
-        self.whole, self.window = replies.whole, replies.window
+        self.whole, self.window = replies.completed, replies.window
 
     def went(self) -> None:
         """The body is wanted: a course begins with less than a window."""
-        self.replies.went()
-        self.replies.window(WINDOW - WINDOW_BYTES)
+        self.replies.admitted()
+        self.replies.window(WINDOW - WINDOW_SIZE)
 
 
 class Way:
@@ -213,8 +219,8 @@
     def open(
         self,
         to: str,
-        ask: Ask,
-        replies: Replies,
+        ask: ForwardedRequest,
+        replies: ResponseHandler,
         tenant: str = "",
         homes: tuple[str, ...] = (),
     ) -> Carriage | None:
@@ -225,7 +231,7 @@
         deadline = host.now() + ask.remaining_s
         request = Request(
             to,
-            ask.attempt,
+            ask.attempt_id,
             ask.length,
             deadline,
             int((host.wall() + ask.remaining_s) * 1000.0),
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/landing.py
@@ -6,7 +6,7 @@
 from honeywharf.sessions.line import TO_LANDING, Caught
 from honeywharf.sessions.outlet import OVER, Outlet, Outlets
 from honeywharf.sessions.spillway import LINK_MBPS, Spillway
-from honeywharf.transport.streams import Ask
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import GARBLED, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
@@ -15,7 +15,7 @@
     from typing import Any
 
     from honeywharf.transport.host import Address, Connection, Handler, Host, Timer
-    from honeywharf.transport.streams import Work
+    from honeywharf.transport.stream import RequestHandler
 
 DUE_S = 0.25
 MAX_LINKS = 256
@@ -24,12 +24,12 @@
 class Landed:
     """Where the gate's work tells its outcome (`sidecar.inbound.Answers`)."""
 
-    __slots__ = ("landing", "outlet", "over")
+    __slots__ = ("is_over", "landing", "outlet")
 
     def __init__(self, landing: Landing, outlet: Outlet) -> None:
-        self.landing, self.outlet, self.over = landing, outlet, False
+        self.landing, self.outlet, self.is_over = landing, outlet, False
 
-    def go(self) -> None:
+    def admit(self) -> None:
         """It is admitted; the body is there already."""
 
     def window(self, size: int) -> None:
@@ -47,7 +47,7 @@
         outlets = self.landing.outlets
         outlets.answered(self.outlet, status, fields, length)
         if body is not None:
-            self.over = True
+            self.is_over = True
             if body:
                 outlets.answer_data(self.outlet, body)
             outlets.answer_whole(self.outlet)
@@ -56,14 +56,14 @@
         """A part of the answer's body."""
         self.landing.outlets.answer_data(self.outlet, data)
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """The answer is whole."""
-        self.over = True
+        self.is_over = True
         self.landing.outlets.answer_whole(self.outlet)
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
         """No answer comes."""
-        self.over = True
+        self.is_over = True
         self.landing.outlets.failed(self.outlet, verdict)
 
 
@@ -76,7 +76,7 @@
         host: Host,
         at: Address,
         region: str,
-        begin: Callable[[Ask, Any], Work | None],
+        begin: Callable[[ForwardedRequest, Any], RequestHandler | None],
         hold: Hold | None = None,
         link_mbps: float = LINK_MBPS,
     ) -> None:
@@ -121,35 +121,35 @@
             return
         answers = Landed(self, outlet)
         work = self.begin(ask, answers)
-        if work is None or answers.over:
+        if work is None or answers.is_over:
             return
         outlet.work = work
         if body:
             work.data(body)
-            if not answers.over:
+            if not answers.is_over:
                 work.end()
-        if answers.over:
+        if answers.is_over:
             outlet.work = None
 
-    def _ask(self, outlet: Outlet, head: Any, length: int) -> Ask:
+    def _ask(self, outlet: Outlet, head: Any, length: int) -> ForwardedRequest:
         """What the gate is asked, out of a head as `conveyor.head_of` makes it."""
         (service, kind, caller, method, target, fields), (patience, priority, aim, revision, rule) = head
         remaining = max(0.0, outlet.until - self.host.now())
-        return Ask(
-            service,
-            outlet.attempt,
-            kind,
-            remaining,
-            patience / 1000.0,
-            priority,
-            aim / 1000.0,
-            caller,
-            method,
-            target,
-            fields,
-            length,
-            revision,
-            rule,
+        return ForwardedRequest(
+            service=service,
+            attempt_id=outlet.attempt,
+            kind=kind,
+            remaining_s=remaining,
+            max_queue_wait_s=patience / 1000.0,
+            priority=priority,
+            latency_target_s=aim / 1000.0,
+            caller=caller,
+            method=method,
+            target=target,
+            fields=fields,
+            length=length,
+            revision=revision,
+            rule=rule,
         )
 
     @staticmethod
--- a/honeywharf/sessions/line.py
+++ b/honeywharf/sessions/line.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from honeywharf.sessions.kinds import PING, PONG
-from honeywharf.transport.frames import FrameReader, encode
+from honeywharf.transport.framing import FrameReader, encode_frame
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         self.asked = 0.0
         self.timer: Timer | None = None
         self.connection = host.connect(to, lambda connection: self, SILENT_S)
-        self.connection.send(encode(greeting))
+        self.connection.send(encode_frame(greeting))
         self._watch()
 
     @property
@@ -59,7 +59,7 @@
         if self.dead:
             return 0
         self.used = self.host.now()
-        data = encode(frame)
+        data = encode_frame(frame)
         self.connection.send(data)
         if self.connection.unsent > MAX_UNSENT:
             self.lose()
@@ -71,7 +71,7 @@
             self.lose()
             return
         self.asked = now
-        self.connection.send(encode([PING]))
+        self.connection.send(encode_frame([PING]))
         self.timer = self.host.after(PING_S, self._watch)
 
     def lose(self) -> None:
@@ -142,7 +142,7 @@
         """Send one frame; its bytes."""
         if self.dead:
             return 0
-        data = encode(frame)
+        data = encode_frame(frame)
         self.connection.send(data)
         if self.connection.unsent > MAX_UNSENT:
             self.lose()
@@ -175,7 +175,7 @@
             self.known = True
             self.greeted(self)
         elif frame[0] == PING:
-            self.connection.send(encode([PONG]))
+            self.connection.send(encode_frame([PONG]))
         else:
             self.took(self, frame)
 
--- a/honeywharf/sidecar/beats.py
+++ b/honeywharf/sidecar/beats.py
@@ -9,7 +9,7 @@
 import json
 
 from honeywharf.codecs.mesh import duration
-from honeywharf.transport.matchers import NotAllowed, Tree
+from honeywharf.transport.url_matcher import MethodNotAllowedError, UrlMatcher
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 
     from honeywharf.sidecar.gate import Gate
     from honeywharf.transport.host import Host
-    from honeywharf.transport.http_server import Call
+    from honeywharf.transport.http_server import HttpRequest
 
 MAX_ID = 256
 
@@ -28,15 +28,15 @@
     def __init__(self, host: Host, gate: Gate, told: Callable[[], None]) -> None:
         self.host, self.gate, self.told = host, gate, told
         self.late = self.taken = 0
-        self.tree = Tree()
+        self.tree = UrlMatcher()
         self.tree.add("POST", "/api/instances/{id}/heartbeat", self._heartbeat)
         self.tree.add("POST", "/api/instances/{id}/deregister", self._deregister)
 
-    def take(self, call: Call) -> None:
+    def take(self, call: HttpRequest) -> None:
         """Answer one call."""
         try:
             found = self.tree.find(call.method, call.path)
-        except NotAllowed:
+        except MethodNotAllowedError:
             call.answer(405)
             return
         if found is None:
@@ -48,7 +48,7 @@
             return
         target(call, params["id"])
 
-    def _heartbeat(self, call: Call, instance: str) -> None:
+    def _heartbeat(self, call: HttpRequest, instance: str) -> None:
         try:
             body = json.loads(call.body)
             details, status = body.get("details") or {}, body["status"]
@@ -70,7 +70,7 @@
         self.told()
         call.answer(200, b"{}")
 
-    def _deregister(self, call: Call, instance: str) -> None:
+    def _deregister(self, call: HttpRequest, instance: str) -> None:
         self.gate.deregister(instance)
         self.told()
         call.answer(200, b"{}")
--- a/honeywharf/sidecar/bypass.py
+++ b/honeywharf/sidecar/bypass.py
@@ -20,7 +20,7 @@
 
 from honeywharf.codecs.heads import Head
 from honeywharf.sidecar.course import Course
-from honeywharf.transport.streams import FIRST_WINDOW
+from honeywharf.transport.stream import INITIAL_WINDOW
 from honeywharf.verdict import (
     BROKEN_OFF,
     DRIFT,
@@ -36,9 +36,9 @@
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from honeywharf.mesh_config.routes import Route
-    from honeywharf.sidecar.inbound import Answers
+    from honeywharf.sidecar.inbound import Responder
     from honeywharf.sidecar.source import Source
-    from honeywharf.transport.streams import Ask, Work
+    from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
 MAX_PASSING = 256
 AHEAD_BYTES = 64 * 1024  # of a body, beyond what a gate has taken
@@ -51,12 +51,12 @@
 
     __slots__ = ("answers", "course", "granted", "source")
 
-    def __init__(self, source: Source, answers: Answers) -> None:
+    def __init__(self, source: Source, answers: Responder) -> None:
         self.source, self.answers = source, answers
         self.course: Course | None = None
-        self.granted = FIRST_WINDOW  # bytes of the body that were asked for
+        self.granted = INITIAL_WINDOW  # bytes of the body that were asked for
 
-    def begin(self, ask: Ask, head: Head, route: Route) -> Course:
+    def begin(self, ask: ForwardedRequest, head: Head, route: Route) -> Course:
         """Have it decided."""
         source, now = self.source, self.source.host.now()
         source.passing[self] = None
@@ -65,7 +65,7 @@
         )
         source.courses[course] = None
         if head.length != 0:
-            self.answers.go()
+            self.answers.admit()
         course.start()
         return course
 
@@ -113,7 +113,7 @@
     def whole(self, course: Course) -> None:
         """The answer is whole."""
         self._over()
-        self.answers.whole()
+        self.answers.complete()
 
     def taken(self, course: Course) -> None:
         """Bytes of the body have gone on: ask for as many further ones."""
@@ -137,7 +137,7 @@
         )
 
 
-def refusal(source: Source, ask: Ask) -> int | None:
+def refusal(source: Source, ask: ForwardedRequest) -> int | None:
     """Why a request can't be decided here, before its route is looked for; None where it can."""
     if source.inbound.leaving:
         return LEAVING
@@ -148,7 +148,7 @@
     return DRIFT if len(source.passing) >= MAX_PASSING else None
 
 
-def take(source: Source, ask: Ask, host: bytes, answers: Answers) -> Work | None:
+def take(source: Source, ask: ForwardedRequest, host: bytes, answers: Responder) -> RequestHandler | None:
     """Decide a request that was handed on. `host`: its `Host`; None where it was refused at once."""
     passing = Passing(source, answers)
     why = refusal(source, ask)
@@ -156,7 +156,7 @@
         passing.refuse(why, REFUSED_S)
         return None
     head = Head()
-    head.method, head.target, head.host, head.attempt = ask.method, ask.target, host, ask.attempt
+    head.method, head.target, head.host, head.attempt = ask.method, ask.target, host, ask.attempt_id
     head.fields, head.remaining_s, head.length = [ask.fields], ask.remaining_s, ask.length
     route, again_s = source.word.find(host, head.path), 0.0
     if source.drift_monitor is not None:
--- a/honeywharf/sidecar/course.py
+++ b/honeywharf/sidecar/course.py
@@ -24,7 +24,7 @@
 
 from honeywharf.codecs.heads import UNKNOWN, Head
 from honeywharf.mesh_config.routes import Route
-from honeywharf.transport.streams import FIRST_WINDOW, HANDED, Ask
+from honeywharf.transport.stream import DELEGATED, INITIAL_WINDOW, ForwardedRequest
 from honeywharf.verdict import DRIFT, FULL, LOST, MAY_HAVE_RUN, NOT_RUN, TIMED_OUT, Verdict
 
 TYPE_CHECKING = False
@@ -98,7 +98,7 @@
 
 def kind_of(route: Route) -> int:
     """A route's kind as it travels."""
-    return HANDED if route is ASIDE else 0 if route.is_idempotent else 2 if route.is_upload else 1
+    return DELEGATED if route is ASIDE else 0 if route.is_idempotent else 2 if route.is_upload else 1
 
 
 class Course:
@@ -222,7 +222,7 @@
 
     def _bodied(self) -> bool:
         """Whether its body is one that a gate's link has to have room for."""
-        return self.head.length == UNKNOWN or self.head.length > FIRST_WINDOW
+        return self.head.length == UNKNOWN or self.head.length > INITIAL_WINDOW
 
     def _barred(self) -> set[str]:
         """Backends that its route's homes forbid; most routes have none."""
@@ -240,21 +240,21 @@
             remaining = max(END_S, remaining - HELPED_S)
         else:
             rule = self.source.rule(self.route)
-        ask = Ask(
-            self.service,
-            head.attempt,
-            self.kind,
-            remaining,
-            patience_s,
-            self.route.priority,
-            self.route.latency_target_s,
-            caller,
-            head.method,
-            head.target,
-            b"".join(head.fields),
-            head.length,
-            self.revision,
-            rule,
+        ask = ForwardedRequest(
+            service=self.service,
+            attempt_id=head.attempt,
+            kind=self.kind,
+            remaining_s=remaining,
+            max_queue_wait_s=patience_s,
+            priority=self.route.priority,
+            latency_target_s=self.route.latency_target_s,
+            caller=caller,
+            method=head.method,
+            target=head.target,
+            fields=b"".join(head.fields),
+            length=head.length,
+            revision=self.revision,
+            rule=rule,
         )
         self.source.asks += 1
         self.channel = None
@@ -426,7 +426,7 @@
 
     def go(self) -> None:
         """It is admitted: its body is wanted."""
-        self.went, self.credit = True, FIRST_WINDOW
+        self.went, self.credit = True, INITIAL_WINDOW
         self._send()
 
     def window(self, size: int) -> None:
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -23,7 +23,7 @@
 from honeywharf.admission.intake import STALL_S, Intake
 from honeywharf.codecs.heads import UNKNOWN, Answer
 from honeywharf.sidecar.backend import Taps
-from honeywharf.transport.streams import FIRST_WINDOW, WINDOW_BYTES
+from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
 from honeywharf.verdict import (
     BROKEN_OFF,
     CHOKED,
@@ -51,12 +51,12 @@
     from honeywharf.sidecar.backend import Tap
     from honeywharf.sidecar.gate import Gate
     from honeywharf.transport.host import Host, Timer
-    from honeywharf.transport.streams import Ask
+    from honeywharf.transport.stream import ForwardedRequest
 
-    class Answers(Protocol):
+    class Responder(Protocol):
         """Where a job's outcome goes: a stream's frames, or the source in this process."""
 
-        def go(self) -> None:
+        def admit(self) -> None:
             """It is admitted."""
 
         def window(self, size: int) -> None:
@@ -70,14 +70,14 @@
         def data(self, data: bytes) -> None:
             """A part of the answer's body."""
 
-        def whole(self) -> None:
+        def complete(self) -> None:
             """The answer is whole."""
 
         def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
             """No answer comes, or none further."""
 
 
-SHORT_BYTES = FIRST_WINDOW  # of a body that is held whole before the backend sees its head
+SHORT_BYTES = INITIAL_WINDOW  # of a body that is held whole before the backend sees its head
 WHOLE_BYTES = 64 * 1024  # of an answer that goes on whole
 HELD_BYTES = 512 * 1024  # of a request's body that is held before it has a slot
 BACKLOG = 0.3  # of the aim, that a body's first byte may wait for the link
@@ -124,9 +124,9 @@
         "wrote",
     )
 
-    def __init__(self, inbound: Inbound, ask: Ask, answers: Answers) -> None:
+    def __init__(self, inbound: Inbound, ask: ForwardedRequest, answers: Responder) -> None:
         self.inbound, self.ask, self.answers, self.gate = inbound, ask, answers, inbound.gate
-        self.attempt = ask.attempt
+        self.attempt = ask.attempt_id
         self.until = inbound.host.now() + ask.remaining_s
         self.waiter: Waiter | None = None
         self.thaw: Timer | None = None  # while it waits for a cold backend
@@ -139,7 +139,7 @@
         self.ended = self.over = self.started = self.wrote = self.tap_up = self.streaming = False
         self.head: Answer | None = None
         self.kept: list[bytes] = []  # of an answer that goes on whole, or for which there is no window
-        self.credit = WINDOW_BYTES
+        self.credit = WINDOW_SIZE
         self.begun_at = self.judged_at = 0.0
 
     # Judged.
@@ -149,7 +149,7 @@
         inbound, ask, now = self.inbound, self.ask, self.inbound.host.now()
         if not self._passes(now):
             return
-        self.short = inbound.gate.admission.is_short(ask.aim_s)
+        self.short = inbound.gate.admission.is_short(ask.latency_target_s)
         if not self.ended and (SHORT_BYTES < ask.length <= HELD_BYTES or ask.length == UNKNOWN):
             self._receive(now)
         else:
@@ -160,36 +160,36 @@
         ask, admission = self.ask, self.inbound.gate.admission
         if admission.free(now, self.short):
             self._start(now)
-        elif ask.patience_s > 0:
+        elif ask.max_queue_wait_s > 0:
             self.waiter = admission.wait(
                 now,
-                (ask.priority, ask.aim_s),
-                min(ask.patience_s, ask.remaining_s),
+                (ask.priority, ask.latency_target_s),
+                min(ask.max_queue_wait_s, ask.remaining_s),
                 self._turn,
                 self._too_long,
             )
             if self.waiter is None:
-                self.refuse(FULL, admission.expected_s((ask.priority, ask.aim_s)))
+                self.refuse(FULL, admission.expected_s((ask.priority, ask.latency_target_s)))
             else:
                 self.inbound.look_soon()
         else:
-            self.refuse(FULL, admission.expected_s((ask.priority, ask.aim_s)))
+            self.refuse(FULL, admission.expected_s((ask.priority, ask.latency_target_s)))
 
     def _receive(self, now: float) -> None:
         """Have the body come, if a slot is likely once it is here; before a byte of it there is a proof."""
         inbound, ask = self.inbound, self.ask
         expected = inbound.expected_s(self)
-        if expected > ask.patience_s:
+        if expected > ask.max_queue_wait_s:
             self.refuse(FULL, expected)
         elif not ask.peer:  # from this machine's own client, over no link of ours
             self.receiving = self.went = True
             inbound.receiving += 1
-            self.answers.go()
+            self.answers.admit()
             if not self.over:
-                self.answers.window(WINDOW_BYTES - FIRST_WINDOW)
+                self.answers.window(WINDOW_SIZE - INITIAL_WINDOW)
         else:
             backlog, place = inbound.intake.backlog_s(), None
-            if backlog <= BACKLOG * ask.aim_s:
+            if backlog <= BACKLOG * ask.latency_target_s:
                 place = inbound.intake.join(now, ask.length, self._give)
             if place is None:
                 self.refuse(CHOKED, max(0.02, backlog))
@@ -208,8 +208,8 @@
         """The link has room for so many further bytes."""
         if not self.went:
             self.went = True
-            self.answers.go()
-            size -= FIRST_WINDOW
+            self.answers.admit()
+            size -= INITIAL_WINDOW
         if size > 0:
             self.answers.window(size)
 
@@ -218,7 +218,7 @@
         inbound, now = self.inbound, self.inbound.host.now()
         if self.read > HELD_BYTES:  # longer than it looked: it goes on as it comes from here
             self._no_more(now)
-            self.ask.patience_s = max(self.ask.patience_s, WAIT * self.ask.aim_s)
+            self.ask.max_queue_wait_s = max(self.ask.max_queue_wait_s, WAIT * self.ask.latency_target_s)
             if self._passes(now):
                 self._seat(now)
         elif self.place is None:
@@ -241,15 +241,15 @@
         inbound, ask = self.inbound, self.ask
         if self.until - now < MIN_S:
             self.refuse(LATE, 0.0)
-        elif (inbound.leaving and not ask.patience_s) or self.until > inbound.end_at:
+        elif (inbound.leaving and not ask.max_queue_wait_s) or self.until > inbound.end_at:
             self.refuse(LEAVING, LEAVING_S)
         else:
             refusal = inbound.gate.refusal(now, ask.service)
             if refusal is None:
                 return True
-            if refusal[0] == COLD and refusal[1] <= ask.patience_s and inbound.thawing < MAX_THAWING:
+            if refusal[0] == COLD and refusal[1] <= ask.max_queue_wait_s and inbound.thawing < MAX_THAWING:
                 inbound.thawing += 1
-                ask.patience_s -= refusal[1]
+                ask.max_queue_wait_s -= refusal[1]
                 self.thaw = inbound.host.after(refusal[1], self._thawed)
                 return False
             self.refuse(*refusal)
@@ -269,7 +269,9 @@
 
     def _too_long(self) -> None:
         self.waiter = None
-        self.refuse(FULL, self.inbound.gate.admission.expected_s((self.ask.priority, self.ask.aim_s)))
+        self.refuse(
+            FULL, self.inbound.gate.admission.expected_s((self.ask.priority, self.ask.latency_target_s))
+        )
 
     def refuse(self, why: int, again_s: float) -> None:
         """It does not run here: the proof, and seconds after which another try may do better."""
@@ -285,9 +287,9 @@
         self._due(now)
         if self.ask.length != 0 and not self.went:
             self.went = True
-            self.answers.go()
-            more = self.inbound.window() - FIRST_WINDOW
-            if more > 0 and not self.over and not 0 <= self.ask.length <= FIRST_WINDOW:
+            self.answers.admit()
+            more = self.inbound.window() - INITIAL_WINDOW
+            if more > 0 and not self.over and not 0 <= self.ask.length <= INITIAL_WINDOW:
                 self.answers.window(more)
         self._write()
 
@@ -385,7 +387,7 @@
             return
         now, drift_monitor = self.inbound.host.now(), self.inbound.drift_monitor
         self._no_more(now)
-        self.ask.patience_s = max(self.ask.patience_s, WAIT * self.ask.aim_s)
+        self.ask.max_queue_wait_s = max(self.ask.max_queue_wait_s, WAIT * self.ask.latency_target_s)
         if self._passes(now) and (drift_monitor is None or drift_monitor.still(self)):
             self._seat(now)
 
@@ -474,7 +476,7 @@
             self.credit = 1 << 62
             self._pass_on()
             self.inbound.served += 1
-            self.answers.whole()
+            self.answers.complete()
             self._done()
         elif not self._good():
             self._no_answer(head)
@@ -577,7 +579,7 @@
         self.drift_monitor: DriftMonitor | None = None
         self.suspects = 0  # times at which the backend was found missing or another
 
-    def begin(self, ask: Ask, answers: Answers) -> Job:
+    def begin(self, ask: ForwardedRequest, answers: Responder) -> Job:
         """Take a request from a source; its outcome goes to `answers`, perhaps from within this call."""
         job = Job(self, ask, answers)
         self.jobs[job] = None
@@ -593,7 +595,7 @@
     def window(self) -> int:
         """Bytes of one more request's body that may be on the way: its share of the link's time."""
         bodies = 1 + sum(1 for job in self.jobs if job.started and not job.ended)
-        return int(max(FIRST_WINDOW, min(WINDOW_BYTES, self.link_bytes_s * ON_THE_WAY_S / bodies)))
+        return int(max(INITIAL_WINDOW, min(WINDOW_SIZE, self.link_bytes_s * ON_THE_WAY_S / bodies)))
 
     def linked(self, mbps: float) -> None:
         """How fast this machine's link is, in megabits a second."""
@@ -605,7 +607,7 @@
         admission, now = self.gate.admission, self.host.now()
         if admission.free(now, job.short) and admission.running + self.receiving < admission.slots:
             return 0.0
-        return admission.expected_s((job.ask.priority, job.ask.aim_s)) + (
+        return admission.expected_s((job.ask.priority, job.ask.latency_target_s)) + (
             self.receiving * admission.mean_s / max(1, admission.slots)
         )
 
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -21,7 +21,8 @@
     from typing import Any
 
     from honeywharf.transport.host import Address, Host
-    from honeywharf.transport.rpc import Caller, Reply
+    from honeywharf.transport.rpc_client import RpcClient
+    from honeywharf.transport.rpc_server import Reply
 
 WITHIN_S = 0.7  # for a call
 BODY_WITHIN_S = (0.8, 6.0)  # for a text: at first, and at most after calls in vain, as it may be long
@@ -34,7 +35,7 @@
     """What is in force here. `changed()` is called after each change, `holders()` gives addresses to ask."""
 
     def __init__(
-        self, host: Host, caller: Caller, cores: Callable[[], list[Address]], changed: Callable[[], None]
+        self, host: Host, caller: RpcClient, cores: Callable[[], list[Address]], changed: Callable[[], None]
     ) -> None:
         self.host, self.caller, self.cores, self.changed = host, caller, cores, changed
         self.revision = 0
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -15,7 +15,7 @@
 from honeywharf.codecs.mesh import RequestReader, begun, final
 from honeywharf.codecs.reader import MalformedError
 from honeywharf.sidecar.course import ASIDE, DEADLINE_S, Course
-from honeywharf.transport.streams import WINDOW_BYTES
+from honeywharf.transport.stream import WINDOW_SIZE
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -292,7 +292,7 @@
                 data = b"".join(exchange.out)
                 exchange.out.clear()
                 self.connection.send(data)
-            if exchange.waiting and exchange.course is not None and self.connection.unsent < WINDOW_BYTES:
+            if exchange.waiting and exchange.course is not None and self.connection.unsent < WINDOW_SIZE:
                 waiting, exchange.waiting = exchange.waiting, 0
                 exchange.course.gone_on(waiting)
             if not exchange.done:
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -4,7 +4,8 @@
 
 from honeywharf.admission.budget import RetryBudget
 from honeywharf.policy.levels import Levels
-from honeywharf.transport.streams import Ask, Links
+from honeywharf.transport.link import LinkPool
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import CHOKED, WORDS, Verdict
 
 TYPE_CHECKING = False
@@ -38,13 +39,13 @@
 class Local:
     """The gate in this process as a course's way to it, and the course as the job's way back."""
 
-    __slots__ = ("course", "job", "over")
+    __slots__ = ("course", "is_over", "job")
 
     def __init__(self, course: Course) -> None:
-        self.course, self.over = course, False
+        self.course, self.is_over = course, False
         self.job: object = None
 
-    def go(self) -> None:
+    def admit(self) -> None:
         """It is admitted."""
         self.course.go()
 
@@ -57,7 +58,7 @@
         body: bytes | None,
     ) -> None:
         """The answer, whole, or its head."""
-        self.over = body is not None
+        self.is_over = body is not None
         self.course.answered(status, fields, length, body)
 
     def data(self, data: bytes) -> None:
@@ -68,25 +69,30 @@
         """So many bytes of the request's body have gone on."""
         self.course.window(size)
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """The answer is whole."""
-        self.over = True
+        self.is_over = True
         self.course.whole()
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
         """No answer comes."""
-        self.over = True
+        self.is_over = True
         self.course.failed(verdict)
 
 
 class _Remote:
     """A course as a stream's `Replies`."""
 
-    __slots__ = ("answered", "data", "failed", "load", "went", "whole", "window")
+    __slots__ = ("admitted", "answered", "completed", "data", "failed", "load", "window")
 
     def __init__(self, course: Course) -> None:
         self.answered, self.data, self.failed = course.answered, course.answer_data, course.failed
-        self.load, self.went, self.whole, self.window = course.load, course.go, course.whole, course.window
+        self.load, self.admitted, self.completed, self.window = (
+            course.load,
+            course.go,
+            course.whole,
+            course.window,
+        )
 
 
 class Source:
@@ -107,7 +113,7 @@
         self.slack = settings.bound("retry-budget-slack", 10.0)
         self.window_s = settings.bound("retry-window", 10.0)
         self.regions = settings.zones  # by zone
-        self.links = Links(host, settings.internal_ports[0])
+        self.links = LinkPool(host, settings.internal_ports[0])
         self.levels: dict[str, Levels] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.list: dict[str, _Listed] = {}
@@ -218,13 +224,13 @@
         """Whether one more backend may be asked for a request that has arrived at one."""
         return self.budget(service).spend(self.host.now(), self.proxies())
 
-    def open(self, key: str, ask: Ask, course: Course) -> Channel | None:
+    def open(self, key: str, ask: ForwardedRequest, course: Course) -> Channel | None:
         """The way to a gate; its word may come from within this call where it is in this process."""
         if key == self.me:
             return self.inbound.begin(ask, Local(course))
         if self.abroad is not None and key in self.list and self.abroad.far(self.list[key].zone):
             return self.abroad.open(key, ask, _Remote(course), course.route.allowed_regions)
-        return self.links.to(key).open(ask, _Remote(course))
+        return self.links.link_to(key).open(ask, _Remote(course))
 
     def served(self, service: str, key: str, status: int) -> None:
         """A backend answered."""
--- a/honeywharf/simulation/regions.py
+++ b/honeywharf/simulation/regions.py
@@ -19,7 +19,7 @@
 from honeywharf.sessions.places import Place
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
-from honeywharf.transport.streams import Ask
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import FULL, NOT_RUN, Verdict
 
 GATE, LAND = 7640, 7641
@@ -48,7 +48,7 @@
         region = host.machine.zone.split("-")[0]
         self.landing = Landing(host, (host.machine.ip, LAND), region, self.begin, Hold())
 
-    def begin(self, ask: Ask, answers: Any) -> Job | None:
+    def begin(self, ask: ForwardedRequest, answers: Any) -> Job | None:
         """As `Inbound.begin`."""
         if self.day.world.random.random() < self.day.refuse:
             self.refused += 1
@@ -60,7 +60,7 @@
 class Job:
     """One request at a backend."""
 
-    def __init__(self, quarry: Quarry, ask: Ask, answers: Any) -> None:
+    def __init__(self, quarry: Quarry, ask: ForwardedRequest, answers: Any) -> None:
         self.quarry, self.ask, self.answers = quarry, ask, answers
         self.body, self.credit, self.over, self.sent = b"", 64 * 1024, False, 0
         self.size = int(ask.target) if ask.kind == READ else 20
@@ -74,7 +74,7 @@
     def end(self) -> None:
         """It is whole: it runs."""
         day, ask = self.quarry.day, self.ask
-        day.runs.setdefault(ask.attempt, []).append(self.body)
+        day.runs.setdefault(ask.attempt_id, []).append(self.body)
         self.quarry.host.after(day.world.random.uniform(*day.work_s), self._answer)
 
     def _answer(self) -> None:
@@ -95,7 +95,7 @@
             self.answers.data(bytes(piece))
         if self.sent == self.size and not self.over:
             self.over = True
-            self.answers.whole()
+            self.answers.complete()
 
     def window(self, size: int) -> None:
         """So many bytes of the answer went on."""
@@ -130,20 +130,20 @@
         self.attempts.append(attempt)
         length = 0 if self.kind == READ else self.size if day.world.random.random() < 0.7 else -1
         target = b"%d" % self.size if self.kind == READ else b"0"
-        ask = Ask(
-            "quarry",
-            attempt,
-            self.kind,
-            self.until - host.now(),
-            0.0,
-            1,
-            self.aim_s,
-            "tiles",
-            b"POST",
-            target,
-            b"",
-            length,
-            1,
+        ask = ForwardedRequest(
+            service="quarry",
+            attempt_id=attempt,
+            kind=self.kind,
+            remaining_s=self.until - host.now(),
+            max_queue_wait_s=0.0,
+            priority=1,
+            latency_target_s=self.aim_s,
+            caller="tiles",
+            method=b"POST",
+            target=target,
+            fields=b"",
+            length=length,
+            revision=1,
         )
         self.body = day.world.random.randbytes(self.size) if self.kind != READ else b""
         self.at, self.credit, self.got = 0, 0, 0
@@ -152,7 +152,7 @@
         if self.channel is None:
             self.failed(Verdict(NOT_RUN, FULL))
 
-    def went(self) -> None:
+    def admitted(self) -> None:
         """The body is wanted."""
         self.window(64 * 1024)
 
@@ -185,7 +185,7 @@
         assert self.channel is not None
         self.channel.window(len(data))
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """It is whole."""
         self._over("done")
 
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -458,7 +458,7 @@
     def ran(self, job: Job) -> None:
         """A request's head goes to a backend now."""
         ask = job.ask
-        sent = self.book.asks.get(ask.attempt.decode())
+        sent = self.book.asks.get(ask.attempt_id.decode())
         if sent is None or sent.repeatable:
             return
         self.strict["runs"] += 1
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -156,10 +156,10 @@
     """A sidecar that takes slips; the exit status."""
     from honeywharf.mesh_config.settings import load
     from honeywharf.programs.sidecar import Sidecar
-    from honeywharf.transport.loop import Loop
+    from honeywharf.transport.event_loop import EventLoop
 
     file = os.environ["HONEYWHARF_SETTINGS"]
-    loop = Loop(None)
+    loop = EventLoop(None)
     sidecar = Sidecar(loop, load(file))
     loop.on_signal(signal.SIGTERM, sidecar.terminate)
     loop.on_signal(signal.SIGUSR1, lambda: _slip(sidecar, file + NAMED))
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -28,9 +28,9 @@
 from honeywharf.sessions.places import Place
 from honeywharf.simulation import field
 from honeywharf.standins import meshdemo
+from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Connection
-from honeywharf.transport.loop import Loop
-from honeywharf.transport.streams import Ask
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import NOT_RUN, Verdict
 
 READ, ORDER, UPLOAD = 0, 1, 2
@@ -90,13 +90,13 @@
 class Quarry:
     """A destination and its backend, in a process of its own. At SIGTERM it writes the runs to `file`."""
 
-    def __init__(self, loop: Loop, ip: str, port: int, region: str, file: Path) -> None:
+    def __init__(self, loop: EventLoop, ip: str, port: int, region: str, file: Path) -> None:
         self.loop, self.file, self.chance = loop, file, random.Random(ip)
         self.runs: Counter[str] = Counter()
         self.sizes: dict[str, int] = {}
         self.landing = Landing(loop, (ip, port), region, self._begin)
 
-    def _begin(self, ask: Ask, answers: Any) -> _Job:
+    def _begin(self, ask: ForwardedRequest, answers: Any) -> _Job:
         return _Job(self, ask, answers)
 
     def end(self) -> None:
@@ -108,7 +108,7 @@
 class _Job:
     """One request at the backend."""
 
-    def __init__(self, quarry: Quarry, ask: Ask, answers: Any) -> None:
+    def __init__(self, quarry: Quarry, ask: ForwardedRequest, answers: Any) -> None:
         self.quarry, self.ask, self.answers, self.size = quarry, ask, answers, 0
         if not ask.length:
             self.end()
@@ -119,7 +119,7 @@
 
     def end(self) -> None:
         """It is whole: it runs."""
-        attempt = self.ask.attempt.hex()
+        attempt = self.ask.attempt_id.hex()
         self.quarry.runs[attempt] += 1
         self.quarry.sizes[attempt] = self.size
         self.quarry.loop.after(self.quarry.chance.uniform(0.002, 0.02), self._answer)
@@ -154,24 +154,24 @@
         attempt = day.loop.random(8)
         self.attempts.append(attempt)
         self.at, self.credit, self.resting = 0, 0, False
-        ask = Ask(
-            "quarry",
-            attempt,
-            self.kind,
-            self.until - now,
-            0.0,
-            1,
-            AIM_S.get(self.name, 0.5),
-            "tiles",
-            b"POST",
-            b"%d" % self.shape[4],
-            b"",
-            self.size,
-            1,
+        ask = ForwardedRequest(
+            service="quarry",
+            attempt_id=attempt,
+            kind=self.kind,
+            remaining_s=self.until - now,
+            max_queue_wait_s=0.0,
+            priority=1,
+            latency_target_s=AIM_S.get(self.name, 0.5),
+            caller="tiles",
+            method=b"POST",
+            target=b"%d" % self.shape[4],
+            fields=b"",
+            length=self.size,
+            revision=1,
         )
         self.channel = day.conveyor.open(day.chance.choice(day.destinations), ask, self, homes=("b",))
 
-    def went(self) -> None:
+    def admitted(self) -> None:
         """The body is wanted."""
         self.window(64 * 1024)
 
@@ -202,7 +202,7 @@
     def data(self, data: bytes) -> None:
         """Not used."""
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """Not used."""
 
     def load(self, load: tuple[int, int, int]) -> None:
@@ -236,7 +236,7 @@
         self.folder, self.rate, self.chance = folder, rate, random.Random(seed)
         self.subnet, shift = meshdemo.place()
         self.gate, self.door = field.INTERNAL + shift, field.CONTROL + shift
-        self.loop = Loop(None)
+        self.loop = EventLoop(None)
         self.places = [
             Place((f"{self.subnet}.{10 * n + k}", self.gate), region, f"{region}-{k}")
             for n, region in enumerate("ab", 1)
@@ -467,7 +467,7 @@
 class _Call:
     """One HTTP call; `answer`: the bytes that came first."""
 
-    def __init__(self, loop: Loop, to: tuple[str, int], text: bytes) -> None:
+    def __init__(self, loop: EventLoop, to: tuple[str, int], text: bytes) -> None:
         self.text, self.answer = text, b""
         loop.connect(to, self._made)
 
@@ -570,7 +570,7 @@
 def main() -> int:
     """A destination's process: `python -m honeywharf.standins.gatewaydemo IP PORT REGION FILE`."""
     ip, port, region, file = sys.argv[1:5]
-    loop = Loop(None)
+    loop = EventLoop(None)
     quarry = Quarry(loop, ip, int(port), region, Path(file))
     loop.on_signal(signal.SIGTERM, partial(quarry.end))
     return loop.run()
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -27,8 +27,8 @@
 from honeywharf.simulation import field
 from honeywharf.simulation.rules import RULES, TRANSIT, Ask, Book, Order, Rule
 from honeywharf.simulation.standins import Backend, Caller, Clients, Flow, Message, Operator, text
+from honeywharf.transport.event_loop import EventLoop, EventLoopTimer
 from honeywharf.transport.host import Address, Connection, Handler
-from honeywharf.transport.loop import Loop, LoopTimer
 
 ZONES = ("tartu-saal", "voru-saal")
 CORES, SIDES = 3, 5
@@ -52,7 +52,7 @@
 class World:
     """What the stand-ins and the book want of the simulation's world, by the steady clock."""
 
-    def __init__(self, loop: Loop, seed: int) -> None:
+    def __init__(self, loop: EventLoop, seed: int) -> None:
         self.loop, self.random, self.halted = loop, random.Random(seed), False
         self.begun = loop.now()
 
@@ -194,7 +194,7 @@
 
     def __init__(self, folder: Path, subnet: str, shift: int, seed: int) -> None:
         self.folder, self.subnet, self.shift = folder, subnet, shift
-        self.loop = Loop(None)
+        self.loop = EventLoop(None)
         self.world = World(self.loop, seed)
         self.book = Book(cast(Any, self.world), {**field.BOUNDS, **field.NUMBERS, **field.WINDOW})
         self.heard = Heard(self.book)
@@ -244,7 +244,7 @@
         """Let the loop run for so long, or until something has come true; whether it has."""
         self.loop.status = None
         end = self.loop.after(seconds, partial(self.loop.exit, 1))
-        timer: list[LoopTimer] = []
+        timer: list[EventLoopTimer] = []
 
         def look() -> None:
             if until():
@@ -365,8 +365,8 @@
             side.live()
             mesh.loop.after(0.2, partial(self._look, side))
         mesh.loop.after(0.3, partial(mesh.operator.order, self.first))
-        mesh.wait(UP_S, lambda: all(side.ready for side in mesh.sides) or mesh.loop.faults > 0)
-        return mesh.loop.faults == 0 and all(side.ready for side in mesh.sides)
+        mesh.wait(UP_S, lambda: all(side.ready for side in mesh.sides) or mesh.loop.errors > 0)
+        return mesh.loop.errors == 0 and all(side.ready for side in mesh.sides)
 
     def _look(self, side: Side) -> None:
         """Ask whether a proxy is ready, until it is."""
@@ -462,7 +462,7 @@
                 for program in self.mesh.programs
                 for line in program.log.read_text("utf-8", "replace").splitlines()
             )
-            + self.mesh.loop.faults,
+            + self.mesh.loop.errors,
         }
 
     def _drained(self) -> float:
--- a/honeywharf/transport/__init__.py
+++ b/honeywharf/transport/__init__.py
@@ -1,4 +1,7 @@
-"""What lies under the ground.
+"""What a program of the mesh uses to reach its machine and other processes.
 
-A machine's clock, wires and disk (`host`, `loop`), frames and links between proxies.
+`host` is the interface to one machine: clock, connections, datagrams, disk. `event_loop` carries it out on
+sockets, `simulation` in virtual time. On it: `framing`, remote calls (`rpc_client`, `rpc_server`), links
+that carry requests between sidecars (`stream`, `link`, `link_server`), and HTTP for operators and backends
+(`http_server`, `url_matcher`).
 """
--- /dev/null
+++ b/honeywharf/transport/event_loop.py
@@ -0,0 +1,391 @@
+"""A `host.Host` on sockets: one thread, one `epoll`, timers in a heap.
+
+Theory of operation. `run` waits for the next timer or the next ready descriptor, and calls what is due. A
+connection with unsent bytes waits until it is writable, a paused one does not wait for data. A peer that is
+unreachable is noticed by `TCP_USER_TIMEOUT` while bytes are unacknowledged, and by keep-alive probes while
+none are. Source of the options: tcp(7). The interface and its contracts are in `host`.
+"""
+
+from __future__ import annotations
+
+import os
+import select
+import signal
+import socket
+import sys
+import time
+from errno import EINPROGRESS
+from heapq import heappop, heappush
+
+from honeywharf.transport.disk import Disk
+from honeywharf.transport.tcp_connection import TcpConnection
+
+TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from honeywharf.transport.host import Address, Connection, Handler
+
+READ_SIZE = 64 * 1024  # bytes of one read
+MAX_READS = 4  # reads of one connection before others have their turn
+BACKLOG = 512
+USER_TIMEOUT_MS = 3000  # without an acknowledgement, after which a peer is lost
+KEEPALIVE_S = 1  # between keep-alive probes of a connection that says nothing
+MAX_DATAGRAMS = 64  # read before others have their turn
+
+_IN, _OUT = select.EPOLLIN, select.EPOLLOUT
+_BROKEN = select.EPOLLHUP | select.EPOLLERR
+
+
+class EventLoopTimer:
+    """A call that is due; `call` is None once it is cancelled or made."""
+
+    __slots__ = ("call",)
+
+    def __init__(self, call: Callable[[], None]) -> None:
+        self.call: Callable[[], None] | None = call
+
+    def cancel(self) -> None:
+        """Do not call."""
+        self.call = None
+
+
+class EventLoop(Disk):
+    """A `host.Host` on sockets. `directory`: the disk's folder; None where there is no disk."""
+
+    def __init__(self, directory: str | None = None) -> None:
+        super().__init__(directory)
+        self.epoll = select.epoll()
+        self.connections: dict[int, TcpConnection] = {}
+        self.listeners: dict[int, tuple[socket.socket, Address, Callable[[Connection], Handler]]] = {}
+        self.datagram_sockets: dict[int, tuple[socket.socket, Callable[[Address, bytes], None]]] = {}
+        self.send_socket: socket.socket | None = None
+        self.timers: list[tuple[float, int, EventLoopTimer]] = []
+        self.timer_count = 0
+        self.ready: list[Callable[[], None]] = []
+        self.status: int | None = None
+        self.signals: dict[int, Callable[[], None]] = {}
+        self.wakeup_reader, self.wakeup_writer = -1, -1
+        self.iterations = self.errors = 0
+
+    # Clocks and timers.
+
+    def now(self) -> float:
+        """Seconds on the steady clock."""
+        return time.monotonic()
+
+    def wall(self) -> float:
+        """Seconds of the time of day."""
+        return time.time()
+
+    def after(self, seconds: float, call: Callable[[], None]) -> EventLoopTimer:
+        """Call once, so much later."""
+        timer = EventLoopTimer(call)
+        self.timer_count += 1
+        heappush(self.timers, (time.monotonic() + seconds, self.timer_count, timer))
+        return timer
+
+    def soon(self, call: Callable[[], None]) -> None:
+        """Call when what is under way has returned."""
+        self.ready.append(call)
+
+    # Connections.
+
+    def connect(
+        self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0
+    ) -> TcpConnection:
+        """Ask for a connection."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        connection = TcpConnection(self, sock, to, connecting=True)
+        self._set_options(sock)
+        connection.handler = handler(connection)
+        found = sock.connect_ex(to)
+        if found not in (0, EINPROGRESS):
+            self.soon(lambda: self.drop(connection, "refused"))
+            return connection
+        connection.connect_timer = self.after(
+            within, lambda: self.drop(connection, "timeout") if connection.is_connecting else None
+        )
+        self._register(connection)
+        return connection
+
+    def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
+        """Take connections."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setblocking(False)
+        sock.bind(at)
+        sock.listen(BACKLOG)
+        self.listeners[sock.fileno()] = (sock, at, accept)
+        self.epoll.register(sock.fileno(), _IN)
+
+    def unlisten(self, at: Address) -> None:
+        """Take no further ones."""
+        for number, (sock, where, _) in list(self.listeners.items()):
+            if where == at:
+                self.epoll.unregister(number)
+                del self.listeners[number]
+                sock.close()
+
+    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+        """Take datagrams at an address."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setblocking(False)
+        sock.bind(at)
+        self.datagram_sockets[sock.fileno()] = (sock, received)
+        self.send_socket = sock
+        self.epoll.register(sock.fileno(), _IN)
+
+    def send_datagram(self, to: Address, data: bytes) -> None:
+        """Send; lost where that fails."""
+        if self.send_socket is not None:
+            try:
+                self.send_socket.sendto(data, to)
+            except OSError:
+                return  # a full queue, or nobody there: as if it had been lost on the way
+
+    @staticmethod
+    def _set_options(sock: socket.socket) -> None:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+
+    def _register(self, connection: TcpConnection) -> None:
+        self.connections[connection.socket.fileno()] = connection
+        connection.mask = _OUT if connection.is_connecting else _IN
+        self.epoll.register(connection.socket.fileno(), connection.mask)
+
+    def update_interest(self, connection: TcpConnection) -> None:
+        """Have `epoll` wait for what the connection waits for."""
+        if connection.socket.fileno() not in self.connections:
+            return
+        wanted = 0 if connection.is_paused or connection.is_read_closed or connection.is_connecting else _IN
+        if connection.buffer or connection.is_connecting:
+            wanted |= _OUT
+        if wanted != connection.mask:
+            connection.mask = wanted
+            self.epoll.modify(connection.socket.fileno(), wanted)
+
+    def fail(self, connection: TcpConnection, error: OSError) -> None:
+        """The connection broke off; its handler is told later, not from within a call of its own."""
+        why = "timeout" if isinstance(error, TimeoutError) else "reset"
+        connection.buffer.clear()
+        connection.unsent = 0
+        self.soon(lambda: self.drop(connection, why))
+
+    def drop(self, connection: TcpConnection, why: str) -> None:
+        """Close the socket and tell, once."""
+        handler, connection.handler = connection.handler, None
+        if handler is None:
+            return
+        connection.is_closing, connection.is_connecting = True, False
+        connection.buffer.clear()
+        connection.unsent = 0
+        if connection.connect_timer is not None:
+            connection.connect_timer.cancel()
+        number = connection.socket.fileno()
+        if self.connections.get(number) is connection:
+            del self.connections[number]
+            self.epoll.unregister(number)
+        connection.socket.close()
+        handler.closed(why)
+
+    def _accept(self, number: int) -> None:
+        listener = self.listeners.get(number)
+        for _ in range(BACKLOG):
+            if listener is None:
+                return
+            try:
+                sock, peer = listener[0].accept()
+            except BlockingIOError:
+                return
+            except OSError as error:  # descriptors used up: they are tried again when some are free
+                self.log(f"a connection was not taken: {error}")
+                return
+            self._set_options(sock)
+            connection = TcpConnection(self, sock, peer, connecting=False)
+            connection.handler = listener[2](connection)
+            self._register(connection)
+            listener = self.listeners.get(number)
+
+    def _connection_ready(self, connection: TcpConnection, events: int) -> None:
+        if connection.is_connecting:
+            self._connected(connection)
+            return
+        if events & _OUT:
+            self._write(connection)
+        if connection.handler is not None and events & (_IN | _BROKEN):
+            if connection.mask & _IN:
+                self._read(connection)
+            elif events & _BROKEN:
+                self.drop(connection, "reset")
+
+    def _connected(self, connection: TcpConnection) -> None:
+        error = connection.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error:
+            self.drop(connection, "refused")
+            return
+        try:
+            connection.socket.getpeername()
+        except OSError:
+            return  # an event of an earlier descriptor of the same number
+        connection.is_connecting = False
+        if connection.connect_timer is not None:
+            connection.connect_timer.cancel()
+        if connection.handler is not None and (connection.buffer or not connection.is_closing):
+            connection.handler.opened()
+        self.update_interest(connection)
+        if connection.buffer:
+            self._write(connection)
+
+    def _write(self, connection: TcpConnection) -> None:
+        try:
+            while connection.buffer:
+                data = connection.buffer[0]
+                sent = connection.socket.send(data)
+                connection.unsent -= sent
+                if sent < len(data):
+                    connection.buffer[0] = memoryview(data)[sent:]
+                    return
+                del connection.buffer[0]
+        except BlockingIOError:
+            return
+        except OSError as error:
+            self.fail(connection, error)
+            return
+        self.update_interest(connection)
+        if connection.is_closing:
+            self.drop(connection, "")
+        elif connection.handler is not None:
+            connection.handler.drained()
+
+    def _read(self, connection: TcpConnection) -> None:
+        for _ in range(MAX_READS):
+            try:
+                data = connection.socket.recv(READ_SIZE)
+            except BlockingIOError:
+                return
+            except OSError as error:
+                self.drop(connection, "timeout" if isinstance(error, TimeoutError) else "reset")
+                return
+            if connection.handler is None:
+                return
+            if not data:
+                connection.is_read_closed = True
+                self.update_interest(connection)
+                if not connection.is_closing:
+                    connection.handler.ended()
+                return
+            if not connection.is_closing:
+                connection.handler.received(data)
+            if len(data) < READ_SIZE or connection.is_paused or connection.handler is None:
+                return
+
+    def _datagrams_ready(self, number: int) -> None:
+        sock, received = self.datagram_sockets[number]
+        for _ in range(MAX_DATAGRAMS):
+            try:
+                data, sender = sock.recvfrom(2048)
+            except OSError:  # none left, or an answer that nobody listens where one was sent
+                return
+            received(sender, data)
+
+    # The process.
+
+    def random(self, size: int) -> bytes:
+        """Random bytes."""
+        return os.urandom(size)
+
+    def log(self, line: str) -> None:
+        """One line on standard error."""
+        try:
+            sys.stderr.write(line + "\n")
+            sys.stderr.flush()
+        except OSError:
+            return  # nobody reads: the program goes on
+
+    def exit(self, status: int) -> None:
+        """End `run` after this call."""
+        self.status = status
+
+    def on_signal(self, number: int, call: Callable[[], None]) -> None:
+        """Call when the process is sent a signal."""
+        if self.wakeup_reader < 0:
+            self.wakeup_reader, self.wakeup_writer = os.pipe()
+            for end in (self.wakeup_reader, self.wakeup_writer):
+                os.set_blocking(end, False)
+            signal.set_wakeup_fd(self.wakeup_writer, warn_on_full_buffer=False)
+            self.epoll.register(self.wakeup_reader, _IN)
+        self.signals[number] = call
+        signal.signal(number, lambda *_: None)  # what is to be done is done in its turn
+
+    def _signalled(self) -> None:
+        try:
+            numbers = os.read(self.wakeup_reader, 64)
+        except BlockingIOError:
+            return
+        for number in numbers:
+            if number in self.signals:
+                self.signals[number]()
+
+    def run(self) -> int:
+        """Serve until `exit`; the status."""
+        poll = self.epoll.poll
+        while self.status is None:
+            for number, events in poll(self._wait()):
+                connection = self.connections.get(number)
+                try:
+                    if connection is not None:
+                        self._connection_ready(connection, events)
+                    elif number in self.datagram_sockets:
+                        self._datagrams_ready(number)
+                    elif number in self.listeners:
+                        self._accept(number)
+                    elif number == self.wakeup_reader:
+                        self._signalled()
+                except Exception:
+                    self._failed(connection)
+            self._call_due_timers()
+            self._call_ready()
+            self.iterations += 1
+        return self.status
+
+    def _failed(self, connection: TcpConnection | None) -> None:
+        """A call has raised, by an error of this program: log it, end its connection, go on."""
+        import traceback
+
+        self.errors += 1
+        self.log(f"fault {self.errors}: {traceback.format_exc()}")
+        if connection is not None:
+            connection.abort()
+
+    def _wait(self) -> float:
+        if self.ready:
+            return 0.0
+        while self.timers and self.timers[0][2].call is None:
+            heappop(self.timers)
+        return max(0.0, self.timers[0][0] - time.monotonic()) if self.timers else 1.0
+
+    def _call_due_timers(self) -> None:
+        now = time.monotonic()
+        while self.timers and self.timers[0][0] <= now:
+            timer = heappop(self.timers)[2]
+            call, timer.call = timer.call, None
+            if call is not None:
+                self._guarded(call)
+
+    def _guarded(self, call: Callable[[], None]) -> None:
+        try:
+            call()
+        except Exception:
+            self._failed(None)
+
+    def _call_ready(self) -> None:
+        while self.ready:
+            ready, self.ready = self.ready, []
+            for call in ready:
+                self._guarded(call)
--- a/honeywharf/transport/host.py
+++ b/honeywharf/transport/host.py
@@ -1,10 +1,10 @@
-"""What a program of the mesh is given of its machine. `loop` does it with sockets, `simulation` in virtual
-time.
+"""One machine as a program of the mesh sees it. `event_loop` is it on sockets, `simulation` in virtual time.
 
-Theory of operation. A program is one object, made with a `Host`; the host calls it, one call at a time, and
-nothing blocks but the disk. All times are seconds on the steady clock. Bytes given to `send` are the host's;
-what the far side does not take yet is held, and `unsent` tells how much: who sends bounds it. After `closed`
-has been called nothing more is called on a connection, and `send` to a closed one does nothing.
+Theory of operation. A program is one object, made with a `Host`; the host calls it, one call at a time on
+one thread, and nothing blocks but the disk. All times are seconds on the steady clock. Bytes given to
+`send` belong to the host; what the peer does not take yet is buffered, and `unsent` tells how much: who
+sends bounds it. After `closed` has been called nothing more is called on a connection, and `send` to a
+closed one does nothing.
 """
 
 from __future__ import annotations
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -1,8 +1,9 @@
-"""A door for calls of backends, operators and the platform: whole HTTP/1.1 requests in, whole answers out.
+"""An HTTP/1.1 server for backends, operators and the platform: complete requests in, complete answers out.
 
-Theory of operation. One call at a time on a connection; what is sent behind it waits unread. Bodies over
-`SMALL` share one place: the process holds one long body at a time, and others wait unread. What breaks the
-protocol is answered with its status, after the answers that are owed, and the connection closed.
+Theory of operation. One request at a time on a connection; what is pipelined behind it waits unread. The
+process holds one body over `SMALL_BODY` at a time, and others wait unread, so that its memory is bounded.
+What breaks the protocol is answered with its status, after the answers that are owed, and the connection is
+closed.
 """
 
 from __future__ import annotations
@@ -17,67 +18,67 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-SMALL = 256 * 1024  # bytes of a body of which there may be as many as connections
+SMALL_BODY = 256 * 1024  # bytes; there may be as many of these as connections
 MAX_CONNECTIONS = 1024
-IDLE_S = 30.0  # without a whole call, after which a connection is closed
+IDLE_TIMEOUT_S = 30.0  # without a whole call, after which a connection is closed
 MAX_HEAD = 16 * 1024
 
 
-class Call:
-    """One call, whole. `answer` may be called later, and counts once."""
+class HttpRequest:
+    """One complete request. `answer` may be called later; only the first call counts."""
 
-    __slots__ = ("_guest", "body", "head", "method", "path", "peer")
+    __slots__ = ("_connection", "body", "head", "method", "path", "peer")
 
-    def __init__(self, guest: _Guest, head: Head, body: bytes) -> None:
-        self._guest: _Guest | None = guest
+    def __init__(self, guest: _HttpConnection, head: Head, body: bytes) -> None:
+        self._connection: _HttpConnection | None = guest
         self.head, self.body = head, body
         self.method, self.path, self.peer = head.method, head.path, guest.connection.peer
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
         """Answer it; `lines`: further header lines, each with its line end."""
-        guest, self._guest = self._guest, None
+        guest, self._connection = self._connection, None
         if guest is not None:
             guest.answer(status, body, lines)
 
 
-class _Guest:
-    """One connection at the door."""
+class _HttpConnection:
+    """One connection of the server."""
 
     __slots__ = (
-        "at_work",
-        "behind",
         "connection",
-        "door",
-        "fault",
-        "gone",
+        "error_answer",
+        "has_long_body",
         "head",
-        "long",
+        "is_busy",
+        "is_closed",
         "parts",
-        "queue",
+        "pipelined",
         "reader",
         "reading",
+        "server",
         "size",
         "timer",
+        "unread",
     )
 
-    def __init__(self, door: HttpServer, connection: Connection) -> None:
-        self.door, self.connection = door, connection
-        self.reader = RequestReader(_Reading(self), door.most_body, MAX_HEAD)
+    def __init__(self, server: HttpServer, connection: Connection) -> None:
+        self.server, self.connection = server, connection
+        self.reader = RequestReader(_Reading(self), server.max_body, MAX_HEAD)
         self.head: Head | None = None  # of the call at work
         self.reading: Head | None = None  # of the one that is read
-        self.behind: list[tuple[Head, bytes]] = []  # calls of the same read as the one at work
+        self.pipelined: list[tuple[Head, bytes]] = []  # calls of the same read as the one at work
         self.parts: list[bytes] = []
-        self.queue: list[bytes] = []  # unread bytes while a call is at work, one read at most
-        self.fault = b""  # the answer to what made no sense; it comes after those that are owed
+        self.unread: list[bytes] = []  # unread bytes while a call is at work, one read at most
+        self.error_answer = b""  # the answer to what made no sense; it comes after those that are owed
         self.size = 0
-        self.at_work = self.long = self.gone = False
-        self.timer = door.host.after(IDLE_S, self._idle)
+        self.is_busy = self.has_long_body = self.is_closed = False
+        self.timer = server.host.after(IDLE_TIMEOUT_S, self._idle)
 
     def _idle(self) -> None:
-        if not self.at_work:
+        if not self.is_busy:
             self.connection.abort()
 
-    def head_(self) -> Head:
+    def current_head(self) -> Head:
         """The head of the call at work."""
         assert self.head is not None
         return self.head
@@ -87,91 +88,91 @@
 
     def received(self, data: bytes) -> None:
         """Bytes came."""
-        if self.at_work:
-            self.queue.append(data)
+        if self.is_busy:
+            self.unread.append(data)
             self.connection.pause()
             return
         try:
             self.reader.feed(data)
-        except MalformedError as fault:
-            self.fault = final(fault.status, str(fault).encode(), keep=False)
-            if not self.at_work:
-                self._refuse()
+        except MalformedError as error:
+            self.error_answer = final(error.status, str(error).encode(), keep=False)
+            if not self.is_busy:
+                self._reject()
 
-    def _refuse(self) -> None:
+    def _reject(self) -> None:
         """Answer what made no sense, and close."""
-        self.connection.send(self.fault)
+        self.connection.send(self.error_answer)
         self.connection.close()
 
     def data(self, data: bytes) -> None:
         """A part of a body."""
         self.parts.append(data)
         self.size += len(data)
-        if self.size > SMALL and not self.long:
-            self.long = True
-            self.door.enter(self)
+        if self.size > SMALL_BODY and not self.has_long_body:
+            self.has_long_body = True
+            self.server.reserve_long_body(self)
 
     def whole(self) -> None:
         """A call is whole."""
         head, body = self.reading, b"".join(self.parts)
         assert head is not None
         self.parts, self.size = [], 0
-        if self.at_work:
-            self.behind.append((head, body))
+        if self.is_busy:
+            self.pipelined.append((head, body))
         else:
             self._take(head, body)
 
     def _take(self, head: Head, body: bytes) -> None:
-        self.head, self.at_work = head, True
+        self.head, self.is_busy = head, True
         self.timer.cancel()
-        self.door.calls += 1
-        self.door.take(Call(self, head, body))
+        self.server.calls += 1
+        self.server.handle(HttpRequest(self, head, body))
 
     def _next(self) -> None:
-        if self.behind:
-            self._take(*self.behind.pop(0))
+        if self.pipelined:
+            self._take(*self.pipelined.pop(0))
 
     def answer(self, status: int, body: bytes, lines: bytes) -> None:
         """Answer the call at work, and read on."""
-        keep = self.head_().keep and not self.door.closing
-        bare = self.head_().method == b"HEAD"
+        keep = self.current_head().keep and not self.server.is_closing
+        bare = self.current_head().method == b"HEAD"
         kind = b"application/json" if body[:1] in (b"{", b"[") else b"text/plain" if body else b""
         self.connection.send(final(status, body, keep=keep, lines=lines, kind=kind, bare=bare))
-        self.at_work = bool(self.behind)
-        self.leave()
+        self.is_busy = bool(self.pipelined)
+        self.release_long_body()
         if not keep:
-            self.behind.clear()
+            self.pipelined.clear()
             self.connection.close()
             return
-        if self.behind:
-            self.door.host.after(0.0, self._next)
+        if self.pipelined:
+            self.server.host.after(0.0, self._next)
             return
-        if self.fault:
-            self._refuse()
+        if self.error_answer:
+            self._reject()
             return
-        self.timer = self.door.host.after(IDLE_S, self._idle)
-        queue, self.queue = self.queue, []
+        self.timer = self.server.host.after(IDLE_TIMEOUT_S, self._idle)
+        queue, self.unread = self.unread, []
         if queue:
-            self.door.host.after(0.0, lambda: self._resume(queue))
+            self.server.host.after(0.0, lambda: self._resume(queue))
         else:
             self.connection.resume()
 
     def _resume(self, queue: list[bytes]) -> None:
-        if self.gone:
+        if self.is_closed:
             return
         self.connection.resume()
         for data in queue:
             self.received(data)
 
-    def leave(self) -> None:
+    def release_long_body(self) -> None:
         """Give the place of a long body back."""
-        if self.long:
-            self.long = False
-            self.door.left(self)
+        if self.has_long_body:
+            self.has_long_body = False
+            self.server.release_long_body(self)
 
     def ended(self) -> None:
         """The caller sends nothing more."""
-        if not self.at_work:
+        if not self.is_busy:
             self.connection.close()
 
     def drained(self) -> None:
@@ -179,11 +180,11 @@
 
     def closed(self, why: str) -> None:
         """It is gone."""
-        self.gone = True
+        self.is_closed = True
         self.timer.cancel()
-        self.leave()
-        self.behind.clear()
-        self.door.guests -= 1
+        self.release_long_body()
+        self.pipelined.clear()
+        self.server.connections -= 1
         self.reader.close()
 
 
@@ -192,13 +193,13 @@
 
     __slots__ = ("guest",)
 
-    def __init__(self, guest: _Guest) -> None:
+    def __init__(self, guest: _HttpConnection) -> None:
         self.guest = guest
 
     def head(self, head: Head) -> None:
         """A head is whole."""
         self.guest.reading = head
-        if head.expects and not self.guest.at_work:
+        if head.expects and not self.guest.is_busy:
             self.guest.connection.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def data(self, data: bytes) -> None:
@@ -220,35 +221,35 @@
         self,
         host: Host,
         address: Address,
-        take: Callable[[Call], None],
+        take: Callable[[HttpRequest], None],
         most_body: int = 65 << 20,
     ) -> None:
-        self.host, self.address, self.take, self.most_body = host, address, take, most_body
-        self.guests = self.calls = 0
-        self.closing = False
-        self.long: list[_Guest] = []  # with long bodies; the first reads, the others wait
+        self.host, self.address, self.handle, self.max_body = host, address, take, most_body
+        self.connections = self.calls = 0
+        self.is_closing = False
+        self.long_bodies: list[_HttpConnection] = []  # with long bodies; the first reads, the others wait
         host.listen(address, self._accept)
 
     def _accept(self, connection: Connection) -> Handler:
-        guest = _Guest(self, connection)
-        self.guests += 1
-        if self.guests > MAX_CONNECTIONS:
+        guest = _HttpConnection(self, connection)
+        self.connections += 1
+        if self.connections > MAX_CONNECTIONS:
             connection.abort()
         return guest
 
-    def enter(self, guest: _Guest) -> None:
+    def reserve_long_body(self, guest: _HttpConnection) -> None:
         """A long body is coming; it waits where another one has the place."""
-        self.long.append(guest)
-        if self.long[0] is not guest:
+        self.long_bodies.append(guest)
+        if self.long_bodies[0] is not guest:
             guest.connection.pause()
 
-    def left(self, guest: _Guest) -> None:
+    def release_long_body(self, guest: _HttpConnection) -> None:
         """A long body is done with, or its caller has gone."""
-        self.long.remove(guest)
-        if self.long:
-            self.long[0].connection.resume()
+        self.long_bodies.remove(guest)
+        if self.long_bodies:
+            self.long_bodies[0].connection.resume()
 
     def close(self) -> None:
         """Take no further connections; answers close those that are open."""
-        self.closing = True
+        self.is_closing = True
         self.host.unlisten(self.address)
--- /dev/null
+++ b/honeywharf/transport/link.py
@@ -0,0 +1,268 @@
+"""The source's end of links: streams to the sidecar beside a backend, one connection a peer.
+
+A link on which nothing is received for `LINK_TIMEOUT_S` while streams wait is lost: what was opened on it may
+have run, except a request whose body was not asked for, which has not. Idempotent requests are given up on it
+sooner, after `STREAM_TIMEOUT_S`. The frames are in `stream`; the destination's end is `link_server`.
+"""
+
+from __future__ import annotations
+
+from honeywharf.transport.framing import FrameReader, encode_frame
+from honeywharf.transport.rpc_client import STREAMS_GREETING
+from honeywharf.transport.stream import (
+    ANSWER,
+    CANCEL,
+    DATA,
+    END,
+    FAIL,
+    GO,
+    MAX_CHUNK,
+    MAX_FRAME,
+    MAX_STREAMS,
+    PING,
+    PONG,
+    REFUSE,
+    WINDOW,
+)
+from honeywharf.verdict import LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
+
+TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from honeywharf.transport.host import Address, Host, Timer
+    from honeywharf.transport.stream import ForwardedRequest, ResponseHandler
+
+PING_INTERVAL_S = 0.25
+STREAM_TIMEOUT_S = (
+    1.2  # without a byte, after which an idempotent request is not waited for on a link any more
+)
+LINK_TIMEOUT_S = 2.6  # without a byte; a congested link carries little for a second and more
+IDLE_TIMEOUT_S = 60.0  # without a stream, after which a link is closed
+MAX_UNSENT_BYTES = 4 << 20  # bytes held for one link, after which no stream is opened on it
+
+
+class ClientStream:
+    """The source's end of one request on a link."""
+
+    __slots__ = (
+        "handler",
+        "has_body",
+        "has_head",
+        "is_admitted",
+        "is_idempotent",
+        "link",
+        "number",
+        "opened_at",
+    )
+
+    def __init__(
+        self,
+        link: Link,
+        number: int,
+        handler: ResponseHandler,
+        has_body: bool,
+        is_idempotent: bool,
+        now: float,
+    ) -> None:
+        self.link: Link | None = link
+        self.number, self.handler, self.has_body, self.is_admitted = number, handler, has_body, False
+        self.has_head = False
+        self.is_idempotent, self.opened_at = is_idempotent, now
+
+    def head_received(self) -> None:
+        """The head of the answer has come; ValueError where it is the second."""
+        if self.has_head:
+            raise ValueError(f"found a second answer of stream {self.number}, wanted one")
+        self.has_head = True
+
+    def part_received(self) -> None:
+        """More of the answer has come; ValueError where it has not begun."""
+        if not self.has_head:
+            raise ValueError(f"found a part of an answer of stream {self.number}, wanted its head first")
+
+    def data(self, data: bytes) -> None:
+        """Send a part of the body, at most what the window allows."""
+        if self.link is not None:
+            for at in range(0, len(data), MAX_CHUNK):
+                self.link.send([DATA, self.number, data[at : at + MAX_CHUNK]])
+
+    def end(self) -> None:
+        """The body is complete."""
+        if self.link is not None:
+            self.link.send([END, self.number])
+
+    def window(self, size: int) -> None:
+        """So many bytes of the answer have gone on."""
+        if self.link is not None:
+            self.link.send([WINDOW, self.number, size])
+
+    def cancel(self) -> None:
+        """Nobody waits any more; `handler` is not called after this."""
+        link, self.link = self.link, None
+        if link is not None and link.streams.pop(self.number, None) is not None:
+            link.send([CANCEL, self.number])
+
+
+class Link:
+    """The source's end of a link. `on_closed` is called once, with the link."""
+
+    def __init__(self, host: Host, to: Address, on_closed: Callable[[Link], None]) -> None:
+        self.host, self.to, self.on_closed = host, to, on_closed
+        self.streams: dict[int, ClientStream] = {}
+        self.number = 0
+        self.reader = FrameReader(MAX_FRAME)
+        self.last_received_at = self.last_used_at = host.now()
+        self.is_up = self.is_closed = False
+        self.round_trip_s = 0.0
+        self.pinged_at = 0.0
+        self.timer: Timer | None = None
+        self.connection = host.connect(to, lambda connection: self)
+        self.connection.send(encode_frame(STREAMS_GREETING))
+        self._check()
+
+    def open(self, request: ForwardedRequest, handler: ResponseHandler) -> ClientStream | None:
+        """Open a stream; None where the link has no room. `handler` is called later, never from within."""
+        if self.is_closed or len(self.streams) >= MAX_STREAMS or self.connection.unsent > MAX_UNSENT_BYTES:
+            return None
+        if not self.streams:
+            self.last_received_at = max(self.last_received_at, self.host.now())  # the timeout begins here
+        self.number += 1
+        now = self.host.now()
+        stream = self.streams[self.number] = ClientStream(
+            self, self.number, handler, request.length != 0, request.kind == 0, now
+        )
+        self.connection.send(request.pack(self.number))
+        self.last_used_at = self.host.now()
+        return stream
+
+    def send(self, frame: list[Any]) -> None:
+        """Send one frame."""
+        if not self.is_closed:
+            self.connection.send(encode_frame(frame))
+
+    def _check(self) -> None:
+        """Ping a peer that says nothing; close a lost or an unused link."""
+        now = self.host.now()
+        if self.streams and now - self.last_received_at > LINK_TIMEOUT_S:
+            self.fail()
+            return
+        if self.streams and now - self.last_received_at > STREAM_TIMEOUT_S:
+            self._fail_stalled_streams(now)
+        if self.streams and now - self.last_received_at >= PING_INTERVAL_S:
+            self.pinged_at = now
+            self.send([PING, 0])
+        if not self.streams and now - self.last_used_at > IDLE_TIMEOUT_S:
+            self.fail()
+            return
+        self.timer = self.host.after(PING_INTERVAL_S, self._check)
+
+    def _fail_stalled_streams(self, now: float) -> None:
+        """Fail the idempotent streams that have waited without a byte; the rest may yet be answered."""
+        for stream in [
+            s for s in self.streams.values() if s.is_idempotent and now - s.opened_at > STREAM_TIMEOUT_S
+        ]:
+            stream.cancel()
+            stream.handler.failed(Verdict(MAY_HAVE_RUN, LOST))
+
+    def fail(self) -> None:
+        """Close the link: whatever was open on it has failed."""
+        if self.is_closed:
+            return
+        self.is_closed = True
+        if self.timer is not None:
+            self.timer.cancel()
+        self.on_closed(self)
+        self.connection.abort()
+        streams, self.streams = list(self.streams.values()), {}
+        for stream in streams:
+            stream.link = None
+            # Guards what must not run twice: only a body that was never asked for proves anything, or a link
+            # that was never up.
+            proof = not self.is_up or (stream.has_body and not stream.is_admitted)
+            stream.handler.failed(Verdict(NOT_RUN if proof else MAY_HAVE_RUN, LOST))
+
+    def opened(self) -> None:
+        """It is up."""
+        self.is_up = True
+        self.last_received_at = self.host.now()
+
+    def received(self, data: bytes) -> None:
+        """Frames came."""
+        self.last_received_at = self.host.now()
+        try:
+            for frame in self.reader.feed(data):
+                self._handle_frame(frame)
+        except (ValueError, TypeError, IndexError, KeyError):
+            self.fail()
+
+    def _handle_frame(self, frame: list[Any]) -> None:
+        kind, number = frame[0], frame[1]
+        if kind == PONG:
+            self.round_trip_s = self.last_received_at - self.pinged_at
+            return
+        stream = self.streams.get(number)
+        if stream is None:
+            return  # cancelled meanwhile
+        handler = stream.handler
+        if kind == GO:
+            stream.is_admitted = True
+            handler.admitted()
+        elif kind == WINDOW:
+            handler.window(frame[2])
+        elif kind == ANSWER:
+            stream.head_received()
+            handler.load(tuple(frame[5]))
+            if frame[6] is not None:
+                self._end_stream(stream)
+            handler.answered(frame[2], frame[3], frame[4], frame[6])
+        elif kind == DATA:
+            stream.part_received()
+            handler.data(frame[2])
+        elif kind == END:
+            stream.part_received()
+            self._end_stream(stream)
+            handler.completed()
+        elif kind in (REFUSE, FAIL):
+            self._end_stream(stream)
+            handler.load(tuple(frame[5]))
+            ran = NOT_RUN if kind == REFUSE else frame[6]
+            handler.failed(Verdict(ran, frame[2], frame[4], frame[3] / 1000.0))
+
+    def _end_stream(self, stream: ClientStream) -> None:
+        stream.link = None
+        del self.streams[stream.number]
+        self.last_used_at = self.last_received_at
+
+    def ended(self) -> None:
+        """The far side has closed."""
+        self.fail()
+
+    def drained(self) -> None:
+        """All has gone."""
+
+    def closed(self, why: str) -> None:
+        """It is gone."""
+        self.fail()
+
+
+class LinkPool:
+    """The source's links, one a peer, opened on demand. `port`: of the peers' internal listener."""
+
+    def __init__(self, host: Host, port: int) -> None:
+        self.host, self.port = host, port
+        self.links: dict[str, Link] = {}
+        self.lost = 0
+
+    def link_to(self, node: str) -> Link:
+        """The link to the sidecar at an IP address."""
+        link = self.links.get(node)
+        if link is None or link.is_closed:
+            link = self.links[node] = Link(self.host, (node, self.port), self._link_closed)
+        return link
+
+    def _link_closed(self, link: Link) -> None:
+        if self.links.get(link.to[0]) is link:
+            del self.links[link.to[0]]
+            self.lost += 1
--- a/honeywharf/transport/matchers.py
+++ b/honeywharf/transport/url_matcher.py
@@ -6,26 +6,26 @@
 if TYPE_CHECKING:
     from typing import Any
 
-DEEPEST = 16  # segments of a path; longer ones are not found
+MAX_SEGMENTS = 16  # segments of a path; longer ones are not found
 
 
-class NotAllowed(Exception):  # noqa: N818 - an answer, not a fault:
+class MethodNotAllowedError(Exception):
     """The path is there, but not with this method. `args[0]` is the list of methods that are (bytes)."""
 
 
 class _Node:
     """What may follow one beginning of a path."""
 
-    __slots__ = ("any", "fixed", "names", "targets")
+    __slots__ = ("by_segment", "parameters", "targets", "wildcard")
 
     def __init__(self) -> None:
-        self.fixed: dict[bytes, _Node] = {}
-        self.any: _Node | None = None
+        self.by_segment: dict[bytes, _Node] = {}
+        self.wildcard: _Node | None = None
         self.targets: dict[bytes, Any] = {}  # by method
-        self.names: dict[bytes, list[str]] = {}  # of the params, by method
+        self.parameters: dict[bytes, list[str]] = {}  # of the params, by method
 
 
-class Tree:
+class UrlMatcher:
     """Patterns of paths and what they lead to. A fixed segment goes before a `{name}`."""
 
     __slots__ = ("_root",)
@@ -39,43 +39,43 @@
         for segment in pattern.strip("/").split("/"):
             if segment.startswith("{") and segment.endswith("}"):
                 names.append(segment[1:-1])
-                node.any = node = node.any or _Node()
+                node.wildcard = node = node.wildcard or _Node()
             else:
-                node = node.fixed.setdefault(segment.encode(), _Node())
+                node = node.by_segment.setdefault(segment.encode(), _Node())
         if method.encode() in node.targets:
             raise ValueError(f"found {method} {pattern} twice, wanted it once")
         node.targets[method.encode()] = target
-        node.names[method.encode()] = names
+        node.parameters[method.encode()] = names
 
     def find(self, method: bytes, path: bytes) -> tuple[Any, dict[str, str]] | None:
         """The target and its params, decoded; None where no path is (404). NotAllowed: other method (405)."""
         segments = path.strip(b"/").split(b"/")
-        if len(segments) > DEEPEST:
+        if len(segments) > MAX_SEGMENTS:
             return None
-        taken: list[bytes] = []
-        node = _walk(self._root, segments, 0, taken)
+        values: list[bytes] = []
+        node = _walk(self._root, segments, 0, values)
         if node is None:
             return None
         if method not in node.targets:
-            raise NotAllowed(sorted(node.targets))
-        return node.targets[method], dict(zip(node.names[method], map(unquote, taken), strict=True))
+            raise MethodNotAllowedError(sorted(node.targets))
+        return node.targets[method], dict(zip(node.parameters[method], map(unquote, values), strict=True))
 
 
-def _walk(node: _Node, segments: list[bytes], at: int, taken: list[bytes]) -> _Node | None:
-    """The node at the end of the segments; `taken` gets what stood in place of names."""
+def _walk(node: _Node, segments: list[bytes], at: int, values: list[bytes]) -> _Node | None:
+    """The node at the end of the segments; `values` gets what stood in place of names."""
     if at == len(segments):
         return node if node.targets else None
-    fixed = node.fixed.get(segments[at])
+    fixed = node.by_segment.get(segments[at])
     if fixed is not None:
-        found = _walk(fixed, segments, at + 1, taken)
+        found = _walk(fixed, segments, at + 1, values)
         if found is not None:
             return found
-    if node.any is None or not segments[at]:
+    if node.wildcard is None or not segments[at]:
         return None
-    taken.append(segments[at])
-    found = _walk(node.any, segments, at + 1, taken)
+    values.append(segments[at])
+    found = _walk(node.wildcard, segments, at + 1, values)
     if found is None:
-        taken.pop()
+        values.pop()
     return found
 
 
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -9,8 +9,8 @@
 
 from bench.scale.backend_process import Served, attempt_of
 from bench.scale.load import Load
+from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Address, Connection, Handler
-from honeywharf.transport.loop import Loop
 
 
 class Silent(Served):
@@ -20,7 +20,7 @@
         """Nothing."""
 
 
-def serve(loop: Loop, handler: type[Served]) -> Address:
+def serve(loop: EventLoop, handler: type[Served]) -> Address:
     """Listen on loopback; where."""
 
     def accept(connection: Connection) -> Handler:
@@ -31,7 +31,7 @@
     return "127.0.0.1", sock.getsockname()[1]
 
 
-def run_until(loop: Loop, reached: Callable[[], bool]) -> None:
+def run_until(loop: EventLoop, reached: Callable[[], bool]) -> None:
     """Let the loop run until something holds, twenty seconds at most."""
 
     def look() -> None:
@@ -45,13 +45,13 @@
     assert loop.run() == 0
 
 
-def run_until_over(loop: Loop, load: Load) -> None:
+def run_until_over(loop: EventLoop, load: Load) -> None:
     """Let the loop run until all is answered."""
     run_until(loop, lambda: load.over)
 
 
 def test_requests_go_out_at_the_rate_and_are_timed() -> None:
-    loop = Loop(None)
+    loop = EventLoop(None)
     begun = loop.now()
     load = Load(loop, serve(loop, Served), "a.example", "/b/", rate=200.0, lanes=4, seconds=20.0)
 
@@ -65,7 +65,7 @@
 
 
 def test_without_a_rate_each_lane_sends_as_soon_as_it_is_answered() -> None:
-    loop = Loop(None)
+    loop = EventLoop(None)
     load = Load(loop, serve(loop, Served), "a.example", "/b/", rate=0.0, lanes=3, seconds=0.1)
     run_until_over(loop, load)
     assert len(load.answers.times) > 3
@@ -73,7 +73,7 @@
 
 
 def test_what_finds_no_lane_is_counted() -> None:
-    loop = Loop(None)
+    loop = EventLoop(None)
     load = Load(loop, serve(loop, Silent), "a.example", "/b/", rate=200.0, lanes=2, seconds=20.0)
     run_until(loop, lambda: load.skipped >= 10)
     assert len(load.busy) == 2
--- a/tests/compatibility/golden_messages.py
+++ b/tests/compatibility/golden_messages.py
@@ -23,8 +23,8 @@
 from honeywharf.handover import frames as handover_frames
 from honeywharf.handover.frames import Kind
 from honeywharf.mesh_config.configuration import digest
-from honeywharf.transport import frames
-from honeywharf.transport.streams import Ask
+from honeywharf.transport import framing
+from honeywharf.transport.stream import ForwardedRequest
 
 ADDRESSES = ("10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620")
 MEMBERS = tuple(
@@ -70,21 +70,21 @@
     "register text missing": messages.TextMissing(DECIDED, BALLOT),
 }
 HEARTBEAT = Heartbeat(ADDRESSES[1], "first", 3, 21, BALLOT, "b", digest(TEXT))
-REQUEST = Ask(
-    "tile-vault",
-    b"0123456789abcdef",
-    1,
-    1.5,
-    0.25,
-    3,
-    0.125,
-    "10.1.0.8/4711",
-    b"POST",
-    b"/tiles/7?z=1",
-    b"Host: maps.example\r\n",
-    -1,
-    21,
-    b"12345678",
+REQUEST = ForwardedRequest(
+    service="tile-vault",
+    attempt_id=b"0123456789abcdef",
+    kind=1,
+    remaining_s=1.5,
+    max_queue_wait_s=0.25,
+    priority=3,
+    latency_target_s=0.125,
+    caller="10.1.0.8/4711",
+    method=b"POST",
+    target=b"/tiles/7?z=1",
+    fields=b"Host: maps.example\r\n",
+    length=-1,
+    revision=21,
+    rule=b"12345678",
 )
 
 
@@ -118,11 +118,11 @@
 
 
 def _packed(message: messages.Request | messages.Answer) -> bytes:
-    return frames.encode(messages.pack(message))
+    return framing.encode_frame(messages.pack(message))
 
 
 def _unframed(data: bytes) -> Any:
-    (body,) = frames.FrameReader().feed(data)
+    (body,) = framing.FrameReader().feed(data)
     return body
 
 
@@ -166,11 +166,12 @@
         for name, message in REGISTER_MESSAGES.items()
     },
     "control heartbeat": Golden(
-        lambda: frames.encode(HEARTBEAT), lambda data: frames.encode(Heartbeat.unpack(_unframed(data)))
+        lambda: framing.encode_frame(HEARTBEAT),
+        lambda data: framing.encode_frame(Heartbeat.unpack(_unframed(data))),
     ),
     "public mesh state": Golden(
-        lambda: frames.encode(mesh_state().pack_public()),
-        lambda data: frames.encode(MeshState.unpack(_unframed(data)).pack_public()),
+        lambda: framing.encode_frame(mesh_state().pack_public()),
+        lambda data: framing.encode_frame(MeshState.unpack(_unframed(data)).pack_public()),
     ),
     "gossip rumour": Golden(lambda: _entries_datagram(gossip_entry.RUMOUR), _rewrite_entries),
     "gossip hello": Golden(lambda: _entries_datagram(gossip_entry.HELLO), _rewrite_entries),
@@ -179,7 +180,8 @@
     ),
     "failure detector heartbeat": Golden(failure_detector_heartbeat, lambda data: data),
     "stream open": Golden(
-        lambda: REQUEST.packed(5), lambda data: Ask.unpacked(_unframed(data)).packed(_unframed(data)[1])
+        lambda: REQUEST.pack(5),
+        lambda data: ForwardedRequest.unpack(_unframed(data)).pack(_unframed(data)[1]),
     ),
     "file register": Golden(lambda: encode_register(acceptor_state()), _register_file),
     "file register, full history": Golden(
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -15,7 +15,7 @@
 import msgpack  # type: ignore[import-untyped]
 
 from honeywharf.simulation import machine, regions, run, slips
-from honeywharf.transport.frames import FrameReader
+from honeywharf.transport.framing import FrameReader
 
 MESH_SEEDS = (1, 3, 9)
 REGION_SEEDS = (0, 1, 2, 3)
--- a/tests/control/test_store.py
+++ b/tests/control/test_store.py
@@ -11,7 +11,7 @@
 from honeywharf.control.mesh_state import MeshState
 from honeywharf.control.messages import ProposalNumber
 from honeywharf.control.store import MAX_UNREFERENCED_TEXTS, REGISTER, REGISTER_NEW, Store
-from honeywharf.transport.rpc import Caller
+from honeywharf.transport.rpc_client import RpcClient
 from tests.control.cluster import ControlCluster
 from tests.control.virtual_network import Machine, PowerLostError, VirtualNetwork
 
@@ -113,7 +113,7 @@
 
 def test_a_text_that_was_fetched_keeps_its_name_over_a_loss_of_power() -> None:
     host = machine()
-    texts = ConfigurationTexts(host, Store(host), Caller(host), list)
+    texts = ConfigurationTexts(host, Store(host), RpcClient(host), list)
     texts.persist("d7", b"text")
     assert texts.store.has_text("d7")
     host.off(power=True, names_lost=True)
--- a/tests/control/test_store_repair.py
+++ b/tests/control/test_store_repair.py
@@ -20,7 +20,7 @@
     decode_file,
     encode_file,
 )
-from honeywharf.transport.loop import Loop
+from honeywharf.transport.event_loop import EventLoop
 from tests.control.cluster import ControlCluster
 from tests.control.test_store import machine, state
 from tests.control.virtual_network import Machine
@@ -195,7 +195,7 @@
     here = ["--here", "10.0.0.1:7620", "--members"]
     assert command.main(["return", str(file), str(other), *here, "10.0.0.1:7620"]) == 1
     assert command.main(["return", str(file), str(other), *here, "10.0.0.1:7620/b"]) == 0
-    found = Store(Loop(str(other))).load()
+    found = Store(EventLoop(str(other))).load()
     assert found is not None
     assert found.value is not None
     assert found.value.version == 5
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -35,10 +35,12 @@
 from honeywharf.simulation.machine import RESET, End, Machine, Network, Process
 from honeywharf.simulation.standins import Caller, Message, text
 from honeywharf.simulation.world import World
-from honeywharf.transport.frames import FrameReader
+from honeywharf.transport.framing import FrameReader
 from honeywharf.transport.host import Connection, Handler
-from honeywharf.transport.rpc import Answerer, Caller as RpcCaller
-from honeywharf.transport.streams import MAX_FRAME, Reception
+from honeywharf.transport.link_server import LinkServer
+from honeywharf.transport.rpc_client import RpcClient as RpcCaller
+from honeywharf.transport.rpc_server import RpcServer
+from honeywharf.transport.stream import MAX_FRAME
 from tests.sidecar.stage import SERVICE, TABLE, ZONE, Backend, Request, Visit, answer, settings
 from tests.simulation.mutants import wrong
 
@@ -174,7 +176,7 @@
         word.table, word.ready, word.revision = RoutingTable(TABLE), True, 7
         self.source = Source(host, own, word, self.inbound, lambda: 0.0)
         self.source.slack = 100.0  # the retry budget is no guard here: it never stands in the way
-        answerer = Answerer({}, self._streams)
+        answerer = RpcServer({}, self._streams)
         host.listen((ip, INTERNAL), answerer.accept)
         self.outbound = Outbound(host, (ip, OUTBOUND), word, self.source)
         self.shutdown = Shutdown(
@@ -194,8 +196,8 @@
             self.gate.beat(host.now(), life, 1, False, 4, 0.0)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
-        reader.most = MAX_FRAME
-        return Reception(connection, reader, frames, self.inbound.begin)
+        reader.max_frame = MAX_FRAME
+        return LinkServer(connection, reader, frames, self.inbound.begin)
 
 
 class Try:
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -9,7 +9,9 @@
 from honeywharf.sidecar.course import Course
 from honeywharf.sidecar.inbound import Job
 from honeywharf.sidecar.outbound import Guest
-from honeywharf.transport.streams import Ask, Link, Reception, Stream
+from honeywharf.transport.link import ClientStream, Link
+from honeywharf.transport.link_server import LinkServer
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.order_model import SCENES, play, singles, watched
 from tests.simulation.mutants import Put, refuses_what_may_have_run, repeats_what_may_have_run, wrong
@@ -19,11 +21,11 @@
     """What was sent on a link that is lost counts as not run."""
 
     def lose(self: Link) -> None:
-        self.up = False
+        self.is_up = False
         was(self)
 
-    was = Link.lose
-    put(Link, "lose", lose)
+    was = Link.fail
+    put(Link, "fail", lose)
 
 
 def asked_for_body_proves(put: Put) -> None:
@@ -31,11 +33,11 @@
 
     def lose(self: Link) -> None:
         for stream in self.streams.values():
-            stream.went = False
+            stream.is_admitted = False
         was(self)
 
-    was = Link.lose
-    put(Link, "lose", lose)
+    was = Link.fail
+    put(Link, "fail", lose)
 
 
 def broken_connection_proves(put: Put) -> None:
@@ -121,19 +123,19 @@
 def stream_number_again(put: Put) -> None:
     """The number of a stream that was given up is used for the next one, and the destination lets it."""
 
-    def cancel(self: Stream) -> None:
+    def cancel(self: ClientStream) -> None:
         link = self.link
         was(self)
         if link is not None and link.number == self.number:
             link.number -= 1
 
-    def opened(self: Reception, number: int, ask: Ask) -> None:
-        self.last = 0
+    def opened(self: LinkServer, number: int, ask: ForwardedRequest) -> None:
+        self.highest_number = 0
         was_opened(self, number, ask)
 
-    was, was_opened = Stream.cancel, Reception._open
-    put(Stream, "cancel", cancel)
-    put(Reception, "_open", opened)
+    was, was_opened = ClientStream.cancel, LinkServer._open
+    put(ClientStream, "cancel", cancel)
+    put(LinkServer, "_open", opened)
 
 
 def closes_on_pipelined(put: Put) -> None:
--- a/tests/sidecar/stage.py
+++ b/tests/sidecar/stage.py
@@ -22,7 +22,7 @@
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.host import Address, Connection, Handler, Host
-from honeywharf.transport.streams import Ask
+from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import Verdict
 
 IP, ZONE, SERVICE = "10.1.0.8", "tartu-saal", "order-desk"
@@ -89,7 +89,7 @@
 class Channel:
     """The way to a scripted gate, and what came over it."""
 
-    def __init__(self, key: str, ask: Ask, course: Course) -> None:
+    def __init__(self, key: str, ask: ForwardedRequest, course: Course) -> None:
         self.key, self.ask, self.course = key, ask, course
         self.body = bytearray()
         self.ends = self.passed = 0
@@ -128,14 +128,14 @@
         self.took_spends: list[bool] = []
         self.may_spend = True
         self.script: Callable[[Channel], bool] = lambda channel: True
-        self.links.to = None  # type: ignore[assignment,method-assign]
+        self.links.link_to = None  # type: ignore[assignment,method-assign]
 
     def list_gates(self, *keys: str, zone: str = ZONE) -> None:
         """Make gates known."""
         for key in keys:
             self.told(key, {"s": SERVICE, "b": f"i-{key}", "st": 1, "sl": 8}, zone)
 
-    def open(self, key: str, ask: Ask, course: Course) -> Channel | None:
+    def open(self, key: str, ask: ForwardedRequest, course: Course) -> Channel | None:
         """Keep the ask; None where the script says that the link has no room."""
         channel = Channel(key, ask, course)
         self.channels.append(channel)
@@ -351,23 +351,23 @@
     attempt: bytes = ATTEMPT,
     service: str = SERVICE,
     priority: int = 1,
-) -> Ask:
+) -> ForwardedRequest:
     """What a source asks."""
     fields = b"Host: shop.example\r\nX-Honeywharf-Attempt-Id: %b\r\n" % attempt
-    return Ask(
-        service,
-        attempt,
-        kind,
-        remaining_s,
-        patience_s,
-        priority,
-        0.5,
-        "tile-vault",
-        method or (b"POST" if length else b"GET"),
-        b"/orders/2f?a=1",
-        fields,
-        length,
-        7,
+    return ForwardedRequest(
+        service=service,
+        attempt_id=attempt,
+        kind=kind,
+        remaining_s=remaining_s,
+        max_queue_wait_s=patience_s,
+        priority=priority,
+        latency_target_s=0.5,
+        caller="tile-vault",
+        method=method or (b"POST" if length else b"GET"),
+        target=b"/orders/2f?a=1",
+        fields=fields,
+        length=length,
+        revision=7,
     )
 
 
@@ -517,7 +517,7 @@
         self.verdict: Verdict | None = None
         self.on_go: Callable[[], None] = lambda: None
 
-    def go(self) -> None:
+    def admit(self) -> None:
         """It is admitted."""
         self.events.append(("go",))
         self.on_go()
@@ -541,7 +541,7 @@
         assert not self.ends
         self.body += data
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """It is whole."""
         assert not self.ends
         self.events.append(("whole",))
@@ -593,7 +593,7 @@
         """The scripted backend."""
         return cast("Backend", self.app.program)
 
-    def begin(self, request: Ask, answers: Answers | None = None) -> tuple[Job, Answers]:
+    def begin(self, request: ForwardedRequest, answers: Answers | None = None) -> tuple[Job, Answers]:
         """Begin one job."""
         kept = answers or Answers()
         return self.inbound.begin(request, kept), kept
--- a/tests/sidecar/test_bypass.py
+++ b/tests/sidecar/test_bypass.py
@@ -10,7 +10,7 @@
 from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar import bypass
 from honeywharf.sidecar.course import ASIDE, MAX_HELPERS, Course
-from honeywharf.transport.streams import FIRST_WINDOW, HANDED, Ask
+from honeywharf.transport.stream import DELEGATED, INITIAL_WINDOW, ForwardedRequest
 from honeywharf.verdict import (
     BROKEN_OFF,
     DRIFT,
@@ -46,12 +46,12 @@
 def test_what_is_handed_on_says_whose_it_is_and_decides_nothing() -> None:
     play = Doubting(length=5)
     ask = play.last.ask
-    assert (play.last.key, ask.kind, ask.service, ask.rule) == ("10.1.0.30", HANDED, "", b"")
-    assert (ask.attempt, ask.caller, ask.length) == (ATTEMPT, SERVICE, 5)
+    assert (play.last.key, ask.kind, ask.service, ask.rule) == ("10.1.0.30", DELEGATED, "", b"")
+    assert (ask.attempt_id, ask.caller, ask.length) == (ATTEMPT, SERVICE, 5)
     assert ask.fields == b"".join(head(5).fields)
     assert ask.remaining_s < 2.0
-    again = Ask.unpacked([0, 1, *_frame(ask)])
-    assert (again.kind, again.caller, again.fields) == (HANDED, SERVICE, ask.fields)
+    again = ForwardedRequest.unpack([0, 1, *_frame(ask)])
+    assert (again.kind, again.caller, again.fields) == (DELEGATED, SERVICE, ask.fields)
     play.course.data(b"hello")
     play.course.end()
     assert bytes(play.last.body) == b""
@@ -62,10 +62,10 @@
     assert play.source.handed == 1
 
 
-def _frame(ask: Ask) -> list[Any]:
+def _frame(ask: ForwardedRequest) -> list[Any]:
     return [
         ask.service,
-        ask.attempt,
+        ask.attempt_id,
         ask.kind,
         int(ask.remaining_s * 1000),
         0,
@@ -159,7 +159,7 @@
     source = judged()
     assert source.handed == 1
     assert source.channels[-1].key == "10.1.0.30"
-    assert source.channels[-1].ask.kind == HANDED
+    assert source.channels[-1].ask.kind == DELEGATED
 
 
 def test_nothing_is_handed_on_twice_nor_once_a_backend_has_seen_it() -> None:
@@ -174,9 +174,9 @@
         self.told: list[tuple[object, ...]] = []
         self.granted = 0
 
-    def go(self) -> None:
+    def admit(self) -> None:
         self.told.append(("go",))
-        self.granted += FIRST_WINDOW
+        self.granted += INITIAL_WINDOW
 
     def window(self, size: int) -> None:
         self.granted += size
@@ -187,7 +187,7 @@
     def data(self, data: bytes) -> None:
         self.told.append(("data", data))
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         self.told.append(("whole",))
 
     def fail(self, verdict: Verdict, load: object) -> None:
@@ -211,20 +211,20 @@
         self.source.list_gates("10.1.0.20")
         self.answers: Any = Answers()
         made = head(length)
-        self.ask = Ask(
-            "",
-            ATTEMPT,
-            HANDED,
-            1.5,
-            0.0,
-            0,
-            1.0,
-            "tile-vault",
-            made.method,
-            target,
-            b"".join(made.fields),
-            length,
-            revision,
+        self.ask = ForwardedRequest(
+            service="",
+            attempt_id=ATTEMPT,
+            kind=DELEGATED,
+            remaining_s=1.5,
+            max_queue_wait_s=0.0,
+            priority=0,
+            latency_target_s=1.0,
+            caller="tile-vault",
+            method=made.method,
+            target=target,
+            fields=b"".join(made.fields),
+            length=length,
+            revision=revision,
         )
 
     def take(self) -> Any:
@@ -235,7 +235,7 @@
     play = Helping(length=3)
     work = play.take()
     ask = play.source.channels[-1].ask
-    assert (ask.kind, ask.service, ask.caller, ask.attempt) == (1, SERVICE, "tile-vault", ATTEMPT)
+    assert (ask.kind, ask.service, ask.caller, ask.attempt_id) == (1, SERVICE, "tile-vault", ATTEMPT)
     assert ask.fields == play.ask.fields
     assert ask.remaining_s <= 1.5
     work.data(b"abc")
@@ -302,7 +302,7 @@
         work.data(bytes(step))
         sent += step
         most = max(most, course.held)
-        course.window(FIRST_WINDOW)
+        course.window(INITIAL_WINDOW)
     assert most <= bypass.AHEAD_BYTES
     assert sent == 1 << 20
 
--- a/tests/sidecar/test_course.py
+++ b/tests/sidecar/test_course.py
@@ -8,7 +8,7 @@
 
 from honeywharf.codecs.heads import UNKNOWN
 from honeywharf.sidecar.course import KEPT_BYTES, MAX_ASKED, MAX_WAITED, PATIENCE, Course
-from honeywharf.transport.streams import FIRST_WINDOW, WINDOW_BYTES
+from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
 from honeywharf.verdict import (
     BROKEN_OFF,
     COLD,
@@ -174,14 +174,14 @@
     play.start()
     waits = (0.2, 0.02, 0.21, 0.22, 0.23)
     for again in waits:
-        assert play.last.ask.patience_s == 0.0
+        assert play.last.ask.max_queue_wait_s == 0.0
         play.course.failed(Verdict(NOT_RUN, FULL, again_s=again))
     order = [c.key for c in play.source.channels[:5]]
     asked: list[str] = []
     for turn in range(MAX_WAITED):
         asked.append(play.last.key)
         left = play.course.arrived_at + PATIENCE * 1.0 - play.clock.now()
-        assert 0.0 < play.last.ask.patience_s <= left
+        assert 0.0 < play.last.ask.max_queue_wait_s <= left
         assert turn or asked == [order[1]], "the shortest wait by far"
         play.course.failed(Verdict(NOT_RUN, FULL, again_s=0.2))
     assert play.course.over
@@ -323,8 +323,8 @@
     play = Play("upload", length=UNKNOWN)
     channel = play.start(b"x" * 300_000)
     play.course.go()
-    assert len(channel.body) == FIRST_WINDOW
-    assert play.course.held == 300_000 - FIRST_WINDOW
+    assert len(channel.body) == INITIAL_WINDOW
+    assert play.course.held == 300_000 - INITIAL_WINDOW
     for _ in range(1000):
         if channel.ends:
             break
@@ -371,7 +371,7 @@
     for part in pieces(4, 3 << 20):
         play.course.data(part)
         play.course.window(len(part))
-        assert play.course.kept_bytes <= KEPT_BYTES + 30_000 + WINDOW_BYTES
+        assert play.course.kept_bytes <= KEPT_BYTES + 30_000 + WINDOW_SIZE
     assert play.course.lost_body
     play.course.failed(PROOF)
     assert [e[:2] for e in play.client.events] == [("final", 503)]
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -10,7 +10,7 @@
 from honeywharf.sidecar.backend import TRIED_S, TRUSTED_S
 from honeywharf.sidecar.gate import READY, UNKNOWN as NOT_KNOWN
 from honeywharf.sidecar.inbound import Job
-from honeywharf.transport.streams import WINDOW_BYTES
+from honeywharf.transport.stream import WINDOW_SIZE
 from honeywharf.verdict import (
     BROKEN_OFF,
     CHOKED,
@@ -61,7 +61,7 @@
     stage, body, sent = Stage(), Random(2).randbytes(size), 0
     job, told = stage.begin(ask(kind=2, length=length, remaining_s=5.0))
     assert told.events == [("go",)]
-    window = WINDOW_BYTES
+    window = WINDOW_SIZE
     while sent < size:
         piece = body[sent : sent + min(window + told.windows - sent, 16_384)]
         assert piece, "the window was not opened again"
@@ -412,8 +412,8 @@
     job, told = stage.begin(ask(remaining_s=60.0))
     stage.run(1.0)
     assert told.events == [("answer", 200, 1_000_000, False)]
-    assert len(told.body) == WINDOW_BYTES
-    assert sum(map(len, job.kept)) <= 2 * WINDOW_BYTES
+    assert len(told.body) == WINDOW_SIZE
+    assert sum(map(len, job.kept)) <= 2 * WINDOW_SIZE
     assert stage.backend.visits[0].connection.unsent > 700_000
     while not told.ends:
         passed = len(told.body)
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.sidecar.outbound import HELD_BYTES, MAX_AHEAD, SUCCESSOR_S
-from honeywharf.transport.streams import WINDOW_BYTES
+from honeywharf.transport.stream import WINDOW_SIZE
 from honeywharf.verdict import BROKEN_OFF, DRAINING, MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.stage import Channel, Front
 
@@ -68,13 +68,13 @@
     caller = front.call(request(attempt=b"a") + request(attempt=b"b"))
     first, second = front.channels
     second.course.answered(200, b"", 100_000, None)
-    second.course.answer_data(b"x" * WINDOW_BYTES)
+    second.course.answer_data(b"x" * WINDOW_SIZE)
     front.run()
     assert caller.data == b""
     assert second.passed == 0
     give(front, first, b"first")
-    assert second.passed == WINDOW_BYTES
-    second.course.answer_data(b"x" * (100_000 - WINDOW_BYTES))
+    assert second.passed == WINDOW_SIZE
+    second.course.answer_data(b"x" * (100_000 - WINDOW_SIZE))
     second.course.whole()
     front.run()
     assert [len(body) for _, _, body in caller.answers()] == [5, 100_000]
@@ -211,7 +211,7 @@
     if end == "refused":  # every gate has just refused: the second is refused unasked
         assert caller.statuses() == [503, 503], "what stands behind the upload was never read"
         return
-    assert front.channels[-1].ask.attempt == b"a2", "what stands behind the upload was never read"
+    assert front.channels[-1].ask.attempt_id == b"a2", "what stands behind the upload was never read"
     give(front, front.channels[-1], b"second")
     first = {"refused": 503, "answered": 403, "late": 503}[end]
     assert caller.statuses() == [first, 200]
@@ -386,10 +386,10 @@
             elif draw < 0.5 and course.went:
                 course.window(50_000)
             elif draw < 0.6:
-                course.answered(200, b"", len(channel.ask.attempt), channel.ask.attempt)
+                course.answered(200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id)
             elif draw < 0.65:
                 course.answered(200, b"", -1, None)
-                course.answer_data(channel.ask.attempt)
+                course.answer_data(channel.ask.attempt_id)
                 course.whole()
             elif draw < 0.7:
                 course.failed(REFUSED)
@@ -399,7 +399,7 @@
         front.run(0.05)
         for channel in front.channels:
             if not channel.course.over and channel.course.channel is channel:
-                channel.course.answered(200, b"", len(channel.ask.attempt), channel.ask.attempt)
+                channel.course.answered(200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id)
     for names, caller in zip(wanted, callers, strict=True):
         answers = caller.answers()
         assert len(answers) == len(names)
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -36,7 +36,7 @@
 from honeywharf.sidecar.source import Source
 from honeywharf.simulation.days import Fault
 from honeywharf.simulation.run import Report, run
-from honeywharf.transport.streams import Link
+from honeywharf.transport.link import Link
 from honeywharf.verdict import BROKEN_OFF, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 Put = Callable[[object, str, Any], None]  # owner, name, what stands there instead
@@ -458,11 +458,11 @@
 
 def lost_link_means_not_run(put: Put) -> None:
     def lose(self: Link) -> None:
-        self.up = False
+        self.is_up = False
         was(self)
 
-    was = Link.lose
-    put(Link, "lose", lose)
+    was = Link.fail
+    put(Link, "fail", lose)
 
 
 def repeats_what_may_have_run(put: Put) -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -178,11 +178,14 @@
     "programs/sidecar.py",
     "programs/control.py",
     "transport/host.py",
-    "transport/frames.py",
-    "transport/rpc.py",
-    "transport/streams.py",
+    "transport/framing.py",
+    "transport/rpc_client.py",
+    "transport/rpc_server.py",
+    "transport/stream.py",
+    "transport/link.py",
+    "transport/link_server.py",
     "transport/http_server.py",
-    "transport/matchers.py",
+    "transport/url_matcher.py",
     "simulation",
     "drift",
     "sessions",
@@ -347,7 +350,7 @@
 
 
 def test_a_sidecar_loads_little() -> None:
-    words = "import sys, honeywharf.programs.sidecar, honeywharf.transport.loop; print(*sys.modules)"
+    words = "import sys, honeywharf.programs.sidecar, honeywharf.transport.event_loop; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", words], cwd=ROOT.parent, capture_output=True, text=True, check=True
     ).stdout
--- a/tests/transport/test_loop.py
+++ b/tests/transport/test_event_loop.py
@@ -11,8 +11,8 @@
 import pytest
 
 from honeywharf.standins.node import free_ports
+from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Address, Connection, Handler
-from honeywharf.transport.loop import Loop
 
 LOCAL = "127.0.0.1"
 GUARD_S = 20.0  # after which a test that waits for something has failed
@@ -61,7 +61,7 @@
     """A loop with one listener on a free port, and a guard against tests that hang."""
 
     def __init__(self) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.taken: list[Log] = []
         self.on: Callable[[Log], None] | None = None
         self.loop.listen((LOCAL, 0), self._accept)
@@ -111,18 +111,18 @@
         look()
         self.loop.run()
         assert not late, "it did not come"
-        assert not self.loop.faults
+        assert not self.loop.errors
 
 
 @pytest.fixture
 def bed() -> Iterator[Bed]:
     made = Bed()
     yield made
-    for wire in list(made.loop.wires.values()):
-        wire.sock.close()
+    for wire in list(made.loop.connections.values()):
+        wire.socket.close()
     for sock, _, _ in made.loop.listeners.values():
         sock.close()
-    for ear, _ in made.loop.ears.values():
+    for ear, _ in made.loop.datagram_sockets.values():
         ear.close()
     made.loop.epoll.close()
 
@@ -215,8 +215,8 @@
     log.connection.send(bytes(4 << 20))
     bed.until(lambda: bool(bed.taken) and bool(bed.taken[0].data))
     before = len(bed.taken[0].data)
-    turns = bed.loop.turns
-    bed.until(lambda: bed.loop.turns > turns + 20)
+    turns = bed.loop.iterations
+    bed.until(lambda: bed.loop.iterations > turns + 20)
     assert len(bed.taken[0].data) == before <= 64 * 1024
 
 
@@ -342,7 +342,7 @@
 def test_datagrams_carry_the_address_they_are_sent_from(bed: Bed) -> None:
     heard: list[tuple[Address, bytes]] = []
     mine, theirs = free_port(), free_port()
-    other = Loop()
+    other = EventLoop()
 
     def answer(sender: Address, data: bytes) -> None:
         other.send_datagram(sender, data[::-1])
@@ -356,7 +356,7 @@
     other.run()
     bed.until(lambda: bool(heard))
     assert heard == [(theirs, b"cba")]
-    next(iter(other.ears.values()))[0].close()
+    next(iter(other.datagram_sockets.values()))[0].close()
 
 
 def test_a_fault_in_a_call_ends_its_connection_and_the_process_goes_on(
@@ -376,7 +376,7 @@
     said = capfd.readouterr().err
     assert "a fault of the program" in said
     assert "KeyError" in said
-    bed.loop.faults, bed.on = 0, None
+    bed.loop.errors, bed.on = 0, None
     again = bed.ask()
     again.connection.send(b"y")
     bed.until(lambda: bytes(bed.taken[-1].data) == b"y")
@@ -396,19 +396,19 @@
         signal.set_wakeup_fd(-1)
         for number, handler in before.items():
             signal.signal(number, handler)
-        os.close(bed.loop.woken)
-        os.close(bed.loop.waker)
+        os.close(bed.loop.wakeup_reader)
+        os.close(bed.loop.wakeup_writer)
 
 
 def test_run_gives_the_status_it_was_ended_with() -> None:
-    loop = Loop()
+    loop = EventLoop()
     loop.after(0.0, lambda: loop.exit(7))
     assert loop.run() == 7
     loop.epoll.close()
 
 
 def test_files_are_written_whole_renamed_and_listed(tmp_path: Path) -> None:
-    loop = Loop(str(tmp_path / "data"))
+    loop = EventLoop(str(tmp_path / "data"))
     assert loop.names() == []
     assert loop.read("a") is None
     loop.write("a", b"one")
@@ -421,7 +421,7 @@
     loop.remove("b")
     assert loop.names() == []
     loop.epoll.close()
-    bare = Loop(None)
+    bare = EventLoop(None)
     with pytest.raises(OSError, match="no disk"):
         bare.write("a", b"")
     bare.epoll.close()
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_framing.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from honeywharf.transport.frames import FrameReader, encode
+from honeywharf.transport.framing import FrameReader, encode_frame
 
 
 def test_any_cut_into_pieces_gives_the_same_objects() -> None:
     rng = Random(5)
     told = [["calls", {1: b"x" * rng.randrange(300)}, None, n] for n in range(60)]
-    data = b"".join(map(encode, told))
+    data = b"".join(map(encode_frame, told))
     for _ in range(50):
         reader, got, at = FrameReader(), [], 0
         while at < len(data):
@@ -21,12 +21,12 @@
             got += reader.feed(data[at : at + step])
             at += step
         assert got == told
-        assert reader.held == 0
+        assert reader.buffered == 0
 
 
 def test_a_frame_over_the_bound_is_refused_before_its_body_comes() -> None:
     reader = FrameReader(most=100)
-    assert reader.feed(encode(b"x" * 97)) == [b"x" * 97]
+    assert reader.feed(encode_frame(b"x" * 97)) == [b"x" * 97]
     with pytest.raises(ValueError, match="found a frame of 101 bytes, wanted at most 100"):
         reader.feed(b"\0\0\0\x65")
 
@@ -41,7 +41,7 @@
 
 def test_a_large_frame_in_small_pieces_is_not_copied_again_and_again() -> None:
     def cost(size: int) -> float:
-        data, reader, begun = encode(b"x" * size), FrameReader(), process_time()
+        data, reader, begun = encode_frame(b"x" * size), FrameReader(), process_time()
         got = [f for at in range(0, len(data), 65536) for f in reader.feed(data[at : at + 65536])]
         assert len(got) == 1
         return process_time() - begun
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -6,7 +6,13 @@
 
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
-from honeywharf.transport.http_server import IDLE_S, MAX_CONNECTIONS, SMALL, Call, HttpServer
+from honeywharf.transport.http_server import (
+    IDLE_TIMEOUT_S,
+    MAX_CONNECTIONS,
+    SMALL_BODY,
+    HttpRequest,
+    HttpServer,
+)
 
 IP, AT = "10.1.0.12", ("10.1.0.12", 8306)
 
@@ -50,7 +56,7 @@
         self.world = World(1)
         self.world.strict = True
         network = Network(self.world)
-        self.calls: list[Call] = []
+        self.calls: list[HttpRequest] = []
         self.at_once = False
         self.inside = Process(
             Machine(network, IP, "a"), "door", lambda host: HttpServer(host, AT, self._take, most_body)
@@ -60,7 +66,7 @@
         self.outside.start()
         self.run()
 
-    def _take(self, call: Call) -> None:
+    def _take(self, call: HttpRequest) -> None:
         self.calls.append(call)
         if self.at_once:
             call.answer(200, b"n%d" % len(self.calls))
@@ -145,19 +151,19 @@
     assert b"Connection: close" in visitor.data
     assert visitor.gone is not None
     assert not hall.calls
-    assert hall.door.guests == 0
+    assert hall.door.connections == 0
 
 
 def test_long_bodies_are_held_one_at_a_time() -> None:
     hall = Hall()
-    size = 8 * SMALL
+    size = 8 * SMALL_BODY
     first = hall.visit(post(body=b"a" * size)[:-1], seconds=0.5)
     second = hall.visit(post(body=b"b" * size), seconds=0.5)
     third = hall.visit(post(body=b"c" * size), seconds=0.5)
     assert not hall.calls
     for waiting in (second, third):
-        assert waiting.connection.unsent > size - SMALL - 300_000
-    short = hall.visit(post(body=b"s" * SMALL), seconds=0.5)
+        assert waiting.connection.unsent > size - SMALL_BODY - 300_000
+    short = hall.visit(post(body=b"s" * SMALL_BODY), seconds=0.5)
     assert [call.body[:1] for call in hall.calls] == [b"s"]
     hall.calls.pop().answer(200)
     first.connection.send(b"a")
@@ -172,14 +178,14 @@
     hall.calls[2].answer(200)
     hall.run(0.5)
     assert third.statuses == first.statuses == short.statuses == [200]
-    assert hall.door.long == []
+    assert hall.door.long_bodies == []
 
 
 def test_a_caller_that_goes_silent_in_a_long_body_does_not_keep_the_place() -> None:
     hall = Hall()
-    first = hall.visit(post(body=b"a" * 4 * SMALL)[:-1], seconds=0.5)
-    second = hall.visit(post(body=b"b" * 4 * SMALL), seconds=0.5)
-    hall.run(IDLE_S + 1.0)
+    first = hall.visit(post(body=b"a" * 4 * SMALL_BODY)[:-1], seconds=0.5)
+    second = hall.visit(post(body=b"b" * 4 * SMALL_BODY), seconds=0.5)
+    hall.run(IDLE_TIMEOUT_S + 1.0)
     assert first.gone is not None
     hall.run(0.5)
     assert [call.body[:1] for call in hall.calls] == [b"b"]
@@ -191,7 +197,7 @@
 def test_an_idle_connection_is_closed_and_one_at_work_is_not() -> None:
     hall = Hall()
     idle, at_work = hall.visit(), hall.visit(post())
-    hall.run(IDLE_S + 1.0)
+    hall.run(IDLE_TIMEOUT_S + 1.0)
     assert idle.gone is not None
     assert at_work.gone is None
     hall.calls[0].answer(200)
@@ -203,20 +209,20 @@
     hall = Hall()
     visitors = [Visitor(hall.outside) for _ in range(MAX_CONNECTIONS + 20)]
     hall.run(1.0)
-    assert hall.door.guests <= MAX_CONNECTIONS
+    assert hall.door.connections <= MAX_CONNECTIONS
     assert sum(v.gone is None for v in visitors) == MAX_CONNECTIONS
 
 
 def test_a_caller_that_left_is_answered_in_vain() -> None:
     hall = Hall()
-    visitor = hall.visit(post(body=bytes(2 * SMALL)), seconds=0.5)
+    visitor = hall.visit(post(body=bytes(2 * SMALL_BODY)), seconds=0.5)
     visitor.connection.abort()
     hall.run()
     hall.calls[0].answer(200)
     hall.run()
     assert visitor.data == b""
-    assert hall.door.guests == 0
-    assert hall.door.long == []
+    assert hall.door.connections == 0
+    assert hall.door.long_bodies == []
 
 
 def test_a_caller_that_expects_a_word_before_its_body_gets_it() -> None:
@@ -274,4 +280,4 @@
     hall.calls[0].answer(200)  # the second one is read a moment later, after the reset
     hall.run()
     assert len(hall.calls) == 1
-    assert hall.door.guests == 0
+    assert hall.door.connections == 0
--- a/tests/transport/test_streams.py
+++ b/tests/transport/test_links.py
@@ -9,24 +9,20 @@
 
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
-from honeywharf.transport import streams
-from honeywharf.transport.frames import FrameReader, encode
+from honeywharf.transport import link, link_server, stream
+from honeywharf.transport.framing import FrameReader, encode_frame
 from honeywharf.transport.host import Connection, Handler
-from honeywharf.transport.rpc import Answerer
-from honeywharf.transport.streams import (
-    IDLE_S,
-    MAX_STREAMS,
-    PIECE,
-    SILENT_S,
-    STALLED_S,
-    WINDOW_BYTES,
-    Answers,
-    Ask,
+from honeywharf.transport.link import (
+    IDLE_TIMEOUT_S,
+    LINK_TIMEOUT_S,
+    STREAM_TIMEOUT_S,
+    ClientStream,
     Link,
-    Links,
-    Reception,
-    Stream,
+    LinkPool,
 )
+from honeywharf.transport.link_server import LinkServer, StreamResponder
+from honeywharf.transport.rpc_server import RpcServer
+from honeywharf.transport.stream import MAX_CHUNK, MAX_STREAMS, WINDOW_SIZE, ForwardedRequest
 from honeywharf.verdict import FULL, GARBLED, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 HERE, THERE, PORT = "10.1.0.8", "10.2.0.9", 7620
@@ -36,7 +32,7 @@
 class Work:
     """The destination's part of one stream: kept, and answered by the test."""
 
-    def __init__(self, ask: Ask, answers: Answers) -> None:
+    def __init__(self, ask: ForwardedRequest, answers: StreamResponder) -> None:
         self.ask, self.answers = ask, answers
         self.body = b""
         self.windows = self.ends = 0
@@ -44,7 +40,7 @@
 
     def data(self, data: bytes) -> None:
         """A part of the body."""
-        assert len(data) <= PIECE
+        assert len(data) <= MAX_CHUNK
         self.body += data
 
     def end(self) -> None:
@@ -70,7 +66,7 @@
         self.windows = 0
         self.over = False
 
-    def went(self) -> None:
+    def admitted(self) -> None:
         """It is admitted."""
         self._note("went")
 
@@ -84,7 +80,7 @@
         assert not self.over
         self.body += data
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """Whole."""
         self._note("whole")
         self.over = True
@@ -116,20 +112,20 @@
         self.network = Network(self.world)
         self.works: list[Work] = []
         self.over_at_once = False
-        self.here = Process(Machine(self.network, HERE, "a"), "here", lambda host: Links(host, PORT))
+        self.here = Process(Machine(self.network, HERE, "a"), "here", lambda host: LinkPool(host, PORT))
         self.there = Process(Machine(self.network, THERE, "b"), "there", self._there)
         self.here.start()
         self.there.start()
         self.run()
 
     def _there(self, host: Process) -> object:
-        host.listen((THERE, PORT), Answerer({}, self._streams).accept)
+        host.listen((THERE, PORT), RpcServer({}, self._streams).accept)
         return None
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
-        return Reception(connection, reader, frames, self._begin)
+        return LinkServer(connection, reader, frames, self._begin)
 
-    def _begin(self, ask: Ask, answers: Answers) -> Work:
+    def _begin(self, ask: ForwardedRequest, answers: StreamResponder) -> Work:
         work = Work(ask, answers)
         self.works.append(work)
         if self.over_at_once:
@@ -137,17 +133,17 @@
         return work
 
     @property
-    def links(self) -> Links:
+    def links(self) -> LinkPool:
         """The source's links."""
-        assert isinstance(self.here.program, Links)
+        assert isinstance(self.here.program, LinkPool)
         return self.here.program
 
     @property
     def link(self) -> Link:
         """The source's link."""
-        return self.links.to(THERE)
+        return self.links.link_to(THERE)
 
-    def open(self, length: int = 0) -> tuple[Stream, Told]:
+    def open(self, length: int = 0) -> tuple[ClientStream, Told]:
         """Open one stream."""
         told = Told()
         stream = self.link.open(made(length), told)
@@ -164,9 +160,21 @@
         self.network.cut([(HERE, THERE), (THERE, HERE)])
 
 
-def made(length: int = 0) -> Ask:
-    return Ask(
-        "order-desk", b"9c41", 1, 1.5, 0.25, 2, 0.5, "tile-vault", b"POST", b"/a?b", b"X: 1\r\n", length, 7
+def made(length: int = 0) -> ForwardedRequest:
+    return ForwardedRequest(
+        service="order-desk",
+        attempt_id=b"9c41",
+        kind=1,
+        remaining_s=1.5,
+        max_queue_wait_s=0.25,
+        priority=2,
+        latency_target_s=0.5,
+        caller="tile-vault",
+        method=b"POST",
+        target=b"/a?b",
+        fields=b"X: 1\r\n",
+        length=length,
+        revision=7,
     )
 
 
@@ -175,7 +183,7 @@
     pair.open(5)
     pair.run()
     (work,) = pair.works
-    for name in Ask.__slots__:
+    for name in ForwardedRequest.__slots__:
         wanted = "10.1.0.8" if name == "peer" else getattr(made(5), name)
         assert getattr(work.ask, name) == wanted, name
 
@@ -186,7 +194,7 @@
         stream, told = pair.open(40_000)
         pair.run()
         (work,) = pair.works
-        work.answers.go()
+        work.answers.admit()
         pair.run()
         assert told.events == [("went",)]
         stream.data(b"x" * 40_000)
@@ -197,7 +205,7 @@
         if parts:
             work.answers.answer(200, b"S: 1\r\n", 50_000, LOAD, None)
             work.answers.data(b"y" * 50_000)
-            work.answers.whole()
+            work.answers.complete()
         else:
             work.answers.answer(200, b"S: 1\r\n", 3, LOAD, b"yes")
         pair.run()
@@ -295,13 +303,13 @@
     if state != "never up":
         pair.run()
         if state == "went":
-            pair.works[0].answers.go()
+            pair.works[0].answers.admit()
             pair.run()
         if how == "cut":
             pair.cut()
         else:
             pair.there.end()
-    pair.run(SILENT_S + 0.6)
+    pair.run(LINK_TIMEOUT_S + 0.6)
     assert told.events[-1] == ("failed", ran, LOST, False, 0.0)
     assert pair.links.lost == 1
     assert not pair.links.links
@@ -312,7 +320,7 @@
     _, told = pair.open(5)
     pair.run()
     pair.cut()
-    pair.works[0].answers.go()
+    pair.works[0].answers.admit()
     pair.run(4.0)
     assert told.events == [("failed", NOT_RUN, LOST, False, 0.0)]
     assert pair.works[0].body == b""
@@ -321,18 +329,18 @@
 def test_silence_is_counted_while_streams_wait_and_a_slow_backend_is_no_silence() -> None:
     pair = Pair()
     _, told = pair.open()
-    pair.run(5 * SILENT_S)
+    pair.run(5 * LINK_TIMEOUT_S)
     assert told.events == []
     assert pair.link.round_trip_s == pytest.approx(2 * pair.network.cross, rel=0.5)
     pair.there.freeze()
-    pair.run(SILENT_S + 0.6)
+    pair.run(LINK_TIMEOUT_S + 0.6)
     assert told.events == [("failed", MAY_HAVE_RUN, LOST, False, 0.0)]
 
 
 def test_silence_from_before_a_stream_was_opened_does_not_count() -> None:
     pair = Pair()
     pair.open()[0].cancel()
-    pair.run(20 * SILENT_S)
+    pair.run(20 * LINK_TIMEOUT_S)
     link = pair.link
     _, told = pair.open()
     pair.run(0.3)
@@ -347,16 +355,16 @@
     assert all(pair.link.open(ask, replies) is not None for ask, replies in zip(asks, told, strict=True))
     pair.run()
     pair.cut()
-    pair.run(STALLED_S + 0.6)
+    pair.run(STREAM_TIMEOUT_S + 0.6)
     assert [t.events for t in told] == [[("failed", MAY_HAVE_RUN, LOST, False, 0.0)], []]
-    pair.run(SILENT_S)
+    pair.run(LINK_TIMEOUT_S)
     assert told[1].events == [("failed", MAY_HAVE_RUN, LOST, False, 0.0)]
 
 
 def test_an_unused_link_is_closed_and_another_opened_when_one_is_wanted() -> None:
     pair = Pair()
     pair.open()[0].cancel()
-    pair.run(IDLE_S + 1.0)
+    pair.run(IDLE_TIMEOUT_S + 1.0)
     assert not pair.links.links
     _, told = pair.open()
     pair.run()
@@ -391,7 +399,7 @@
 
 
 def test_a_link_that_holds_too_much_takes_no_further_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "MAX_UNSENT", 100_000)
+    monkeypatch.setattr(link, "MAX_UNSENT_BYTES", 100_000)
     pair = Pair()
     stream, _ = pair.open(-1)
     pair.run()
@@ -403,7 +411,7 @@
 def test_a_source_that_opens_too_many_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
     pair = Pair()
     told = [pair.open()[1] for _ in range(5)]
-    monkeypatch.setattr(streams, "MAX_STREAMS", 3)
+    monkeypatch.setattr(link_server, "MAX_STREAMS", 3)
     pair.run()
     assert len(pair.works) == 3
     assert all(w.cancelled for w in pair.works)
@@ -411,13 +419,13 @@
 
 
 @pytest.mark.parametrize(
-    "frame", [7, [], [1], ["x", 1], [streams.OPEN, 1, "short"], [streams.OPEN, 1] + [None] * 13, {"a": 1}]
+    "frame", [7, [], [1], ["x", 1], [stream.OPEN, 1, "short"], [stream.OPEN, 1] + [None] * 13, {"a": 1}]
 )
 def test_nonsense_ends_the_link_and_nothing_else(frame: object) -> None:
     pair = Pair()
     pair.open()
     pair.run()
-    pair.link.connection.send(encode(frame))
+    pair.link.connection.send(encode_frame(frame))
     pair.run()
     if frame in (["x", 1],):
         return  # a kind that is not known, of a stream that is not: ignored
@@ -430,22 +438,22 @@
     _, slow = pair.open()
     pair.run()
     pair.works[0].answers.answer(200, b"", 1 << 20, LOAD, None)
-    pair.works[0].answers.data(bytes(WINDOW_BYTES))  # all that it may without a word from the source
+    pair.works[0].answers.data(bytes(WINDOW_SIZE))  # all that it may without a word from the source
     for _ in range(20):
         begun = pair.world.now
         _, told = pair.open()
         while not told.over:
             pair.run(0.0005)
-            if len(pair.works) > 1 and not pair.works[-1].answers.over:
+            if len(pair.works) > 1 and not pair.works[-1].answers.is_over:
                 pair.works[-1].answers.answer(200, b"", 3, LOAD, b"yes")
         assert pair.world.now - begun < 6 * pair.network.cross
-    assert len(slow.body) == WINDOW_BYTES
+    assert len(slow.body) == WINDOW_SIZE
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_storm_of_streams_brings_each_its_own_bytes(seed: int) -> None:
     rng, pair = Random(seed), Pair(seed)
-    opened: list[tuple[Stream, Told, bytes]] = []
+    opened: list[tuple[ClientStream, Told, bytes]] = []
     cancelled: set[int] = set()
     for _ in range(500):
         draw = rng.random()
@@ -455,7 +463,7 @@
         elif opened:
             n = rng.randrange(len(opened))
             stream, told, sent = opened[n]
-            if draw < 0.5 and stream.link is not None and len(sent) < WINDOW_BYTES:
+            if draw < 0.5 and stream.link is not None and len(sent) < WINDOW_SIZE:
                 piece = rng.randbytes(rng.choice((1, 100, 30_000)))
                 stream.data(piece)
                 opened[n] = (stream, told, sent + piece)
@@ -463,7 +471,7 @@
                 stream.cancel()
                 cancelled.add(n)
         for n, work in enumerate(pair.works):
-            if not work.answers.over and not work.cancelled and rng.random() < 0.02:
+            if not work.answers.is_over and not work.cancelled and rng.random() < 0.02:
                 work.answers.answer(200, b"%d" % n, 4, LOAD, work.body[:4])
         pair.run(0.001)
     pair.run(1.0)
@@ -488,7 +496,7 @@
     if over:
         work.answers.answer(200, b"", 2, LOAD, b"ok")
         pair.run()
-    pair.link.connection.send(made(0).packed(1))
+    pair.link.connection.send(made(0).pack(1))
     pair.run()
     assert len(pair.works) == 1
     assert not pair.links.links
@@ -498,9 +506,9 @@
 @pytest.mark.parametrize(
     "frames",
     [
-        [[streams.DATA, 1, b"body"]],
-        [[streams.END, 1]],
-        [[streams.ANSWER, 1, 200, b"", 4, LOAD, None], [streams.ANSWER, 1, 200, b"", 2, LOAD, b"ok"]],
+        [[stream.DATA, 1, b"body"]],
+        [[stream.END, 1]],
+        [[stream.ANSWER, 1, 200, b"", 4, LOAD, None], [stream.ANSWER, 1, 200, b"", 2, LOAD, b"ok"]],
     ],
 )
 def test_an_answer_out_of_its_order_ends_the_link_and_shows_nothing(frames: list[list[Any]]) -> None:
@@ -508,7 +516,7 @@
     _, told = pair.open()
     pair.run()
     for frame in frames:
-        pair.works[0].answers.reception.send(frame)
+        pair.works[0].answers.link.send(frame)
     pair.run()
     assert not pair.links.links
     assert told.body == b""
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -4,26 +4,29 @@
 
 from typing import Any
 
-from honeywharf.transport import rpc
-from honeywharf.transport.frames import FrameReader, encode
+from honeywharf.transport import rpc_client, rpc_server
+from honeywharf.transport.framing import FrameReader, encode_frame
 from honeywharf.transport.host import Address, Connection, Handler
-from honeywharf.transport.rpc import Answerer, Caller
+from honeywharf.transport.rpc_client import RpcClient
+from honeywharf.transport.rpc_server import RpcServer
 from tests.control.virtual_network import Machine, VirtualNetwork
 
 AT = ("10.0.0.2", 7000)
 
 
-def pair(methods: dict[str, rpc.Method]) -> tuple[VirtualNetwork, Machine, Machine, Caller, Answerer]:
+def pair(
+    methods: dict[str, rpc_server.Method],
+) -> tuple[VirtualNetwork, Machine, Machine, RpcClient, RpcServer]:
     world = VirtualNetwork(3)
     a, b = world.machine("10.0.0.1"), world.machine("10.0.0.2")
     a.start(lambda host: None)
     b.start(lambda host: None)
-    answerer = Answerer(methods)
+    answerer = RpcServer(methods)
     b.listen(AT, answerer.accept)
-    return world, a, b, Caller(a), answerer
+    return world, a, b, RpcClient(a), answerer
 
 
-def echo(args: Any, reply: rpc.Reply, peer: Address) -> None:
+def echo(args: Any, reply: rpc_server.Reply, peer: Address) -> None:
     reply(args)
     reply("a second answer is dropped")
 
@@ -41,7 +44,7 @@
 
 
 def test_silence_an_unknown_method_and_nonsense_answer_none() -> None:
-    def wrong(args: Any, reply: rpc.Reply, peer: Address) -> None:
+    def wrong(args: Any, reply: rpc_server.Reply, peer: Address) -> None:
         raise KeyError("args")
 
     world, _, _, caller, answerer = pair({"silent": lambda args, reply, peer: None, "wrong": wrong})
@@ -50,7 +53,7 @@
         caller.call(AT, method, None, 0.3, lambda x, m=method: got.append((m, x)))  # type: ignore[misc]
     world.run(1.0)
     assert sorted(got) == [("none", None), ("silent", None), ("wrong", None)]
-    assert answerer.foreign == 1
+    assert answerer.malformed == 1
 
 
 def test_a_dead_port_a_cut_and_a_lost_process_answer_none_and_the_link_mends() -> None:
@@ -81,19 +84,19 @@
 def test_links_are_bounded_and_idle_ones_close() -> None:
     world, _, _, caller, _ = pair({"echo": echo})
     got: list[object] = []
-    for n in range(rpc.MAX_PEERS + 5):
+    for n in range(rpc_client.MAX_PEERS + 5):
         caller.call(("10.0.1.1", 1 + n), "echo", n, 0.3, got.append)
-    assert caller.peers == rpc.MAX_PEERS
+    assert caller.peers == rpc_client.MAX_PEERS
     world.run(0.2)
     assert got == [None] * 5  # refused at once, all links being at work
     world.run(2.0)
-    assert got == [None] * (rpc.MAX_PEERS + 5)
-    for n in range(rpc.MAX_WAITING + 3):
+    assert got == [None] * (rpc_client.MAX_PEERS + 5)
+    for n in range(rpc_client.MAX_PENDING_CALLS + 3):
         caller.call(AT, "echo", n, 0.3, got.append)
     world.run(3.0)
-    assert got[-rpc.MAX_WAITING - 3 : -rpc.MAX_WAITING] == [None] * 3
-    assert got[-rpc.MAX_WAITING :] == list(range(rpc.MAX_WAITING))
-    world.run(3.0 + 2 * rpc.IDLE + 1)
+    assert got[-rpc_client.MAX_PENDING_CALLS - 3 : -rpc_client.MAX_PENDING_CALLS] == [None] * 3
+    assert got[-rpc_client.MAX_PENDING_CALLS :] == list(range(rpc_client.MAX_PENDING_CALLS))
+    world.run(3.0 + 2 * rpc_client.IDLE_TIMEOUT_S + 1)
     assert caller.peers == 0
 
 
@@ -127,7 +130,7 @@
 
     answerer.streams = streams
     wire = a.connect(AT, lambda connection: Quiet())
-    wire.send(encode("streams") + encode([1, 2]))
+    wire.send(encode_frame("streams") + encode_frame([1, 2]))
     world.run(0.5)
     wire.send(b"more")
     world.run(1.0)
@@ -138,15 +141,15 @@
 
 def test_a_connection_that_begins_otherwise_is_dropped() -> None:
     world, a, _, _, answerer = pair({"echo": echo})
-    a.connect(AT, Answerer({}).accept).send(b"GET / HTTP/1.1\r\n\r\n")
+    a.connect(AT, RpcServer({}).accept).send(b"GET / HTTP/1.1\r\n\r\n")
     world.run(1.0)
-    assert answerer.foreign == 1
+    assert answerer.malformed == 1
 
 
 def test_an_answer_after_its_call_has_timed_out_is_not_the_next_ones() -> None:
-    owed: list[rpc.Reply] = []
+    owed: list[rpc_server.Reply] = []
 
-    def keep(args: Any, reply: rpc.Reply, peer: Address) -> None:
+    def keep(args: Any, reply: rpc_server.Reply, peer: Address) -> None:
         owed.append(reply)
 
     world, _, _, caller, _ = pair({"keep": keep, "echo": echo})
@@ -170,8 +173,11 @@
 
 def test_an_answer_on_a_link_that_was_given_up_is_not_the_one_of_the_next_link() -> None:
     """Both links number their calls from 1."""
-    owed: list[rpc.Reply] = []
-    methods: dict[str, rpc.Method] = {"keep": lambda args, reply, peer: owed.append(reply), "echo": echo}
+    owed: list[rpc_server.Reply] = []
+    methods: dict[str, rpc_server.Method] = {
+        "keep": lambda args, reply, peer: owed.append(reply),
+        "echo": echo,
+    }
     world, _, _, caller, _ = pair(methods)
     got: list[tuple[str, object]] = []
     caller.call(AT, "echo", 0, 1.0, lambda answer: got.append(("up", answer)))
--- a/tests/transport/test_matchers.py
+++ b/tests/transport/test_url_matcher.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from honeywharf.transport.matchers import NotAllowed, Tree
+from honeywharf.transport.url_matcher import MethodNotAllowedError, UrlMatcher
 
 
-def tree() -> Tree:
-    made = Tree()
+def tree() -> UrlMatcher:
+    made = UrlMatcher()
     made.add("POST", "/api/instances/{id}/heartbeat", "beat")
     made.add("POST", "/api/instances/{id}/deregister", "gone")
     made.add("GET", "/api/instances/all/heartbeat", "all")
@@ -42,7 +42,7 @@
 
 
 def test_another_method_is_told_apart() -> None:
-    with pytest.raises(NotAllowed) as told:
+    with pytest.raises(MethodNotAllowedError) as told:
         tree().find(b"GET", b"/api/instances/i-7f/heartbeat")
     assert told.value.args[0] == [b"POST"]
     with pytest.raises(ValueError, match="twice"):
