--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -50,13 +50,13 @@
         host.exited = self.kill
         settings = parse(self.plan.node_settings(self.node), self.node.ip)
         self.program = program = Sidecar(cast("Host", host), settings)
-        changed = program.word.changed
+        changed = program.mesh_state.changed
 
         def noted() -> None:
             changed()
             self._applied(program)
 
-        program.word.changed = noted
+        program.mesh_state.changed = noted
         control = (self.node.ip, self.plan.port(field.CONTROL))
         instance = f"i-{self.node.index}-{self.lives}"
         self.backend = Heartbeats(self.loop, control, instance, self.node.service, self.node.zone)
@@ -65,7 +65,7 @@
     def _applied(self, program: Sidecar) -> None:
         now = self.loop.now()
         self.ready = self.ready or now
-        self.applied[program.word.version] = now
+        self.applied[program.mesh_state.version] = now
 
     def _look(self, program: Sidecar, known: int) -> None:
         if self.host is None or self.program is not program:
--- a/honeywharf/drift/requests.py
+++ b/honeywharf/drift/requests.py
@@ -245,7 +245,7 @@
         return False
 
     def _ask(self, holder: Address | None) -> None:
-        cores = self.sidecar.cores()
+        cores = self.sidecar.control_nodes()
         if holder is not None or cores:
             self.cores_turn += 1
             self._fetch(holder or cores[self.cores_turn % len(cores)], self._asked)
--- a/honeywharf/drift/rounds.py
+++ b/honeywharf/drift/rounds.py
@@ -90,7 +90,7 @@
 
     def _confirm(self) -> None:
         """Compare the word with a control node's, in turn."""
-        cores = self.sidecar.cores()
+        cores = self.sidecar.control_nodes()
         if cores and self.word.ready:
             self._fetch(cores[0], self._confirmed)
 
--- a/honeywharf/drift/scan.py
+++ b/honeywharf/drift/scan.py
@@ -67,7 +67,7 @@
 
 def others(sidecar: Sidecar) -> str:
     """A fault of the small parts that decide, or ""."""
-    word, gate, table = sidecar.word, sidecar.gate, sidecar.word.table
+    word, gate, table = sidecar.mesh_state, sidecar.gate, sidecar.mesh_state.table
     value = word.value
     if table is None or not value:
         return ""
@@ -86,7 +86,7 @@
 
 def bounds(sidecar: Sidecar) -> tuple[object, ...]:
     """What timers and connections at the backend hold of the word: as set by it, or as it is now."""
-    return sidecar.taps.most, sidecar.gate.cold.most, sidecar.probe.path
+    return sidecar.backend_connections.most, sidecar.gate.cold.most, sidecar.probe.path
 
 
 def listed(sidecar: Sidecar, nodes: list[str]) -> str:
@@ -114,7 +114,7 @@
     target = source.levels_of(found.service).targets.get(node)
     usable = (
         found.state == READY
-        and entry.zone not in sidecar.word.evacuated
+        and entry.zone not in sidecar.mesh_state.evacuated
         and node not in sidecar.membership.failure_detector.down
     )
     return target is not None and target.zone == entry.zone and target.usable == usable
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -62,7 +62,7 @@
     """See the module. `judging`, `reading` and `scanning` switch the three ways, for measuring each alone."""
 
     def __init__(self, sidecar: Sidecar) -> None:
-        self.sidecar, self.host, self.word = sidecar, sidecar.host, sidecar.word
+        self.sidecar, self.host, self.word = sidecar, sidecar.host, sidecar.mesh_state
         self.judging = self.reading = self.scanning = True
         now = self.host.now()
         self.state = states.State(now)
@@ -253,7 +253,7 @@
 
     def renew(self) -> None:
         """Ask a control node's majority for the word."""
-        cores = self.sidecar.cores()
+        cores = self.sidecar.control_nodes()
         if self.asking or not cores:
             if not self.asking:
                 self._again()
@@ -325,7 +325,7 @@
         now = self.host.now()
         if now - self.told_at >= TELL_S:
             self.told_at = now
-            for core in self.sidecar.cores()[:MAX_TOLD]:
+            for core in self.sidecar.control_nodes()[:MAX_TOLD]:
                 self.sidecar.caller.call(core, rpc_methods.DRIFT_REPORT, record, 1.0, lambda answer: None)
 
     def view(self) -> dict[str, object]:
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -1,4 +1,7 @@
-"""The gateway between regions: passes sessions on, holds what it has granted and no truth, and drains."""
+"""The gateway between regions.
+
+Relays sessions, buffers what it has granted, keeps no state of its own, drains.
+"""
 
 from __future__ import annotations
 
@@ -38,131 +41,150 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-TELL_S = 0.5  # between words of its load
-QUEUE_S = 0.5  # of its link that a gateway may have on the way
-DOWN_S = 0.5  # for which a destination that could not be reached is not tried again
+STATE_INTERVAL_S = 0.5  # between two messages about its load
+MAX_QUEUE_S = 0.5  # of its link's time that bytes may be on the way
+UNREACHABLE_S = 0.5  # for which an unreachable destination is not tried again
 MIN_BYTES = 4 << 20
-LAST_S = 1.0  # for which short requests are waited for before they are asked to leave too
-END_S = 0.4  # before the end of `grace-period`
+SHORT_SESSIONS_S = 1.0  # for which short sessions are waited for before they are asked to move too
+EXIT_MARGIN_S = 0.4  # before the end of `grace-period`, at which it exits
 COUNTERS_S = 10.0
 MAX_LINKS = 2048
-AGAIN_S = 0.4  # before another gateway that was lost is looked for again
+MAX_OPERATOR_BODY = 1 << 16  # bytes
+BYTES_PER_MEGABIT = 125_000.0
+BYTES_PER_QUARTER_MEGABYTE = 262_144.0
+RECONNECT_S = 0.4  # before the link to another gateway is opened again
 
 
-class GatewayNode:
-    """One gateway on its host.
+class GatewayOptions:
+    """What a gateway can be given beside its place. All keywords.
 
-    `others`: gateways of the same region, to know whether this is the last one. `landing_port`: where the
-    sidecars of any region take sessions. `order`: which session is asked to leave first.
+    `grace_s`: seconds that it has to end after SIGTERM; `operator_address`: of its HTTP API, None for none;
+    `max_bytes`: of bodies on the way; `order`: which session is asked to move first, by (bytes left, length,
+    seconds since its begin), the least first; `link_mbps`: megabits a second of this machine's link.
     """
 
+    __slots__ = ("grace_s", "link_mbps", "max_bytes", "operator_address", "order")
+
     def __init__(
         self,
-        host: Host,
-        at: Address,
-        region: str,
-        zone: str,
-        others: list[Place],
-        landing_port: int,
+        *,
         grace_s: float = 8.0,
-        door: Address | None = None,
-        most_bytes: int = 64 << 20,
+        operator_address: Address | None = None,
+        max_bytes: int = 64 << 20,
         order: Callable[[int, int, float], float] = rest_first,
         link_mbps: float = LINK_MBPS,
     ) -> None:
-        self.host, self.region, self.zone, self.order = host, region, zone, order
-        self.landing_port, self.grace_s = landing_port, grace_s
-        self.spillway = Spillway(host.now, host.after, link_mbps * 125_000.0)
-        self.passages = Passages(region, self.spillway.send, most_bytes)
+        self.grace_s, self.operator_address, self.max_bytes = grace_s, operator_address, max_bytes
+        self.order, self.link_mbps = order, link_mbps
+
+
+class GatewayNode:
+    """One gateway on its host.
+
+    `gateways`: all gateways, of which those of the same region tell whether this is the last one;
+    `session_port`: where the sidecars of any region take sessions.
+    """
+
+    def __init__(
+        self, host: Host, place: Place, gateways: list[Place], session_port: int, options: GatewayOptions
+    ) -> None:
+        self.host, self.region, self.zone, self.options = host, place.region, place.zone, options
+        self.session_port = session_port
+        self.send_scheduler = Spillway(host.now, host.after, options.link_mbps * BYTES_PER_MEGABIT)
+        self.relay = Passages(self.region, self.send_scheduler.send, options.max_bytes)
         self.drain = Drain()
-        self.sources: dict[Caught, None] = {}
-        self.landings: dict[tuple[str, int], Line] = {}
-        self.down: dict[str, float] = {}  # destinations that could not be reached, and until when
-        self.asked_at: dict[bytes, float] = {}
-        self.others = [
-            Other(self, place) for place in others if place.region == region and place.address != at
+        self.source_links: dict[Caught, None] = {}
+        self.destination_links: dict[tuple[str, int], Line] = {}  # by address and priority class
+        self.unreachable_until: dict[str, float] = {}  # destinations
+        self.asked_to_leave_at: dict[bytes, float] = {}  # by session
+        self.other_gateways = [
+            OtherGateway(self, other)
+            for other in gateways
+            if other.region == self.region and other.address != place.address
         ]
-        self.ticking = False
-        if door is not None:
-            HttpServer(host, door, self._order, 1 << 16)
-        host.listen(at, self._accept)
-        host.after(TELL_S, self._tell_again)
-        host.after(COUNTERS_S, self._counters)
+        self.is_ticking = False
+        if options.operator_address is not None:
+            HttpServer(host, options.operator_address, self._answer_operator, MAX_OPERATOR_BODY)
+        host.listen(place.address, self._accept)
+        host.after(STATE_INTERVAL_S, self._broadcast_periodically)
+        host.after(COUNTERS_S, self._log_counters_periodically)
 
     # Links.
 
     def _accept(self, connection: Connection) -> Handler:
-        line = Caught(connection, TO_SOURCES, self._from_source, self._source_gone, self._tell)
-        self.sources[line] = None
-        if len(self.sources) > MAX_LINKS:
+        line = Caught(connection, TO_SOURCES, self._from_source, self._source_lost, self._send_state)
+        self.source_links[line] = None
+        if len(self.source_links) > MAX_LINKS:
             connection.abort()
         return line
 
     def _from_source(self, line: Caught, frame: list[Any]) -> None:
         if frame[0] == OPEN:
-            self.passages.opens(self.host.now(), line, frame, self._reach)
+            self.relay.opens(self.host.now(), line, frame, self._link_to)
         else:
-            self.passages.from_source(line, frame)
+            self.relay.from_source(line, frame)
 
-    def _source_gone(self, line: Caught) -> None:
-        self.sources.pop(line, None)
-        self.passages.path_lost(line)
+    def _source_lost(self, line: Caught) -> None:
+        self.source_links.pop(line, None)
+        self.relay.path_lost(line)
 
-    def _reach(self, to: str, lane: int) -> Line | None:
-        """The link to a destination, asked for where there is none; each lane has its own."""
-        line = self.landings.get((to, lane))
+    def _link_to(self, to: str, priority_class: int) -> Line | None:
+        """The link to a destination, opened where there is none; each priority class has its own."""
+        line = self.destination_links.get((to, priority_class))
         if line is None:
-            if len(self.landings) >= MAX_LINKS or self.host.now() < self.down.get(to, 0.0):
+            if len(self.destination_links) >= MAX_LINKS or self.host.now() < self.unreachable_until.get(
+                to, 0.0
+            ):
                 return None
-            line = self.landings[to, lane] = Line(
+            line = self.destination_links[to, priority_class] = Line(
                 self.host,
-                (to, self.landing_port),
+                (to, self.session_port),
                 TO_LANDING,
-                self._from_landing,
-                self._landing_gone,
-                short=lane != BULK,
+                self._from_destination,
+                self._destination_lost,
+                short=priority_class != BULK,
             )
         return line
 
-    def _from_landing(self, line: Line, frame: list[Any]) -> None:
-        self.passages.from_destination(line, frame)
+    def _from_destination(self, line: Line, frame: list[Any]) -> None:
+        self.relay.from_destination(line, frame)
 
-    def _landing_gone(self, line: Line) -> None:
-        for key in [key for key, each in self.landings.items() if each is line]:
-            del self.landings[key]
+    def _destination_lost(self, line: Line) -> None:
+        for key in [key for key, each in self.destination_links.items() if each is line]:
+            del self.destination_links[key]
             if not line.is_up:
-                if len(self.down) >= MAX_LINKS:
-                    self.down.clear()
-                self.down[key[0]] = self.host.now() + DOWN_S
-        self.passages.path_lost(line)
+                if len(self.unreachable_until) >= MAX_LINKS:
+                    self.unreachable_until.clear()
+                self.unreachable_until[key[0]] = self.host.now() + UNREACHABLE_S
+        self.relay.path_lost(line)
 
-    # What is told of it.
+    # Its state, as it is sent to sources.
 
-    def _tell(self, line: Caught) -> None:
-        line.send([STATE, self.region, self.zone, len(self.passages.rows), int(self.drain.offered), 1])
+    def _send_state(self, line: Caught) -> None:
+        line.send([STATE, self.region, self.zone, len(self.relay.rows), int(self.drain.offered), 1])
 
-    def _tell_all(self) -> None:
-        for line in list(self.sources):
+    def _broadcast_state(self) -> None:
+        for line in list(self.source_links):
             if line.known:
-                self._tell(line)
+                self._send_state(line)
 
-    def _tell_again(self) -> None:
-        self._tell_all()
-        self.host.after(TELL_S, self._tell_again)
+    def _broadcast_periodically(self) -> None:
+        self._broadcast_state()
+        self.host.after(STATE_INTERVAL_S, self._broadcast_periodically)
 
     @property
-    def last(self) -> bool:
+    def is_last(self) -> bool:
         """Whether no other gateway of the region is known to take sessions."""
-        return not any(other.offered for other in self.others)
+        return not any(other.takes_sessions for other in self.other_gateways)
 
     # The drain.
 
     def order_drain(self) -> int:
-        """An operator's order; the state that it leads to."""
+        """An operator orders the drain; the state that it leads to."""
         return self._event(ORDER)
 
-    def take_back(self) -> int:
-        """The order back; the state that it leads to."""
+    def cancel_drain(self) -> int:
+        """An operator cancels the drain; the state that it leads to."""
         return self._event(BACK)
 
     def terminate(self) -> None:
@@ -171,58 +193,62 @@
 
     def _event(self, event: int) -> int:
         before = self.drain.state
-        state = self.drain.event(self.host.now(), event, self.last, max(0.1, self.grace_s - END_S))
+        state = self.drain.event(
+            self.host.now(), event, self.is_last, max(0.1, self.options.grace_s - EXIT_MARGIN_S)
+        )
         self._changed(before)
-        if not self.ticking and (state != SERVING or self.drain.ends):
-            self.ticking = True
+        if not self.is_ticking and (state != SERVING or self.drain.ends):
+            self.is_ticking = True
             self.host.after(TICK_S, self._tick)
         return state
 
     def _changed(self, before: int) -> None:
         if self.drain.state == before:
             return
-        self.host.log(f"gateway is {NAMES[self.drain.state]}, sessions {len(self.passages.rows)}")
-        self.passages.taking = self.drain.taking
+        self.host.log(f"gateway is {NAMES[self.drain.state]}, sessions {len(self.relay.rows)}")
+        self.relay.taking = self.drain.taking
         if self.drain.state == SERVING:
-            self.asked_at.clear()
-        self._tell_all()
+            self.asked_to_leave_at.clear()
+        self._broadcast_state()
 
     def _tick(self) -> None:
         now, before = self.host.now(), self.drain.state
-        rows = self._to_ask(now)
+        rows = self._sessions_to_move(now)
         if before in (MOVING, LAST):
             for row in rows[:AT_ONCE]:
-                self.asked_at[row.sid] = now
-                self.passages.ask_to_leave(row)
-        self.drain.tick(now, len(rows[AT_ONCE:]), len(self.passages.rows))
+                self.asked_to_leave_at[row.sid] = now
+                self.relay.ask_to_leave(row)
+        self.drain.tick(now, len(rows[AT_ONCE:]), len(self.relay.rows))
         self._changed(before)
         if self.drain.state == GONE:
             self.counters()
             self.host.exit(0)
         elif self.drain.state == SERVING and not self.drain.ends:
-            self.ticking = False
+            self.is_ticking = False
         else:
             self.host.after(TICK_S, self._tick)
 
-    def _to_ask(self, now: float) -> list[Row]:
-        """Sessions to be asked to leave, in order: the long ones, and in time the short ones too."""
-        self.asked_at = {sid: at for sid, at in self.asked_at.items() if sid in self.passages.rows}
-        wait = self.drain.state == LAST and now - self.drain.since >= LAST_S
+    def _sessions_to_move(self, now: float) -> list[Row]:
+        """Sessions to be asked to move, in order: the long ones, and in time the short ones too."""
+        self.asked_to_leave_at = {
+            sid: at for sid, at in self.asked_to_leave_at.items() if sid in self.relay.rows
+        }
+        wait = self.drain.state == LAST and now - self.drain.since >= SHORT_SESSIONS_S
         rows = [
             row
-            for row in self.passages.rows.values()
+            for row in self.relay.rows.values()
             if (wait or not 0 <= row.length <= SHORT)
-            and now - self.asked_at.get(row.sid, -ASK_AGAIN_S) >= ASK_AGAIN_S
+            and now - self.asked_to_leave_at.get(row.sid, -ASK_AGAIN_S) >= ASK_AGAIN_S
         ]
-        rows.sort(key=lambda row: self.order(row.rest, row.length, now - row.since))
+        rows.sort(key=lambda row: self.options.order(row.rest, row.length, now - row.since))
         return rows
 
-    def _order(self, call: HttpRequest) -> None:
-        """The operator's door: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
+    def _answer_operator(self, call: HttpRequest) -> None:
+        """The operator's API: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
         if call.method == b"POST" and call.path == b"/api/gateway/drain":
             call.answer(200, NAMES[self.order_drain()].encode())
         elif call.method == b"POST" and call.path == b"/api/gateway/back":
-            call.answer(200, NAMES[self.take_back()].encode())
+            call.answer(200, NAMES[self.cancel_drain()].encode())
         elif call.method == b"GET" and call.path == b"/api/gateway":
             call.answer(200, self.summary().encode())
         else:
@@ -232,49 +258,52 @@
 
     def summary(self) -> str:
         """One line of what it is and has done."""
-        one = self.passages
+        one = self.relay
         return (
             f"state={NAMES[self.drain.state].replace(' ', '-')} sessions={len(one.rows)} "
             f"passed={one.passed} refused={one.refused} forbidden={one.forbidden} "
-            f"granted={one.granted} waiting={self.spillway.waiting_bytes} up={one.bytes_up} "
-            f"down={one.bytes_down} sources={len(self.sources)} landings={len(self.landings)} "
-            f"last={int(self.last)}"
+            f"granted={one.granted} waiting={self.send_scheduler.waiting_bytes} up={one.bytes_up} "
+            f"down={one.bytes_down} sources={len(self.source_links)} landings={len(self.destination_links)} "
+            f"last={int(self.is_last)}"
         )
 
     def counters(self) -> None:
         """Log the summary."""
         self.host.log(self.summary())
 
-    def _counters(self) -> None:
+    def _log_counters_periodically(self) -> None:
         self.counters()
-        self.host.after(COUNTERS_S, self._counters)
+        self.host.after(COUNTERS_S, self._log_counters_periodically)
 
 
-class Other:
+class OtherGateway:
     """Another gateway of the region: whether it takes sessions."""
 
-    def __init__(self, keeper: GatewayNode, place: Place) -> None:
-        self.keeper, self.place, self.offered = keeper, place, False
-        self._look()
+    def __init__(self, gateway: GatewayNode, place: Place) -> None:
+        self.gateway, self.place, self.takes_sessions = gateway, place, False
+        self._connect()
 
-    def _look(self) -> None:
-        Line(self.keeper.host, self.place.address, TO_SOURCES, self._took, self._gone, stays=True)
+    def _connect(self) -> None:
+        Line(self.gateway.host, self.place.address, TO_SOURCES, self._received, self._lost, stays=True)
 
-    def _took(self, line: Line, frame: list[Any]) -> None:
+    def _received(self, line: Line, frame: list[Any]) -> None:
         if frame[0] == STATE:
-            self.offered = bool(frame[4])
+            self.takes_sessions = bool(frame[4])
 
-    def _gone(self, line: Line) -> None:
-        self.offered = False
-        self.keeper.host.after(AGAIN_S, self._look)
+    def _lost(self, line: Line) -> None:
+        self.takes_sessions = False
+        self.gateway.host.after(RECONNECT_S, self._connect)
 
 
 def granted_bytes(memory_mb: float, link_mbps: float) -> int:
     """How much a gateway may have on the way: what its link carries in `QUEUE_S`, in a quarter of its memory.
 
-    More would only wait here, and the word that a session is to move would wait behind it.
+    More would only wait here, and so would the frame behind it that asks a session to move.
     """
-    return max(MIN_BYTES, int(min(memory_mb * 262144.0, link_mbps * 125000.0 * QUEUE_S)))
+    return max(
+        MIN_BYTES,
+        int(min(memory_mb * BYTES_PER_QUARTER_MEGABYTE, link_mbps * BYTES_PER_MEGABIT * MAX_QUEUE_S)),
+    )
 
 
 def main() -> int:
@@ -287,19 +316,19 @@
     if settings is None:
         return 2
     loop = EventLoop(None)
-    keeper = GatewayNode(
+    gateway = GatewayNode(
         loop,
-        (settings.ip, settings.internal_ports[0]),
-        settings.region,
-        settings.zone,
+        Place((settings.ip, settings.internal_ports[0]), settings.region, settings.zone),
         [Place(*each) for each in settings.gateways],
         settings.internal_ports[0] + 1,
-        settings.bound("grace-period", 8.0),
-        settings.listen_addresses.get("control-plane"),
-        granted_bytes(settings.memory_mb, settings.link_mbps),
-        link_mbps=settings.link_mbps,
+        GatewayOptions(
+            grace_s=settings.bound("grace-period", 8.0),
+            operator_address=settings.listen_addresses.get("control-plane"),
+            max_bytes=granted_bytes(settings.memory_mb, settings.link_mbps),
+            link_mbps=settings.link_mbps,
+        ),
     )
-    loop.on_signal(SIGTERM, keeper.terminate)
+    loop.on_signal(SIGTERM, gateway.terminate)
     return loop.run()
 
 
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -41,80 +41,106 @@
     from honeywharf.transport.host import Address, Connection, Handler, Host
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
-COUNTERS_S = 10.0
+COUNTERS_S = 10.0  # between lines of counters in the log
+DEFAULT_GRACE_S = 5.0
+MAX_HEARTBEAT_BODY, MAX_READINESS_BODY = 1 << 20, 1 << 16  # bytes
+NO_APPLICATION = ("127.0.0.1", 0)
+SEED_BYTES = 8
 
 
 class Sidecar:
-    """One running sidecar."""
+    """One running sidecar: puts the parts together and passes what one learns to the others.
+
+    Order matters in `__init__`: parts that send at once come after those that answer.
+    """
 
     def __init__(self, host: Host, settings: Settings) -> None:
         self.host, self.settings = host, settings
-        now = host.now()
         self.gate = Gate(
-            now,
+            host.now(),
             settings.service or "",
             settings.bound("cold-overage", 1.0),
             settings.bound("cold-slack", 0.0),
         )
-        application = settings.application or ("127.0.0.1", 0)
+        application = settings.application or NO_APPLICATION
         self.handshakes = 0
-        self.taps = Taps(host, application, self._handshake)
-        self.inbound = Inbound(host, self.gate, self.taps)
+        self.backend_connections = Taps(host, application, self._count_handshake)
+        self.inbound = Inbound(host, self.gate, self.backend_connections)
         self.inbound.linked(settings.link_mbps)
         self.caller = RpcClient(host)
-        self.word = Word(host, self.caller, self.cores, self._word_changed)
-        self.word.named = is_named
-        port = settings.internal_ports[0]
-        say = {**self.gate.say(), "rev": 0}
-        seeds = [seed[0] for seed in settings.seeds]
-        self.membership = Membership(
-            host, settings.ip, port, settings.zone, seeds, say, int(host.wall() * 1000.0)
-        )
-        draw = XorShift(host.random(8)).random
-        self.source = Source(host, settings, self.word, self.inbound, draw)
-        self.source.proxies, self.source.helper = self._proxies, self.helper
-        if settings.gateways:
-            from honeywharf.sessions.abroad import joined  # one region alone does not pay for it
-
-            self.source.abroad = joined(host, settings, self.inbound.begin, draw)
-        self.membership.on_change = self._news
-        self.membership.on_newer_revision = self._word_news
+        self.mesh_state = Word(host, self.caller, self.control_nodes, self._mesh_state_changed)
+        self.mesh_state.named = is_named
+        self.membership = self._start_gossip()
+        self.source = self._make_source()
+        self.membership.on_change = self._entry_changed
+        self.membership.on_newer_revision = self._newer_revision
         self.membership.on_down = lambda node: self.source.doubt(node, True)
         self.membership.on_up = lambda node: self.source.doubt(node, False)
         self.probe = Probe(host, application, self.gate, self._gate_changed)
         self.drift_monitor = self.source.drift_monitor = self.inbound.drift_monitor = DriftMonitor(self)
-        answerer = RpcServer(
-            {**self.word.methods(), **self.drift_monitor.methods()}, self._streams, log=host.log
-        )
-        host.listen((settings.ip, port), answerer.accept)
-        self.told = 0
-        self.said = UNKNOWN
-        self.beats = Beats(host, self.gate, self._gate_changed)
-        self.doors = [
-            HttpServer(host, settings.listen_addresses["control-plane"], self.beats.take, 1 << 20),
-            HttpServer(host, settings.listen_addresses["readiness"], self._readiness, 1 << 16),
-        ]
-        self.outbound = Outbound(host, settings.listen_addresses["outbound"], self.word, self.source)
+        self._listen_for_peers()
+        self.announced_changes = 0  # of the gate
+        self.logged_state = UNKNOWN
+        self.heartbeats = Beats(host, self.gate, self._gate_changed)
+        self.http_servers = self._start_http_servers()
+        outbound_address = settings.listen_addresses["outbound"]
+        self.outbound = Outbound(host, outbound_address, self.mesh_state, self.source)
         self.shutdown = Shutdown(
             host,
-            settings.bound("grace-period", 5.0),
+            settings.bound("grace-period", DEFAULT_GRACE_S),
             self.source,
             self.inbound,
             self.outbound,
             gate_closed=self._gate_changed,
-            ended=self._ended,
+            ended=self._shut_down,
         )
         self.source.told(settings.ip, self.gate.say(), settings.zone)
-        self.word.start()
-        host.after(COUNTERS_S, self._counters)
+        self.mesh_state.start()
+        host.after(COUNTERS_S, self._log_counters_periodically)
 
-    # Who is there.
+    def _start_gossip(self) -> Membership:
+        settings, host = self.settings, self.host
+        attributes = {**self.gate.say(), "rev": 0}
+        seeds = [ip for ip, _ in settings.seeds]
+        port = settings.internal_ports[0]
+        incarnation = int(host.wall() * 1000.0)
+        return Membership(host, settings.ip, port, settings.zone, seeds, attributes, incarnation)
+
+    def _make_source(self) -> Source:
+        draw = XorShift(self.host.random(SEED_BYTES)).random
+        source = Source(self.host, self.settings, self.mesh_state, self.inbound, draw)
+        source.proxies, source.helper = self._count_sidecars, self.choose_delegate
+        if self.settings.gateways:
+            # Imported here, so that a mesh of one region does not load it.
+            from honeywharf.sessions.abroad import joined
+
+            source.abroad = joined(self.host, self.settings, self.inbound.begin, draw)
+        return source
+
+    def _listen_for_peers(self) -> None:
+        """Answer the calls and links of other processes."""
+        methods = {**self.mesh_state.methods(), **self.drift_monitor.methods()}
+        server = RpcServer(methods, self._serve_link, log=self.host.log)
+        self.host.listen((self.settings.ip, self.settings.internal_ports[0]), server.accept)
+
+    def _start_http_servers(self) -> list[HttpServer]:
+        """The backend's heartbeats, and the platform's readiness probe."""
+        addresses = self.settings.listen_addresses
+        return [
+            HttpServer(self.host, addresses["control-plane"], self.heartbeats.take, MAX_HEARTBEAT_BODY),
+            HttpServer(self.host, addresses["readiness"], self._readiness, MAX_READINESS_BODY),
+        ]
+
+    # Other nodes.
 
-    def _proxies(self) -> int:
+    def _count_sidecars(self) -> int:
         return max(1, len(self.source.list))
 
-    def cores(self) -> list[Address]:
-        """Control nodes' internal addresses: those that news tell of, else the seeds."""
+    def control_nodes(self) -> list[Address]:
+        """Control nodes' internal addresses, those of the own zone first.
+
+        All that gossip knows, else the seeds.
+        """
         port = self.settings.internal_ports[0]
         known = [
             (node, port)
@@ -126,126 +152,127 @@
         near = [a for a in known if self.membership.entries()[a[0]].zone == self.settings.zone]
         return near + [a for a in known if a not in near] or [(seed[0], port) for seed in self.settings.seeds]
 
-    def _news(self, node: str, entry: Entry | None, old: Entry | None) -> None:
+    def _entry_changed(self, node: str, entry: Entry | None, old: Entry | None) -> None:
         if node != self.settings.ip:
             say = None if entry is None else entry.attributes
             self.source.told(node, say, entry.zone if entry is not None else "")
 
-    def _word_news(self, revision: int, holder: str) -> None:
-        self.word.heard(revision, (holder, self.settings.internal_ports[0]))
+    def _newer_revision(self, revision: int, node: str) -> None:
+        self.mesh_state.heard(revision, (node, self.settings.internal_ports[0]))
 
-    def _word_changed(self) -> None:
+    def _mesh_state_changed(self) -> None:
         self.apply()
         self._gate_changed()
-        self.membership.broadcast_revision(self.word.revision)
+        self.membership.broadcast_revision(self.mesh_state.revision)
         self.drift_monitor.word_changed()
 
     def apply(self) -> None:
-        """Have everything here decide by the word in force."""
-        now, word = self.host.now(), self.word
-        self.gate.evacuate(now, self.settings.zone in word.evacuated)
-        if word.table is not None:
-            service = word.table.services.get(self.gate.service)
+        """Have every part decide by the mesh state in force."""
+        now, state = self.host.now(), self.mesh_state
+        self.gate.evacuate(now, self.settings.zone in state.evacuated)
+        if state.table is not None:
+            service = state.table.services.get(self.gate.service)
             if service is not None:
                 self.gate.bound(service.slow_start_requests_per_s, service.slow_start_s)
-                self.taps.most = max(1, service.max_connections - 2)
+                self.backend_connections.most = max(1, service.max_connections - 2)
                 self.probe.path = service.health_check_path.encode()
         self.source.relist()
 
-    # The gate beside this proxy.
+    # The gate of the backend beside this sidecar.
 
-    def _handshake(self) -> None:
+    def _count_handshake(self) -> None:
         self.handshakes += 1
 
     def _gate_changed(self) -> None:
-        """Something is known of the backend: others are told if it matters to them."""
+        """The gate's state may have changed: tell other nodes where it matters to them."""
         gate = self.gate
         self.probe.look()
-        if gate.changes == self.told and not self.inbound.leaving:
+        if gate.changes == self.announced_changes and not self.inbound.leaving:
             return
-        self.told = gate.changes
-        say = gate.say()
+        self.announced_changes = gate.changes
+        attributes = gate.say()
         if self.inbound.leaving and gate.state == READY:
-            say["st"] = DRAINING
-        if gate.state != self.said:
-            self.said = gate.state
+            attributes["st"] = DRAINING
+        if gate.state != self.logged_state:
+            self.logged_state = gate.state
             self.host.log(f"backend {gate.instance or '-'} is {STATES[gate.state]}")
-        self.source.told(self.settings.ip, say, self.settings.zone)
-        self.membership.publish(**say)
+        self.source.told(self.settings.ip, attributes, self.settings.zone)
+        self.membership.publish(**attributes)
 
-    def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
+    def _serve_link(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
         reader.max_frame = MAX_FRAME
-        return LinkServer(connection, reader, frames, self._begin)
+        return LinkServer(connection, reader, frames, self._begin_request)
 
-    def _begin(self, ask: ForwardedRequest, answers: Responder) -> RequestHandler | None:
+    def _begin_request(self, request: ForwardedRequest, responder: Responder) -> RequestHandler | None:
         """A request of another sidecar: for the gate here, or to be decided here."""
-        if ask.kind != DELEGATED:
-            return self.inbound.begin(ask, answers)
-        from honeywharf.sidecar.bypass import take  # only where another one is in doubt
+        if request.kind != DELEGATED:
+            return self.inbound.begin(request, responder)
+        # Imported here: needed only where another sidecar is suspected of drift.
+        from honeywharf.sidecar.bypass import take
 
-        return take(self.source, ask, host_of(ask.fields), answers)
+        return take(self.source, request, host_of(request.fields), responder)
 
-    def helper(self, passed: Container[str]) -> str | None:
-        """A sidecar of this region that is well, of this zone where there is one; None without one."""
+    def choose_delegate(self, excluded: Container[str]) -> str | None:
+        """A healthy sidecar of this region, of this zone where there is one; None without one."""
         settings, near, far = self.settings, [], []
         for node, entry in self.membership.entries().items():
-            say = entry.attributes
+            attributes = entry.attributes
             if (
-                say is None
-                or not say.get("s")
-                or say.get("q")
-                or say.get("st") == DRAINING
-                or (node == settings.ip or node in passed or not self.membership.is_alive(node))
+                attributes is None
+                or not attributes.get("s")
+                or attributes.get("q")
+                or attributes.get("st") == DRAINING
+                or (node == settings.ip or node in excluded or not self.membership.is_alive(node))
             ):
                 continue
             if entry.zone == settings.zone:
                 near.append(node)
             elif settings.zones.get(entry.zone) == settings.zones.get(settings.zone):
                 far.append(node)
-        well = near or far
-        return well[int(self.source.draw() * len(well))] if well else None
+        healthy = near or far
+        return healthy[int(self.source.draw() * len(healthy))] if healthy else None
 
     # The platform.
 
     def _readiness(self, call: HttpRequest) -> None:
         if call.path != b"/api/readiness":
             call.answer(404)
-        elif self.word.ready and not self.shutdown.begun and not self.drift_monitor.unfit:
+        elif self.mesh_state.ready and not self.shutdown.begun and not self.drift_monitor.unfit:
             call.answer(200, b"ready")
         else:
             call.answer(503, b"leaving" if self.shutdown.begun else b"no word yet")
 
     def terminate(self) -> None:
-        """SIGTERM: finish what is held, tell others, end when nothing is left.
+        """SIGTERM: a graceful shutdown.
 
-        Clients are sent elsewhere from now on; the backend behind the gate is needed until shortly before the
-        end, as a fleet that is rolled lacks each one for the time that its gate is closed.
+        Clients are sent elsewhere from now on; the backend behind the gate stays in service until shortly
+        before the end, as a fleet that is rolled lacks each one for the time that its gate is closed.
         """
         self.shutdown.begin()
 
-    def _ended(self) -> None:
+    def _shut_down(self) -> None:
         self.membership.leave()
         self.counters()
 
     # Counters.
 
     def counters(self) -> None:
-        """One line of what was done so far."""
+        """Log one line of what was done so far."""
         inbound = self.inbound
-        refused = " ".join(
+        rejected = " ".join(
             f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(inbound.refused.items())
         )
         self.host.log(
             f"{self.source.counters()}; {self.drift_monitor.counters()}; "
             f"gate served={inbound.served} failed={inbound.failed} "
-            f"cancelled={inbound.cancelled} handshakes={self.handshakes} refused {refused or 'none'}; "
-            f"beats={self.beats.taken} late={self.beats.late}; word={self.word.revision} "
+            f"cancelled={inbound.cancelled} handshakes={self.handshakes} refused {rejected or 'none'}; "
+            f"beats={self.heartbeats.taken} late={self.heartbeats.late}; word={self.mesh_state.revision} "
             f"known={len(self.membership.entries())}"
         )
 
-    def _counters(self) -> None:
+    def _log_counters_periodically(self) -> None:
         self.counters()
-        self.host.after(COUNTERS_S, self._counters)
+        self.host.after(COUNTERS_S, self._log_counters_periodically)
 
 
 def main() -> int:
--- a/honeywharf/sessions/conveyor.py
+++ b/honeywharf/sessions/conveyor.py
@@ -205,7 +205,7 @@
         sessions: bool = True,
         link_mbps: float = LINK_MBPS,
     ) -> None:
-        self.spillway = Spillway(host.now, host.after, link_mbps * 125_000.0)
+        self.send_scheduler = Spillway(host.now, host.after, link_mbps * 125_000.0)
         self.host, self.region, self.zone, self.draw, self.sessions = host, region, zone, draw, sessions
         self.ways = {place.node: Way(self, place) for place in list(places)[:MAX_GATEWAYS]}
         self.riders: dict[Carriage, None] = {}
@@ -350,7 +350,7 @@
         if rider.way is not None and frames:
             line = rider.way.line(rider.lane)
             for frame in frames:
-                self.spillway.send(line, frame)
+                self.send_scheduler.send(line, frame)
         if inlet.state == OVER:
             self._over(rider)
 
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/landing.py
@@ -81,9 +81,15 @@
         link_mbps: float = LINK_MBPS,
     ) -> None:
         self.host, self.begin = host, begin
-        self.spillway = Spillway(host.now, host.after, link_mbps * 125_000.0)
+        self.send_scheduler = Spillway(host.now, host.after, link_mbps * 125_000.0)
         self.outlets = Outlets(
-            host.random(8), region, hold or Hold(), self.spillway.send, self._run, self._stop, self._flowed
+            host.random(8),
+            region,
+            hold or Hold(),
+            self.send_scheduler.send,
+            self._run,
+            self._stop,
+            self._flowed,
         )
         self.links: dict[Caught, None] = {}
         self.timer: Timer | None = None
--- a/honeywharf/simulation/regions.py
+++ b/honeywharf/simulation/regions.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import Any
 
-from honeywharf.programs.gateway import GatewayNode
+from honeywharf.programs.gateway import GatewayNode, GatewayOptions
 from honeywharf.sessions.conveyor import Conveyor
 from honeywharf.sessions.drain import rest_first
 from honeywharf.sessions.hold import Hold
@@ -288,15 +288,10 @@
         def make(host: Process) -> GatewayNode:
             keeper = GatewayNode(
                 host,
-                place.address,
-                place.region,
-                place.zone,
+                place,
                 self.places,
                 LAND,
-                5.0,
-                most_bytes=self.most_bytes,
-                order=self.order,
-                link_mbps=self.mbps,
+                GatewayOptions(grace_s=5.0, max_bytes=self.most_bytes, order=self.order, link_mbps=self.mbps),
             )
             host.on_signal(15, keeper.terminate)
             return keeper
@@ -345,7 +340,7 @@
     @staticmethod
     def _back(keeper: Process) -> None:
         if isinstance(keeper.program, GatewayNode):
-            keeper.program.take_back()
+            keeper.program.cancel_drain()
 
     def play(self) -> Day:
         """To the end of all patience."""
@@ -379,7 +374,7 @@
     def _leaks(self) -> None:
         for process in self.keepers:
             if isinstance(process.program, GatewayNode):
-                one = process.program.passages
+                one = process.program.relay
                 if one.rows or one.granted:
                     self.faults.append(f"{process.name} holds {len(one.rows)} rows, {one.granted} bytes")
                 if one.forbidden:
--- a/honeywharf/simulation/shift.py
+++ b/honeywharf/simulation/shift.py
@@ -133,7 +133,7 @@
     def _open_lanes(program: Any) -> None:
         """Let everything out at once, as without a spillway."""
         part = getattr(program, "conveyor", None) or getattr(program, "landing", None) or program
-        part.spillway.__class__ = Flood
+        part.send_scheduler.__class__ = Flood
 
     # Traffic.
 
@@ -174,7 +174,7 @@
             (
                 self.world.now,
                 [
-                    sum(not 0 <= row.length <= 32768 for row in keeper.program.passages.rows.values())
+                    sum(not 0 <= row.length <= 32768 for row in keeper.program.relay.rows.values())
                     if isinstance(keeper.program, GatewayNode)
                     else 0
                     for keeper in self.keepers
@@ -195,7 +195,7 @@
             for keeper in self.keepers
             if isinstance(keeper.program, GatewayNode) and keeper.machine.zone[0] == "a"
         ]
-        keeper = max(mine, key=lambda each: len(each.program.passages.rows))  # type: ignore[attr-defined]
+        keeper = max(mine, key=lambda each: len(each.program.relay.rows))  # type: ignore[attr-defined]
         if self.trouble == "kill":
             keeper.kill()
         else:
@@ -204,7 +204,7 @@
             self.world.at(self.world.now + BACK_S, self._back, keeper)
 
     def _look(self, keeper: Process, since: float) -> None:
-        if isinstance(keeper.program, GatewayNode) and keeper.program.passages.rows:
+        if isinstance(keeper.program, GatewayNode) and keeper.program.relay.rows:
             self.world.at(self.world.now + 0.01, self._look, keeper, since)
         else:
             self.empty_s.append(self.world.now - since)
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -37,7 +37,7 @@
 
 
 def _hosts(sidecar: Any) -> Any:
-    return sidecar.word.table._hosts
+    return sidecar.mesh_state.table._hosts
 
 
 def _place(sidecar: Any, chance: random.Random, strict: bool = True) -> tuple[Any, bytes]:
@@ -66,7 +66,7 @@
 
     def stored(self, sidecar: Any, chance: random.Random) -> Undo:
         """The stored version is not the one in force."""
-        word, value = sidecar.word, sidecar.word.value
+        word, value = sidecar.mesh_state, sidecar.mesh_state.value
         table, revision, version = word.table, word.revision, word.version
         how = chance.randrange(3)
         if how == 0:
@@ -127,18 +127,21 @@
         if how == 0:
             return _change(sidecar, chance, max_attempts=5)
         if how == 1:
-            most, sidecar.taps.most = sidecar.taps.most, sidecar.taps.most + 50
-            return lambda: setattr(sidecar.taps, "most", most)
+            most, sidecar.backend_connections.most = (
+                sidecar.backend_connections.most,
+                sidecar.backend_connections.most + 50,
+            )
+            return lambda: setattr(sidecar.backend_connections, "most", most)
         if how == 2:
             cold, sidecar.gate.cold.most = sidecar.gate.cold.most, sidecar.gate.cold.most + 20
             return lambda: setattr(sidecar.gate.cold, "most", cold)
-        limits = sidecar.word.table.limits
+        limits = sidecar.mesh_state.table.limits
         body, limits.max_body_bytes = limits.max_body_bytes, 1 << 30
         return lambda: setattr(limits, "max_body_bytes", body)
 
     def evacuation(self, sidecar: Any, chance: random.Random) -> Undo:
         """An evacuation is forgotten, or never withdrawn."""
-        word, gate = sidecar.word, sidecar.gate
+        word, gate = sidecar.mesh_state, sidecar.gate
         before, evacuated = set(word.evacuated), gate.evacuated
         if chance.random() < 0.5:
             gate.evacuated = not gate.evacuated
@@ -188,7 +191,7 @@
 
     def content(self, sidecar: Any, chance: random.Random) -> Undo:
         """Two nodes believe one revision and differ in content; half of them with a digest that fits."""
-        word = sidecar.word
+        word = sidecar.mesh_state
         kept = word.table, word.packed, word.digest, word.value
         text, other = self.trial.odd(chance)
         word.table, word.packed = RoutingTable(text), other
@@ -204,7 +207,7 @@
 
     def build(self, sidecar: Any, chance: random.Random) -> Undo:
         """A program of another build reads the same text otherwise, each time."""
-        drift_monitor, word = sidecar.drift_monitor, sidecar.word
+        drift_monitor, word = sidecar.drift_monitor, sidecar.mesh_state
 
         def other(text: bytes) -> RoutingTable:
             table = RoutingTable(text)
@@ -223,7 +226,7 @@
 
     def liar(self, sidecar: Any, chance: random.Random) -> Undo:
         """It says the right digest and decides otherwise; its own second reading is blind to it."""
-        drift_monitor, source, word = sidecar.drift_monitor, sidecar.source, sidecar.word
+        drift_monitor, source, word = sidecar.drift_monitor, sidecar.source, sidecar.mesh_state
         find = word.find
         if chance.random() < 0.5:  # another service
             source.draw_service = lambda route: (
@@ -407,7 +410,7 @@
         running = [
             side
             for side in self.field.sides
-            if side.proxy.program is not None and cast(Any, side.proxy.program).word.table is not None
+            if side.proxy.program is not None and cast(Any, side.proxy.program).mesh_state.table is not None
         ]
         self.victim = self.chance.choice(running)
         self.slips.append(Slip(self.victim.ip, self.world.now))
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -29,16 +29,16 @@
 
     __slots__ = ("_connection", "body", "head", "method", "path", "peer")
 
-    def __init__(self, guest: _HttpConnection, head: Head, body: bytes) -> None:
-        self._connection: _HttpConnection | None = guest
+    def __init__(self, http_connection: _HttpConnection, head: Head, body: bytes) -> None:
+        self._connection: _HttpConnection | None = http_connection
         self.head, self.body = head, body
-        self.method, self.path, self.peer = head.method, head.path, guest.connection.peer
+        self.method, self.path, self.peer = head.method, head.path, http_connection.connection.peer
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
         """Answer it; `lines`: further header lines, each with its line end."""
-        guest, self._connection = self._connection, None
-        if guest is not None:
-            guest.answer(status, body, lines)
+        http_connection, self._connection = self._connection, None
+        if http_connection is not None:
+            http_connection.answer(status, body, lines)
 
 
 class _HttpConnection:
@@ -189,26 +189,26 @@
 
 
 class _Reading:
-    """Ties a reader to its guest: a sink's `head` is a method, and a guest keeps the head."""
+    """Ties a reader to its connection: a sink's `head` is a method, while a connection keeps the head."""
 
-    __slots__ = ("guest",)
+    __slots__ = ("http_connection",)
 
-    def __init__(self, guest: _HttpConnection) -> None:
-        self.guest = guest
+    def __init__(self, http_connection: _HttpConnection) -> None:
+        self.http_connection = http_connection
 
     def head(self, head: Head) -> None:
         """A head is whole."""
-        self.guest.reading = head
-        if head.expects and not self.guest.is_busy:
-            self.guest.connection.send(b"HTTP/1.1 100 Continue\r\n\r\n")
+        self.http_connection.reading = head
+        if head.expects and not self.http_connection.is_busy:
+            self.http_connection.connection.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def data(self, data: bytes) -> None:
         """A part of its body."""
-        self.guest.data(data)
+        self.http_connection.data(data)
 
     def whole(self) -> None:
         """The call is whole."""
-        self.guest.whole()
+        self.http_connection.whole()
 
 
 class HttpServer:
@@ -231,21 +231,21 @@
         host.listen(address, self._accept)
 
     def _accept(self, connection: Connection) -> Handler:
-        guest = _HttpConnection(self, connection)
+        http_connection = _HttpConnection(self, connection)
         self.connections += 1
         if self.connections > MAX_CONNECTIONS:
             connection.abort()
-        return guest
+        return http_connection
 
-    def reserve_long_body(self, guest: _HttpConnection) -> None:
+    def reserve_long_body(self, http_connection: _HttpConnection) -> None:
         """A long body is coming; it waits where another one has the place."""
-        self.long_bodies.append(guest)
-        if self.long_bodies[0] is not guest:
-            guest.connection.pause()
+        self.long_bodies.append(http_connection)
+        if self.long_bodies[0] is not http_connection:
+            http_connection.connection.pause()
 
-    def release_long_body(self, guest: _HttpConnection) -> None:
+    def release_long_body(self, http_connection: _HttpConnection) -> None:
         """A long body is done with, or its caller has gone."""
-        self.long_bodies.remove(guest)
+        self.long_bodies.remove(http_connection)
         if self.long_bodies:
             self.long_bodies[0].connection.resume()
 
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -32,7 +32,7 @@
 
 def deaf(side: Side) -> None:
     """It hears no news of words; it may still ask for one, and be told by whom it asks."""
-    program(side).word.heard = lambda revision, holder: None
+    program(side).mesh_state.heard = lambda revision, holder: None
 
 
 def ordered(trial: Trial) -> int:
@@ -63,7 +63,7 @@
         trial.moves["/uploads/"] = {"tile-vault": 1}
     ordered(trial)
     trial.play(9.2)
-    assert len({program(one).word.version for one in trial.field.sides}) == 1
+    assert len({program(one).mesh_state.version for one in trial.field.sides}) == 1
     caller.connection.send(ask.body[20_000:])
     trial.play(12.0)
     assert [message.status for message in answers] == [200]
@@ -95,21 +95,21 @@
     trial = Trial(13, "none", 0)
     trial.play(8.0)
     behind = trial.field.sides[::2]
-    before = program(behind[0]).word.version
+    before = program(behind[0]).mesh_state.version
     for side in behind:
-        word = program(side).word
+        word = program(side).mesh_state
         word.heard, word._take = (lambda revision, holder: None), (lambda holder, value: None)
     version = ordered(trial)
     trial.play(10.0)
-    assert {program(side).word.version for side in behind} == {before}
-    assert {program(side).word.version for side in trial.field.sides[1::2]} == {version}
+    assert {program(side).mesh_state.version for side in behind} == {before}
+    assert {program(side).mesh_state.version for side in trial.field.sides[1::2]} == {version}
     assert all(side.proxy.program is not None for side in behind)
     assert all(program(side).drift_monitor.caught == {} for side in trial.field.sides)
     for side in behind:
-        word = program(side).word
+        word = program(side).mesh_state
         del word.heard, word._take
     trial.play(14.0)
-    assert {program(side).word.version for side in trial.field.sides} == {version}
+    assert {program(side).mesh_state.version for side in trial.field.sides} == {version}
     calm(trial)
 
 
@@ -121,7 +121,7 @@
         deaf(side)
     version = ordered(trial)
     trial.play(11.5)
-    assert {program(side).word.version for side in trial.field.sides} == {version}
+    assert {program(side).mesh_state.version for side in trial.field.sides} == {version}
     assert not any(ask.status in (502, 504) for ask in trial.book.asks.values())
     calm(trial)
 
@@ -141,7 +141,7 @@
     ordered(trial)  # another timeout in each
     whole = [program(side) for side in trial.field.sides]
     trial.play(8.6)
-    assert {sidecar.word.version for sidecar in whole} == {trial.told[-1].version}
+    assert {sidecar.mesh_state.version for sidecar in whole} == {trial.told[-1].version}
     assert all(sidecar.drift_monitor.state.at == states.APPLYING for sidecar in whole)
     trial.play(8.6 + rounds.WHOLE_STEPS * rounds.STEP_S + 0.5)
     assert all(sidecar.drift_monitor.state.at == states.AGREED for sidecar in whole)
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -115,4 +115,4 @@
     trial.world.run(8.0)
     assert [message.status for message in statuses] == [200]
     assert trial.alarms == []
-    assert all(cast(Any, one.proxy.program).word.newest < 100 for one in trial.field.sides)
+    assert all(cast(Any, one.proxy.program).mesh_state.newest < 100 for one in trial.field.sides)
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -49,8 +49,8 @@
 def test_five_hundred_uploads_at_once_move_within_the_grace_period() -> None:
     day, source, keeper = busy(500, 40_000, 60.0)
     day.world.run(1.2)
-    assert len(keeper.passages.rows) >= 200
-    assert keeper.passages.granted <= keeper.passages.most_bytes
+    assert len(keeper.relay.rows) >= 200
+    assert keeper.relay.granted <= keeper.relay.most_bytes
     keeper.order_drain()
     day.world.run(6.0)
     assert keeper.drain.state == EMPTY
@@ -89,7 +89,7 @@
     assert isinstance(other, GatewayNode)
     other.order_drain()
     day.world.run(3.0)
-    assert keeper.last
+    assert keeper.is_last
     keeper.order_drain()
     day.world.run(4.0)
     assert keeper.drain.taking
--- a/tests/sessions/test_passage.py
+++ b/tests/sessions/test_passage.py
@@ -144,12 +144,12 @@
             method=method, path=path, answer=lambda status, body=b"": answers.append((status, body))
         )
 
-    keeper._order(call(b"GET", b"/api/gateway"))
-    keeper._order(call(b"POST", b"/api/gateway/drain"))
+    keeper._answer_operator(call(b"GET", b"/api/gateway"))
+    keeper._answer_operator(call(b"POST", b"/api/gateway/drain"))
     day.world.run(4.0)
-    keeper._order(call(b"GET", b"/api/gateway"))
-    keeper._order(call(b"POST", b"/api/gateway/back"))
-    keeper._order(call(b"GET", b"/else"))
+    keeper._answer_operator(call(b"GET", b"/api/gateway"))
+    keeper._answer_operator(call(b"POST", b"/api/gateway/back"))
+    keeper._answer_operator(call(b"GET", b"/else"))
     assert [status for status, _ in answers] == [200, 200, 200, 200, 404]
     assert answers[0][1].startswith(b"state=serving")
     assert b"last=0" in answers[0][1]
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -8,7 +8,7 @@
 import pytest
 
 from honeywharf.mesh_config.settings import parse
-from honeywharf.programs.gateway import GatewayNode
+from honeywharf.programs.gateway import GatewayNode, GatewayOptions
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sessions.places import Place
 from honeywharf.simulation import days, field
@@ -41,7 +41,7 @@
 
 def keeper(place: Place) -> Any:
     def make(host: Process) -> GatewayNode:
-        one = GatewayNode(host, place.address, place.region, place.zone, PLACES, field.INTERNAL + 1, 5.0)
+        one = GatewayNode(host, place, PLACES, field.INTERNAL + 1, GatewayOptions(grace_s=5.0))
         host.on_signal(TERM, one.terminate)
         return one
 
@@ -72,7 +72,7 @@
     elif what == "term":
         process.signal(TERM)
     elif isinstance(one, GatewayNode):
-        (one.order_drain if what == "drain" else one.take_back)()
+        (one.order_drain if what == "drain" else one.cancel_drain)()
 
 
 PLANS: dict[str, tuple[Plan, list[days.Fault], float]] = {
