--- /dev/null
+++ b/tests/test_glossary.py
@@ -0,0 +1,72 @@
+"""The glossary names what is in the code: every module is there, and every name is defined in it."""
+
+from __future__ import annotations
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+from typing import NamedTuple
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+GLOSSARY = ROOT / "docs" / "glossary.md"
+NOT_IN_THE_CODE = "not in this code"
+
+
+class GlossaryRow(NamedTuple):
+    """One row: the word on the left, the term or meaning, the names, and the module's path."""
+
+    word: str
+    term: str
+    names: tuple[str, ...]
+    module: str
+
+
+def rows() -> list[GlossaryRow]:
+    """The rows of all tables, without their heads."""
+    found: list[GlossaryRow] = []
+    for line in GLOSSARY.read_text("utf-8").splitlines():
+        cells = [cell.strip() for cell in line.strip().strip("|").split("|")]
+        if not line.startswith("|") or len(cells) != 4 or cells[0].startswith("---") or cells[3] == "module":
+            continue
+        names = tuple(re.findall(r"`([^`]+)`", cells[2]))
+        found.append(GlossaryRow(cells[0], cells[1], names, cells[3].strip("`")))
+    return found
+
+
+@cache
+def defined_names(module: str) -> frozenset[str]:
+    """Classes, functions, parameters, attributes and variables that a module defines."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse((ROOT / module).read_text("utf-8"))):
+        if isinstance(node, ast.ClassDef | ast.FunctionDef):
+            found.add(node.name)
+        elif isinstance(node, ast.arg):
+            found.add(node.arg)
+        elif isinstance(node, ast.Attribute | ast.Name) and isinstance(node.ctx, ast.Store):
+            found.add(node.attr if isinstance(node, ast.Attribute) else node.id)
+    return frozenset(found)
+
+
+ROWS = rows()
+
+
+@pytest.mark.parametrize("row", ROWS, ids=[f"{row.word}: {','.join(row.names)}" for row in ROWS])
+def test_each_name_is_defined_in_its_module(row: GlossaryRow) -> None:
+    if not row.names:
+        assert NOT_IN_THE_CODE in (ROOT / "docs/glossary.md").read_text("utf-8")
+        assert row.module == ""
+        return
+    assert set(row.names) <= defined_names(row.module)
+
+
+def test_a_name_that_is_not_there_is_found_out() -> None:
+    assert "ProposalNumber" in defined_names("honeywharf/control/messages.py")
+    assert "Ballot" not in defined_names("honeywharf/control/messages.py")
+
+
+def test_every_word_stands_once_in_its_table() -> None:
+    assert len(ROWS) >= 100
+    assert len({(row.word, row.names) for row in ROWS}) == len(ROWS)
