--- a/bench/traces.py
+++ b/bench/traces.py
@@ -6,7 +6,8 @@
 kept, with one attempt each, beside the same loop with no recorder; bytes held at rest and full; of
 `requests` over three tiers, of which 1 in 1,000 fails at the last, how many bad ones are kept with all
 their hops, the rate of the ordinary, and what head sampling at the same rate keeps of the bad; the days of
-each planted cause that is named first, and the clean days on which anything is named."""
+each planted cause that is named first, and the clean days on which anything is named.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/admin/__init__.py
+++ b/honeywharf/admin/__init__.py
@@ -2,7 +2,8 @@
 
 `protocol` has the frames, `views` what is shown, both without I/O; here is the socket and what may be done.
 A change wants its confirmation, and is logged with who asked: the user of the process at the other end, as
-the kernel tells it (SO_PEERCRED), and the name that it gave."""
+the kernel tells it (SO_PEERCRED), and the name that it gave.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/admin/protocol.py
+++ b/honeywharf/admin/protocol.py
@@ -7,7 +7,8 @@
 
 One question and one answer a connection. A frame longer than its bound, or one that is no such value, is
 answered with what was found and what was wanted; so is another version, which names the one that is spoken
-here."""
+here.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/admin/views.py
+++ b/honeywharf/admin/views.py
@@ -1,7 +1,8 @@
 """What an operator is shown of the decision module's state: read from it, never written. Without I/O.
 
 Times are ms; calls and limits are this proxy's own. A limit is in calls that a zone may hold, over all its
-usable servers."""
+usable servers.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/cli/admin.py
+++ b/honeywharf/cli/admin.py
@@ -1,7 +1,8 @@
 """`honeywharf status|top|endpoints|drain`: ask a running proxy over its admin socket.
 
 Status 0 where it answered, 1 where it did not do what was asked, 2 where the call is wrong, 3 where nobody
-answers."""
+answers.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/cli/config.py
+++ b/honeywharf/cli/config.py
@@ -56,7 +56,8 @@
 @click.argument("files", nargs=-1, required=True, type=FILE)
 def check(files: tuple[Path, ...]) -> None:
     """Tell all that is wrong with files of features (.toml) and of the platform's configuration (.json), each
-    with its place; given both, also what of one does not fit the other."""
+    with its place; given both, also what of one does not fit the other.
+    """
     checked(files)
 
 
--- a/honeywharf/cli/operation.py
+++ b/honeywharf/cli/operation.py
@@ -1,7 +1,8 @@
 """`honeywharf readyz|exclude|include|evacuate|activate`: operators' calls, at the second address or by the
 admin socket.
 
-Status 0 where the proxy did it, 1 where it said `ERR`, 2 where the call is wrong, 3 where nobody answers."""
+Status 0 where the proxy did it, 1 where it said `ERR`, 2 where the call is wrong, 3 where nobody answers.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -1,5 +1,6 @@
 """`honeywharf traces|causes|explain`: ask the kept traces of one proxy or of many. Status 1 where none is
-found."""
+found.
+"""
 
 from __future__ import annotations
 
@@ -101,7 +102,8 @@
 @click.option("--json", "as_json", is_flag=True, help="JSON.")
 def causes(files: tuple[Path, ...], bad: str, as_json: bool) -> None:
     """Tell what bad traces have in common that ordinary ones lack, where they fail and where their
-    time went."""
+    time went.
+    """
     from honeywharf.traces import causes as rules
 
     rows = rows_of(files)
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -81,7 +81,8 @@
     lines: bytes = b"",
 ) -> bytes:
     """The head of an answer whose body follows as it arrives; with neither length nor chunks, up to the end
-    of the connection."""
+    of the connection.
+    """
     head = b"HTTP/1.1 %d %b\r\n" % (status, REASONS.get(status, b"Answer"))
     if length is not None:
         head += b"Content-Length: %d\r\n" % length
--- a/honeywharf/config/retune.py
+++ b/honeywharf/config/retune.py
@@ -6,7 +6,8 @@
 those that only some effects use). What is there has been typed and bounded (`config.node`, `wire`).
 
 Requests under way keep their class: a class that vanishes is known for its deadline more, and one whose
-effect becomes stricter is asked for in its former form for as long, under the new effect."""
+effect becomes stricter is asked for in its former form for as long, under the new effect.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -38,8 +38,9 @@
 
 
 class KnownState(NamedTuple):
-    """The committed state that this node knows: its revision (-1: none), and its digest where the text is on
-    disk, else empty.
+    """The committed state that this node knows.
+
+    `revision`: -1 for none; `digest`: of its configuration where the text is on disk, else empty.
     """
 
     revision: int
--- a/honeywharf/flow/account.py
+++ b/honeywharf/flow/account.py
@@ -4,7 +4,8 @@
 share of it, less what one read may bring; a share is at least `LEAST` and at most `EACH`. Where there are
 so many pipes that shares would be smaller, no further one is opened: a body that comes then is refused
 before anything of it has left, and an answer waits at its node until a place is free (its reader does not
-read on)."""
+read on).
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/flow/pace.py
+++ b/honeywharf/flow/pace.py
@@ -1,6 +1,7 @@
 """Slow peers, told by their rate over all they have sent or taken, not by one pause.
 
-Time in which this side held the peer up does not count. Times are ms."""
+Time in which this side held the peer up does not count. Times are ms.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/flow/pipe.py
+++ b/honeywharf/flow/pipe.py
@@ -7,7 +7,8 @@
 (`spent`).
 
 A pipe ends once: whole (`finish`), broken by its source (`fail`), or given up by its sink's side
-(`cancel`)."""
+(`cancel`).
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/handover/frames.py
+++ b/honeywharf/handover/frames.py
@@ -5,7 +5,8 @@
 
 One frame is one message (SOCK_SEQPACKET keeps them apart), `MAX_FRAME` bytes at most; a longer payload
 goes in several frames of which all but the last have `MORE`. What is no such frame raises, and says what
-was found."""
+was found.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/handover/knowledge.py
+++ b/honeywharf/handover/knowledge.py
@@ -3,7 +3,8 @@
 Zones' limits, usual times of answers, the rate of answers, what is held of single servers, and the retry
 budget. What is read back is checked figure by figure: what makes no sense is left out, and the module
 begins there as it would from nothing. Nothing that is learned is needed: it only spares the first
-seconds."""
+seconds.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -6,7 +6,8 @@
 descriptors (SCM_RIGHTS).
 
 A peer that is gone, hangs, speaks another version or nonsense costs the new process `WAIT_S` at most: it
-begins with the file of operators' words, and with nothing else."""
+begins with the file of operators' words, and with nothing else.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/handover/state.py
+++ b/honeywharf/handover/state.py
@@ -4,7 +4,8 @@
     its time ever     ids that lists have named before list     discovery's list as it was held, in
     discovery's form, with its generation learned  what the decision module has learned (`knowledge`)
 
-A section that makes no sense is left out, and the new process begins there as it would from nothing."""
+A section that makes no sense is left out, and the new process begins there as it would from nothing.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/http/pieces.py
+++ b/honeywharf/http/pieces.py
@@ -2,7 +2,8 @@
 
 The event loop's own reads bring up to 250 kB at once, which the account would have to count for each body.
 A small receive buffer in the kernel is no way out: it was tried, and 64 kB of it made the sender wait for
-its persist timer (0.3 MB/s on loopback, whose segments are as long as that)."""
+its persist timer (0.3 MB/s on loopback, whose segments are as long as that).
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -89,7 +89,8 @@
 
 class Load(_Strict, frozen=True):
     """How nodes report the calls that wait; `simulator.Reporting` has the words. Nothing is drawn where none
-    of the experiment's cells reads reports."""
+    of the experiment's cells reads reports.
+    """
 
     told: bool = False
     least_ms: float = 69.0
--- a/honeywharf/orderkeys/__init__.py
+++ b/honeywharf/orderkeys/__init__.py
@@ -53,7 +53,8 @@
 
 def attach(proxy: Assembly, features: OrderKeys) -> Part:
     """The edge that the file of features asks for, before the proxy's driver; ValueError where the classes
-    don't fit it."""
+    don't fit it.
+    """
     if features.store == "redis":
         from honeywharf.orderkeys import redis
 
--- a/honeywharf/orderkeys/edge.py
+++ b/honeywharf/orderkeys/edge.py
@@ -502,7 +502,8 @@
 
 def kept_ms(settings: api.Settings, features: OrderKeys) -> dict[str, float]:
     """By class, how long a key is known after it has ended; ValueError where a class has no keys, or longer
-    ones."""
+    ones.
+    """
     keyed = {c.name: c for c in settings.classes if c.effect is api.Effect.KEYED}
     for key, names in (("keep_ms", set(features.keep_ms)), ("alone", set(features.alone))):
         strange = sorted(names - set(keyed))
--- a/honeywharf/orderkeys/shared.py
+++ b/honeywharf/orderkeys/shared.py
@@ -265,7 +265,8 @@
 
     def closed(self) -> None:
         """The connection is gone. Claims in flight may have been taken: they are given back when it is there
-        again, or their leases end."""
+        again, or their leases end.
+        """
         was, self.up = self.up, False
         lost, self.pending = self.pending, deque()
         self._answer_all()
--- a/honeywharf/service/bans.py
+++ b/honeywharf/service/bans.py
@@ -3,7 +3,8 @@
 A ban is of an endpoint's id: it holds over every new start, address and list until it is taken back. An id
 that no list has ever named can't be banned: a slip of the pen is told, not kept. Both tables are bounded:
 bans by refusing a further one, ids ever listed by forgetting those that went first (a listed one is never
-forgotten)."""
+forgotten).
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/service/calls.py
+++ b/honeywharf/service/calls.py
@@ -3,7 +3,8 @@
     call    NAME [ID] LF        UTF-8, at most `MAX_LINE` bytes with its end; CR before LF is ignored
     answer  OK [words] LF  or  ERR words LF
 
-One call a connection. What comes behind its line is no part of it: where there is any, nothing is done."""
+One call a connection. What comes behind its line is no part of it: where there is any, nothing is done.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/service/door.py
+++ b/honeywharf/service/door.py
@@ -1,7 +1,8 @@
 """The operators' second address: one line to a connection, one line back (`calls` has the form).
 
 Bounded in places, bytes and time, and never in the way of the next caller: who comes when all places are
-taken gets that of the one who has said nothing for longest."""
+taken gets that of the one who has said nothing for longest.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/service/life.py
+++ b/honeywharf/service/life.py
@@ -16,7 +16,8 @@
     ended         nothing is open any more, or time is up
 
 A later rule on connections of a proxy that drains: so long after the call none may be idle, or hold a request
-that came in the last `YOUNG_REQUEST_MS` (the operators' page on daily operation)."""
+that came in the last `YOUNG_REQUEST_MS` (the operators' page on daily operation).
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/landing.py
@@ -69,7 +69,8 @@
 
 class Landing:
     """All sessions that end here. `begin(ask, answers)` gives the work, as
-    `sidecar.inbound.Inbound.begin`."""
+    `sidecar.inbound.Inbound.begin`.
+    """
 
     def __init__(
         self,
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -190,7 +190,8 @@
 
 class Mesh:
     """All that runs. At `subnet`, such as "127.9.4", the ports of `simulation.field` plus `shift` are
-    free."""
+    free.
+    """
 
     def __init__(self, folder: Path, subnet: str, shift: int, seed: int) -> None:
         self.folder, self.subnet, self.shift = folder, subnet, shift
--- a/honeywharf/standins/node.py
+++ b/honeywharf/standins/node.py
@@ -57,7 +57,8 @@
 ) -> dict[str, Any]:
     """`NODE_CONFIG` of a proxy on 127.0.0.1 that is told these settings and knows these backends.
 
-    Without any it knows no generation either, and asks discovery for all."""
+    Without any it knows no generation either, and asks discovery for all.
+    """
     known = list(rows)
     return {
         "name": name,
--- a/honeywharf/standins/platform.py
+++ b/honeywharf/standins/platform.py
@@ -1,6 +1,7 @@
 """The platform round one proxy: it holds the clients' listening socket, starts and replaces processes, and
 says what operators say. And clients that keep connections, and count each request that meets a closed
-one."""
+one.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/standins/tiers.py
+++ b/honeywharf/standins/tiers.py
@@ -198,7 +198,8 @@
 
 class NotesNetwork:
     """UDP between proxies, by way of one socket for each: of the datagrams a part is lost, and it is noted
-    which trace-ids that cost whom."""
+    which trace-ids that cost whom.
+    """
 
     def __init__(self, ports: dict[str, int], loss: float, seed: int) -> None:
         self.ports, self.loss, self.random = ports, loss, random.Random(seed)
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -19,7 +19,8 @@
     causes     what bad traces have in common
 
 A trace never costs a request: what is wrong with a context, the disk or a rule is counted, and the request
-goes on."""
+goes on.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/traces/causes.py
+++ b/honeywharf/traces/causes.py
@@ -5,7 +5,8 @@
 there are. A text is named where the odds are `ODDS` times as great at least, and it covers `COVERS` of the
 bad, and the log-likelihood ratio of the two-by-two table (G-test, Dunning 1993) is past the chi-square
 bound for one error in `CHANCE` over all texts tried. Texts are then taken greedily: the one with the most
-evidence, and after it what still stands out of the bad traces that it leaves."""
+evidence, and after it what still stands out of the bad traces that it leaves.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/traces/context.py
+++ b/honeywharf/traces/context.py
@@ -11,7 +11,8 @@
 
 A damaged traceparent, or two of them, starts a new trace, and the tracestate is dropped with it (3.2.2.3,
 4.3); a damaged tracestate alone is dropped alone. A version above 00 is read by its first four fields
-(3.2.4). The request goes on whatever comes."""
+(3.2.4). The request goes on whatever comes.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -3,7 +3,8 @@
 A field is a yes or no, a number, or texts: a trace passes several hops, so `zone = "tartu"` holds where one
 of its texts is equal, and `zone != "tartu"` where none is. `p50(class)`, `p90`, `p99` give the quantile of
 `duration` over the traces that share the text of that field. What is wrong is told with the place, what was
-found and what is wanted."""
+found and what is wanted.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/traces/spans.py
+++ b/honeywharf/traces/spans.py
@@ -3,7 +3,8 @@
 Names follow OpenTelemetry's semantic conventions where they have one (`http.request.resend_count`,
 `server.address`, `error.type`); the rest is under `honeywharf.`. Times are ms of Unix time on this hop's
 clock, durations of its monotonic one: clocks of hops may differ, so nothing is concluded from times of two
-hops."""
+hops.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/traces/spool.py
+++ b/honeywharf/traces/spool.py
@@ -2,7 +2,8 @@
 
 The queue to the thread is bounded too (`queue`). A file that is full becomes `NAME.1`, in place of the one
 before it, so that both are within the bound together. A line is written whole or, at a kill, cut: readers
-skip it."""
+skip it.
+"""
 
 from __future__ import annotations
 
--- a/honeywharf/transport/event_loop.py
+++ b/honeywharf/transport/event_loop.py
@@ -347,7 +347,7 @@
                         self._accept(number)
                     elif number == self.wakeup_reader:
                         self._signalled()
-                except Exception:
+                except Exception:  # noqa: BLE001 - one call's error must not end the process; it is logged
                     self._failed(connection)
             self._call_due_timers()
             self._call_ready()
@@ -381,7 +381,7 @@
     def _guarded(self, call: Callable[[], None]) -> None:
         try:
             call()
-        except Exception:
+        except Exception:  # noqa: BLE001 - one call's error must not end the process; it is logged
             self._failed(None)
 
     def _call_ready(self) -> None:
--- a/honeywharf/transport/stream.py
+++ b/honeywharf/transport/stream.py
@@ -101,7 +101,7 @@
         "target",
     )
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - one parameter a field of the frame, all by keyword
         self,
         *,
         service: str,
