--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -106,7 +106,8 @@
         self.outcomes["granted" if granted else "refused"] += 1
         if granted and self.acquisition is not None:
             number = self.acquisition.numbers()[0]
-            self.host.log(f"leases: member removal is granted to this node, number {number}")
+            # The words are those that docs/operators/duties.md names.
+            self.host.log(f"duties: upkeep of the roster is ours, number {number}")
         else:
             self.acquisition = None
         done(granted)
