--- a/honeywharf/control/committed_state.py
+++ b/honeywharf/control/committed_state.py
@@ -1,4 +1,4 @@
-"""The newest committed mesh state that this control node knows, and who is told of it."""
+"""The newest committed mesh state that this control node knows, and who is notified of it."""
 
 from __future__ import annotations
 
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -93,7 +93,7 @@
         self.host.after(0.0, self._send_heartbeats)
 
     def own_heartbeat(self) -> Heartbeat:
-        """What this machine tells of itself."""
+        """What this machine reports about itself."""
         state = self.voter.state
         known = self.known_state()
         zone = self.joining.zone
@@ -154,7 +154,7 @@
             self.host.log(f"replica: {error}")
 
     def _record(self, heartbeat: Heartbeat) -> None:
-        """A machine has told of itself: note it, and ask it for what is newer than here."""
+        """A machine has reported about itself: note it, and ask it for what is newer than here."""
         self.contacts.record(heartbeat.sender)
         self.contacts.heartbeats[heartbeat.sender] = heartbeat
         if heartbeat.sender not in member_ids(self.voter.state.members):
--- a/honeywharf/control/messages.py
+++ b/honeywharf/control/messages.py
@@ -223,7 +223,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a member, a standby or a joiner tells of itself in every heartbeat, and in its answer to one.
+    """What a member, a standby or a joiner reports about itself in every heartbeat, and in its answer to one.
 
     `epoch`: of the newest decided membership that it knows; `revision`: of the committed state that it knows,
     -1 for none; `accepted`: the number accepted last; `digest`: of that state's configuration where its text
--- a/honeywharf/control/replica.py
+++ b/honeywharf/control/replica.py
@@ -2,7 +2,7 @@
 
 Theory of operation. Changes that arrive while a write is under way wait and go together in the next one;
 reads likewise (`register_queues`). Nothing is answered to a peer before what it promises is synced
-(`voter`). What was committed is told to the members, and learnt from heartbeats by who missed it
+(`voter`). What was committed is sent to the members, and learnt from heartbeats by who missed it
 (`committed_state`, `membership`).
 """
 
--- a/honeywharf/control/standby.py
+++ b/honeywharf/control/standby.py
@@ -29,7 +29,7 @@
 
 
 class Standby(NamedTuple):
-    """A standby as it last told of itself. `digest`: of the configuration whose text it holds."""
+    """A standby as it last reported about itself. `digest`: of the configuration whose text it holds."""
 
     member: Member
     digest: str
@@ -43,7 +43,10 @@
         self.by_id: dict[MemberId, Standby] = {}
 
     def record(self, heartbeat: Heartbeat, now: float) -> None:
-        """A machine that is no member has told of itself; the one without contact for longest gives way."""
+        """A machine that is no member has reported about itself.
+
+        The one without contact for longest gives way.
+        """
         member = Member(heartbeat.address, heartbeat.disk, heartbeat.zone, False)
         if member.id not in self.by_id and len(self.by_id) >= MAX_STANDBYS:
             del self.by_id[min(self.by_id, key=lambda key: self.by_id[key].last_contact_at)]
--- a/honeywharf/failure_detector/detector.py
+++ b/honeywharf/failure_detector/detector.py
@@ -42,7 +42,7 @@
 LATE_S = 0.3  # that a tick may come late
 SUSPECTS_NEEDED = 2  # nodes that share a suspicion
 MAX_FACTOR = 16  # times as long, after suspicions that were refuted
-MAX_SUSPICIONS = 16  # told by one node
+MAX_SUSPICIONS = 16  # published by one node
 MAX_HEARTBEAT = 8  # bytes
 AGE_SIZE = 2  # bytes in a testimony
 
@@ -72,7 +72,7 @@
         self.on_up: Callable[[str], None] | None = None
         self.on_suspected: Callable[[], None] | None = None
         self.on_suspicions: Callable[[list[tuple[int, int, int]]], None] | None = None
-        self.revision = 0  # told with each heartbeat
+        self.revision = 0  # sent with each heartbeat
         self._suspected_by: dict[str, dict[str, Version]] = {}  # suspected: by whom: version
         self._suspicions: dict[str, Version] = {}  # the own ones
         # Of those watched only:
@@ -120,7 +120,7 @@
         return HEARTBEAT + self.revision.to_bytes((self.revision.bit_length() + 7) // 8, "big")
 
     def tick(self, now: float) -> Datagrams:
-        """Heartbeats, probes and inquiries that are due; suspicions are told by `on_suspicions`."""
+        """Heartbeats, probes and inquiries that are due; suspicions are given to `on_suspicions`."""
         if now < self._due_at:
             return []
         if (self._due_at and now - self._due_at > LATE_S) or now - self._heard_any_at > SUSPECT_S:
--- a/honeywharf/gossip/__init__.py
+++ b/honeywharf/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip: what each node tells of itself, spread by rumours and repaired by anti-entropy. Rules without I/O.
+"""Gossip: what each node reports about itself, spread by rumours, repaired by anti-entropy. No I/O.
 
 `entry` is what one node tells, and its form in datagrams; `table` keeps the newest entry of each node;
 `peers` chooses whom to send to; `dissemination` spreads what is new; `anti_entropy` finds and repairs what
--- a/honeywharf/gossip/anti_entropy.py
+++ b/honeywharf/gossip/anti_entropy.py
@@ -46,7 +46,7 @@
 
 
 class AntiEntropy:
-    """One node's comparisons. `seeds`: nodes to look for though nothing was heard of them."""
+    """One node's comparisons. `seeds`: nodes to look for though nothing is known of them."""
 
     __slots__ = ("_due_at", "_peers", "_random", "_rounds", "_seeds", "_table")
 
@@ -83,7 +83,7 @@
         return chosen
 
     def _strays(self) -> list[str]:
-        """Those that are missing: held down, dropped, or seeds that nothing was heard of."""
+        """Those that are missing: held down, dropped, or seeds that nothing is known of."""
         entries = self._table.entries
         down = [node for node, entry in entries.items() if entry.gone_at is not None and entry.attributes]
         seeds = [seed for seed in self._seeds if seed not in entries]
--- a/honeywharf/gossip/dissemination.py
+++ b/honeywharf/gossip/dissemination.py
@@ -103,7 +103,7 @@
 
 
 class RevisionRumours:
-    """The newest revision of the mesh state that was heard of, passed on twice with a node that holds it."""
+    """The newest revision of the mesh state that is known, passed on twice with a node that holds it."""
 
     __slots__ = ("_at", "_peers", "_rumour", "highest")
 
--- a/honeywharf/gossip/entry.py
+++ b/honeywharf/gossip/entry.py
@@ -1,4 +1,4 @@
-"""What one node tells of itself, and how that is written in datagrams of at most 1,400 bytes.
+"""What one node reports about itself, and how that is written in datagrams of at most 1,400 bytes.
 
 A datagram is one byte for its kind, then a body in msgpack or in fixed records. Kinds and bodies are on the
 wire between builds and never change.
--- a/honeywharf/gossip/gossip.py
+++ b/honeywharf/gossip/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of one node: what it tells, what it passes on and what it compares. No I/O, no clock.
+"""Gossip of one node: what it publishes, what it passes on and what it compares. No I/O, no clock.
 
 Theory of operation. Each node owns one entry in everybody's `table`. Changes are spread by rumours
 (`dissemination`); what those miss is repaired by comparing tables (`anti_entropy`). One attribute is quiet,
@@ -47,7 +47,7 @@
 class Gossip:
     """One node's gossip. Calls get the time, in seconds on the steady clock, and return what to send.
 
-    `on_newer_revision(revision, holder)` is called while a revision above the own one is heard of.
+    `on_newer_revision(revision, holder)` is called while a revision above the own one is known.
     """
 
     __slots__ = (
@@ -76,10 +76,10 @@
         self._hello_at = self._sweep_at = 0.0  # when each is due
         self.table.put_own(0.0, incarnation, 1, attributes)
 
-    # What the node itself tells.
+    # What the node itself publishes.
 
     def publish(self, now: float, **attributes: object) -> None:
-        """Change what this node tells; other attributes stay. ValueError where it grows too large."""
+        """Change what this node publishes; other attributes stay. ValueError where it grows too large."""
         table = self.table
         if table.has_left:
             return
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -69,7 +69,8 @@
     ) -> None:
         """Listen on (ip, port), and send HELLO to `seeds` (IPv4 addresses in dots) at the next tick.
 
-        `attributes`: what this node tells of itself; `incarnation`: higher with each start, if clocks allow.
+        `attributes`: what this node reports about itself; `incarnation`: higher with each start, if clocks
+        allow.
         """
         self._host = host
         self._port = port
@@ -95,7 +96,7 @@
         self._timer: Timer = host.after(0.0, self._tick)
 
     def publish(self, **attributes: object) -> None:
-        """Change what this node tells; other attributes stay.
+        """Change what this node publishes; other attributes stay.
 
         `doubts` is taken. ValueError above 1,200 bytes.
         """
--- a/honeywharf/gossip/table.py
+++ b/honeywharf/gossip/table.py
@@ -51,7 +51,7 @@
         self.zone = zone
         self.entries: dict[str, Entry] = {}
         self.checksum = 0  # of the offered entries' stamps: equal tables have equal ones
-        self.revision = 0  # of the mesh state that this node tells
+        self.revision = 0  # of the mesh state that this node publishes
         self.rejected = 0  # nodes that the table was too full for
         self.has_left = False  # this node
         self.dropped: dict[str, tuple[int, int, float]] = {}  # incarnation and sequence, and when
@@ -169,7 +169,7 @@
             self.on_change(node, None, entry)
 
     def offered(self) -> list[Entry]:
-        """The entries that are told to others."""
+        """The entries that are sent to others."""
         return [entry for entry in self.entries.values() if not entry.is_hidden]
 
 
