--- a/honeywharf/transport/stream.py
+++ b/honeywharf/transport/stream.py
@@ -5,11 +5,17 @@
 msgpack arrays `[kind, number, ...]`:
 
     OPEN    service, attempt id, kind, remaining ms, longest queue wait ms, priority, latency target ms,
-    caller, method, target, fields, length, revision, digest of the rule that decided (8 bytes) GO      it
-    is admitted: send the body DATA, END, WINDOW   either way: bytes, the end, bytes that may follow ANSWER
-    status, fields, length, load, complete body or nil (then it follows) REFUSE  why, retry-after ms,
-    arrived, load: not run, a proof FAIL    why, retry-after ms, arrived, load, whether it ran CANCEL  the
-    source wants no answer any more PING, PONG   where streams wait and nothing was received for a while
+            caller, method, target, fields, length, revision, digest of the rule that decided (8 bytes)
+    GO      it is admitted: send the body
+    DATA    either way: bytes of a body
+    END     either way: the body is complete
+    WINDOW  either way: how many further bytes may be sent
+    ANSWER  status, fields, length, load, complete body or nil (then it follows)
+    FAIL    why, retry-after ms, arrived, load, whether it ran
+    REFUSE  the same; proves that the request has not run
+    CANCEL  the source wants no answer any more
+    PING    where streams wait and nothing was received for a while
+    PONG    the answer to a PING
 
 No more than `WINDOW_SIZE` bytes of a body are on the way unacknowledged (`INITIAL_WINDOW` of a request's at
 first), so that a slow one holds up nobody else on the link.
