--- a/bench/compatibility/simulated_traffic.py
+++ b/bench/compatibility/simulated_traffic.py
@@ -21,8 +21,6 @@
 
 HERE = Path(__file__).resolve().parents[2]
 RECORDER = Path(__file__).with_name("record_traffic.py")
-
-
 DAYS = ("mesh", "regions", "drift")
 
 
--- a/honeywharf/control/store.py
+++ b/honeywharf/control/store.py
@@ -8,8 +8,8 @@
 
 Format. Every file begins with `hwr` and one digit, the version of the format, then a checksum (CRC-32 of the
 body, big-endian), then the body: msgpack for the register, a compressed text for a configuration. A reader
-takes versions up to its own `FORMAT`; fields that it does not know are left out. A file of a
-later version is never taken for damage, moved or removed: the control node does not start on it.
+takes versions up to its own `FORMAT_VERSION`; fields that it does not know are left out. A file of a later
+version is never taken for damage, moved or removed: the control node does not start on it.
 """
 
 from __future__ import annotations
--- a/honeywharf/gossip/table.py
+++ b/honeywharf/gossip/table.py
@@ -19,12 +19,11 @@
 
 MAX_NODES = 4096
 REVISION = "rev"  # the attribute that has no part in the sequence number, see `is_quiet`
-OFFERED_S, KEPT_S, DROPPED_S = (
-    15.0,
-    30.0,
-    60.0,
-)  # for which a gone node is offered, kept, remembered as dropped
-REPAIR_HOPS, FINAL_HOPS = 14, 15  # of an entry passed on within a zone that learns it late, and not passed on
+OFFERED_S = 15.0  # for which a node that has gone is offered to others
+KEPT_S = 30.0  # for which it is kept
+DROPPED_S = 60.0  # for which it is remembered as dropped
+REPAIR_HOPS = 14  # of an entry that a zone learns late: it is passed on within the zone
+FINAL_HOPS = 15  # of an entry that is not passed on
 
 
 def is_quiet(name: str) -> bool:
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -44,7 +44,7 @@
 STATE_INTERVAL_S = 0.5  # between two messages about its load
 MAX_QUEUE_S = 0.5  # of its link's time that bytes may be on the way
 UNREACHABLE_S = 0.5  # for which an unreachable destination is not tried again
-MIN_BYTES = 4 << 20
+MIN_BUFFERED_BYTES = 4 << 20  # on the way, however small the machine is
 SHORT_SESSIONS_S = 1.0  # for which short sessions are waited for before they are asked to move too
 EXIT_MARGIN_S = 0.4  # before the end of `grace-period`, at which it exits
 COUNTERS_S = 10.0
@@ -296,12 +296,13 @@
 
 
 def granted_bytes(memory_mb: float, link_mbps: float) -> int:
-    """How much a gateway may have on the way: what its link carries in `QUEUE_S`, in a quarter of its memory.
+    """Bytes that a gateway may have on the way.
 
-    More would only wait here, and so would the frame behind it that asks a session to move.
+    That is what its link carries in `MAX_QUEUE_S`, at most a quarter of its memory. More would only wait
+    here, and so would the frame behind it that asks a session to move.
     """
     return max(
-        MIN_BYTES,
+        MIN_BUFFERED_BYTES,
         int(min(memory_mb * BYTES_PER_QUARTER_MEGABYTE, link_mbps * BYTES_PER_MEGABIT * MAX_QUEUE_S)),
     )
 
--- a/honeywharf/sessions/spillway.py
+++ b/honeywharf/sessions/spillway.py
@@ -25,7 +25,8 @@
 LINK_MBPS = 1000.0  # where settings tell none
 SHARE = 0.9  # of the link, for bodies
 AHEAD, AHEAD_S = 2 * PIECE, 0.002  # of bodies before a short frame: bytes, or seconds if more
-MIN_S, BLOCKED_S = 0.0005, 0.005  # between two looks; the second where only full links wait
+MIN_DELAY_S = 0.0005  # between two looks
+BLOCKED_S = 0.005  # the same where only full links wait
 ORDERED = frozenset((OPEN, DATA, END, CLOSE, DROP, HEAD, PART, WHOLE))
 MAX_WAITING = 128 << 20
 
@@ -115,7 +116,7 @@
         if not self._ticking:
             self._ticking = True
             wait = BLOCKED_S if self.credit > 0.0 else (1.0 - self.credit) / self.rate
-            self.after(max(MIN_S, wait), self._ticked)
+            self.after(max(MIN_DELAY_S, wait), self._ticked)
 
     def _ticked(self) -> None:
         self._ticking = False
--- a/honeywharf/sidecar/bypass.py
+++ b/honeywharf/sidecar/bypass.py
@@ -1,7 +1,7 @@
 """Requests of a sidecar that doubts its own rules, decided here in its place.
 
 Theory of operation. A sidecar that can't heal must not decide, but its clients shall not feel it: it sends a
-request on, whole, as a stream of the kind `HANDED`, to a sidecar of its zone that is well. Here it has a
+request on, whole, as a stream of the kind `DELEGATED`, to a sidecar of its zone that is well. Here it has a
 course as if a client had sent it: this sidecar's rules, its draw, its second reading, its budget; the gates
 judge it as they judge all. The attempt id and the header lines are the client's, and the caller's service is
 that of the machine where the request began. A refusal sent back proves that nothing has run.
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -86,7 +86,7 @@
 MAX_THAWING = 64  # requests that wait for a cold backend
 LEAVING_S = 1.0  # told by one that leaves: it is asked to let a request wait only after all others
 LATE_S = 0.03  # past the deadline, for the backend's own word of it
-MIN_S = 0.005  # left, under which a request is not begun
+MIN_REMAINING_S = 0.005  # left, under which a request is not begun
 JUDGED_S = 0.1  # for so long a judgement holds; less than the cold bound's window is over a second
 
 
@@ -239,7 +239,7 @@
 
     def _passes(self, now: float) -> bool:
         inbound, ask = self.inbound, self.ask
-        if self.until - now < MIN_S:
+        if self.until - now < MIN_REMAINING_S:
             self.refuse(LATE, 0.0)
         elif (inbound.leaving and not ask.max_queue_wait_s) or self.until > inbound.end_at:
             self.refuse(LEAVING, LEAVING_S)
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -81,7 +81,7 @@
 
 
 class _Remote:
-    """A course as a stream's `Replies`."""
+    """A course as a stream's `ResponseHandler`."""
 
     __slots__ = ("admitted", "answered", "completed", "data", "failed", "load", "window")
 
--- a/honeywharf/transport/link.py
+++ b/honeywharf/transport/link.py
@@ -35,9 +35,7 @@
     from honeywharf.transport.stream import ForwardedRequest, ResponseHandler
 
 PING_INTERVAL_S = 0.25
-STREAM_TIMEOUT_S = (
-    1.2  # without a byte, after which an idempotent request is not waited for on a link any more
-)
+STREAM_TIMEOUT_S = 1.2  # without a byte, after which an idempotent request is given up on a link
 LINK_TIMEOUT_S = 2.6  # without a byte; a congested link carries little for a second and more
 IDLE_TIMEOUT_S = 60.0  # without a stream, after which a link is closed
 MAX_UNSENT_BYTES = 4 << 20  # bytes held for one link, after which no stream is opened on it
--- a/honeywharf/transport/url_matcher.py
+++ b/honeywharf/transport/url_matcher.py
@@ -22,7 +22,7 @@
         self.by_segment: dict[bytes, _Node] = {}
         self.wildcard: _Node | None = None
         self.targets: dict[bytes, Any] = {}  # by method
-        self.parameters: dict[bytes, list[str]] = {}  # of the params, by method
+        self.parameters: dict[bytes, list[str]] = {}  # names of the wildcards, by method
 
 
 class UrlMatcher:
@@ -48,7 +48,10 @@
         node.parameters[method.encode()] = names
 
     def find(self, method: bytes, path: bytes) -> tuple[Any, dict[str, str]] | None:
-        """The target and its params, decoded; None where no path is (404). NotAllowed: other method (405)."""
+        """The target and its decoded parameters; None where no such path is (404).
+
+        MethodNotAllowedError where the path is there with other methods only (405).
+        """
         segments = path.strip(b"/").split(b"/")
         if len(segments) > MAX_SEGMENTS:
             return None
--- a/tests/compatibility/test_golden.py
+++ b/tests/compatibility/test_golden.py
@@ -76,7 +76,7 @@
     assert shape(state).keys() == OLD_SHAPES["call register.learn"][0].keys()
 
 
-def town_on_old_disks() -> ControlCluster:
+def cluster_on_old_disks() -> ControlCluster:
     """Three control nodes on the disks that 3af6ad9 left."""
     cluster = ControlCluster(77)
     for ip, files in stored_disks.read().items():
@@ -88,7 +88,7 @@
 
 
 def test_control_nodes_go_on_from_old_disks() -> None:
-    cluster, last = town_on_old_disks(), stored_disks.VERSIONS[-1]
+    cluster, last = cluster_on_old_disks(), stored_disks.VERSIONS[-1]
     cluster.run(1.0)
     described = [cluster.describe(ip) for ip in cluster.ips]
     same = cluster.replace(cluster.ips[0], last, stored_disks.content(last))
@@ -107,7 +107,7 @@
 
 
 def test_an_old_control_node_s_history_is_read() -> None:
-    cluster = town_on_old_disks()
+    cluster = cluster_on_old_disks()
     cluster.run(1.0)
     for ip in cluster.ips:
         history = cluster.programs[ip].gather.history
