--- a/bench/mesh_explore.py
+++ b/bench/mesh_explore.py
@@ -50,12 +50,12 @@
     Node,
     Vote,
     World,
-    along,
     explore,
     members,
     proposer,
     reader,
-    settled,
+    run_to_end,
+    run_until,
 )
 
 NAMES = "abcde"
@@ -111,7 +111,7 @@
 def held(count: int, *actors: Actor, version: int = 3, world: World | None = None) -> Node:
     """A word that was acknowledged by a bare majority; then others come."""
     first = node(count, put(count, version, "three", who="r"))
-    made = settled(world or World(), first, 0, set(NAMES[: count // 2 + 1]))
+    made = run_to_end(world or World(), first, 0, set(NAMES[: count // 2 + 1]))
     made.actors = actors
     return made
 
@@ -134,7 +134,7 @@
 def dead(count: int, survey: type[QuorumRead] = QuorumRead) -> Node:
     """A proposer that died when one member had accepted; one that writes back, and two readers."""
     first = node(count, put(count, 1, "one"))
-    made = along(
+    made = run_until(
         World(),
         first,
         0,
@@ -148,12 +148,12 @@
 
 def promised(count: int) -> Node:
     """Two proposers, of whom one has its promises already."""
-    return along(
+    return run_until(
         World(),
         two(count),
         0,
         set(NAMES[: count // 2 + 1]),
-        lambda node: getattr(node.actors[0].asking, "phase", None) is Phase.ACCEPT,
+        lambda node: getattr(node.actors[0].operation, "phase", None) is Phase.ACCEPT,
     )
 
 
@@ -263,7 +263,7 @@
 def overtaken_unremembered(count: int) -> Node:
     """One content of an overtaken version was confirmed, another comes; the memory is left out."""
     start = held(count, put(count, 2, "two", 3, "q", unremembered))
-    made = settled(World(), start, 0, set(NAMES[: count // 2 + 1]))
+    made = run_to_end(World(), start, 0, set(NAMES[: count // 2 + 1]))
     made.actors = (put(count, 2, "other", 5, "s", unremembered),)
     return made
 
--- a/honeywharf/control/__init__.py
+++ b/honeywharf/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: the operator's word, kept by a register without a log or a leader."""
+"""The control plane: the mesh state, kept by a quorum register without a log or a leader."""
--- a/honeywharf/control/acceptor.py
+++ b/honeywharf/control/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of the register: one member's vote. No I/O, no clock: the caller persists the state."""
+"""The acceptor of the register: one member's vote. No I/O and no clock: the caller persists the state."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What an acceptor keeps on its disk.
+    """The durable state of an acceptor.
 
     `disk` names the disk; `epoch` and `members` are the newest decided membership known, epoch 0 where none
-    is; no proposal below `promised` is accepted, and `value` is what was accepted under `accepted`.
+    is known; no proposal below `promised` is accepted, and `value` is the state accepted under `accepted`.
     """
 
     disk: str
@@ -43,11 +43,11 @@
 
     @property
     def decided(self) -> DecidedMembership:
-        """The newest decided membership that is known."""
+        """Returns the newest decided membership that is known."""
         return DecidedMembership(self.epoch, self.members)
 
     def pack(self) -> dict[str, Any]:
-        """As msgpack holds it."""
+        """Returns the form that msgpack stores."""
         return {
             "disk": self.disk,
             "epoch": self.epoch,
@@ -59,7 +59,7 @@
 
     @staticmethod
     def unpack(packed: Any) -> AcceptorState:
-        """From `pack`. KeyError, TypeError or ValueError where it is something else."""
+        """Reads the result of `pack`. Raises KeyError, TypeError or ValueError for anything else."""
         value = packed["value"]
         return AcceptorState(
             packed["disk"],
@@ -74,8 +74,8 @@
 class Acceptor:
     """One member's vote.
 
-    The caller persists the state that `answer` gives, sets it here, and only then sends the answer: a promise
-    that a loss of power takes back would let two proposers commit different values.
+    The caller persists the state that `answer` returns, assigns it to `state`, and only then sends the
+    answer: a promise that is lost in a power failure would let two proposers commit different values.
     """
 
     def __init__(self, state: AcceptorState, has_text: Callable[[str], bool] = lambda digest: True) -> None:
@@ -83,7 +83,7 @@
         self.has_text = has_text
 
     def answer(self, request: Request) -> tuple[AcceptorState, Answer]:
-        """The state to persist (the same object where nothing changes) and the answer to send after that."""
+        """Returns the state to persist (the same object if nothing changes) and the answer to send then."""
         state = self.state
         if request.disk != state.disk:
             return state, DiskMismatch(state.decided)
--- a/honeywharf/control/backup.py
+++ b/honeywharf/control/backup.py
@@ -1,8 +1,8 @@
 """Backups of the mesh state, and the restore of a register whose majority is lost.
 
-`restore` begins a new membership, with new names for all disks, from one backup. It is the one exception to
-the rule that a disk which has lost its promises has no vote, so it must be run on every member, with the
-same backup and the same members, while all control nodes are stopped.
+`restore` starts a new membership, with new names for all disks, from one backup. It is the only exception to
+the rule that a disk which has lost its promises has no vote, so it must be run on every member, with the same
+backup and the same members, while all control nodes are stopped.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 )
 from honeywharf.mesh_config.configuration import digest as digest_of
 
-#: Added to revision, epoch and proposal number by a restore: above all that any process has seen.
+#: A restore adds this to revision, epoch and proposal number, to exceed all that any process has seen.
 RESTORE_MARGIN = 1_000_000
 RESTORE_PROPOSER = "return"
-COMPRESSION_LEVEL = 6  # zlib's
-MAX_TEXT_BYTES = 80 << 20  # of a configuration, uncompressed
+COMPRESSION_LEVEL = 6
+MAX_TEXT_BYTES = 80 << 20  # The size of an uncompressed configuration is bounded.
 
 
 class BackupError(ValueError):
-    """What can't be backed up, or is no backup, or can't be restored here: what was found and wanted."""
+    """A backup cannot be made, read or restored; the text names what was expected and found."""
 
 
 class RestoredMember(NamedTuple):
-    """A member of the membership that a restore begins. `address`: "ip:port", as `check` prints it."""
+    """A member of the membership that a restore starts. `address` is "ip:port", as `check` prints it."""
 
     address: str
     zone: str
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Backup:
-    """One state with its configuration's text, and how far the register had come.
+    """One state with its configuration's text, and the progress of the register.
 
-    `epoch`: of the decided membership; `counter`: of the accepted proposal number.
+    `epoch` is that of the decided membership; `counter` is that of the accepted proposal number.
     """
 
     epoch: int
@@ -62,7 +62,7 @@
     text: bytes
 
     def pack(self) -> bytes:
-        """As a file."""
+        """Returns the bytes of a backup file."""
         parts = {
             "epoch": self.epoch,
             "value": self.value.pack(),
@@ -73,25 +73,27 @@
 
     @staticmethod
     def unpack(packed: bytes) -> Backup:
-        """From a file. BackupError where it is none or damaged."""
+        """Reads a backup file. Raises BackupError if it is damaged or another kind of file."""
         try:
             body = decode_file(packed)
             if body is None:
-                raise BackupError("found a damaged file or another one, wanted a backup")
+                raise BackupError("backup file: expected a backup, got a damaged or different file")
             parts: dict[str, Any] = msgpack.unpackb(body, strict_map_key=False)
             text = zlib.decompressobj().decompress(parts["text"], MAX_TEXT_BYTES)
             value = MeshState.unpack(parts["value"])
             if value.digest and digest_of(text) != value.digest:
-                raise BackupError("found a text that is not the one named, wanted a backup")
+                raise BackupError(
+                    "backup file: expected the text of the named configuration, got another one"
+                )
             return Backup(int(parts["epoch"]), int(parts["counter"]), value, text)
         except BackupError:
             raise
         except (KeyError, TypeError, ValueError, zlib.error, msgpack.UnpackException) as error:
-            raise BackupError(f"found no backup: {error!r}") from None
+            raise BackupError(f"backup file: expected a backup, got {error!r}") from None
 
 
 def read_text(disk: Disk, name: str) -> bytes | None:
-    """A configuration's text, uncompressed; None where it is missing or damaged. `name`: of the file."""
+    """Returns the uncompressed text of a configuration from the file `name`; None if missing or damaged."""
     compressed = decode_file(disk.read(name))
     try:
         return None if compressed is None else zlib.decompressobj().decompress(compressed, MAX_TEXT_BYTES)
@@ -100,36 +102,39 @@
 
 
 def backup(disk: Disk) -> bytes:
-    """The state that this disk accepted last, with its text, as a file. BackupError where there is none."""
+    """Returns a backup file of the state that this disk accepted last, with its text.
+
+    Raises BackupError if the disk has no state, or not its text.
+    """
     state = decode_register(disk.read(REGISTER))
     if state is None or state.value is None:
-        raise BackupError("found no word on this disk, wanted one")
+        raise BackupError(f"{REGISTER}: expected an accepted state, got none")
     digest, text = state.value.digest, b""
     if digest:
         found = read_text(disk, TEXT_PREFIX + digest)
         if found is None or digest_of(found) != digest:
             raise BackupError(
-                f"found no whole {TEXT_PREFIX}{digest}, wanted the text that the register names"
+                f"{TEXT_PREFIX}{digest}: expected the text that the register names, got none or a damaged one"
             )
         text = found
     return Backup(state.epoch, state.accepted.counter, state.value, text).pack()
 
 
 def restore(disk: Disk, packed: bytes, members: Sequence[RestoredMember], local_address: str) -> str:
-    """Write a backup to an empty disk, as one of the members of a new membership; a line on what was written.
+    """Writes a backup to an empty disk, as one member of a new membership; returns a summary line.
 
-    `members`: all of them, in the same order on every machine; `local_address`: this one's. BackupError where
-    the disk is in use, or `local_address` is no member.
+    `members` are all members, in the same order on every machine; `local_address` is this machine's. Raises
+    BackupError if the disk is in use, or `local_address` is not a member.
     """
     found = Backup.unpack(packed)
     in_use = [name for name in disk.names() if not name.endswith(DAMAGED_SUFFIX)]
     if in_use:
-        raise BackupError(f"found {in_use[0]} on the disk, wanted an empty one")
+        raise BackupError(f"data directory: expected an empty one, got {in_use[0]}")
     addresses = [member.address for member in members]
     is_distinct = len(set(addresses)) == len(members)
     if local_address not in addresses or not is_distinct or len(members) > mesh_state.MAX_MEMBERS:
         raise BackupError(
-            f"found {local_address} and members {' '.join(addresses)}, wanted it among them, each once"
+            f"members: expected {local_address} among them, each once, got {' '.join(addresses)}"
         )
     state = _restored_state(found, members, f"r{zlib.crc32(packed):08x}")
     value = state.value
@@ -140,13 +145,13 @@
     disk.write(REGISTER_NEW, encode_register(state))
     disk.rename(REGISTER_NEW, REGISTER)
     return (
-        f"{REGISTER}: disk {state.disk}, roster {state.epoch}, word {value.revision}, "
+        f"{REGISTER}: disk {state.disk}, membership {state.epoch}, state {value.revision}, "
         f"configuration r{value.version}"
     )
 
 
 def _restored_state(found: Backup, restored: Sequence[RestoredMember], disk: str) -> AcceptorState:
-    """The register of each member of a restore. `disk`: one name for all, drawn from the backup."""
+    """Returns the register of each restored member. `disk` is one name for all, derived from the backup."""
     members = tuple(Member(member.address, disk, member.zone, True) for member in restored)
     epoch = max(found.epoch, found.value.epoch) + RESTORE_MARGIN
     value = replace(
--- a/honeywharf/control/committed_state.py
+++ b/honeywharf/control/committed_state.py
@@ -1,4 +1,4 @@
-"""The newest committed mesh state that this control node knows, and who is notified of it."""
+"""The newest committed mesh state that this control node knows, and its announcement."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from honeywharf.transport.host import Address, Host
     from honeywharf.transport.rpc_client import RpcClient
 
-ANNOUNCE_INTERVAL_S = 0.3  # between looks whether a text that was missing has come
+ANNOUNCE_INTERVAL_S = 0.3  # The interval of checks whether a missing text has arrived.
 NO_REVISION = -1
 
 
 class CommittedState:
-    """See the module. `on_state` is called with each newer state, once its configuration's text is here.
+    """The newest known committed state. `on_state` is called with each newer one, once its text is on disk.
 
-    A state is never replaced by an older one. What is known here may be old: who needs the newest reads it
-    from a majority (`register_queues.ReadQueue`).
+    A state is never replaced by an older one. The known state may be old: a caller that needs the newest
+    reads it from a majority (`register_queues.ReadQueue`).
     """
 
     def __init__(
@@ -42,26 +42,26 @@
         self.host, self.caller, self.store, self.voter = host, caller, store, voter
         self.texts, self.on_state = texts, on_state
         self.known: MeshState | None = None
-        self.announced_revision = NO_REVISION  # that `on_state` was called with
+        self.announced_revision = NO_REVISION  # The revision that `on_state` was last called with.
 
     @property
     def revision(self) -> int:
-        """Of the known state; `NO_REVISION` without one."""
+        """Returns the revision of the known state; `NO_REVISION` without one."""
         return self.known.revision if self.known is not None else NO_REVISION
 
     def summary(self) -> KnownState:
-        """What heartbeats tell of it."""
+        """Returns the part of the known state that heartbeats report."""
         state = self.known
         if state is None:
             return KnownState(NO_REVISION, "")
         return KnownState(state.revision, state.digest if self.store.has_text(state.digest) else "")
 
     def start(self) -> None:
-        """Begin to announce states whose text comes later."""
+        """Starts the periodic announcement of states whose text arrives later."""
         self.host.after(0.0, self._announce_periodically)
 
-    def committed_here(self, state: MeshState, members: list[MemberId]) -> None:
-        """A write from here was committed: know its state, and tell the members that were asked."""
+    def local_write_committed(self, state: MeshState, members: list[MemberId]) -> None:
+        """Records the state of a write that this node committed, and notifies the members that took part."""
         is_newer = state.revision > self.revision
         self.advance(state)
         if not is_newer:
@@ -77,19 +77,22 @@
                 )
 
     def advance(self, state: MeshState) -> None:
-        """A state is committed: know it where it is newer, and announce it."""
+        """Records a committed state if it is newer, and announces it."""
         if state.revision > self.revision:
             self.known = state
             self._announce()
 
     def adopt(self, packed: Any) -> None:
-        """A state is committed, says a peer. KeyError, TypeError or ValueError where it is something else."""
+        """Records a state that a peer reports as committed.
+
+        Raises KeyError, TypeError or ValueError for anything else than a packed state.
+        """
         state = MeshState.unpack(packed)
         self.voter.adopt_membership(DecidedMembership(state.epoch, state.members))
         self.advance(state)
 
     def fetch(self, source: Address) -> None:
-        """Ask a peer for the state that it knows, and take it over where it is newer."""
+        """Requests the state that a peer knows, and records it if it is newer."""
         self.caller.call(source, rpc_methods.KNOWN_STATE, None, CALL_TIMEOUT_S, self._fetched)
 
     def _fetched(self, packed: Any) -> None:
@@ -98,14 +101,14 @@
         try:
             self.adopt(packed)
         except (ValueError, TypeError, LookupError) as error:
-            self.host.log(f"replica: found {error}, wanted a state")
+            self.host.log(f"replica: invalid mesh state from a peer: {error!r}")
 
     def _announce_periodically(self) -> None:
         self._announce()
         self.host.after(ANNOUNCE_INTERVAL_S, self._announce_periodically)
 
     def _announce(self) -> None:
-        """Call `on_state` with the known state, once its text is here."""
+        """Calls `on_state` with the known state, once its text is on disk."""
         state = self.known
         if state is None or state.revision <= self.announced_revision:
             return
--- a/honeywharf/control/configuration_texts.py
+++ b/honeywharf/control/configuration_texts.py
@@ -1,4 +1,4 @@
-"""Configurations' texts, by digest: those of changes under way, those on disk, and those that others have."""
+"""The texts of configurations by digest: in pending changes, on the local disk, and on peers."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     from honeywharf.transport.host import Host
     from honeywharf.transport.rpc_client import RpcClient
 
-FETCH_TIMEOUT_S = 3.0  # that one source of a text has
-MAX_FETCHES = 8  # texts being fetched at once
+FETCH_TIMEOUT_S = 3.0  # The time-out of a fetch from one source.
+MAX_FETCHES = 8  # At most this many texts are fetched at once.
 
 TextDone = Callable[[bytes | None], None]
 
 
 class ConfigurationTexts:
-    """Gives a compressed text from here, or from a peer that has it.
+    """Provides compressed texts from this node or from a peer.
 
-    `sources`: addresses of peers that may have texts, in the order in which they are asked.
+    `sources` returns the addresses of peers that may have texts, in the order in which they are asked.
     """
 
     def __init__(self, host: Host, store: Store, caller: RpcClient, sources: Callable[[], list[str]]) -> None:
         self.host, self.store, self.caller, self.sources = host, store, caller, sources
-        self.proposed: dict[str, bytes] = {}  # texts of changes under way here, compressed
-        self.fetches: dict[str, list[TextDone]] = {}  # who waits for each text that is fetched
+        self.proposed: dict[str, bytes] = {}  # The compressed texts of this node's pending changes.
+        self.fetches: dict[str, list[TextDone]] = {}  # The callbacks that wait for each text in flight.
 
     def get(self, digest: str, done: TextDone) -> None:
-        """Give a text to `done`, now or later; None where nobody has it."""
+        """Calls `done` with a text, now or later; with None if no source has it."""
         text = self.local(digest)
         if text is not None or (digest not in self.fetches and len(self.fetches) >= MAX_FETCHES):
             done(text)
@@ -43,33 +43,33 @@
             self._fetch(digest, self.sources())
 
     def local(self, digest: str) -> bytes | None:
-        """A text that is here; None where it is not."""
+        """Returns a text that this node has; None if it does not have it."""
         proposed = self.proposed.get(digest)
         if proposed is not None:
             return proposed
         try:
             return self.store.read_text(digest)
         except OSError as error:
-            self.host.log(f"replica: a configuration can't be read: {error}")
+            self.host.log(f"replica: could not read configuration {digest}: {error}")
             return None
 
     def persist(self, digest: str, text: bytes) -> None:
-        """Sync a text to disk; an error of the disk is logged."""
+        """Writes a text to disk and syncs it; a disk error is logged."""
         try:
             self.store.put_text(digest, text)
             self.store.sync_names()
         except OSError as error:
-            self.host.log(f"replica: a configuration could not be kept: {error}")
+            self.host.log(f"replica: could not save configuration {digest}: {error}")
 
     def remove_unreferenced(self, referenced: set[str]) -> None:
-        """Remove what is neither referenced, nor of a change under way, nor among the last."""
+        """Removes the texts that are not referenced, not in a pending change and not among the last ones."""
         try:
             self.store.remove_unreferenced(referenced | set(self.proposed))
         except OSError as error:
-            self.host.log(f"replica: old configurations stay: {error}")
+            self.host.log(f"replica: could not remove old configurations: {error}")
 
     def _fetch(self, digest: str, sources: list[str]) -> None:
-        """Ask one source after another."""
+        """Asks one source after another."""
         if not sources:
             self._fetched(digest, None)
             return
--- a/honeywharf/control/contacts.py
+++ b/honeywharf/control/contacts.py
@@ -1,4 +1,4 @@
-"""When each machine was last in contact, and which members are therefore unreachable."""
+"""Tracks the last contact with each machine, and derives which members are unreachable."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Host
 
-UNREACHABLE_S = 1.0  # without contact, after which another machine may take a member's place
-SUSPECT_S = 0.45  # without contact, at which a joiner is asked to come back
-REMOVE_S = 2.0  # without contact, after which a member leaves a membership that is larger than its target
-MAX_CONTACTS = 256  # machines whose last contact is remembered
+# The times without contact after which something happens.
+UNREACHABLE_S = 1.0  # Another machine may replace the member.
+SUSPECT_S = 0.45  # A joiner is told to retry, because the member may be about to become unreachable.
+REMOVE_S = 2.0  # The member is removed from a membership that is larger than its target size.
+MAX_CONTACTS = 256  # The number of machines whose last contact is stored.
 
 
 class ContactTracker:
-    """Contacts of one control node. Bounded by `MAX_CONTACTS`; times are on the steady clock.
+    """The contacts of one control node, at most `MAX_CONTACTS`; times are on the steady clock.
 
     `on_restored` is called with a member that was unreachable and is in contact again.
     """
@@ -27,14 +28,14 @@
     def __init__(self, host: Host, voter: Voter) -> None:
         self.host, self.voter = host, voter
         self.last_contact_at: dict[MemberId, float] = {}
-        self.heartbeats: dict[MemberId, Heartbeat] = {}  # the last of each machine that is remembered
-        self.running_since = host.now()  # since this process last stood still
+        self.heartbeats: dict[MemberId, Heartbeat] = {}  # The last heartbeat of each machine.
+        self.running_since = host.now()  # When the process started or its last stall ended.
         self.on_restored: Callable[[MemberId], None] = lambda member: None
 
     def record(self, member: MemberId) -> None:
-        """A machine has sent something.
+        """Records a message from a machine.
 
-        Where too many are remembered, the oldest is forgotten, members last.
+        Above `MAX_CONTACTS` the machine with the oldest contact is forgotten, members last.
         """
         is_restored = member in self.unreachable(UNREACHABLE_S)
         if member not in self.last_contact_at and len(self.last_contact_at) >= MAX_CONTACTS:
@@ -45,16 +46,18 @@
 
     def _forget_oldest(self) -> None:
         members = member_ids(self.voter.state.members)
-        oldest = min(self.last_contact_at, key=lambda one: (one in members, self.last_contact_at[one]))
+        oldest = min(
+            self.last_contact_at, key=lambda member: (member in members, self.last_contact_at[member])
+        )
         del self.last_contact_at[oldest]
         self.heartbeats.pop(oldest, None)
 
-    def stood_still(self, now: float) -> None:
-        """This process stood still: nobody is judged by contacts that it missed meanwhile."""
+    def reset_after_stall(self, now: float) -> None:
+        """Restarts the observation of members after a stall, in which this process may miss contacts."""
         self.running_since = now
 
     def unreachable(self, duration: float) -> list[MemberId]:
-        """Members without contact for so long (s), while this process ran and knew them as members."""
+        """Returns members without contact for `duration` seconds in which this process ran and knew them."""
         now = self.host.now()
         since = max(self.running_since, self.voter.membership_changed_at)
         return [
@@ -65,9 +68,10 @@
         ]
 
     def reaches_majority(self) -> bool:
-        """Whether a majority was in contact within `UNREACHABLE_S`: else no request can succeed in time.
+        """Returns whether a majority was in contact within `UNREACHABLE_S`; else no request succeeds in time.
 
-        A hint that saves waiting, and no proof: what is answered rests on the majority's own answers.
+        The result only saves waiting and is no proof: every result of the register rests on answers of a
+        majority.
         """
         members = member_ids(self.voter.state.members)
         unreachable = self.unreachable(UNREACHABLE_S)
--- a/honeywharf/control/interfaces.py
+++ b/honeywharf/control/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a control node's program see of it, so that none of them imports the program."""
+"""Interfaces of a control node's program for its parts, so that none of them imports the program."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class StatisticsSource(Protocol):
-    """A part that has figures for operators."""
+    """A part of the program that reports statistics to operators."""
 
     def view(self) -> dict[str, Any]:
-        """The figures, as JSON holds them."""
+        """Returns the statistics as a JSON object."""
 
 
 class ControlProgram(Protocol):
-    """A control node's program. `local_address`: its internal address."""
+    """A control node's program. `local_address` is its internal address."""
 
     host: Host
     replica: Replica
@@ -30,8 +30,8 @@
 
     @property
     def membership(self) -> Membership | None:
-        """Gossip, once it has begun."""
+        """Returns the gossip membership, once gossip has started."""
 
     @property
     def hinted_handoff(self) -> StatisticsSource:
-        """Hinted handoff to members that are back."""
+        """Returns the statistics of the hinted handoff to returned members."""
--- a/honeywharf/control/joining.py
+++ b/honeywharf/control/joining.py
@@ -1,4 +1,4 @@
-"""How a machine becomes a member: it asks to be admitted, and a member has the membership changed."""
+"""Admission of members: a machine requests its admission, and a member submits the membership change."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
     from honeywharf.transport.rpc_client import RpcClient
     from honeywharf.transport.rpc_server import Method, Reply
 
-REFRESH_PROBABILITY = 0.2  # by heartbeat, that a joiner asks who the members are although it knows
+# The probability that a joiner that knows the membership requests it again, at each heartbeat.
+REFRESH_PROBABILITY = 0.2
 
 
 class AdmissionRequest(NamedTuple):
-    """A joiner's request to be admitted. `digest`: of the configuration whose text it holds, or empty."""
+    """A joiner's request to be admitted. `digest` names the configuration whose text it has, or is empty."""
 
     address: str
     disk: str
@@ -39,16 +40,16 @@
 
     @property
     def joiner(self) -> Member:
-        """The member that it would be."""
+        """Returns the joiner as a member."""
         return Member(self.address, self.disk, self.zone, bool(self.is_initial))
 
 
 class Joining:
     """Both sides of an admission.
 
-    `zone`: this machine's; `is_initial_start`: whether the whole system starts for the first time;
-    `other_addresses`: of other control nodes, "ip:port"; `text_digest`: of the newest configuration whose
-    text is on this disk, or empty.
+    `zone` is this machine's zone; `is_initial_start` is set when the whole system starts for the first time;
+    `other_addresses` returns the addresses of other control nodes, "ip:port"; `text_digest` returns the
+    digest of the newest configuration whose text is on this disk, or an empty string.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.text_digest: Callable[[], str] = str
 
     def methods(self) -> dict[str, Method]:
-        """What others may call."""
+        """Returns the RPC methods that peers may call."""
         return {
             rpc_methods.DECIDED_MEMBERSHIP: self._answer_decided_membership,
             rpc_methods.ADMIT_MEMBER: self._admit,
@@ -76,15 +77,15 @@
 
     # The joiner's side.
 
-    def ask(self, members: list[MemberId]) -> None:
-        """Ask to be admitted, or first who the members are."""
+    def request_admission(self, members: list[MemberId]) -> None:
+        """Requests the admission of this machine, or first the membership if that is unknown."""
         known = [member.address for member in members] + self.other_addresses()
         peers = [address for address in dict.fromkeys(known) if address != self.voter.local_address]
         if not peers:
             return
         peer = self.rng.choice(peers)
         if not self.voter.state.epoch or self.rng.random() < REFRESH_PROBABILITY:
-            self.ask_decided_membership(peer)
+            self.request_decided_membership(peer)
         if self.voter.state.epoch:
             member_id = self.voter.member_id
             request = AdmissionRequest(*member_id, self.zone, self.is_initial_start, self.text_digest())
@@ -96,8 +97,8 @@
                 self._received_membership,
             )
 
-    def ask_decided_membership(self, peer: str) -> None:
-        """Ask a peer which membership is decided, and take it over where it is newer."""
+    def request_decided_membership(self, peer: str) -> None:
+        """Requests the decided membership from a peer, and adopts it if it is newer."""
         self.caller.call(
             parse_address(peer),
             rpc_methods.DECIDED_MEMBERSHIP,
@@ -112,7 +113,7 @@
         try:
             self.voter.adopt_membership(DecidedMembership.unpack(packed))
         except (ValueError, TypeError) as error:
-            self.host.log(f"replica: {error}")
+            self.host.log(f"replica: invalid membership from a peer: {error}")
 
     # A member's side.
 
@@ -120,7 +121,7 @@
         reply(self.voter.state.decided)
 
     def _admit(self, args: Any, reply: Reply, peer: Address) -> None:
-        """A machine wants to be a member: answered with the decided membership, with it or without."""
+        """Handles a request to be admitted; the answer is the decided membership in either case."""
         request = AdmissionRequest(*args)
         joiner = request.joiner
         answer = partial(self._answer_decided_membership, args, reply, peer)
@@ -128,7 +129,7 @@
         if (
             not self.voter.is_member()
             or joiner.id in member_ids(members)
-            or (not joiner.is_initial and self._should_come_back(joiner.address))
+            or (not joiner.is_initial and self._should_retry_soon(joiner.address))
         ):
             answer()
             return
@@ -139,12 +140,12 @@
             timeout = CHANGE_TIMEOUT_S - CALL_TIMEOUT_S
             self.changes.submit(change, timeout, lambda result, admission: answer())
         elif unreachable:
-            self.removal.submit_under_lease(change, answer)  # it takes an unreachable member's place
+            self.removal.submit_under_lease(change, answer)  # The joiner replaces an unreachable member.
         else:
-            answer()  # it is a standby
+            answer()  # The joiner stays a standby.
 
-    def _should_come_back(self, address: str) -> bool:
-        """Whether a member may be about to become unreachable, so that a joiner had better ask again."""
+    def _should_retry_soon(self, address: str) -> bool:
+        """Returns whether a joiner should retry, because a member may be about to become unreachable."""
         members = [member.address for member in self.voter.state.members]
         return (
             address not in members
--- a/honeywharf/control/member_removal.py
+++ b/honeywharf/control/member_removal.py
@@ -1,4 +1,4 @@
-"""Takes unreachable members out of the membership, under a lease, so that two do not judge at once."""
+"""Removes unreachable members from the membership, under a lease, so that only one node decides at a time."""
 
 from __future__ import annotations
 
@@ -16,48 +16,51 @@
     from honeywharf.control.register_queues import ChangeQueue
     from honeywharf.control.voter import Voter
 
-CHANGE_TIMEOUT_S = 1.5  # of a change of the membership, or of a write that changes nothing
+CHANGE_TIMEOUT_S = 1.5  # The time-out of a change of the membership, or of a write that changes nothing.
 
 
 class RemovalLease(Protocol):
-    """A lease to take members out, which one control node has at a time. The register is safe without it."""
+    """A lease to remove members, granted to one control node at a time. The register is safe without it."""
 
     def begin(self, done: Callable[[bool], None]) -> None:
-        """Ask for it; `done` is called once, now or later. False at once while it is asked for or held."""
+        """Requests the lease; `done` is called once, now or later.
+
+        It gets False at once if the lease is requested or held here already.
+        """
 
     def holds(self) -> bool:
-        """Whether it is held now."""
+        """Returns whether the lease is valid now."""
 
     def end(self) -> None:
-        """Give it back."""
+        """Releases the lease."""
 
 
 class AlwaysGranted:
-    """The lease of a control node that has no leases: always granted."""
+    """A lease that is always granted, for a control node without leases."""
 
     def begin(self, done: Callable[[bool], None]) -> None:
-        """Granted."""
+        """Grants the lease at once."""
         done(True)
 
     def holds(self) -> bool:
-        """Always."""
+        """Returns True."""
         return True
 
     def end(self) -> None:
-        """Nothing to give back."""
+        """Does nothing."""
 
 
 class MemberRemoval:
-    """Changes of the membership that cost a member its place."""
+    """Changes of the membership that remove or replace a member."""
 
     def __init__(self, voter: Voter, changes: ChangeQueue, contacts: ContactTracker) -> None:
         self.voter, self.changes, self.contacts = voter, changes, contacts
         self.lease: RemovalLease = AlwaysGranted()
 
     def remove_unreachable(self, members: list[MemberId]) -> None:
-        """Have an unreachable member leave a membership that is too large.
+        """Removes an unreachable member from a membership that is larger than its target size.
 
-        The first reachable one does it.
+        Only the first reachable member submits the change.
         """
         unreachable = self.contacts.unreachable(REMOVE_S)
         value = self.voter.state.value
@@ -69,7 +72,7 @@
             self.submit_under_lease(mesh_state.remove_unreachable(unreachable), lambda: None)
 
     def submit_under_lease(self, change: Change, done: Callable[[], None]) -> None:
-        """Make a change under the lease; without it nothing is changed, and who wants it asks again."""
+        """Submits a change under the lease; without the lease nothing changes, and the caller tries again."""
         self.lease.begin(partial(self._submit, change, self.voter.state.epoch, done))
 
     def _submit(self, change: Change, epoch: int, done: Callable[[], None], granted: bool) -> None:
--- a/honeywharf/control/members_view.py
+++ b/honeywharf/control/members_view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the membership: who is behind, and how many losses it can bear right now."""
+"""The operators' view of the membership: members that are behind, and the losses that it can tolerate now."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 def members_view(replica: Replica) -> dict[str, Any]:
-    """The membership as this control node sees it, as JSON: each member with why it is not current.
+    """Returns the membership as this control node sees it, as JSON: each member with its fault, if any.
 
-    `bearable-losses`: current members that may be lost at once with a majority of current ones left;
-    `bearable-zones`: zones of which the same holds for all their members together.
+    `bearable-losses` is the number of current members that may fail at once while a majority of current
+    members remains; `bearable-zones` are the zones whose members may all fail at once under the same
+    condition.
     """
     members = replica.state.members
     faults = {member: _fault(replica, member) for member in members}
@@ -44,7 +45,7 @@
 
 
 def _fault(replica: Replica, member: Member) -> str:
-    """What keeps a member from being current; empty where it is. The words are shown to operators."""
+    """Returns why a member is not current; empty if it is. The text is shown to operators."""
     if member.id == replica.member_id:
         return _lag(replica, replica.membership.own_heartbeat())
     if member.id in replica.unreachable_members(UNREACHABLE_S):
@@ -54,7 +55,7 @@
 
 
 def _lag(replica: Replica, heartbeat: Heartbeat) -> str:
-    """What a machine that has sent a heartbeat lacks; empty for nothing."""
+    """Returns what a machine that has sent a heartbeat has not caught up with; empty if it is current."""
     known = replica.known_state
     if heartbeat.accepted < max(replica.membership.highest_accepted, replica.state.accepted):
         return "behind: it has not accepted the newest state"
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -1,10 +1,10 @@
-"""Keeps the membership of the register up to date: heartbeats, and what follows from them.
+"""Keeps the membership of the register up to date, by heartbeats.
 
-Theory of operation. Members call one another every `HEARTBEAT_S`, which tells who is unreachable
-(`contacts`), who knows a newer decided membership or state, and who has not accepted what others have: such
-a one makes a write that changes nothing, and so brings itself up to date. Who is not a member calls them
-too, and asks to be admitted (`joining`); while no place is free it is a standby (`standby`). An unreachable
-member loses its place only under a lease (`member_removal`).
+Theory of operation. Members send heartbeats to one another every `HEARTBEAT_S`, which show who is unreachable
+(`contacts`), who knows a newer decided membership or state, and who has not accepted the newest state: such a
+member makes a write that changes nothing, and so brings itself up to date. A machine that is not a member
+sends heartbeats to the members too, and requests its admission (`joining`); while no place is free it is a
+standby (`standby`). An unreachable member is replaced or removed only under a lease (`member_removal`).
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
     from honeywharf.transport.rpc_client import RpcClient
     from honeywharf.transport.rpc_server import Method, Reply
 
-HEARTBEAT_S = 0.3  # between two heartbeats, on average
-HEARTBEAT_JITTER = (0.9, 0.2)  # of that: the least, and the width of the range
-STALL_S = 0.5  # that our own heartbeat may be late before the judgement of others begins anew
-CATCH_UP_HEARTBEATS = 3  # and up to as many more, for which a member that is behind waits for others
+HEARTBEAT_S = 0.3  # The mean interval of heartbeats.
+HEARTBEAT_JITTER = (0.9, 0.2)  # The lowest factor of the interval, and the width of its range.
+STALL_S = 0.5  # A local heartbeat that is later than this shows a stall, and resets the contacts.
+CATCH_UP_HEARTBEATS = 3  # A member that is behind waits for one to two times as many heartbeats.
 
 
 class KnownState(NamedTuple):
     """The committed state that this node knows.
 
-    `revision`: -1 for none; `digest`: of its configuration where the text is on disk, else empty.
+    `revision` is -1 without one; `digest` names its configuration if the text is on disk, else it is empty.
     """
 
     revision: int
@@ -48,10 +48,10 @@
 
 
 class MembershipManager:
-    """The membership as one control node keeps it.
+    """Maintains the membership on one control node.
 
-    `known_state`: what this node knows of the committed state; `fetch_state`: asks a peer for a newer one.
-    `on_heartbeat` is called with each heartbeat of another machine.
+    `known_state` returns the committed state that this node knows; `fetch_state` requests a newer one from a
+    peer. `on_heartbeat` is called with each heartbeat of another machine.
     """
 
     def __init__(
@@ -72,28 +72,28 @@
         self.joining.text_digest = lambda: known_state().digest
         self.standbys = Standbys()
         self.handover = Handover(host, voter, changes, self.standbys)
-        self.is_leaving = False  # this process ends: it asks for no place any more
+        self.is_leaving = False  # Set when the process shuts down; it requests no admission any more.
         self.last_heartbeat_at = host.now()
-        self.highest_accepted = NO_PROPOSAL  # that any machine says it has accepted
-        self.heartbeats_behind = 0  # in a row, at which that was above our own
+        self.highest_accepted = NO_PROPOSAL  # The highest number that any machine reports as accepted.
+        self.heartbeats_behind = 0  # The number of consecutive heartbeats at which this member was behind.
         self.on_heartbeat: Callable[[Heartbeat], None] = lambda heartbeat: None
 
     def configure(self, zone: str, is_initial_start: bool, other_addresses: Callable[[], list[str]]) -> None:
-        """How this machine joins, see `Joining`. To be called before `start`."""
+        """Sets the parameters of `Joining`. Called before `start`."""
         self.joining.zone = self.handover.zone = zone
         self.joining.is_initial_start = is_initial_start
         self.joining.other_addresses = other_addresses
 
     def methods(self) -> dict[str, Method]:
-        """What others may call."""
+        """Returns the RPC methods that peers may call."""
         return {rpc_methods.HEARTBEAT: self._answer_heartbeat, **self.joining.methods()}
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Starts to send heartbeats."""
         self.host.after(0.0, self._send_heartbeats)
 
     def own_heartbeat(self) -> Heartbeat:
-        """What this machine reports about itself."""
+        """Returns this machine's report about itself."""
         state = self.voter.state
         known = self.known_state()
         zone = self.joining.zone
@@ -102,33 +102,33 @@
         )
 
     def _send_heartbeats(self) -> None:
-        """Call the others, and see to the membership."""
+        """Sends the heartbeats, and maintains the membership."""
         now = self.host.now()
         least, width = HEARTBEAT_JITTER
         self.host.after(HEARTBEAT_S * (least + width * self.rng.random()), self._send_heartbeats)
-        self._notice_stall(now)
+        self._detect_stall(now)
         members = member_ids(self.voter.state.members)
         is_member = self.voter.is_member()
         if is_member:
-            # Who was a member once, and was replaced, adds no place when it returns.
+            # A member that is replaced later does not enlarge the membership when it returns.
             self.joining.is_initial_start = False
         elif not self.is_leaving:
-            self.joining.ask(members)
+            self.joining.request_admission(members)
         for member in members:
-            if self._calls(member, is_member):
+            if self._initiates_heartbeat(member, is_member):
                 self._send_heartbeat(member)
         self.removal.remove_unreachable(members)
         self._catch_up()
 
-    def _notice_stall(self, now: float) -> None:
+    def _detect_stall(self, now: float) -> None:
         stall = now - self.last_heartbeat_at
         if stall > HEARTBEAT_S + STALL_S:
-            self.contacts.stood_still(now)
+            self.contacts.reset_after_stall(now)
             self.host.log(f"replica: this process stood still for {stall:.1f} s")
         self.last_heartbeat_at = now
 
-    def _calls(self, member: MemberId, is_member: bool) -> bool:
-        """Whether this machine calls a member: of two members, the one with the lower address does."""
+    def _initiates_heartbeat(self, member: MemberId, is_member: bool) -> bool:
+        """Returns whether this machine calls a member; of two members, the lower address calls."""
         local = self.voter.local_address
         return member.address != local and (local < member.address or not is_member)
 
@@ -151,26 +151,27 @@
         try:
             self._record(Heartbeat.unpack(packed))
         except (ValueError, TypeError) as error:
-            self.host.log(f"replica: {error}")
+            self.host.log(f"replica: invalid heartbeat from a peer: {error}")
 
     def _record(self, heartbeat: Heartbeat) -> None:
-        """A machine has reported about itself: note it, and ask it for what is newer than here."""
+        """Records a machine's report about itself, and requests from it what is newer there."""
         self.contacts.record(heartbeat.sender)
         self.contacts.heartbeats[heartbeat.sender] = heartbeat
         if heartbeat.sender not in member_ids(self.voter.state.members):
             self.standbys.record(heartbeat, self.host.now())
         self.on_heartbeat(heartbeat)
         if heartbeat.epoch > self.voter.state.epoch:
-            self.joining.ask_decided_membership(heartbeat.address)
+            self.joining.request_decided_membership(heartbeat.address)
         if heartbeat.revision > self.known_state().revision:
             self.fetch_state(parse_address(heartbeat.address))
         self.highest_accepted = max(self.highest_accepted, heartbeat.accepted)
 
     def _catch_up(self) -> None:
-        """Make a write that changes nothing where something is left open for some heartbeats.
+        """Submits a write that changes nothing, if a value stays open for some heartbeats.
 
-        Either others have accepted what this one has not; or this one has accepted what nobody has told to be
-        committed: its proposer may have died right after, and a membership is not decided until it is known.
+        Either other members have accepted a value that this one has not accepted, or this one has accepted a
+        value that it does not know to be committed: the proposer may have died right after, and a membership
+        is not decided until the commit is known.
         """
         state = self.voter.state
         is_open = state.value is not None and state.value.revision > self.known_state().revision
--- a/honeywharf/control/mesh_state.py
+++ b/honeywharf/control/mesh_state.py
@@ -1,8 +1,9 @@
-"""The mesh state: the one value that the register keeps, and the changes that may be made to it. No I/O.
+"""The mesh state: the one value that the register keeps, and its changes. There is no I/O.
 
-A `MeshState` is never changed once made. A change is a function from a state to (the new state, or None where
-nothing changes; an answer for who wanted it). The register may apply a change more than once, to different
-states and to its own result, so a change must be idempotent: applied to its own result it changes nothing.
+A `MeshState` is immutable. A change is a function from a state to a pair: the new state, or None if nothing
+changes, and an answer for the caller that requested it. The register may apply a change more than once, to
+different states and to its own result, so a change must be idempotent: applied to its own result it changes
+nothing.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from honeywharf.control.version_history import VersionHistory
 
 MAX_MEMBERS = 15
-MAX_ZONES = 256  # whose evacuation is remembered
-NO_VERSION = -1  # before the first configuration
-INITIAL_DISK = "first"  # the disk name of a seed at the first start of the whole system
+MAX_ZONES = 256  # The number of zones whose evacuation is stored is bounded.
+NO_VERSION = -1  # The version before the first configuration.
+INITIAL_DISK = "first"  # The disk name of a seed at the first start of the whole system.
 
 
 class MemberId(NamedTuple):
-    """What tells members apart: a machine whose disk was lost is another member at the same address.
+    """The identity of a member: a machine whose disk was lost is a different member at the same address.
 
-    `address`: "ip:port"; `disk`: a name that is drawn when a disk is first used.
+    `address` is "ip:port"; `disk` is a name that is drawn when a disk is first used.
     """
 
     address: str
@@ -31,7 +32,7 @@
 
 
 class Member(NamedTuple):
-    """One entry of the membership. `address`: "ip:port"; `is_initial`: it joined at the first start."""
+    """One entry of the membership. `address` is "ip:port"; `is_initial`: it joined at the first start."""
 
     address: str
     disk: str
@@ -40,7 +41,7 @@
 
     @property
     def id(self) -> MemberId:
-        """What tells it from other members."""
+        """Returns the identity of this member."""
         return MemberId(self.address, self.disk)
 
 
@@ -48,19 +49,19 @@
 
 
 def unpack_membership(packed: Any) -> Membership:
-    """Members as a message or a file holds them. TypeError or ValueError where they are something else."""
-    return tuple(Member(*one) for one in packed)
+    """Reads members from a message or a file. Raises TypeError or ValueError for anything else."""
+    return tuple(Member(*fields) for fields in packed)
 
 
 @dataclass(frozen=True, slots=True)
 class MeshState:
-    """What a majority holds: the configuration by version and digest, evacuations, and the membership.
+    """The value of the register: the configuration by version and digest, evacuations, and the membership.
 
-    `revision` is one more for each change, `epoch` one more for each change of the membership. `digest` names
-    the configuration's text and is empty before the first. `evacuations` tells of each zone that was ever
-    evacuated whether it is so now. `target_size`: the number of members after the first start, which later
-    changes of the membership keep. `history`: which content was confirmed under which version, the one in
-    force included.
+    `revision` grows by one with each change, `epoch` by one with each change of the membership. `digest`
+    names the configuration's text and is empty before the first configuration. `evacuations` maps each zone
+    that was ever evacuated to whether it is evacuated now. `target_size` is the number of members after the
+    first start, which later changes of the membership maintain. `history` maps versions to the content that
+    was confirmed under them, and includes the version in force.
     """
 
     revision: int
@@ -73,11 +74,11 @@
     history: VersionHistory = field(default_factory=VersionHistory)
 
     def pack(self) -> dict[str, Any]:
-        """As msgpack holds it, on disk and between members."""
+        """Returns the form that msgpack encodes, on disk and between members."""
         return {**self.pack_public(), "history": self.history.pack()}
 
     def pack_public(self) -> dict[str, Any]:
-        """The same without the version history, for those who make no changes."""
+        """Returns the result of `pack` without the version history, for readers that make no changes."""
         return {
             "rev": self.revision,
             "version": self.version,
@@ -89,20 +90,20 @@
         }
 
     def without_history(self) -> MeshState:
-        """A copy without the version history: for those who only read, and never to be changed."""
+        """Returns a copy without the version history, for readers only: no change may be applied to it."""
         return replace(self, history=VersionHistory())
 
     def with_changes(self, **fields: Any) -> MeshState:
-        """A copy with other fields and the next revision."""
+        """Returns a copy with the given fields replaced and the next revision."""
         return replace(self, revision=self.revision + 1, **fields)
 
     def with_members(self, members: Membership, target_size: int) -> MeshState:
-        """A copy under another membership, of the next epoch."""
+        """Returns a copy with another membership and the next epoch."""
         return self.with_changes(members=members, epoch=self.epoch + 1, target_size=target_size)
 
     @staticmethod
     def unpack(packed: Any) -> MeshState:
-        """From `pack`. KeyError, TypeError or ValueError where it is something else."""
+        """Reads the result of `pack`. Raises KeyError, TypeError or ValueError for anything else."""
         return MeshState(
             packed["rev"],
             packed["version"],
@@ -116,7 +117,7 @@
 
 
 def _unpack_history(packed: Any) -> VersionHistory:
-    """The version history; of a state written before there was one, the version in force alone."""
+    """Reads the version history; a state from an older build yields one with only the version in force."""
     if "history" in packed:
         return VersionHistory.unpack(packed["history"])
     version = packed["version"]
@@ -129,39 +130,40 @@
 
 
 def member_ids(members: Membership) -> list[MemberId]:
-    """Who is in a membership, in its order."""
+    """Returns the identities of the members, in the order of the membership."""
     return [member.id for member in members]
 
 
 def initial_membership(seeds: Sequence[str]) -> Membership:
-    """The membership of the first start: the seeds, each with its first disk."""
+    """Returns the membership of the first start: the seeds, each with its first disk."""
     return tuple(Member(seed, INITIAL_DISK, "", True) for seed in seeds)
 
 
 def initial_state(members: Membership) -> MeshState:
-    """The state before the first change, under the membership of the first start."""
+    """Returns the state before the first change, with the membership of the first start."""
     return MeshState(0, NO_VERSION, "", {}, members, 1, len(members))
 
 
 def no_change(state: MeshState) -> tuple[MeshState | None, Any]:
-    """The change that changes nothing; a member that proposes it brings itself up to date."""
+    """Changes nothing; a member that proposes this change brings itself up to date."""
     return None, None
 
 
 class Outcome(Enum):
-    """What became of a request to replace the configuration."""
+    """The outcome of a request to replace the configuration."""
 
-    IN_FORCE = "in force"  # from now on
-    CONFIRMED = "confirmed"  # it was confirmed before, and is in force or was overtaken
-    CONFLICT = "conflict"  # another content is confirmed under this version
-    FORGOTTEN = "forgotten"  # it is older than what is remembered: nothing can be said of it
+    IN_FORCE = "in force"  # The configuration is in force from now on.
+    CONFIRMED = "confirmed"  # The configuration is confirmed; it is in force or a higher version is.
+    CONFLICT = "conflict"  # Another content is confirmed under this version.
+    FORGOTTEN = "forgotten"  # The version is older than the history: whether it was confirmed is unknown.
 
 
 class Confirmation(NamedTuple):
     """The answer to `replace_configuration`.
 
-    `digest`: of the content that was sent. `confirmed_digest`: of the content that the version was confirmed
-    with; whole for the configuration in force, else its first digits (`version_history`).
+    `digest` belongs to the content that was sent, `confirmed_digest` to the content that was confirmed under
+    the version; the latter is complete for the configuration in force, else only its first digits
+    (`version_history`).
     """
 
     outcome: Outcome
@@ -171,9 +173,9 @@
 
 
 def replace_configuration(version: int, digest: str) -> Change:
-    """Put a configuration in force where its version is the highest; answers a `Confirmation`.
+    """Puts a configuration in force if its version is the highest; the change answers a `Confirmation`.
 
-    Each version is confirmed with one content: the first that the register takes for it, also where a higher
+    Each version is confirmed with one content: the first that the register accepts for it, even if a higher
     version is in force already. Source: RULES, CONFIG.
     """
 
@@ -183,8 +185,10 @@
 
         history = state.history
         if version > state.version:
-            made = state.with_changes(version=version, digest=digest, history=history.add(version, digest))
-            return made, answer(Outcome.IN_FORCE)
+            replaced = state.with_changes(
+                version=version, digest=digest, history=history.add(version, digest)
+            )
+            return replaced, answer(Outcome.IN_FORCE)
         if version == state.version and digest != state.digest:
             return None, answer(Outcome.CONFLICT, state.digest)
         if history.is_forgotten(version):
@@ -200,7 +204,7 @@
 
 
 def set_evacuation(zone: str, begin: bool) -> Change:
-    """Begin or end the evacuation of a zone. Answers False where too many zones are remembered."""
+    """Begins or ends the evacuation of a zone. The change answers False if too many zones are stored."""
 
     def change(state: MeshState) -> tuple[MeshState | None, bool]:
         if state.evacuations.get(zone, False) == begin:
@@ -213,20 +217,20 @@
 
 
 class Admission(Enum):
-    """What became of a change of the membership."""
+    """The outcome of a change of the membership."""
 
-    MEMBER = "member"  # it is one, by this or before
-    STANDBY = "standby"  # there is no place for it now
-    BEHIND = "behind"  # it does not hold the newest configuration's text yet
-    FULL = "full"  # there are as many members as there may be
-    CHANGED = "changed"  # the membership is not the one that was judged by
+    MEMBER = "member"  # The joiner is a member, by this change or an earlier one.
+    STANDBY = "standby"  # There is no free place now.
+    BEHIND = "behind"  # The joiner does not have the newest configuration's text yet.
+    FULL = "full"  # The membership has its maximum size.
+    CHANGED = "changed"  # The membership has changed since the change was requested.
 
 
 def admit(joiner: Member, unreachable: Sequence[MemberId]) -> Change:
-    """Make a machine a member. `unreachable`: members whose place it may take.
+    """Makes a machine a member; the change answers an `Admission`. `unreachable` members may be replaced.
 
-    Where its address is there with another disk, that entry is lost and the joiner takes its place. Where no
-    place is free it stays a standby. Answers an `Admission`.
+    An entry with the joiner's address and another disk stands for a lost disk, and the joiner replaces it. If
+    no place is free, the joiner stays a standby.
     """
 
     def change(state: MeshState) -> tuple[MeshState | None, Admission]:
@@ -235,7 +239,9 @@
             return None, Admission.MEMBER
         index = _index_to_replace(state, joiner, unreachable)
         if index is not None:
-            return state.with_members(_put(members, index, joiner), state.target_size), Admission.MEMBER
+            return state.with_members(
+                _replace_at(members, index, joiner), state.target_size
+            ), Admission.MEMBER
         if not joiner.is_initial and len(members) >= state.target_size:
             return None, Admission.STANDBY
         if len(members) >= MAX_MEMBERS:
@@ -247,7 +253,7 @@
 
 
 def hand_over(leaver: MemberId, standby: Member) -> Change:
-    """Put a standby in the place of a member that leaves. Answers an `Admission`."""
+    """Replaces a member that leaves by a standby; the change answers an `Admission`."""
 
     def change(state: MeshState) -> tuple[MeshState | None, Admission]:
         members = member_ids(state.members)
@@ -255,16 +261,16 @@
             return None, Admission.MEMBER
         if standby.id in members:
             return None, Admission.CHANGED
-        made = _put(state.members, members.index(leaver), standby)
-        return state.with_members(made, state.target_size), Admission.MEMBER
+        new_members = _replace_at(state.members, members.index(leaver), standby)
+        return state.with_members(new_members, state.target_size), Admission.MEMBER
 
     return change
 
 
 def require_text(change: Change, digest: str) -> Change:
-    """A change that gives a vote only to a machine that holds the text of the newest configuration.
+    """Returns a change that gives a vote only to a machine that has the text of the newest configuration.
 
-    `digest`: of the configuration whose text it holds.
+    `digest` names the configuration whose text the machine has.
     """
 
     def guarded(state: MeshState) -> tuple[MeshState | None, Any]:
@@ -275,12 +281,15 @@
     return guarded
 
 
-def _put(members: Membership, index: int, joiner: Member) -> Membership:
+def _replace_at(members: Membership, index: int, joiner: Member) -> Membership:
     return (*members[:index], joiner, *members[index + 1 :])
 
 
 def _index_to_replace(state: MeshState, joiner: Member, unreachable: Sequence[MemberId]) -> int | None:
-    """Whose place a joiner takes: that of its own lost disk, else an unreachable member, best of its zone."""
+    """Returns the index of the member that a joiner replaces, None if there is none.
+
+    That is the joiner's own lost disk, else an unreachable member, preferably of the joiner's zone.
+    """
     members = state.members
     for index, member in enumerate(members):
         if member.address == joiner.address:
@@ -292,20 +301,20 @@
 
 
 def remove_unreachable(unreachable: Sequence[MemberId]) -> Change:
-    """Take one unreachable member out of a membership that is larger than its target size."""
+    """Removes one unreachable member from a membership that is larger than its target size."""
 
     def change(state: MeshState) -> tuple[MeshState | None, bool]:
         removed = next((member for member in state.members if member.id in unreachable), None)
         if removed is None or len(state.members) <= state.target_size:
             return None, False
-        rest = tuple(member for member in state.members if member is not removed)
-        return state.with_members(rest, state.target_size), True
+        remaining = tuple(member for member in state.members if member is not removed)
+        return state.with_members(remaining, state.target_size), True
 
     return change
 
 
 def fenced(change: Change, epoch: int, is_allowed: Callable[[], bool]) -> Change:
-    """A change that is made only to the membership that it was judged by, while its proposer may make it."""
+    """Returns a change that applies only to the membership of `epoch`, and while `is_allowed()` is true."""
 
     def fence(state: MeshState) -> tuple[MeshState | None, Any]:
         return change(state) if state.epoch == epoch and is_allowed() else (None, Admission.CHANGED)
@@ -314,13 +323,13 @@
 
 
 def combine(changes: Sequence[Change]) -> Callable[[MeshState], tuple[MeshState | None, list[Any]]]:
-    """Several changes as one, with an answer for each."""
+    """Combines several changes into one, with an answer for each."""
 
     def change(state: MeshState) -> tuple[MeshState | None, list[Any]]:
         current, answers = state, []
-        for one in changes:
-            made, answer = one(current)
-            current = current if made is None else made
+        for step in changes:
+            changed, answer = step(current)
+            current = current if changed is None else changed
             answers.append(answer)
         return (None if current is state else current), answers
 
--- a/honeywharf/control/messages.py
+++ b/honeywharf/control/messages.py
@@ -1,8 +1,9 @@
-"""Messages between the members of the quorum register: one dataclass each, and one codec for all of them.
+"""Messages between the members of the quorum register: one dataclass for each, and one codec for all.
 
-A request names the disk that it is for and the newest decided membership that its sender knows; an answer
-tells the newest one that its sender knows. Packed, a message is a list: its kind, then its fields in order.
-`KIND` and the order of the fields are on the wire between builds and never change.
+A request names the disk that it is meant for and the newest decided membership that its sender knows; an
+answer names the newest decided membership that its own sender knows. A packed message is a list: its kind,
+then its fields in order. `KIND` and the order of the fields are part of the protocol between builds and never
+change.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 class ProposalNumber(NamedTuple):
-    """The number of one attempt to change the register; the highest counter wins, ties by proposer.
+    """The number of one attempt to change the register; the highest counter wins, the proposer breaks ties.
 
-    `proposer`: an address, "ip:port"; `incarnation`: drawn at the start of the proposer's process, so that no
-    number is used twice.
+    `proposer` is an address, "ip:port"; `incarnation` is drawn at the start of the proposer's process, so
+    that no number is used twice.
     """
 
     counter: int
@@ -28,7 +29,7 @@
 
     @staticmethod
     def unpack(packed: Any) -> ProposalNumber:
-        """From a list of its fields. ValueError or TypeError where it is something else."""
+        """Reads a list of the fields. Raises ValueError or TypeError for anything else."""
         counter, proposer, incarnation = packed
         if not (
             isinstance(counter, int)
@@ -36,7 +37,7 @@
             and isinstance(incarnation, int)
             and 0 <= counter < MAX_COUNTER
         ):
-            raise ValueError(f"found {packed!r}, wanted a proposal number")
+            raise ValueError(f"proposal number: expected [counter, proposer, incarnation], got {packed!r}")
         return ProposalNumber(counter, proposer, incarnation)
 
 
@@ -44,23 +45,23 @@
 
 
 class DecidedMembership(NamedTuple):
-    """A membership that is known to be in force. Epoch 0: none is known."""
+    """A membership that is known to be in force. Epoch 0 stands for an unknown one."""
 
     epoch: int
     members: Membership
 
     @staticmethod
     def unpack(packed: Any) -> DecidedMembership:
-        """From a list of its fields. ValueError or TypeError where it is something else."""
+        """Reads a list of the fields. Raises ValueError or TypeError for anything else."""
         epoch, members = packed
         if not isinstance(epoch, int):
-            raise TypeError(f"found {epoch!r}, wanted the number of an epoch")
+            raise TypeError(f"epoch: expected an integer, got {epoch!r}")
         return DecidedMembership(epoch, unpack_membership(members))
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """From a proposer: promise to accept no lower number, and tell what was accepted last."""
+    """A proposer's request to promise to accept no lower number, and to report the value accepted last."""
 
     KIND: ClassVar[str] = "prepare"
     disk: str
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """From a proposer that a majority has promised: accept this state under this number."""
+    """A proposer's request to accept this state under this number, after a quorum has promised."""
 
     KIND: ClassVar[str] = "accept"
     disk: str
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """From a reader: tell what was accepted last."""
+    """A reader's request for the value accepted last."""
 
     KIND: ClassVar[str] = "read"
     disk: str
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """Answers `Prepare`: no lower number will be accepted. `accepted`, `state`: what was accepted last."""
+    """Answers `Prepare`: no lower number will be accepted; `state` was accepted last, under `accepted`."""
 
     KIND: ClassVar[str] = "promised"
     decided: DecidedMembership
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CurrentValue:
-    """Answers `Read`: what was accepted last, without its version history."""
+    """Answers `Read`: `state` was accepted last, under `accepted`; it comes without its version history."""
 
     KIND: ClassVar[str] = "current"
     decided: DecidedMembership
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Answers `Prepare` or `Accept` under `number`: a higher number was promised."""
+    """Answers `Prepare` or `Accept` with `number`: the higher number `promised` was promised before."""
 
     KIND: ClassVar[str] = "rejected"
     decided: DecidedMembership
@@ -130,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewerMembership:
-    """Answers any request: a newer membership is decided than the one it was made under."""
+    """Answers any request: a newer membership is decided than the one that the request names."""
 
     KIND: ClassVar[str] = "newer membership"
     decided: DecidedMembership
@@ -138,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskMismatch:
-    """Answers any request: the disk that it is for is not here."""
+    """Answers any request: this machine does not have the disk that the request is meant for."""
 
     KIND: ClassVar[str] = "other disk"
     decided: DecidedMembership
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextMissing:
-    """Answers `Accept`: the state can't be accepted before the configuration's text is here."""
+    """Answers `Accept`: the state can't be accepted before the acceptor has the configuration's text."""
 
     KIND: ClassVar[str] = "text missing"
     decided: DecidedMembership
@@ -170,8 +171,8 @@
         TextMissing,
     )
 }
-#: How the value of a field is read, by the field's name; others are taken as they come.
-FIELD_READERS: dict[str, Any] = {
+#: The decoder of a field by the field's name; other fields need none.
+FIELD_DECODERS: dict[str, Any] = {
     "decided": DecidedMembership.unpack,
     "number": ProposalNumber.unpack,
     "accepted": ProposalNumber.unpack,
@@ -181,7 +182,7 @@
 
 
 def pack(message: Request | Answer) -> list[Any]:
-    """A message as msgpack holds it."""
+    """Returns a message in the form that msgpack encodes."""
     packed: list[Any] = [message.KIND]
     for field in fields(message):
         value = getattr(message, field.name)
@@ -190,44 +191,44 @@
 
 
 def unpack(packed: Any) -> Request | Answer:
-    """From `pack`. ValueError, TypeError or LookupError where it is something else."""
+    """Reads the result of `pack`. Raises ValueError, TypeError or LookupError for anything else."""
     kind, *values = packed
     message_class = KINDS[kind]
     names = [field.name for field in fields(message_class)]
     if len(names) != len(values):
-        raise ValueError(f"found {len(values)} fields, wanted the {len(names)} of {kind}")
+        raise ValueError(f"{kind}: expected {len(names)} fields, got {len(values)}")
     arguments = [
-        FIELD_READERS[name](value) if name in FIELD_READERS else value
+        FIELD_DECODERS[name](value) if name in FIELD_DECODERS else value
         for name, value in zip(names, values, strict=True)
     ]
     message: Request | Answer = message_class(*arguments)
     if isinstance(message, Prepare | Accept | Read) and not isinstance(message.disk, str):
-        raise TypeError(f"found {message.disk!r}, wanted the name of a disk")
+        raise TypeError(f"disk: expected a name, got {message.disk!r}")
     return message
 
 
 def unpack_request(packed: Any) -> Request:
-    """A request; ValueError, TypeError or LookupError where it is something else."""
+    """Reads a request. Raises ValueError, TypeError or LookupError for anything else."""
     message = unpack(packed)
     if isinstance(message, Prepare | Accept | Read):
         return message
-    raise ValueError(f"found {message.KIND!r}, wanted prepare, accept or read")
+    raise ValueError(f"message kind: expected prepare, accept or read, got {message.KIND!r}")
 
 
 def unpack_answer(packed: Any) -> Answer:
-    """An answer; ValueError, TypeError or LookupError where it is something else."""
+    """Reads an answer. Raises ValueError, TypeError or LookupError for anything else."""
     message = unpack(packed)
     if isinstance(message, Prepare | Accept | Read):
-        raise ValueError(f"found {message.KIND!r}, wanted an answer")
+        raise ValueError(f"message kind: expected an answer, got {message.KIND!r}")
     return message
 
 
 class Heartbeat(NamedTuple):
-    """What a member, a standby or a joiner reports about itself in every heartbeat, and in its answer to one.
+    """The report of a member, a standby or a joiner about itself, sent in every heartbeat and in its answer.
 
-    `epoch`: of the newest decided membership that it knows; `revision`: of the committed state that it knows,
-    -1 for none; `accepted`: the number accepted last; `digest`: of that state's configuration where its text
-    is on disk, else empty.
+    `epoch` is that of the newest decided membership that the sender knows; `revision` that of the newest
+    committed state that it knows, -1 for none; `accepted` is the number that it accepted last; `digest` names
+    the configuration of the known state if its text is on disk, else it is empty.
     """
 
     address: str
@@ -240,14 +241,14 @@
 
     @property
     def sender(self) -> MemberId:
-        """Who it is."""
+        """Returns the identity of the sender."""
         return MemberId(self.address, self.disk)
 
     @staticmethod
     def unpack(packed: Any) -> Heartbeat:
-        """From a list of its fields. ValueError or TypeError where it is something else."""
+        """Reads a list of the fields. Raises ValueError or TypeError for anything else."""
         address, disk, epoch, revision, accepted, zone, digest = packed
         if not all(isinstance(text, str) for text in (address, disk, zone, digest)):
-            raise TypeError(f"found {packed!r}, wanted a heartbeat")
+            raise TypeError(f"heartbeat: expected texts for address, disk, zone and digest, got {packed!r}")
         number = ProposalNumber.unpack(accepted)
         return Heartbeat(address, disk, int(epoch), int(revision), number, zone, digest)
--- a/honeywharf/control/operator_api.py
+++ b/honeywharf/control/operator_api.py
@@ -1,8 +1,8 @@
-"""The operator's HTTP calls: replace and describe a configuration, begin and end an evacuation, and views.
+"""The operators' HTTP API: replace and describe a configuration, begin and end an evacuation, and views.
 
-A call is answered 200 only for what a majority holds on disk, 4xx for what will never be taken, and 503 where
-no majority answers in time: then it may be in force or not, and the operator asks again, here or elsewhere.
-Source: PROTOCOL, "The control plane"; RULES, CONFIG and EVAC.
+A call is answered 200 only for a state that a majority has on disk, 4xx for a request that can never succeed,
+and 503 if no majority answers in time: then the change may or may not be in force, and the operator retries
+at this node or another one. Source: PROTOCOL, "The control plane"; RULES, CONFIG and EVAC.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
     Check = Callable[[bytes], Result[Configuration, str]]
 
-ANSWER_TIMEOUT_S = 0.85  # the operator moves on after one second without an answer
-BODY_BYTES_PER_S = 20e6  # by which larger bodies get more time
-MAX_ERROR_BYTES = 4096  # of the text of a rejection
+ANSWER_TIMEOUT_S = 0.85  # Operators try another node after one second without an answer.
+BODY_BYTES_PER_S = 20e6  # Larger bodies get more time at this rate.
+MAX_ERROR_BYTES = 4096  # The text of a rejection is cut to this size.
 RETRY_SOON = b"Retry-After: 0.1\r\n"
 RETRY_LATER = b"Retry-After: 60\r\n"
 FORGOTTEN = b"the version is older than what is remembered: whether it was confirmed is not known"
-REREAD_DELAY_S = 0.02  # before a configuration is read again whose text was displaced
-COMPRESSION_LEVEL = 3  # zlib's: 64 MB in some 0.6 s
+REREAD_DELAY_S = 0.02  # The delay before a configuration is read again after its text was replaced.
+COMPRESSION_LEVEL = 3  # This level of zlib compresses 64 MB in some 0.6 s.
 
 
 class HttpCall(Protocol):
@@ -46,18 +46,18 @@
     body: bytes
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
-        """Answer, once, now or later. `lines`: further header lines, each with its line end."""
+        """Answers the call, once, now or later. `lines` are further header lines, each with its line end."""
 
 
 def _check(raw: bytes) -> Result[Configuration, str]:
-    """Check a configuration. Loaded at its first use, as it takes 0.4 s of a small machine's start."""
+    """Checks a configuration. The check is imported at its first use, because the import takes 0.4 s."""
     from honeywharf.mesh_config.configuration import check
 
     return check(raw)
 
 
 def _conflict_body(answer: Confirmation) -> bytes:
-    """What is answered where another content is confirmed under the version sent."""
+    """Returns the body for a conflict: another content is confirmed under the version that was sent."""
     body = {
         "error": "another content is confirmed under this version",
         "config-version": f"r{answer.version}",
@@ -68,10 +68,10 @@
 
 
 class OperatorApi:
-    """Answers calls at the control plane's address.
+    """Answers HTTP calls at the control plane's address.
 
-    `zones`: those that may be evacuated; `sidecar_port`: of the sidecars' control plane, to which a backend's
-    heartbeat that came here by mistake is redirected.
+    `zones` are the zones that may be evacuated; `sidecar_port` is the port of the sidecars' control plane, to
+    which a misdirected heartbeat of a backend is redirected.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
     ) -> None:
         self.replica, self.zones, self.sidecar_port, self.check = replica, zones, sidecar_port, check
         self.is_shutting_down = False
-        self.pending_calls = 0  # not answered yet
+        self.pending_calls = 0
         self.routes = routes = UrlMatcher()
         begin, end = partial(self._set_evacuation, True), partial(self._set_evacuation, False)
         self.majority_calls = [self._replace, self._describe, begin, end, self._readiness]
@@ -93,11 +93,11 @@
         routes.add("GET", "/api/members", self._members)
 
     def preload(self) -> None:
-        """Load what a check needs, before the first one waits for it."""
+        """Imports the check of configurations, so that the first call does not wait for it."""
         self.check(b"{}")
 
     def handle(self, call: HttpCall) -> None:
-        """Take a call of the HTTP server; it is answered later."""
+        """Handles a call of the HTTP server; the answer may be sent later."""
         if self.is_shutting_down:
             call.answer(503, b"leaving", RETRY_SOON)
             return
@@ -112,12 +112,13 @@
             return
         target, parameters = found
         if target in self.majority_calls and not self.replica.reaches_majority():
-            self._answer_unavailable(call, QuorumResult.UNREACHABLE)  # at once: the caller asks another node
+            # An immediate answer lets the caller try another node.
+            self._answer_unavailable(call, QuorumResult.UNREACHABLE)
             return
         target(call, **parameters)
 
     def answer(self, call: HttpCall, status: int, body: bytes = b"", lines: bytes = b"") -> None:
-        """Answer a call that was taken, by this part or another one that has added a route."""
+        """Answers a call that `handle` has accepted; also used by other parts that add routes."""
         self.pending_calls -= 1
         call.answer(status, body, lines)
 
@@ -141,7 +142,7 @@
         )
 
     def _replaced(self, call: HttpCall, result: QuorumResult, answer: Confirmation | None) -> None:
-        """A write has ended; `answer` is None where it was not committed."""
+        """Answers a call after its write has ended; `answer` is None if the write was not committed."""
         if answer is None:
             self._answer_unavailable(call, result)
         elif answer.outcome is Outcome.CONFLICT:
@@ -167,9 +168,9 @@
             self.replica.get_text(state.digest, partial(self._answer_text, call, deadline))
 
     def _answer_text(self, call: HttpCall, deadline: float, compressed: bytes | None) -> None:
-        """Answer with the configuration as it was sent.
+        """Answers with the configuration as it was sent.
 
-        Read anew where a later one has displaced its text.
+        If the text of a later configuration has replaced it meanwhile, the state is read again.
         """
         if compressed is None and self.replica.host.now() < deadline:
             self.replica.host.after(REREAD_DELAY_S, partial(self._read, call, deadline))
@@ -196,7 +197,7 @@
     # Other calls.
 
     def _redirect_heartbeat(self, call: HttpCall, id: str) -> None:
-        """A backend's heartbeat that came here by mistake: the sidecar on the backend's machine takes it."""
+        """Redirects a misdirected heartbeat of a backend to the sidecar on the backend's machine."""
         try:
             ip = json.loads(call.body)["address"].rpartition(":")[0]
         except (ValueError, LookupError, TypeError, AttributeError):
@@ -208,11 +209,11 @@
         self.answer(call, 307, b"", location + b"\r\n")
 
     def _members(self, call: HttpCall) -> None:
-        """The membership as this node sees it; no majority is asked, so that it answers when that is lost."""
+        """Answers with the membership as this node sees it; no quorum is needed, so it works without one."""
         self.answer(call, 200, json.dumps(members_view(self.replica)).encode())
 
     def _readiness(self, call: HttpCall) -> None:
-        """Ready: a majority answers now, and holds what this node would tell."""
+        """Answers 200 if a quorum read succeeds now, so that this node can serve the current state."""
         self.replica.read(ANSWER_TIMEOUT_S, partial(self._answer_readiness, call))
 
     def _answer_readiness(self, call: HttpCall, state: MeshState | None) -> None:
--- a/honeywharf/control/quorum.py
+++ b/honeywharf/control/quorum.py
@@ -1,4 +1,4 @@
-"""Which members are enough: a majority of each membership in question. No I/O."""
+"""Decides whether a set of members is a quorum: a majority of each required membership. There is no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Quorums:
-    """Memberships of which each must be covered by a majority."""
+    """The memberships in each of which a majority is required."""
 
     __slots__ = ("memberships",)
 
@@ -18,7 +18,7 @@
             self.add(members)
 
     def add(self, members: Membership) -> bool:
-        """Require one more membership; False where it is required already."""
+        """Requires one more membership; returns False where it is required already."""
         added = member_ids(members)
         if any(set(added) == set(required) for required in self.memberships):
             return False
@@ -26,11 +26,11 @@
         return True
 
     def members(self) -> list[MemberId]:
-        """The members of all memberships, each once."""
+        """Returns the members of all memberships, each once."""
         return list(dict.fromkeys(member for members in self.memberships for member in members))
 
     def covered(self, by: Iterable[MemberId]) -> bool:
-        """Whether `by` has a majority of each membership."""
+        """Returns whether `by` contains a majority of each membership."""
         present = set(by)
         return all(
             2 * sum(member in present for member in members) > len(members) for members in self.memberships
--- a/honeywharf/control/quorum_client.py
+++ b/honeywharf/control/quorum_client.py
@@ -1,4 +1,4 @@
-"""Carries the requests of quorum operations to the members, and their answers back, on a `Host`."""
+"""Sends the requests of quorum operations to the members, and passes their answers back, on a `Host`."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
     from honeywharf.transport.host import Host
     from honeywharf.transport.rpc_client import RpcClient
 
-CALL_TIMEOUT_S = 0.4  # of one message of the register; a text adds to it
-UNREQUESTED_TEXT_BYTES = 64 << 10  # a text up to here goes with a proposal though nobody has asked for it
-DEFAULT_LINK_BYTES_PER_S = 20e6  # of a link whose rate is not known
-TEXT_LINK_SHARE = 0.5  # of the link's rate, that texts on their way to all members may take
+CALL_TIMEOUT_S = 0.4  # The time-out of one message of the register; a text adds to it.
+# A text up to this size is sent with a proposal without being requested.
+MAX_UNREQUESTED_TEXT_BYTES = 64 << 10
+DEFAULT_LINK_BYTES_PER_S = 20e6  # The rate that is assumed for a link of unknown rate.
+TEXT_LINK_SHARE = 0.5  # The share of the link's rate that texts sent to all members may use.
 BYTES_PER_MEGABIT = 125_000.0
 MIN_WAIT_S = 0.001
 
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True)
 class _Run:
-    """An operation on its way. `done()` is called once it has a result."""
+    """An operation in progress. `done()` is called once it has a result."""
 
     operation: QuorumOperation
     done: Completion
@@ -50,11 +51,11 @@
         self.link_bytes_per_s = DEFAULT_LINK_BYTES_PER_S
 
     def set_link_rate(self, megabits_per_s: float) -> None:
-        """The rate of this machine's link; texts get as much more time as they need on it."""
+        """Sets the rate of this machine's link; the time-out of a message with a text depends on it."""
         self.link_bytes_per_s = megabits_per_s * BYTES_PER_MEGABIT
 
     def run(self, operation: QuorumOperation, requests: OutgoingRequests, done: Completion) -> None:
-        """Carry an operation's messages until it has a result; then `done()`."""
+        """Sends an operation's requests until it has a result; then calls `done()`."""
         self._send_all(_Run(operation, done), requests)
 
     def _send_all(self, run: _Run, requests: OutgoingRequests) -> None:
@@ -66,7 +67,7 @@
         for request in requests:
             if request.to.address != local:
                 self._send(run, request)
-        for request in requests:  # our own last: the others' disks work at the same time as ours
+        for request in requests:  # The local request is last, so that the other disks work at the same time.
             if request.to.address == local:
                 self.host.after(0.0, partial(self._send_to_local_acceptor, run, request))
         self._rearm(run)
@@ -82,7 +83,7 @@
         self._step(run, lambda: run.operation.tick(self.host.now()))
 
     def _step(self, run: _Run, step: Callable[[], OutgoingRequests]) -> None:
-        """Take one step of an operation that has no result yet."""
+        """Takes one step of an operation that has no result yet."""
         operation = run.operation
         if operation.result is not None:
             return
@@ -103,7 +104,7 @@
         self._answered(run, request.to, answer)
 
     def _send(self, run: _Run, request: OutgoingRequest) -> None:
-        """Send to a peer's acceptor, with the text of the configuration where it is needed."""
+        """Sends a request to a peer's acceptor, with the configuration's text if it is needed."""
         if not request.with_text:
             self._call(run, request, None)
             return
@@ -112,8 +113,8 @@
     def _call_with_text(self, run: _Run, request: OutgoingRequest, text: bytes | None) -> None:
         if text is None:
             self._answered(run, request.to, None)
-        elif len(text) > UNREQUESTED_TEXT_BYTES and not request.text_missing:
-            self._call(run, request, None)  # it may have it since an earlier attempt
+        elif len(text) > MAX_UNREQUESTED_TEXT_BYTES and not request.text_missing:
+            self._call(run, request, None)  # The member may have the text from an earlier attempt.
         else:
             self._call(run, request, text)
 
@@ -122,7 +123,7 @@
         self.texts.get(request.request.state.digest, done)
 
     def _call(self, run: _Run, request: OutgoingRequest, text: bytes | None) -> None:
-        timeout = CALL_TIMEOUT_S + self._text_time(len(text or b""))
+        timeout = CALL_TIMEOUT_S + self._text_transfer_s(len(text or b""))
         self.caller.call(
             parse_address(request.to.address),
             rpc_methods.REGISTER_REQUEST,
@@ -131,23 +132,23 @@
             partial(self._received, run, request.to),
         )
 
-    def _text_time(self, size: int) -> float:
-        """Seconds that a text may take to one member, while the others get it too."""
+    def _text_transfer_s(self, size: int) -> float:
+        """Returns the seconds that a text may take to one member while it is sent to the others too."""
         copies = max(1, len(self.voter.state.members) - 1)
         return size * copies / (self.link_bytes_per_s * TEXT_LINK_SHARE)
 
     def _received(self, run: _Run, member: MemberId, packed: Any) -> None:
-        """A peer's answer as it came, or None where there was none in time."""
+        """Decodes a peer's answer; None stands for no answer in time."""
         answer = None
         if packed is not None:
             try:
                 answer = messages.unpack_answer(packed)
             except (ValueError, TypeError, LookupError) as error:
-                self.host.log(f"replica: from {member.address} {error}")
+                self.host.log(f"replica: invalid answer from {member.address}: {error}")
         self._answered(run, member, answer)
 
     def _answered(self, run: _Run, member: MemberId, answer: Answer | None) -> None:
-        """A member's answer; None where it gave none."""
+        """Passes a member's answer to the operation; None stands for no answer."""
         now = self.host.now()
         if answer is None:
             self._step(run, lambda: self._message_lost(run.operation, now, member))
--- a/honeywharf/control/register.py
+++ b/honeywharf/control/register.py
@@ -1,16 +1,17 @@
-"""Changes and reads of the register: one value, kept by a majority of a membership that may itself change.
-
-Theory of operation (after CASPaxos: Denis Rystsov, "CASPaxos: Replicated State Machines without logs",
-2018). A write asks the members to promise a proposal number, takes the value that was accepted under the
-highest one, applies its change, and has the result accepted. It needs majorities, in both phases, of every
-membership that it has seen: the one known as decided, the one in the value it found, and the one that it
-puts in. What such majorities have accepted is committed, and its membership decided: from then on that
-membership alone is enough. Whoever knows an older one meets, in any majority of it, a member that accepted
-a value with the newer one, or knows it as decided and says so. `docs/design/control-state.md` has the
-argument in full.
-
-A member is an address with a disk. A machine whose disk was lost has another name, and does not answer in
-place of the old one. No I/O and no clock here: times come as arguments, messages go out as results.
+"""Writes and reads of the register: one value, kept by a majority of a membership that may itself change.
+
+Theory of operation (after CASPaxos: Denis Rystsov, "CASPaxos: Replicated State Machines without logs", 2018).
+A write asks the members to promise a proposal number, takes the value that was accepted under the highest
+number, applies its change, and has the result accepted. In both phases it needs majorities of every
+membership that it has seen: the decided one that it knows, the one in the value that it found, and the one in
+the value that it proposes. A value that such majorities have accepted is committed, and its membership is
+decided: from then on that membership alone is enough. A proposer that knows only an older membership meets,
+in any majority of it, a member that has accepted a value with the newer membership, or that knows it as
+decided and reports it. `docs/design/control-state.md` has the full argument.
+
+A member is an address with a disk. A machine whose disk was lost gets another disk name, and does not answer
+for the old one. There is no I/O and no clock in this module: times are arguments, and messages to send are
+return values.
 """
 
 from __future__ import annotations
@@ -40,38 +41,38 @@
 )
 from honeywharf.control.quorum import Quorums
 
-RESEND_S = 0.06  # from a message's loss to its resend, on average
-STRAGGLERS_S = 0.02  # that a read waits for more answers before it is inconclusive
-BACKOFF_S = 0.02  # mean of the first pause after a rejection
+RESEND_S = 0.06  # The mean time from the loss of a message to its resend.
+STRAGGLERS_S = 0.02  # A read waits this long for more answers before it is inconclusive.
+BACKOFF_S = 0.02  # The mean of the first backoff after a rejection.
 MAX_BACKOFF_DOUBLINGS = 4
 
 
 class QuorumResult(Enum):
-    """How a write or a read ended. The values are shown to operators."""
+    """The result of a write or a read. The values are shown to operators."""
 
     OK = "ok"
-    INCONCLUSIVE = "unsure"  # a read found more than one acceptance: it must be written back first
-    UNREACHABLE = "unreachable"  # no majority in time
-    CONTENDED = "contended"  # other proposers went before each time
+    INCONCLUSIVE = "unsure"  # A read found different accepted values; a write has to settle which is current.
+    UNREACHABLE = "unreachable"  # No majority answered in time.
+    CONTENDED = "contended"  # Other proposers used higher numbers in every attempt.
 
 
 class Phase(Enum):
-    """What a write is doing."""
+    """The phase of a write."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
-    BACKOFF = "backoff"  # between attempts
+    BACKOFF = "backoff"  # The write waits between two attempts.
 
 
 class Proposer(NamedTuple):
-    """Who makes a change: an address, and a number drawn at the start of its process."""
+    """The process that makes a change: its address, and a number drawn at the start of the process."""
 
     address: str
     incarnation: int
 
 
 class AcceptedValue(NamedTuple):
-    """What a member told that it accepted last; `state` is None where it has accepted nothing."""
+    """The value that a member reports as accepted last; `state` is None if it has accepted nothing."""
 
     number: ProposalNumber
     state: MeshState | None
@@ -80,8 +81,8 @@
 class OutgoingRequest(NamedTuple):
     """A request to a member.
 
-    `with_text`: the configuration's text goes with it, where that is short or the member has asked for it
-    (`text_missing`).
+    With `with_text` the configuration's text is sent along if it is short or the member has reported it
+    missing (`text_missing`).
     """
 
     to: MemberId
@@ -94,10 +95,10 @@
 
 
 class QuorumOperation:
-    """What a write and a read share: who was contacted, whose message was lost, when something is due.
+    """The common part of a write and a read: contacted members, lost messages and the time of the next step.
 
-    The caller sends what `start`, `received` and `tick` return, calls `tick` by `due_at`, and stops once
-    `result` is set. Times are seconds on the caller's steady clock.
+    The caller sends the requests that `start`, `received` and `tick` return, calls `tick` no later than
+    `due_at`, and stops once `result` is set. Times are seconds on the caller's steady clock.
     """
 
     def __init__(self, decided: DecidedMembership, deadline: float, rng: Random) -> None:
@@ -106,53 +107,53 @@
         self.rng = rng
         self.quorums = Quorums([decided.members])
         self.result: QuorumResult | None = None
-        self.value: MeshState | None = None  # of an OK
-        self.resend_at: dict[MemberId, float] = {}  # whose message was lost, and when it is sent again
-        self.wake_at = deadline  # when something else is due
+        self.value: MeshState | None = None  # The committed state, set with the result OK.
+        self.resend_at: dict[MemberId, float] = {}  # When a lost message is sent to its member again.
+        self.wake_at = deadline  # When a step other than a resend is due.
         self.contacted: set[MemberId] = set()
-        self.timer: Any = None  # the caller's
+        self.timer: Any = None  # The caller stores its timer for `tick` here.
 
     @property
     def due_at(self) -> float:
-        """When `tick` has something to do at the latest."""
+        """Returns the time by which `tick` has to be called."""
         return min([self.wake_at, self.deadline, *self.resend_at.values()])
 
     def request_for(self, member: MemberId) -> OutgoingRequest:
-        """What a member is asked now."""
+        """Returns the request for a member in the current phase."""
         raise NotImplementedError
 
     def start(self) -> OutgoingRequests:
-        """Begin, or begin again."""
+        """Starts the operation, or restarts it; returns the requests to send."""
         raise NotImplementedError
 
     def tick(self, now: float) -> OutgoingRequests:
-        """Time has passed."""
+        """Does what is due at `now`; returns the requests to send."""
         raise NotImplementedError
 
     def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
-        """A member has answered."""
+        """Processes a member's answer; returns the requests to send."""
         raise NotImplementedError
 
     def contact(self, members: Iterable[MemberId]) -> OutgoingRequests:
-        """Ask those who were not contacted yet."""
+        """Returns the requests for members that were not contacted yet, and marks them as contacted."""
         requests = [self.request_for(member) for member in members if member not in self.contacted]
         self.contacted.update(request.to for request in requests)
         return requests
 
     def message_lost(self, now: float, member: MemberId) -> None:
-        """A message had no answer in time, or could not be sent."""
+        """Schedules a resend for a message that was not answered in time or could not be sent."""
         if member in self.contacted:
             self.resend_at[member] = now + RESEND_S * (0.5 + self.rng.random())
 
     def resend_due(self, now: float) -> OutgoingRequests:
-        """The lost messages whose time has come."""
+        """Returns the requests whose resend is due."""
         due = [member for member, when in self.resend_at.items() if when <= now]
         for member in due:
             del self.resend_at[member]
         return [self.request_for(member) for member in due if member in self.contacted]
 
     def adopt(self, decided: DecidedMembership) -> bool:
-        """Take over a newer decided membership; False where it is none."""
+        """Adopts a decided membership if it is newer; returns whether it was."""
         if decided.epoch <= self.decided.epoch:
             return False
         self.decided = decided
@@ -160,10 +161,10 @@
 
 
 class QuorumWrite(QuorumOperation):
-    """One change of the register, attempted until it is committed or the deadline has come.
+    """One change of the register, attempted until it is committed or its deadline has passed.
 
-    `result` is OK, with `value` (the committed state) and `answer` (the change's), UNREACHABLE or CONTENDED.
-    Without an OK the change may be in force or not.
+    `result` is OK, with `value` (the committed state) and `answer` (the change's answer), UNREACHABLE or
+    CONTENDED. Without OK the change may or may not be in force.
     """
 
     def __init__(
@@ -175,7 +176,7 @@
         rng: Random,
         counter: int = 0,
     ) -> None:
-        """`counter`: of the highest proposal number known; the first attempt's is one more."""
+        """`counter` belongs to the highest proposal number known; the first attempt uses the next one."""
         super().__init__(decided, deadline, rng)
         self.proposer = proposer
         self.change = change
@@ -186,12 +187,12 @@
         self.number = NO_PROPOSAL
         self.promises: dict[MemberId, AcceptedValue] = {}
         self.accepted_by: set[MemberId] = set()
-        self.rejections: dict[MemberId, bool] = {}  # and whether by a higher number
+        self.rejections: dict[MemberId, bool] = {}  # The value is True for a rejection by a higher number.
         self.proposal: MeshState | None = None
-        self.introduces_text = False  # the proposal names a configuration that its base did not
+        self.introduces_text = False  # Whether the proposal names a configuration that its base did not name.
 
     def start(self) -> OutgoingRequests:
-        """Begin, or begin again, with a higher number."""
+        """Starts an attempt with a higher number; returns the requests to send."""
         self.attempts += 1
         self.counter += 1
         self.number = ProposalNumber(self.counter, *self.proposer)
@@ -202,14 +203,14 @@
         return self.contact(self.quorums.members())
 
     def request_for(self, member: MemberId) -> OutgoingRequest:
-        """What a member is asked now."""
+        """Returns the request for a member in the current phase."""
         if self.phase is Phase.ACCEPT and self.proposal is not None:
             accept = Accept(member.disk, self.decided, self.number, self.proposal)
             return OutgoingRequest(member, accept, self.introduces_text)
         return OutgoingRequest(member, Prepare(member.disk, self.decided, self.number))
 
     def tick(self, now: float) -> OutgoingRequests:
-        """Time has passed."""
+        """Does what is due at `now`; returns the requests to send."""
         if self.result is not None:
             return []
         if now >= self.deadline:
@@ -221,26 +222,27 @@
         return self.resend_due(now)
 
     def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
-        """A member has answered."""
+        """Processes a member's answer; returns the requests to send."""
         if self.result is not None:
             return []
         if self.adopt(answer.decided):
             return self.start()
-        if isinstance(answer, NewerMembership):  # it is known by now: ask again under it
+        if isinstance(answer, NewerMembership):
+            # The newer membership is adopted by now; the request is sent again under it.
             self.message_lost(now, member)
             return []
         if isinstance(answer, DiskMismatch):
             return self._rejected(now, member, by_number=False)
         if isinstance(answer, CurrentValue):
-            return []  # no answer to a write
+            return []  # A write gets no such answer.
         if answer.number != self.number or self.phase is Phase.BACKOFF:
-            return []  # of an earlier attempt
+            return []  # The answer belongs to an earlier attempt.
         return self._count(now, member, answer)
 
     def _count(
         self, now: float, member: MemberId, answer: Promised | Accepted | Rejected | TextMissing
     ) -> OutgoingRequests:
-        """Count an answer to the present attempt."""
+        """Counts an answer to the current attempt."""
         if isinstance(answer, Rejected):
             self.counter = max(self.counter, answer.promised.counter)
             return self._rejected(now, member, by_number=True)
@@ -256,17 +258,17 @@
         return []
 
     def _rejected(self, now: float, member: MemberId, by_number: bool) -> OutgoingRequests:
-        """One member rejects: go on while the others may be enough, else back off and begin again."""
+        """Counts a rejection; starts a backoff if the remaining members are no quorum any more."""
         self.rejections[member] = by_number
-        left = set(self.quorums.members()) - set(self.rejections)
-        if self.phase is not Phase.BACKOFF and not self.quorums.covered(left):
+        remaining = set(self.quorums.members()) - set(self.rejections)
+        if self.phase is not Phase.BACKOFF and not self.quorums.covered(remaining):
             doublings = min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS)
             backoff = BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
             self.phase, self.wake_at, self.resend_at = Phase.BACKOFF, now + backoff, {}
         return []
 
     def _propose_when_promised(self) -> OutgoingRequests:
-        """Once every membership in question is covered by promises, have the change accepted."""
+        """Applies the change and starts the accept phase once there are promises from a quorum."""
         requests: OutgoingRequests = []
         while self.quorums.covered(self.promises):
             found = max(self.promises.values(), key=lambda promise: promise.number).state
@@ -274,8 +276,8 @@
             if self.quorums.add(base.members):
                 requests += self.contact(self.quorums.members())
                 continue
-            made, self.answer = self.change(base)
-            self.proposal = made or base
+            changed, self.answer = self.change(base)
+            self.proposal = changed or base
             if self.quorums.add(self.proposal.members):
                 requests += self.contact(self.quorums.members())
                 continue
@@ -285,31 +287,35 @@
         return requests
 
     def _commit(self) -> None:
-        """Majorities have accepted: the value is in force, and its membership decided."""
+        """Ends the write as committed: the proposal is in force, and its membership is decided."""
         assert self.proposal is not None
         self.result, self.value = QuorumResult.OK, self.proposal
         self.adopt(DecidedMembership(self.proposal.epoch, self.proposal.members))
 
 
 class QuorumRead(QuorumOperation):
-    """A read: OK with `value` where majorities tell of one acceptance; INCONCLUSIVE wants a write instead."""
+    """A read of the register.
+
+    `result` is OK, with `value`, if a quorum has accepted the same value; INCONCLUSIVE if a write is needed
+    to settle which value is current; else UNREACHABLE.
+    """
 
     def __init__(self, decided: DecidedMembership, deadline: float, rng: Random) -> None:
         super().__init__(decided, deadline, rng)
         self.answers: dict[MemberId, AcceptedValue] = {}
 
     def start(self) -> OutgoingRequests:
-        """Begin, or begin again."""
+        """Starts the read, or restarts it; returns the requests to send."""
         self.quorums, self.answers = Quorums([self.decided.members]), {}
         self.contacted, self.resend_at = set(), {}
         return self.contact(self.quorums.members())
 
     def request_for(self, member: MemberId) -> OutgoingRequest:
-        """What a member is asked."""
+        """Returns the request for a member."""
         return OutgoingRequest(member, Read(member.disk, self.decided))
 
     def tick(self, now: float) -> OutgoingRequests:
-        """Time has passed."""
+        """Does what is due at `now`; returns the requests to send."""
         if self.result is not None:
             return []
         if self.quorums.covered(self.answers) and now >= self.wake_at:
@@ -319,7 +325,7 @@
         return [] if self.result is not None else self.resend_due(now)
 
     def received(self, now: float, member: MemberId, answer: Answer) -> OutgoingRequests:
-        """A member has answered."""
+        """Processes a member's answer; returns the requests to send."""
         if self.result is not None:
             return []
         if self.adopt(answer.decided):
@@ -332,7 +338,7 @@
         return self._evaluate(now)
 
     def _evaluate(self, now: float) -> OutgoingRequests:
-        """Look for the same acceptance in majorities of each membership in question."""
+        """Checks whether a quorum has accepted the value with the highest number."""
         highest, found = max(self.answers.values(), key=lambda answer: answer.number)
         value = found or initial_state(self.decided.members)
         requests = self.contact(self.quorums.members()) if self.quorums.add(value.members) else []
--- a/honeywharf/control/register_queues.py
+++ b/honeywharf/control/register_queues.py
@@ -1,4 +1,4 @@
-"""Changes and reads that wait for the register: those that come while one is under way go together next."""
+"""Queues of changes and reads: requests that arrive while one is in progress are batched into the next."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 MAX_PENDING_READS = 256
 INCARNATION_BYTES = 6
 
-ChangeDone = Callable[[QuorumResult, Any], None]  # and the change's answer
+ChangeDone = Callable[[QuorumResult, Any], None]  # The second argument is the change's answer.
 ReadDone = Callable[[MeshState | None], None]
 
 
 class ConfigurationText(NamedTuple):
-    """A configuration's text: the digest of the whole, and its compressed bytes."""
+    """A configuration's text: the digest of the uncompressed text, and the compressed bytes."""
 
     digest: str
     compressed: bytes
 
 
 class PendingRequest:
-    """A change or a read that waits: `done` is called once, with its result or at the deadline."""
+    """A pending change or read: `done` is called once, with the result or at the deadline."""
 
     __slots__ = ("change", "deadline", "digest", "done", "timer")
 
@@ -45,13 +45,13 @@
         change: Change = mesh_state.no_change,
         digest: str = "",
     ) -> None:
-        """`timeout`: seconds from now; `digest`: of the text that a change brings along."""
+        """`timeout` is in seconds from now; `digest` names the text that is submitted with a change."""
         self.deadline, self.change, self.digest = host.now() + timeout, change, digest
         self.done: ChangeDone | None = done
         self.timer = host.after(max(0.0, timeout), partial(self.complete, QuorumResult.UNREACHABLE, None))
 
     def complete(self, result: QuorumResult, answer: Any) -> None:
-        """Call `done`; later calls do nothing."""
+        """Calls `done`; later calls do nothing."""
         done, self.done = self.done, None
         self.timer.cancel()
         if done is not None:
@@ -59,7 +59,10 @@
 
 
 class ChangeQueue:
-    """Changes proposed from here. `on_committed` is called with each state that was, and who was asked."""
+    """The changes that this node proposes.
+
+    `on_committed` is called with each state that is committed and with the members that were contacted.
+    """
 
     def __init__(
         self,
@@ -75,15 +78,15 @@
         self.incarnation = int.from_bytes(host.random(INCARNATION_BYTES), "big")
         self.pending: list[PendingRequest] = []
         self.current: QuorumWrite | None = None
-        self.counter = 0  # of the highest proposal number used or seen
+        self.counter = 0  # The counter of the highest proposal number used or seen.
 
     def submit(
         self, change: Change, timeout: float, done: ChangeDone, text: ConfigurationText | None = None
     ) -> None:
-        """Make a change; `done` is called once, later, within `timeout` seconds.
+        """Submits a change; `done` is called once, asynchronously, within `timeout` seconds.
 
-        UNREACHABLE at once where too many wait, or no membership is known. Without an OK the change may be in
-        force or not.
+        The result is UNREACHABLE without waiting if too many changes are pending or no membership is known.
+        Without OK the change may or may not be in force.
         """
         if len(self.pending) >= MAX_PENDING_CHANGES or not self.voter.state.epoch:
             self.host.after(0.0, partial(done, QuorumResult.UNREACHABLE, None))
@@ -96,7 +99,7 @@
             self.host.after(0.0, self._start_next)
 
     def _start_next(self) -> None:
-        """Put everything that waits into one write."""
+        """Combines all pending changes into one write."""
         if self.current is not None or not self.pending:
             return
         batch, self.pending = self.pending, []
@@ -131,7 +134,7 @@
 
 
 class ReadQueue:
-    """Reads of what a majority holds. `on_read` is called with each state that was read."""
+    """Reads of the committed state from a majority. `on_read` is called with each state that was read."""
 
     def __init__(
         self,
@@ -148,9 +151,9 @@
         self.current: QuorumRead | None = None
 
     def read(self, timeout: float, done: ReadDone) -> None:
-        """Read what a majority has committed; `done` is called once, later, within `timeout` seconds.
+        """Reads the committed state; `done` is called once, asynchronously, within `timeout` seconds.
 
-        It gets None where no majority answers in time, too many wait, or no membership is known.
+        It gets None if no majority answers in time, too many reads are pending, or no membership is known.
         """
         if len(self.pending) >= MAX_PENDING_READS or not self.voter.state.epoch:
             self.host.after(0.0, partial(done, None))
@@ -160,7 +163,7 @@
             self.host.after(0.0, self._start_next)
 
     def _start_next(self) -> None:
-        """One read for all that wait: it begins after each of them has asked."""
+        """Starts one read for all pending requests; it begins after each of them was submitted."""
         if self.current is not None or not self.pending:
             return
         batch, self.pending = self.pending, []
@@ -181,7 +184,10 @@
         self._start_next()
 
     def _complete(self, batch: list[PendingRequest], result: QuorumResult, value: MeshState | None) -> None:
-        """Complete those whose time is not over: after a standstill, what was read may be old."""
+        """Completes the requests before their deadlines.
+
+        The others fail, because a value that was read before a stall of this process may be old.
+        """
         now = self.host.now()
         for request in batch:
             if now <= request.deadline:
@@ -191,9 +197,9 @@
 
     @staticmethod
     def _write_back(state: MeshState) -> tuple[MeshState | None, Any]:
-        """The change that changes nothing, and answers what it found."""
+        """Changes nothing, and answers the state that it found."""
         return None, state
 
     def _write_back_done(self, batch: list[PendingRequest], result: QuorumResult, answer: Any) -> None:
-        """A read that was inconclusive was written back."""
+        """Completes an inconclusive read after its value was written back."""
         self._complete(batch, result, answer if result is QuorumResult.OK else None)
--- a/honeywharf/control/repair.py
+++ b/honeywharf/control/repair.py
@@ -1,8 +1,8 @@
-"""A control node's disk as people see it: what is on it, what of it is damaged, and its repair.
+"""Inspection and repair of a control node's disk, for operators.
 
-`check` only reads; every file is replaced as a whole, so it may be run beside a control node. `repair`
-writes, and wants the control node stopped. Neither gives a vote to a disk that has lost what it promised: a
-damaged register is set aside, and the machine asks to be admitted anew. Backups are in `backup`.
+`check` only reads; it may run beside a control node, because every file is replaced as a whole. `repair`
+writes, and requires a stopped control node. Neither gives a vote to a disk that has lost its promises: a
+damaged register is renamed, and the machine requests its admission again. Backups are in `backup`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Report:
-    """What a disk holds: `lines` and `faults` for people, and the state where the register is intact."""
+    """The contents of a disk: `lines` and `faults` for operators, and the state if the register is intact."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -32,7 +32,7 @@
 
 
 def check(disk: Disk) -> Report:
-    """What is on a disk. FormatError: a file is of a later version than this program knows."""
+    """Reports the contents of a disk. Raises FormatError for a file of a later version of the format."""
     report, names = Report(), sorted(disk.names())
     report.state = decode_register(disk.read(REGISTER))
     if report.state is not None:
@@ -40,12 +40,12 @@
     elif REGISTER in names:
         report.faults.append(f"{REGISTER}: damaged")
     else:
-        report.lines.append(f"{REGISTER}: none: the disk has no vote")
+        report.lines.append(f"{REGISTER}: missing, the disk has no vote")
     for name in names:
         _describe_file(report, disk, name)
     value = report.state.value if report.state is not None else None
     if value is not None and value.digest and TEXT_PREFIX + value.digest not in names:
-        report.faults.append(f"{TEXT_PREFIX}{value.digest}: missing, and the register names it")
+        report.faults.append(f"{TEXT_PREFIX}{value.digest}: missing, but the register names it")
     return report
 
 
@@ -53,25 +53,25 @@
     report.lines.append(
         f"{REGISTER}: disk {state.disk}, promised {state.promised.counter}, accepted {state.accepted.counter}"
     )
-    members = " ".join(f"{one.address}/{one.zone or '?'}/{one.disk}" for one in state.members) or "unknown"
-    report.lines.append(f"roster {state.epoch}: {members}")
+    members = " ".join(f"{m.address}/{m.zone or '?'}/{m.disk}" for m in state.members) or "unknown"
+    report.lines.append(f"membership {state.epoch}: {members}")
     if state.value is None:
-        report.lines.append("word: none yet")
+        report.lines.append("state: none yet")
         return
     value = state.value
-    gone = ",".join(sorted(zone for zone, on in value.evacuations.items() if on)) or "none"
+    evacuated = ",".join(sorted(zone for zone, on in value.evacuations.items() if on)) or "none"
     report.lines.append(
-        f"word {value.revision}: configuration r{value.version}, {value.digest or 'no text'},"
-        f" evacuated {gone}"
+        f"state {value.revision}: configuration r{value.version}, {value.digest or 'no text'},"
+        f" evacuated {evacuated}"
     )
 
 
 def _describe_file(report: Report, disk: Disk, name: str) -> None:
     if name.endswith(DAMAGED_SUFFIX):
-        report.lines.append(f"{name}: set aside")
+        report.lines.append(f"{name}: damaged file, renamed earlier")
     elif name == REGISTER_NEW:
-        whole = decode_register(disk.read(name)) is not None
-        report.lines.append(f"{name}: left by a write that was cut off, {'whole' if whole else 'torn'}")
+        is_complete = decode_register(disk.read(name)) is not None
+        report.lines.append(f"{name}: left by an interrupted write, {'complete' if is_complete else 'torn'}")
     elif name.startswith(TEXT_PREFIX):
         text = read_text(disk, name)
         if text is None or digest_of(text) != name[len(TEXT_PREFIX) :]:
@@ -79,33 +79,33 @@
         else:
             report.lines.append(f"{name}: {len(text)} bytes")
     elif name.startswith(HISTORY_PREFIX):
-        report.lines.append(f"{name}: history, on which no vote depends")
+        report.lines.append(f"{name}: drift history, no vote depends on it")
     elif name != REGISTER:
-        report.lines.append(f"{name}: not of a control node")
+        report.lines.append(f"{name}: not a file of a control node")
 
 
 def repair(disk: Disk) -> list[str]:
-    """Set aside what is damaged, and finish a write that was cut off; what was done, a line each.
+    """Renames damaged files, and finishes an interrupted write; returns a line for each action.
 
-    An intact `register.new` was synced and nothing was answered by it: it takes the place of a damaged or
-    missing register, as if the write had ended. Without one the disk counts as lost.
+    An intact `register.new` was synced and no answer depends on it yet: it replaces a damaged or missing
+    register, as if the write had ended. Without one the disk counts as lost.
     """
-    done, report = [], check(disk)
+    actions, report = [], check(disk)
     new = decode_register(disk.read(REGISTER_NEW))
     if report.state is None and REGISTER in disk.names():
         disk.rename(REGISTER, REGISTER + DAMAGED_SUFFIX)
-        done.append(f"{REGISTER}: damaged, set aside as {REGISTER}{DAMAGED_SUFFIX}")
+        actions.append(f"{REGISTER}: damaged, renamed to {REGISTER}{DAMAGED_SUFFIX}")
     if report.state is None and new is not None:
         disk.rename(REGISTER_NEW, REGISTER)
-        done.append(f"{REGISTER}: taken from {REGISTER_NEW}")
+        actions.append(f"{REGISTER}: recovered from {REGISTER_NEW}")
     elif REGISTER_NEW in disk.names():
         disk.remove(REGISTER_NEW)
-        done.append(f"{REGISTER_NEW}: removed")
+        actions.append(f"{REGISTER_NEW}: removed")
     for fault in report.faults:
         name = fault.partition(":")[0]
         if name.startswith(TEXT_PREFIX) and name in disk.names():
             disk.rename(name, name + DAMAGED_SUFFIX)
-            done.append(
-                f"{name}: damaged, set aside as {name}{DAMAGED_SUFFIX}; the others have it, or a backup"
+            actions.append(
+                f"{name}: damaged, renamed to {name}{DAMAGED_SUFFIX}; other members or a backup have it"
             )
-    return done
+    return actions
--- a/honeywharf/control/replica.py
+++ b/honeywharf/control/replica.py
@@ -1,8 +1,8 @@
-"""One control node's part in the quorum register, on a `Host`: its vote, changes, reads and the membership.
+"""One control node's replica of the quorum register, on a `Host`: its vote, changes, reads and membership.
 
-Theory of operation. Changes that arrive while a write is under way wait and go together in the next one;
-reads likewise (`register_queues`). Nothing is answered to a peer before what it promises is synced
-(`voter`). What was committed is sent to the members, and learnt from heartbeats by who missed it
+Theory of operation. Changes that arrive while a write is in progress are batched into the next one, and reads
+likewise (`register_queues`). A peer is answered only after the state that the answer depends on is synced
+(`voter`). A committed state is sent to the members; a node that misses it learns of it from heartbeats
 (`committed_state`, `membership`).
 """
 
@@ -32,16 +32,16 @@
     from honeywharf.transport.rpc_client import RpcClient
     from honeywharf.transport.rpc_server import Method, Reply
 
-READ_TIMEOUT_S = 0.8  # of a read for another process
-SEED_BYTES = 16  # of randomness for back-off and jitter
+READ_TIMEOUT_S = 0.8  # The time-out of a read for another process.
+SEED_BYTES = 16  # The size of the seed for backoff and jitter.
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """Who this control node is.
+    """The settings of this control node.
 
-    `address`: its internal address; `seeds`: those of the first members; `is_initial_start`: whether the
-    whole system starts for the first time, so that a seed with an empty disk has a vote.
+    `address` is its internal address; `seeds` are the addresses of the first members; `is_initial_start` is
+    set when the whole system starts for the first time, so that a seed with an empty disk has a vote.
     """
 
     address: Address
@@ -51,10 +51,10 @@
 
 
 class Replica:
-    """See the module. `methods` are what peers may call; `start` it once the disk can be read.
+    """A replica of the register. `methods` are the RPC methods that peers may call.
 
-    `on_state` is called with each newer committed state; `other_control_nodes` gives the addresses of those
-    that gossip knows.
+    `start` is called once the disk can be read. `on_state` is called with each newer committed state;
+    `other_control_nodes` returns the addresses of the control nodes that gossip knows.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.client = QuorumClient(host, caller, self.voter, self.texts, self._record_contact)
         self.committed = CommittedState(host, caller, store, self.voter, self.texts, on_state)
         self.changes = ChangeQueue(
-            host, self.voter, self.texts, self.client, rng, self.committed.committed_here
+            host, self.voter, self.texts, self.client, rng, self.committed.local_write_committed
         )
         self.reads = ReadQueue(host, self.voter, self.client, self.changes, rng, self.committed.advance)
         self.membership = MembershipManager(
@@ -94,7 +94,7 @@
         }
 
     def start(self) -> None:
-        """Load what the disk holds, and begin. OSError where the disk fails: to be called again later."""
+        """Loads the state from disk and starts. Raises OSError if the disk fails; the caller tries again."""
         self.voter.load(self._new_acceptor_state())
         self.changes.counter = self.state.promised.counter
         self.membership.start()
@@ -102,7 +102,7 @@
         self.read(CHANGE_TIMEOUT_S, lambda state: None)
 
     def _new_acceptor_state(self) -> AcceptorState:
-        """For an empty disk: that of an initial member at the first start, else a new name with no vote."""
+        """Returns the state for an empty disk: an initial member at the first start, else without a vote."""
         is_initial = self.settings.is_initial_start
         is_seed = is_initial and self.local_address in self.seeds and self.store.is_unused()
         disk = mesh_state.INITIAL_DISK if is_seed else self.host.random(DISK_NAME_BYTES).hex()
@@ -112,39 +112,39 @@
 
     @property
     def state(self) -> AcceptorState:
-        """What the disk holds."""
+        """Returns the acceptor's state, as it is on disk."""
         return self.voter.state
 
     @property
     def known_state(self) -> MeshState | None:
-        """The newest committed state that is known here; it may be old."""
+        """Returns the newest committed state that this node knows; it may be old."""
         return self.committed.known
 
     @property
     def member_id(self) -> MemberId:
-        """This machine with its disk."""
+        """Returns the identity of this machine with its disk."""
         return self.voter.member_id
 
     def is_member(self) -> bool:
-        """Whether this machine is in the decided membership."""
+        """Returns whether this machine is in the decided membership."""
         return self.voter.is_member()
 
     def discard_vote(self) -> None:
-        """This disk gave back an older register: see `Voter.discard_vote`."""
+        """Gives up this disk's vote, because it returned an older register; see `Voter.discard_vote`."""
         self.voter.discard_vote()
 
     def unreachable_members(self, duration: float) -> list[MemberId]:
-        """Members without contact for so long (s), while this process ran."""
+        """Returns members without contact for `duration` seconds in which this process ran."""
         return self.membership.contacts.unreachable(duration)
 
     def reaches_majority(self) -> bool:
-        """Whether a majority was in contact lately; see `ContactTracker.reaches_majority`."""
+        """Returns whether a majority was in contact recently; see `ContactTracker.reaches_majority`."""
         return self.membership.contacts.reaches_majority()
 
     def hand_over(self, timeout: float, done: Callable[[], None]) -> None:
-        """This process ends as planned: a standby takes its place, where there is one; then `done()`.
+        """Hands this member's place to a standby, if there is one, before a planned end; then calls `done()`.
 
-        `timeout`: seconds that it may take.
+        The handover takes at most `timeout` seconds.
         """
         self.membership.is_leaving = True
         self.membership.handover.begin(timeout, done)
--- a/honeywharf/control/standby.py
+++ b/honeywharf/control/standby.py
@@ -1,10 +1,10 @@
-"""Standbys: machines that hold the state and have no vote, until one takes the place of a member that leaves.
+"""Standbys: machines that have the state but no vote, until one replaces a member that leaves.
 
-Theory of operation. A machine that is not needed as a member sends heartbeats to all members, tells which
-configuration's text it holds, and learns each newer state like they do. A member that ends as planned
-hands its place to one of them before it ends, by a change of the membership (`mesh_state.hand_over`), so the
-membership never grows and never holds one that has gone. Where a member fails without notice, a standby asks
-for its place (`joining`). In both cases it must hold the text of the newest configuration first.
+Theory of operation. A machine that is not needed as a member sends heartbeats to all members, reports which
+configuration's text it has, and learns each newer state like a member. A member that shuts down as planned
+first hands its place to a standby, by a change of the membership (`mesh_state.hand_over`), so the membership
+never grows and never contains a member that has gone. If a member fails without notice, a standby requests
+its place (`joining`). In both cases the standby must have the text of the newest configuration first.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Host
 
-PRESENT_S = 1.0  # after its last heartbeat, for which a standby counts as present
+PRESENCE_TIMEOUT_S = 1.0  # A standby counts as present for this long after its last heartbeat.
 MAX_STANDBYS = 16
-ATTEMPT_TIMEOUT_S = 0.6  # of one attempt to hand over
+ATTEMPT_TIMEOUT_S = 0.6  # The time-out of one attempt to hand over.
 RETRY_DELAY_S = 0.05
 
 
 class Standby(NamedTuple):
-    """A standby as it last reported about itself. `digest`: of the configuration whose text it holds."""
+    """A standby's last report about itself. `digest` names the configuration whose text it has."""
 
     member: Member
     digest: str
@@ -43,9 +43,9 @@
         self.by_id: dict[MemberId, Standby] = {}
 
     def record(self, heartbeat: Heartbeat, now: float) -> None:
-        """A machine that is no member has reported about itself.
+        """Records the heartbeat of a machine that is not a member.
 
-        The one without contact for longest gives way.
+        Above `MAX_STANDBYS` the standby with the oldest contact is dropped.
         """
         member = Member(heartbeat.address, heartbeat.disk, heartbeat.zone, False)
         if member.id not in self.by_id and len(self.by_id) >= MAX_STANDBYS:
@@ -53,27 +53,27 @@
         self.by_id[member.id] = Standby(member, heartbeat.digest, now)
 
     def present(self, now: float, members: list[MemberId]) -> list[Standby]:
-        """Those that are present at `now` and have no vote."""
+        """Returns the standbys that are present at `now` and are not members."""
         return [
             standby
             for key, standby in self.by_id.items()
-            if key not in members and now - standby.last_contact_at <= PRESENT_S
+            if key not in members and now - standby.last_contact_at <= PRESENCE_TIMEOUT_S
         ]
 
 
 class Handover:
-    """Gives this member's place to a standby, when its process ends as planned."""
+    """Hands this member's place to a standby, when its process shuts down as planned."""
 
     def __init__(self, host: Host, voter: Voter, changes: ChangeQueue, standbys: Standbys) -> None:
         self.host, self.voter, self.changes, self.standbys = host, voter, changes, standbys
-        self.zone = ""  # this machine's
+        self.zone = ""  # The zone of this machine.
         self.deadline = 0.0
         self.done: Callable[[], None] = lambda: None
 
     def begin(self, timeout: float, done: Callable[[], None]) -> None:
-        """Hand over within `timeout` seconds.
+        """Hands over within `timeout` seconds.
 
-        `done()` follows once, at once where nobody can take the place.
+        `done()` is called once; without waiting if no standby can take the place.
         """
         self.deadline, self.done = self.host.now() + timeout, done
         self._attempt()
@@ -91,7 +91,7 @@
         self.changes.submit(change, min(ATTEMPT_TIMEOUT_S, self.deadline - now), self._answered)
 
     def _preference(self, standby: Standby) -> tuple[bool, float]:
-        """One of the own zone first, then the one in contact last."""
+        """Returns a sort key: standbys of this zone first, then the most recent contact."""
         return standby.member.zone != self.zone, -standby.last_contact_at
 
     def _answered(self, result: QuorumResult, answer: Any) -> None:
--- a/honeywharf/control/version_history.py
+++ b/honeywharf/control/version_history.py
@@ -1,37 +1,38 @@
-"""Which content was confirmed under which version: a bounded part of the mesh state. No I/O.
+"""The content that was confirmed under each version: a bounded part of the mesh state. There is no I/O.
 
-Kept are the highest `MAX_VERSIONS` versions that were confirmed, each with the first digits of its digest, as
-records of fixed size in one byte string, because it is copied with every message of the register and searched
-without being unpacked. Up to its floor nothing is known any more, and nothing is confirmed there.
+The history keeps the highest `MAX_VERSIONS` versions that were confirmed, each with the first digits of its
+digest. The records have a fixed size and are stored in one byte string, because the history is copied with
+every message of the register and searched without being unpacked. Versions up to the floor are no longer
+known, and none of them is confirmed any more.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_VERSIONS = 2048  # records of 24 bytes: 48 KiB
-PREFIX_SIZE = 16  # digits of a digest that are kept: 64 bits
-VERSION_SIZE = 8  # bytes, most significant first
+MAX_VERSIONS = 2048  # The records take 48 KiB at 24 bytes each.
+PREFIX_SIZE = 16  # The first 16 hexadecimal digits of a digest are 64 bits.
+VERSION_SIZE = 8  # A version is stored big-endian.
 RECORD_SIZE = VERSION_SIZE + PREFIX_SIZE
 
 
 def digest_prefix(digest: str) -> bytes:
-    """What is kept of a digest."""
+    """Returns the part of a digest that is stored."""
     return digest.encode()[:PREFIX_SIZE].ljust(PREFIX_SIZE, b"\0")
 
 
 @dataclass(frozen=True, slots=True)
 class VersionHistory:
-    """Versions and what they were confirmed with, never changed once made.
+    """An immutable map from versions to the content that they were confirmed with.
 
-    `records`: sorted by version; `floor`: nothing is known up to this version.
+    `records` is sorted by version; nothing is known of versions up to `floor`.
     """
 
     records: bytes = b""
     floor: int = -1
 
     def __len__(self) -> int:
-        """How many versions are remembered."""
+        """Returns the number of versions in the history."""
         return len(self.records) // RECORD_SIZE
 
     def _version_at(self, index: int) -> int:
@@ -39,7 +40,7 @@
         return int.from_bytes(self.records[start : start + VERSION_SIZE], "big")
 
     def _index(self, version: int) -> int:
-        """The position of a version's record, or where it would be inserted."""
+        """Returns the position of a version's record, or the position at which it would be inserted."""
         low, high = 0, len(self)
         while low < high:
             middle = (low + high) // 2
@@ -50,7 +51,7 @@
         return low
 
     def confirmed_prefix(self, version: int) -> str:
-        """The first digits of the digest that was confirmed under a version; empty where none was."""
+        """Returns the first digits of the digest that was confirmed under a version; empty where none was."""
         index = self._index(version)
         if index == len(self) or self._version_at(index) != version:
             return ""
@@ -58,36 +59,38 @@
         return self.records[start : start + PREFIX_SIZE].rstrip(b"\0").decode()
 
     def has(self, version: int, digest: str) -> bool:
-        """Whether this content was confirmed under this version."""
+        """Returns whether this content was confirmed under this version."""
         return self.confirmed_prefix(version) == digest_prefix(digest).rstrip(b"\0").decode()
 
     def is_forgotten(self, version: int) -> bool:
-        """Whether a version is too old for this memory: nothing can be said of it, or remembered."""
+        """Returns whether a version is too old for this history: it can be neither looked up nor added."""
         full = len(self) >= MAX_VERSIONS
         return version <= self.floor or (full and version < self._version_at(0))
 
     def add(self, version: int, digest: str) -> VersionHistory:
-        """A copy with one more version, which must be new here.
+        """Returns a copy with one more version, which must not be in the history yet.
 
-        The lowest is dropped above `MAX_VERSIONS`.
+        Above `MAX_VERSIONS` the lowest version is dropped.
         """
         start = self._index(version) * RECORD_SIZE
         record = version.to_bytes(VERSION_SIZE, "big") + digest_prefix(digest)
-        made = VersionHistory(self.records[:start] + record + self.records[start:], self.floor)
-        if len(made) <= MAX_VERSIONS:
-            return made
-        return VersionHistory(made.records[RECORD_SIZE:], made._version_at(0))
+        extended = VersionHistory(self.records[:start] + record + self.records[start:], self.floor)
+        if len(extended) <= MAX_VERSIONS:
+            return extended
+        return VersionHistory(extended.records[RECORD_SIZE:], extended._version_at(0))
 
     def pack(self) -> list[object]:
-        """As msgpack holds it."""
+        """Returns the form that msgpack stores."""
         return [self.records, self.floor]
 
     @staticmethod
     def unpack(packed: object) -> VersionHistory:
-        """From `pack`. ValueError or TypeError where it is something else."""
+        """Reads the result of `pack`. Raises ValueError or TypeError for anything else."""
         if not isinstance(packed, list | tuple) or len(packed) != 2:
-            raise ValueError("found something else, wanted a version history")
+            raise ValueError(f"version history: expected [records, floor], got {packed!r:.80}")
         records, floor = packed
         if not isinstance(records, bytes) or not isinstance(floor, int) or len(records) % RECORD_SIZE:
-            raise ValueError("found something else, wanted a version history")
+            raise ValueError(
+                f"version history: expected records and a floor, got {records!r:.80}, {floor!r:.80}"
+            )
         return VersionHistory(records, floor)
--- a/honeywharf/control/voter.py
+++ b/honeywharf/control/voter.py
@@ -1,4 +1,4 @@
-"""An acceptor on its disk: nothing is answered before what it promises is synced."""
+"""An acceptor with its disk: an answer is sent only after the state that it depends on is synced."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
     from honeywharf.control.store import Store
     from honeywharf.transport.host import Host
 
-DISK_NAME_BYTES = 8  # of randomness in the name of a disk
+DISK_NAME_BYTES = 8
 
 
 class Voter:
-    """The acceptor of one machine, and its disk. `local_address`: this machine's, "ip:port"."""
+    """The acceptor of one machine, and its disk. `local_address` is this machine's "ip:port"."""
 
     def __init__(self, host: Host, store: Store, local_address: str) -> None:
         self.host, self.store, self.local_address = host, store, local_address
         self.acceptor = Acceptor(AcceptorState(""), store.has_text)
-        self.membership_changed_at = 0.0  # when the decided membership was taken over, steady clock
+        self.membership_changed_at = 0.0  # When the decided membership was adopted, on the steady clock.
 
     @property
     def state(self) -> AcceptorState:
-        """What the disk holds."""
+        """Returns the acceptor's state, as it is on disk."""
         return self.acceptor.state
 
     @property
     def member_id(self) -> MemberId:
-        """This machine with its disk."""
+        """Returns the identity of this machine with its disk."""
         return MemberId(self.local_address, self.state.disk)
 
     def is_member(self) -> bool:
-        """Whether this machine is in the decided membership."""
+        """Returns whether this machine is in the decided membership."""
         return self.member_id in member_ids(self.state.members)
 
     def load(self, new: AcceptorState) -> None:
-        """Load what the disk holds, or begin with `new`. OSError where the disk fails."""
+        """Loads the state from disk, or saves `new` on an empty disk. Raises OSError if the disk fails."""
         state = self.store.load()
         if state is None:
             state = new
@@ -47,7 +47,7 @@
         self.acceptor.state = state
 
     def persist(self, state: AcceptorState) -> None:
-        """Sync a state to disk, then hold it; OSError leaves the old one."""
+        """Syncs a state to disk, then makes it the current one; an OSError leaves the old state current."""
         if state is self.state:
             return
         self.store.save(state)
@@ -58,28 +58,30 @@
         self.acceptor.state = state
 
     def adopt_membership(self, decided: DecidedMembership) -> None:
-        """Take over a decided membership where it is newer; an error of the disk is logged."""
+        """Adopts a decided membership if it is newer; a disk error is logged."""
         if decided.epoch <= self.state.epoch:
             return
         try:
             self.persist(replace(self.state, epoch=decided.epoch, members=decided.members))
         except OSError as error:
-            self.host.log(f"replica: a membership could not be kept: {error}")
+            self.host.log(f"replica: could not save membership {decided.epoch}: {error}")
 
     def discard_vote(self) -> None:
-        """This disk gave back an older register: as after a lost disk, it has no vote until admitted anew.
+        """Gives up this disk's vote, because the disk returned an older register.
 
-        OSError where the disk fails: the old name is not answered for all the same, until a restart at the
-        latest; the new one is persisted with the first promise that it makes.
+        As after the loss of a disk, the machine has no vote until it is admitted again. Raises OSError if the
+        disk fails; requests for the old disk name are rejected even then, at least until a restart, and the
+        new name is persisted with the first promise made under it.
         """
         name = self.host.random(DISK_NAME_BYTES).hex()
         self.acceptor.state = AcceptorState(name, self.state.epoch, self.state.members)
         self.store.save(self.state)
 
     def vote(self, request: Request, text: bytes | None) -> Answer | None:
-        """The answer to a request, once it is on disk; None where the disk fails.
+        """Returns the answer to a request after the new state is on disk; None if the disk fails.
 
-        `text`: the compressed text of the configuration that the request names, where it came along.
+        `text` is the compressed text of the configuration that the request names, if it came with the
+        request.
         """
         try:
             if text is not None and isinstance(request, Accept) and request.disk == self.state.disk:
@@ -87,6 +89,6 @@
             state, answer = self.acceptor.answer(request)
             self.persist(state)
         except OSError as error:
-            self.host.log(f"replica: the disk fails: {error}")
+            self.host.log(f"replica: the disk fails, request not answered: {error}")
             return None
         return answer
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,4 +1,4 @@
-"""Whole control nodes on a virtual network, and an operator that calls their API without a connection."""
+"""Complete control nodes on a virtual network, and an operator that calls their API directly."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 from tests.control.virtual_network import Machine, VirtualNetwork
 
 ZONES = {"a": "r", "b": "r", "c": "r"}
-PORT, INNER = 8306, 7620
+PORT, INTERNAL_PORT = 8306, 7620
 
 
 def settings(ip: str, seeds: list[str], first: bool) -> Settings:
-    """As the file would tell it."""
+    """Returns the settings of a control node."""
     made = Settings()
     made.node_name, made.ip, made.zone, made.zones = f"core-{ip}", ip, "abc"[int(ip[-1]) % 3], ZONES
-    made.listen_addresses, made.internal_ports = {"control-plane": (ip, PORT)}, (INNER, INNER + 15)
+    made.listen_addresses, made.internal_ports = (
+        {"control-plane": (ip, PORT)},
+        (INTERNAL_PORT, INTERNAL_PORT + 15),
+    )
     made.bounds = {"grace-period": 6.0}
     made.link_mbps = 1000.0
     made.seeds, made.initial_start = [(seed, PORT) for seed in seeds], first
@@ -29,15 +32,15 @@
 
 
 def check(raw: bytes) -> Result[Configuration, str]:
-    """Stands for the mesh_config's: `r7 anything` is a configuration."""
+    """Replaces the check of `mesh_config`: `r7 anything` is a valid configuration."""
     head = raw.split(b" ", 1)[0]
     if not head.startswith(b"r"):
-        return Err(f"version: found {head!r}, wanted r and a number")
+        return Err(f"version: expected r and a number, got {head!r}")
     return Ok(Configuration(int(head[1:]), hashlib.sha256(raw).hexdigest()[:32], raw))
 
 
 class Call:
-    """A call as the HTTP server hands it over."""
+    """A call as the HTTP server passes it to the API."""
 
     def __init__(self, method: str, path: str, body: bytes = b"") -> None:
         self.method, self.path, self.body = method.encode(), path.encode(), body
@@ -48,7 +51,7 @@
 
     @property
     def status(self) -> int:
-        """0 while there is no answer."""
+        """Returns the status of the answer; 0 while there is none."""
         assert len(self.answers) <= 1
         return self.answers[0][0] if self.answers else 0
 
@@ -66,7 +69,7 @@
             self.start(ip, first=True)
 
     def start(self, ip: str, first: bool = False) -> None:
-        """Start a process."""
+        """Starts the process of a machine."""
 
         def make(machine: Machine) -> ControlNode:
             return ControlNode(machine, settings(ip, self.seeds, first))
@@ -77,37 +80,37 @@
             self.programs[ip] = made
 
     def add(self, ip: str) -> None:
-        """A new machine with an empty disk."""
+        """Adds a machine with an empty disk, and starts its process."""
         self.network.machine(ip)
         self.start(ip)
 
     def call(self, ip: str, method: str, path: str, body: bytes = b"") -> Call:
-        """Call one; the answer comes as time passes."""
+        """Calls a control node; the answer arrives as time passes."""
         call = Call(method, path, body)
         if self.network.machines[ip].on:
             self.network.machines[ip].after(0.001, lambda: self.programs[ip].operator.handle(call))
         return call
 
     def replace(self, ip: str, version: int, content: str = "") -> Call:
-        """A configuration."""
+        """Sends a configuration to a control node."""
         return self.call(ip, "POST", "/api/configuration/replace", f"r{version} {content}".encode())
 
     def describe(self, ip: str) -> Call:
-        """Read it back."""
+        """Reads the configuration from a control node."""
         return self.call(ip, "GET", "/api/configuration/describe")
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Lets time pass."""
         self.network.run(self.network.time + seconds)
 
     def split(self, *groups: list[str]) -> None:
-        """Cut groups of machines off from one another."""
+        """Partitions the network into groups of machines."""
         self.network.cuts = {
-            (a, b) for one in groups for other in groups if one is not other for a in one for b in other
+            (a, b) for group in groups for other in groups if group is not other for a in group for b in other
         }
 
     def known(self, ip: str) -> MeshState:
-        """The state as one knows it."""
+        """Returns the committed state that a control node knows."""
         known = self.programs[ip].replica.known_state
         assert known is not None
         return known
--- a/tests/control/explore.py
+++ b/tests/control/explore.py
@@ -1,10 +1,10 @@
-"""All orders of messages between proposers, readers and acceptors, one step at a time, each state once.
+"""Explores all orders of messages between proposers, readers and acceptors, and visits each state once.
 
-A message that is never delivered is a lost one, for what must hold is judged after each step. Actors are
-rounds and surveys of the very classes that the program runs; each may begin at any step. With `split` an
-acceptor's write and its sync are two steps, and the power may go between them, with the write kept or lost;
-while it waits for the sync it answers nobody. Where the roster never changes, its members are alike: states
-that differ by names only count once (`alike`).
+The rules are checked after each step, so a message that is never delivered stands for a lost one. Actors are
+writes and reads of the same classes that the program runs; each may start at any step. With `split` an
+acceptor's write and its sync are two steps, and a power failure may happen between them, with the write kept
+or lost; an acceptor that waits for the sync answers no requests. If the membership never changes, its members
+are interchangeable: states that differ only by names count once (`alike`).
 """
 
 from __future__ import annotations
@@ -37,44 +37,46 @@
 )
 
 
-class Half(Random):
-    """No chance where all orders are tried anyway."""
+class FixedRandom(Random):
+    """A random generator with a fixed result, because all orders are tried anyway."""
 
     def random(self) -> float:
         return 0.5
 
 
-HALF = Half()
+FIXED_RANDOM = FixedRandom()
 
 
 class BrokenError(AssertionError):
     """A rule of the register does not hold."""
 
 
-Orders = tuple[tuple[int, str, bool], ...]  # answered: version, digest, whether it was refused
+Orders = tuple[tuple[int, str, bool], ...]  # Answered orders: version, digest, whether it was rejected.
+# The attributes of an operation with an entry for each member.
 LOCAL = (
     "contacted",
     "promises",
     "accepted_by",
     "rejections",
     "answers",
-)  # what an actor holds of each member
+)
+# The attributes of an operation that do not distinguish states.
 NO_STATE = ("rng", "change", "timer", "wake_at", "quorums", "deadline", "answer", "resend_at")
 
 
 class Actor:
-    """A round or a survey that may begin; never changed once made (`asking` is copied for each step)."""
+    """A write or a read that may start; it is immutable (`operation` is copied for each step)."""
 
-    __slots__ = ("asking", "begun", "floor", "keys", "over")
+    __slots__ = ("floor", "has_begun", "is_done", "keys", "operation")
 
     def __init__(
-        self, asking: QuorumOperation, begun: bool = False, floor: int = -1, over: bool = False
+        self, operation: QuorumOperation, has_begun: bool = False, floor: int = -1, is_done: bool = False
     ) -> None:
-        self.asking, self.begun, self.floor, self.over = asking, begun, floor, over
+        self.operation, self.has_begun, self.floor, self.is_done = operation, has_begun, floor, is_done
         self.keys: dict[bool, Any] = {}
 
     def _kept(self) -> list[tuple[str, Any]]:
-        kept = [(name, value) for name, value in vars(self.asking).items() if name not in NO_STATE]
+        kept = [(name, value) for name, value in vars(self.operation).items() if name not in NO_STATE]
         return sorted(
             ((name, sorted(value) if isinstance(value, set) else value) for name, value in kept),
             key=lambda one: one[0],
@@ -82,41 +84,49 @@
 
     @property
     def key(self) -> str:
-        """All of its state."""
+        """Returns a text that identifies the actor's state."""
         if False not in self.keys:
-            parts = (self.begun, self.over, self.floor, self._kept(), self.asking.quorums.memberships)
+            parts = (
+                self.has_begun,
+                self.is_done,
+                self.floor,
+                self._kept(),
+                self.operation.quorums.memberships,
+            )
             self.keys[False] = repr(parts)
         return str(self.keys[False])
 
     @property
     def parts(self) -> tuple[str, dict[str, str]]:
-        """The same as what belongs to no member, and what belongs to each."""
+        """Returns the actor's state in two parts: the part without members, and the part of each member."""
         if True not in self.keys:
             kept = self._kept()
-            rest = repr((self.begun, self.over, self.floor, [one for one in kept if one[0] not in LOCAL]))
+            rest = repr(
+                (self.has_begun, self.is_done, self.floor, [one for one in kept if one[0] not in LOCAL])
+            )
             of = [value for name, value in kept if name in LOCAL]
             local = {
                 key[0]: repr([value.get(key) if isinstance(value, dict) else key in value for value in of])
-                for key in self.asking.quorums.members()
+                for key in self.operation.quorums.members()
             }
             self.keys[True] = rest, local
         made: tuple[str, dict[str, str]] = self.keys[True]
         return made
 
 
-def copied(asking: QuorumOperation) -> Any:
-    """One that can be changed by itself."""
-    made = copy.copy(asking)
+def copied(operation: QuorumOperation) -> Any:
+    """Returns a copy of an operation that can be changed independently."""
+    made = copy.copy(operation)
     for name, value in vars(made).items():
         if isinstance(value, dict | set | list):
             setattr(made, name, value.copy())
     made.quorums = Quorums([])
-    made.quorums.memberships = list(asking.quorums.memberships)
+    made.quorums.memberships = list(operation.quorums.memberships)
     return made
 
 
-class Letter:
-    """A message on its way to a member (`back`: from it), of one actor."""
+class Envelope:
+    """A message in flight from actor `number` to a member, or `back` from the member."""
 
     __slots__ = ("back", "key", "member", "message", "number", "short")
 
@@ -127,52 +137,60 @@
 
 
 class Vote:
-    """An acceptor's state in memory and on its disk, and the answer that waits for the sync."""
+    """An acceptor: its state in memory and on its disk, and the answer that is `held` until the sync."""
 
     __slots__ = ("durable", "held", "key", "state")
 
-    def __init__(self, state: AcceptorState, durable: AcceptorState, held: Letter | None = None) -> None:
+    def __init__(self, state: AcceptorState, durable: AcceptorState, held: Envelope | None = None) -> None:
         self.state, self.durable, self.held = state, durable, held
         self.key = repr((state.pack(), durable is state or durable.pack(), held and held.short))
 
 
 class Node:
-    """One state of the whole."""
+    """One state of the system. `wire` has the messages in flight, `committed` the reported states."""
 
-    __slots__ = ("actors", "faults", "orders", "told", "votes", "wire")
+    __slots__ = ("actors", "committed", "faults", "orders", "votes", "wire")
 
     def __init__(
         self,
         votes: dict[str, Vote],
         actors: tuple[Actor, ...],
-        wire: tuple[Letter, ...],
-        told: dict[int, tuple[int, str]],
+        wire: tuple[Envelope, ...],
+        committed: dict[int, tuple[int, str]],
         faults: int,
         orders: Orders = (),
     ) -> None:
-        self.votes, self.actors, self.wire, self.told, self.faults = votes, actors, wire, told, faults
+        self.votes, self.actors, self.wire, self.committed, self.faults = (
+            votes,
+            actors,
+            wire,
+            committed,
+            faults,
+        )
         self.orders = orders
 
     def key(self, alike: bool = False) -> int:
-        """The same for states that nothing tells apart."""
-        told = (*sorted(self.told.items()), self.orders)
+        """Returns a key that is equal for equivalent states."""
+        committed = (*sorted(self.committed.items()), self.orders)
         if not alike:
             votes = tuple(vote.key for vote in self.votes.values())
             actors = tuple(actor.key for actor in self.actors)
-            return hash((votes, actors, tuple(sorted(letter.key for letter in self.wire)), told, self.faults))
+            return hash(
+                (votes, actors, tuple(sorted(envelope.key for envelope in self.wire)), committed, self.faults)
+            )
         wires: dict[str, list[str]] = {where: [] for where in self.votes}
-        for letter in self.wire:
-            wires[letter.member[0]].append(letter.short)
+        for envelope in self.wire:
+            wires[envelope.member[0]].append(envelope.short)
         parts = [actor.parts for actor in self.actors]
         members = sorted(
             (vote.key, tuple(local[where] for _, local in parts), tuple(sorted(wires[where])))
             for where, vote in self.votes.items()
         )
-        return hash((tuple(members), tuple(rest for rest, _ in parts), told, self.faults))
+        return hash((tuple(members), tuple(rest for rest, _ in parts), committed, self.faults))
 
 
 class World:
-    """What may happen, and what must hold."""
+    """The possible steps, and the rules that must hold after each."""
 
     def __init__(
         self,
@@ -185,33 +203,33 @@
         alike: bool = False,
         twice: bool = False,
     ) -> None:
-        self.tries = tries  # of each round
-        self.faults = faults  # losses of power, wipes, or messages that come twice, in one run
-        self.late_sync = late_sync  # mutation: answers of these kinds go out before the disk is synced
-        self.wiped = wiped  # what a wipe leaves; None: faults are losses of power
+        self.tries = tries  # The maximum number of attempts of each write.
+        self.faults = faults  # The maximum number of power failures, wipes or duplicated messages in one run.
+        self.late_sync = late_sync  # A mutation: answers of these kinds are sent before the disk is synced.
+        self.wiped = wiped  # Returns the state after a wipe; without it faults are power failures.
         self.acceptor = acceptor
-        self.split = split  # write, sync and answer are steps of their own
-        self.alike = alike  # members may be told apart by nothing but their names
-        self.twice = twice  # a message may come twice
+        self.split = split  # Whether write, sync and answer are separate steps.
+        self.alike = alike  # Whether members differ only by their names.
+        self.twice = twice  # Whether a message may be delivered twice.
 
     def steps(self, node: Node) -> Iterator[Callable[[], Node]]:
-        """Everything that may happen next."""
+        """Yields all possible next steps."""
         seen = set()
-        for at, letter in enumerate(node.wire):
-            if letter.key in seen or (not letter.back and self._waits(node, letter.member[0])):
+        for at, envelope in enumerate(node.wire):
+            if envelope.key in seen or (not envelope.back and self._waits(node, envelope.member[0])):
                 continue
-            seen.add(letter.key)
+            seen.add(envelope.key)
             yield partial(self.deliver, node, at)
             if self.twice and node.faults < self.faults:
                 yield partial(self.deliver, node, at, True)
         for number, actor in enumerate(node.actors):
-            if not actor.begun:
+            if not actor.has_begun:
                 yield partial(self.begin, node, number)
             elif (
-                isinstance(actor.asking, QuorumWrite)
-                and actor.asking.phase is Phase.BACKOFF
-                and actor.asking.result is None
-                and actor.asking.attempts < self.tries
+                isinstance(actor.operation, QuorumWrite)
+                and actor.operation.phase is Phase.BACKOFF
+                and actor.operation.result is None
+                and actor.operation.attempts < self.tries
             ):
                 yield partial(self.act, node, number, lambda made: made.start())
         for where, vote in node.votes.items():
@@ -230,27 +248,27 @@
                 yield partial(self.fault, node, where, True)
 
     def begin(self, node: Node, number: int) -> Node:
-        """An actor begins."""
+        """Starts an actor."""
         actor = node.actors[number]
-        floor = max(node.told, default=-1)
-        begun = Actor(actor.asking, True, floor)
-        actors = (*node.actors[:number], begun, *node.actors[number + 1 :])
-        node = Node(node.votes, actors, node.wire, node.told, node.faults, node.orders)
+        floor = max(node.committed, default=-1)
+        started = Actor(actor.operation, True, floor)
+        actors = (*node.actors[:number], started, *node.actors[number + 1 :])
+        node = Node(node.votes, actors, node.wire, node.committed, node.faults, node.orders)
         return self.act(node, number, lambda made: made.start())
 
     def deliver(self, node: Node, at: int, again: bool = False) -> Node:
-        """A message comes; `again`: it will come once more."""
-        letter = node.wire[at]
+        """Delivers a message; with `again` it stays in flight and is delivered once more."""
+        envelope = node.wire[at]
         wire = node.wire if again else node.wire[:at] + node.wire[at + 1 :]
-        node = Node(node.votes, node.actors, wire, node.told, node.faults + again, node.orders)
-        number, key = letter.number, letter.member
-        if letter.back:
-            return self.act(node, number, lambda made: made.received(0.0, key, letter.message))
+        node = Node(node.votes, node.actors, wire, node.committed, node.faults + again, node.orders)
+        number, key = envelope.number, envelope.member
+        if envelope.back:
+            return self.act(node, number, lambda made: made.received(0.0, key, envelope.message))
         vote = node.votes.get(key[0])
         if vote is None:
             return node
-        state, answer = self.acceptor(vote.state).answer(letter.message)
-        reply = Letter(number, key, answer, True)
+        state, answer = self.acceptor(vote.state).answer(envelope.message)
+        reply = Envelope(number, key, answer, True)
         late = answer.KIND in self.late_sync
         if self.split and not late and state is not vote.state:
             made = Vote(state, vote.durable, reply)
@@ -261,54 +279,56 @@
         return node
 
     def sync(self, node: Node, where: str) -> Node:
-        """What was written is safe, and what waited for that goes out."""
+        """Syncs an acceptor's write, and sends the answer that was held for it."""
         vote = node.votes[where]
         wire = node.wire if vote.held is None else (*node.wire, vote.held)
         votes = {**node.votes, where: Vote(vote.state, vote.state)}
-        return Node(votes, node.actors, wire, node.told, node.faults, node.orders)
+        return Node(votes, node.actors, wire, node.committed, node.faults, node.orders)
 
     def fault(self, node: Node, where: str, kept: bool) -> Node:
-        """The power goes, or the disk; `kept`: what was not synced is there nevertheless."""
+        """Fails the power or the disk of an acceptor; with `kept` an unsynced write survives."""
         vote = node.votes[where]
-        left = vote.state if kept else vote.durable
-        left = left if self.wiped is None else self.wiped(left)
-        votes = {**node.votes, where: Vote(left, left)}
-        return Node(votes, node.actors, node.wire, node.told, node.faults + 1, node.orders)
+        remaining = vote.state if kept else vote.durable
+        remaining = remaining if self.wiped is None else self.wiped(remaining)
+        votes = {**node.votes, where: Vote(remaining, remaining)}
+        return Node(votes, node.actors, node.wire, node.committed, node.faults + 1, node.orders)
 
     def act(self, node: Node, number: int, step: Callable[[Any], Any]) -> Node:
-        """Let an actor take a step, and judge its result."""
+        """Lets an actor take a step, and checks its result."""
         old = node.actors[number]
-        asking = copied(old.asking)
-        sends = step(asking)
-        told, orders = node.told, node.orders
+        operation = copied(old.operation)
+        sends = step(operation)
+        committed, orders = node.committed, node.orders
         wire = list(node.wire)
-        if asking.result is not None:
-            if asking.result is QuorumResult.OK and not old.over:
-                told = self.judge(told, asking.value, old.floor)
-                orders = self.judge_order(orders, getattr(asking, "answer", None))
-            wire = [letter for letter in wire if letter.number != number or not letter.back]
-        wire += [Letter(number, send.to, send.request, False) for send in sends]
-        actor = Actor(asking, True, old.floor, asking.result is not None)
+        if operation.result is not None:
+            if operation.result is QuorumResult.OK and not old.is_done:
+                committed = self.check_result(committed, operation.value, old.floor)
+                orders = self.check_order(orders, getattr(operation, "answer", None))
+            wire = [envelope for envelope in wire if envelope.number != number or not envelope.back]
+        wire += [Envelope(number, send.to, send.request, False) for send in sends]
+        actor = Actor(operation, True, old.floor, operation.result is not None)
         actors = (*node.actors[:number], actor, *node.actors[number + 1 :])
-        return Node(node.votes, actors, tuple(wire), told, node.faults, orders)
+        return Node(node.votes, actors, tuple(wire), committed, node.faults, orders)
 
     @staticmethod
-    def judge(told: dict[int, tuple[int, str]], value: MeshState, floor: int) -> dict[int, tuple[int, str]]:
-        """What was told as in force: never older than what was told before it was asked for."""
+    def check_result(
+        committed: dict[int, tuple[int, str]], value: MeshState, floor: int
+    ) -> dict[int, tuple[int, str]]:
+        """Checks a reported state against `floor`, the newest one reported before its actor started."""
         rev, version = value.revision, value.version
         if rev < floor:
-            raise BrokenError(f"revision {rev} was told after {floor}")
+            raise BrokenError(f"revision {rev} was reported after {floor}")
         shown = repr(value.without_history())
-        if told.get(rev, (0, shown))[1] != shown:
-            raise BrokenError(f"two contents of revision {rev}: {told[rev][1]} and {shown}")
-        for other, (known, _) in told.items():
+        if committed.get(rev, (0, shown))[1] != shown:
+            raise BrokenError(f"two contents of revision {rev}: {committed[rev][1]} and {shown}")
+        for other, (known, _) in committed.items():
             if (other - rev) * (known - version) < 0:
                 raise BrokenError(f"revision {other} has r{known}, revision {rev} has r{version}")
-        return {**told, rev: (version, shown)}
+        return {**committed, rev: (version, shown)}
 
     @staticmethod
-    def judge_order(orders: Orders, answer: object) -> Orders:
-        """One content for each version is ever confirmed, and what was refused is not."""
+    def check_order(orders: Orders, answer: object) -> Orders:
+        """Checks that each version is confirmed with one content only, and a rejected content never."""
         if not isinstance(answer, Confirmation):
             return orders
         version, digest = answer.version, answer.digest
@@ -324,9 +344,10 @@
 def explore(
     world: World, start: Node, most: int, seed: int | None = None, counts: list[int] | None = None
 ) -> tuple[int, bool]:
-    """(states met, whether that is all); BrokenError where a rule does not hold. `seed`: of the order.
+    """Returns the number of visited states and whether these are all. Raises BrokenError for a violated rule.
 
-    `counts`, where given, gets the states met so far, for whoever catches the error.
+    `seed` determines the order of steps; `counts` gets the number of states visited so far, for the handler
+    of an error.
     """
     rng = Random(seed) if seed is not None else None
     seen = {start.key(world.alike)}
@@ -349,8 +370,8 @@
     return len(seen), True
 
 
-def walk(world: World, start: Node, rng: Random, most: int = 400) -> int:
-    """One run by chance, to its end; steps taken."""
+def random_run(world: World, start: Node, rng: Random, most: int = 400) -> int:
+    """Runs random steps to the end; returns their number."""
     node = start
     for count in range(most):
         steps = list(world.steps(node))
@@ -364,40 +385,42 @@
     name: str,
     change: Change,
     epoch: int,
-    roster: Membership,
+    membership: Membership,
     counter: int = 0,
     made: type[QuorumWrite] = QuorumWrite,
 ) -> Actor:
-    """A round that has not begun."""
-    return Actor(made(Proposer(name, 1), DecidedMembership(epoch, roster), change, 1.0, HALF, counter))
+    """Returns a write that has not started."""
+    return Actor(
+        made(Proposer(name, 1), DecidedMembership(epoch, membership), change, 1.0, FIXED_RANDOM, counter)
+    )
 
 
-def reader(epoch: int, roster: Membership, made: type[QuorumRead] = QuorumRead) -> Actor:
-    """A survey that has not begun."""
-    return Actor(made(DecidedMembership(epoch, roster), 1.0, HALF))
+def reader(epoch: int, membership: Membership, made: type[QuorumRead] = QuorumRead) -> Actor:
+    """Returns a read that has not started."""
+    return Actor(made(DecidedMembership(epoch, membership), 1.0, FIXED_RANDOM))
 
 
-def along(world: World, node: Node, number: int, by: set[str], until: Callable[[Node], bool]) -> Node:
-    """Run one actor with some acceptors only, until something holds; its other messages stay on their way."""
+def run_until(world: World, node: Node, number: int, by: set[str], until: Callable[[Node], bool]) -> Node:
+    """Runs one actor with only the acceptors `by` until a condition holds; other messages stay in flight."""
     node = world.begin(node, number)
     while not until(node):
         node = next((world.sync(node, where) for where, vote in node.votes.items() if vote.held), node)
         at = next(
             at
-            for at, letter in enumerate(node.wire)
-            if letter.number == number and (letter.back or letter.member[0] in by)
+            for at, envelope in enumerate(node.wire)
+            if envelope.number == number and (envelope.back or envelope.member[0] in by)
         )
         node = world.deliver(node, at)
     return node
 
 
-def settled(world: World, node: Node, number: int, by: set[str]) -> Node:
-    """Run one actor to its end with some acceptors only; its other messages are lost."""
-    node = along(world, node, number, by, lambda node: node.actors[number].over)
-    wire = tuple(letter for letter in node.wire if letter.number != number)
-    return Node(node.votes, node.actors, wire, node.told, node.faults, node.orders)
+def run_to_end(world: World, node: Node, number: int, by: set[str]) -> Node:
+    """Runs one actor to its end with only the acceptors `by`; its other messages are lost."""
+    node = run_until(world, node, number, by, lambda node: node.actors[number].is_done)
+    wire = tuple(envelope for envelope in node.wire if envelope.number != number)
+    return Node(node.votes, node.actors, wire, node.committed, node.faults, node.orders)
 
 
 def members(keys: list[MemberId]) -> Membership:
-    """A membership of these."""
+    """Returns a membership of these members."""
     return tuple(Member(where, disk, "", True) for where, disk in keys)
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -1,4 +1,4 @@
-"""Everything that waits or is remembered has a bound, and what is over it is refused at once."""
+"""All queues and caches of a control node are bounded, and requests above a bound are rejected at once."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     assert replica.unreachable_members(contacts.UNREACHABLE_S) == []
 
 
-def test_one_that_was_frozen_blames_nobody() -> None:
+def test_a_stalled_member_treats_nobody_as_unreachable() -> None:
     cluster = ControlCluster(33, 5)
     cluster.run(3.0)
     cluster.network.machines["10.0.0.4"].frozen = True
@@ -64,7 +64,7 @@
         member.address
         for member in cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_S)
     ] == ["10.0.0.4:7620"]
-    cluster.network.machines["10.0.0.4"].thaw()
+    cluster.network.machines["10.0.0.4"].unfreeze()
     cluster.run(0.001)
     cluster.run(0.2)
     assert cluster.programs["10.0.0.4"].replica.unreachable_members(contacts.UNREACHABLE_S) == []
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -1,4 +1,4 @@
-"""A control node without a majority confirms, refuses and hands out nothing, and says so at once."""
+"""A control node without a majority neither confirms nor rejects nor serves anything: it answers 503."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def confirmed(cluster: ControlCluster, ip: str, version: int) -> None:
-    """An order that is confirmed."""
+    """Sends an order that must be confirmed."""
     call = cluster.replace(ip, version, f"content {version}")
     cluster.run(0.9)
     assert call.status == 200
 
 
 def every_call(cluster: ControlCluster, ip: str) -> list[Call]:
-    """Each of the operator's calls that states something, and all sorts of orders."""
+    """Makes each operator call that needs a majority, with all kinds of orders."""
     orders = [b"r5 content 5", b"r5 another", b"r4 content 4", b"r4 another", b"r9 newer"]
     return [
         *(cluster.call(ip, "POST", REPLACE, order) for order in orders),
@@ -30,8 +30,8 @@
     ]
 
 
-def in_touch(cluster: ControlCluster, ip: str) -> bool:
-    """Whether one describes what is in force at once."""
+def describes_at_once(cluster: ControlCluster, ip: str) -> bool:
+    """Returns whether a control node describes the configuration at once."""
     call = cluster.describe(ip)
     cluster.run(AT_ONCE_S)
     return call.status == 200
@@ -56,10 +56,10 @@
             confirmed(cluster, B, 10 + second)
     late = every_call(cluster, A)
     cluster.run(AT_ONCE_S)
-    assert {call.status for call in late} == {503}, "it knows by now: at once"
+    assert {call.status for call in late} == {503}, "a node that knows of the partition answers at once"
     cluster.network.cuts.clear()
     cluster.run(1.5)
-    assert in_touch(cluster, A)
+    assert describes_at_once(cluster, A)
     confirmed(cluster, A, 50)
 
 
@@ -97,10 +97,10 @@
         cluster.network.machines[A].frozen = True
         confirmed(cluster, B, 6)
         cluster.run(3.0)
-        cluster.network.machines[A].thaw()
+        cluster.network.machines[A].unfreeze()
         cluster.run(0.5)
         assert read.answers[0][:2] in ((503, read.answers[0][1]), (200, b"r5 content 5"))
-        assert read.status == 503 or at >= 4, "only what was answered before the freeze"
+        assert read.status == 503 or at >= 4, "only a read that was answered before the freeze succeeds"
 
 
 def test_the_time_of_day_decides_nothing() -> None:
--- a/tests/control/test_explored.py
+++ b/tests/control/test_explored.py
@@ -1,4 +1,4 @@
-"""Some of `bench/mesh_explore.py`, in little; and wrong registers that are found soon."""
+"""A short run of `bench/mesh_explore.py`, and faulty registers that it detects quickly."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 @pytest.mark.parametrize("name", [f"3: {name}" for name in QUICK])
-def test_a_wrong_register_is_found_out(name: str) -> None:
+def test_a_faulty_register_is_detected(name: str) -> None:
     case = next(case for case in WRONG if case.name == name)
     covered = Quorums.covered
     assert any(played(case, TELLS, seed)[2] for seed in ORDERS[:15])
-    assert Quorums.covered is covered, "a patch is taken back"
+    assert Quorums.covered is covered, "the patch is reverted"
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -1,9 +1,9 @@
-"""All calls of several operators and their answers, checked as one history afterwards.
+"""Checks the history of all calls of several operators and their answers for linearizability.
 
-Up to eight orders are under way at once, from two operators, to any machine; answers are lost and orders sent
-again; machines are killed, lose power, are wiped, cut off, frozen, and their clocks are stepped. The history
-must be that of one register: a content is confirmed at most once for each version, a read is no older than
-what was confirmed before it began, and evacuations that are read are those of some order of their calls.
+Up to eight orders are in flight at once, from two operators, to any machine. Answers are lost and orders
+retried; machines are killed, wiped, partitioned, frozen or lose power, and their clocks are stepped. At most
+one content is confirmed for each version, a read is no older than what was confirmed before it started, and
+the evacuations that are read correspond to some order of their calls.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 from honeywharf.control.mesh_state import MeshState
 from tests.control.cluster import Call
-from tests.control.test_runs import Story
+from tests.control.test_runs import FaultRun
 
 RUNS = int(os.environ.get("RUNS", "6"))
-MAX_UNDER_WAY = 8
+MAX_IN_FLIGHT = 8
 LOST_ANSWERS = 0.3
 ZONES = "abc"
 
 
 class Order(NamedTuple):
-    """A call that an operator may make again. `key`: version and content, or zone and whether it begins."""
+    """A call that an operator may retry. `key` is (version, content), or (zone, whether to begin)."""
 
     path: str
     body: bytes
@@ -33,7 +33,7 @@
 
 
 class Event(NamedTuple):
-    """One call of the history; `status` 0: the answer was lost, or there was none."""
+    """One call of the history; `status` is 0 if the answer was lost or missing."""
 
     order: Order
     began: float
@@ -42,28 +42,28 @@
 
 
 class ReadEvent(NamedTuple):
-    """A state that a majority read told."""
+    """A state that a quorum read returned."""
 
     began: float
     ended: float
     state: MeshState
 
 
-class Operators(Story):
-    """Two operators and a reader, under the troubles of a story."""
+class Operators(FaultRun):
+    """Two operators and a reader, during the faults of a run."""
 
     def __init__(self, seed: int, count: int) -> None:
         super().__init__(seed, count)
         self.orders: list[Order] = []
-        self.under_way: list[tuple[Order, float, Call]] = []
+        self.in_flight: list[tuple[Order, float, Call]] = []
         self.events: list[Event] = []
         self.states: list[ReadEvent] = []
         self.numbers = count_from(1)
 
     def operate(self) -> None:
-        """Answers come, or are lost; new orders go out, and old ones again."""
+        """Receives or loses answers; sends new orders, and retries old ones."""
         self.collect()
-        if len(self.under_way) < MAX_UNDER_WAY and self.rng.random() < 0.5:
+        if len(self.in_flight) < MAX_IN_FLIGHT and self.rng.random() < 0.5:
             self.order(self.draw())
         if self.rng.random() < 0.3:
             self.read()
@@ -72,60 +72,60 @@
             machine.clock_step = self.rng.choice((-3600.0, 0.0, 2.0, 3600.0))
 
     def draw(self) -> Order:
-        """Something new, something under a number that is taken, an evacuation, or an old order again."""
-        luck = self.rng.random()
-        if self.orders and luck < 0.45:
+        """Draws a new version, a version that is in use, an evacuation, or an old order."""
+        chance = self.rng.random()
+        if self.orders and chance < 0.45:
             return self.rng.choice(self.orders[-30:])
-        if luck < 0.65:
+        if chance < 0.65:
             zone, begin = self.rng.choice(ZONES), self.rng.random() < 0.5
             path = f"/api/evacuations/{zone}/{'start' if begin else 'complete'}"
             return Order(path, b"", (zone, begin))
-        taken = bool(self.orders) and luck < 0.85
-        version = self.rng.choice((0, 1, 2)) + self.version if taken else next(self.numbers) + self.version
+        in_use = bool(self.orders) and chance < 0.85
+        version = self.rng.choice((0, 1, 2)) + self.version if in_use else next(self.numbers) + self.version
         self.version = max(self.version, version)
         content = self.rng.randbytes(6).hex()
         body = f"r{version} {content}".encode()
         return Order("/api/configuration/replace", body, (version, content))
 
     def order(self, order: Order) -> None:
-        """Send it to anybody."""
+        """Sends an order to a random machine."""
         self.orders.append(order)
         ip = self.rng.choice(list(self.cluster.network.machines))
         now = self.cluster.network.time
-        self.under_way.append((order, now, self.cluster.call(ip, "POST", order.path, order.body)))
+        self.in_flight.append((order, now, self.cluster.call(ip, "POST", order.path, order.body)))
 
     def read(self) -> None:
-        """What a majority holds, as one machine is told."""
+        """Reads the committed state from a random machine."""
         ip = self.rng.choice(list(self.cluster.network.machines))
         began = self.cluster.network.time
         if not self.cluster.network.machines[ip].on:
             return
 
-        def told(state: MeshState | None) -> None:
+        def done(state: MeshState | None) -> None:
             if state is not None:
                 self.states.append(ReadEvent(began, self.cluster.network.time, state))
 
-        self.cluster.programs[ip].replica.read(0.8, told)
+        self.cluster.programs[ip].replica.read(0.8, done)
 
     def collect(self) -> None:
-        """Answers that have come; some are lost on their way, and an operator waits a second at most."""
-        now, left = self.cluster.network.time, []
-        for order, began, call in self.under_way:
+        """Collects the answers; some are lost, and an operator waits at most one second."""
+        now, remaining = self.cluster.network.time, []
+        for order, began, call in self.in_flight:
             if call.answers or now - began > 1.0:
                 lost = self.rng.random() < LOST_ANSWERS
                 self.events.append(Event(order, began, now, 0 if lost else call.status))
             else:
-                left.append((order, began, call))
-        self.under_way = left
+                remaining.append((order, began, call))
+        self.in_flight = remaining
 
 
 def count_from(first: int) -> count[int]:
-    """Numbers, one after the other."""
+    """Returns consecutive numbers."""
     return count(first)
 
 
 def check(operators: Operators) -> None:
-    """The history is that of one register."""
+    """Checks that the history is that of one register."""
     replaces = [event for event in operators.events if isinstance(event.order.key[0], int)]
     confirmed: dict[object, object] = {}
     for event in replaces:
@@ -136,13 +136,13 @@
         version, content = event.order.key
         assert event.status in (0, 200, 409, 503)
         if event.status == 409:
-            assert confirmed.get(version) != content, f"r{version} {content} was confirmed and is refused"
+            assert confirmed.get(version) != content, f"r{version} {content} was confirmed and then rejected"
     check_reads(operators, replaces)
     check_evacuations(operators)
 
 
 def check_reads(operators: Operators, replaces: list[Event]) -> None:
-    """Reads follow what was confirmed and what was read before they began."""
+    """Checks that no read is older than what was confirmed or read before it started."""
     done: list[tuple[float, int]] = []
     for event in replaces:
         version = event.order.key[0]
@@ -158,11 +158,11 @@
 
 
 def check_evacuations(operators: Operators) -> None:
-    """A zone's evacuation that is read was set by a call that nothing confirmed has replaced since."""
+    """Checks that each evacuation that is read was set by a call that no confirmed call has replaced."""
     for zone in ZONES:
         events = [event for event in operators.events if event.order.key[0] == zone]
         for read in operators.states:
-            told = read.state.evacuations.get(zone, False)
+            evacuated = read.state.evacuations.get(zone, False)
             settled = [e for e in events if e.status == 200 and e.ended < read.began]
             last = max((e.began for e in settled), default=None)
             if last is None:
@@ -171,18 +171,18 @@
             possible = {e.order.key[1] for e in unsettled} | {
                 e.order.key[1] for e in settled if e.began == last
             }
-            assert told in possible, f"{zone} is {told} at {read.ended}, which no call can have left"
+            assert evacuated in possible, f"{zone}: got {evacuated} at {read.ended}, which no call explains"
 
 
 def play(seed: int, members: int, steps: int = 400) -> Operators:
-    """A history of 20 s and its calm end."""
+    """Runs a history of 20 s, and its end without faults."""
     operators = Operators(seed, members)
     operators.cluster.run(1.0)
     for _ in range(steps):
         operators.step()
         operators.operate()
-        operators.trouble()
-    operators.calm()
+        operators.inject_fault()
+    operators.end_faults()
     operators.collect()
     check(operators)
     return operators
--- a/tests/control/test_large_texts.py
+++ b/tests/control/test_large_texts.py
@@ -1,5 +1,4 @@
-"""Texts of configurations that take a link's time: sent once to who lacks them, and read again where
-displaced."""
+"""Large texts of configurations are sent once to each member that lacks them, and read again if replaced."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 
 from tests.control.cluster import ControlCluster
 
-LARGE = Random(1).randbytes(100_000).hex()  # as random bytes it does not shrink below the bound
+LARGE = Random(1).randbytes(100_000).hex()  # Random bytes do not compress below the bound.
 
 
 def test_a_large_text_goes_to_each_member_once_however_often_it_is_tried() -> None:
@@ -44,13 +43,13 @@
     cluster.run(1.0)
     client = cluster.programs["10.0.0.1"].replica.client
     client.set_link_rate(1.0)
-    slow = client._text_time(1_000_000)
+    slow = client._text_transfer_s(1_000_000)
     client.set_link_rate(100.0)
-    assert slow == 100 * client._text_time(1_000_000)
-    assert slow >= 2 * 1_000_000 / 125_000.0, "two copies at the link's whole rate"
+    assert slow == 100 * client._text_transfer_s(1_000_000)
+    assert slow >= 2 * 1_000_000 / 125_000.0, "two copies at the full rate of the link"
 
 
-def test_a_text_that_was_displaced_while_it_was_looked_for_is_read_again() -> None:
+def test_a_text_that_is_replaced_during_a_read_is_read_again() -> None:
     cluster = ControlCluster(63)
     cluster.run(1.0)
     assert cluster.replace("10.0.0.1", 5, "five") is not None
