--- a/tests/control/test_mechanisms.py
+++ b/tests/control/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the control plane left out, one at a time: the scenario that needs it finds that out."""
+"""Leaves out one mechanism of the control plane at a time; the scenario that needs it must fail."""
 
 from __future__ import annotations
 
@@ -23,67 +23,67 @@
 Scenario = Callable[[], None]
 
 
-def answers_from_what_it_knows(patch: Patch) -> None:
-    """A read is answered from this machine's own knowledge."""
+def reads_local_state(patch: Patch) -> None:
+    """A read is answered from the local state, without a majority."""
 
-    def read(self: ReadQueue, within: float, told: Callable[[MeshState | None], None]) -> None:
+    def read(self: ReadQueue, timeout: float, done: Callable[[MeshState | None], None]) -> None:
         state = self.voter.state.value
-        self.host.after(0.0, lambda: told(state))
+        self.host.after(0.0, lambda: done(state))
 
     patch.setattr(ReadQueue, "read", read)
     patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
-def confirms_what_it_knows(patch: Patch) -> None:
-    """An order that is not above the version known here is confirmed without asking anybody."""
-    right = OperatorApi._replace
+def confirms_from_local_state(patch: Patch) -> None:
+    """An order that is not above the locally known version is confirmed without a majority."""
+    original = OperatorApi._replace
 
     def replace(self: OperatorApi, call: Any) -> None:
         state, checked = self.replica.known_state, self.check(call.body)
         if checked.is_ok() and state is not None and checked.unwrap().version <= state.version:
             self.answer(call, 200, b"{}")
         else:
-            right(self, call)
+            original(self, call)
 
     patch.setattr(OperatorApi, "_replace", replace)
     patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
-def waits_although_alone(patch: Patch) -> None:
-    """A machine that has lost its majority finds out anew with every call."""
+def waits_without_majority(patch: Patch) -> None:
+    """A machine without a majority waits for the time-out of every call."""
     patch.setattr(ContactTracker, "reaches_majority", lambda self: True)
 
 
-def tells_late_reads(patch: Patch) -> None:
-    """What a standstill held up is told all the same."""
+def completes_late_reads(patch: Patch) -> None:
+    """A read that a stall has delayed is completed after its deadline."""
 
-    def end(self: ReadQueue, batch: Any, result: Any, value: Any) -> None:
-        for one in batch:
-            one.complete(result, value)
+    def complete_all(self: ReadQueue, batch: Any, result: Any, value: Any) -> None:
+        for request in batch:
+            request.complete(result, value)
 
-    patch.setattr(ReadQueue, "_complete", end)
+    patch.setattr(ReadQueue, "_complete", complete_all)
 
 
-def starts_alone(patch: Patch) -> None:
-    """A sidecar takes what one control node knows."""
-    right = Word.start
+def starts_without_majority(patch: Patch) -> None:
+    """A sidecar starts with the state that one control node knows."""
+    original = Word.start
 
     def start(self: Word) -> None:
         core = self.cores()[0]
         self.caller.call(core, "word.known", None, 0.7, lambda value: self._started(core, value))
-        right(self)
+        original(self)
 
     patch.setattr(Word, "start", start)
 
 
-def remembers_no_versions(patch: Patch) -> None:
-    """Whatever is not above the version in force is confirmed."""
-    right = mesh_state.replace_configuration
+def keeps_no_version_history(patch: Patch) -> None:
+    """Any content under a version up to the one in force is confirmed."""
+    original = mesh_state.replace_configuration
 
     def replace(version: int, digest: str) -> mesh_state.Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
             if version > state.version:
-                return right(version, digest)(state)
+                return original(version, digest)(state)
             return None, Confirmation(Outcome.CONFIRMED, version, digest, digest)
 
         return change
@@ -91,14 +91,14 @@
     patch.setattr(mesh_state, "replace_configuration", replace)
 
 
-def remembers_the_version_in_force_alone(patch: Patch) -> None:
-    """What was overtaken is refused, as if it had never been confirmed."""
-    right = mesh_state.replace_configuration
+def keeps_only_the_version_in_force(patch: Patch) -> None:
+    """An older version is rejected, as if it had never been confirmed."""
+    original = mesh_state.replace_configuration
 
     def replace(version: int, digest: str) -> mesh_state.Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
             if version >= state.version:
-                return right(version, digest)(state)
+                return original(version, digest)(state)
             return None, Confirmation(Outcome.CONFLICT, version, digest, "")
 
         return change
@@ -107,19 +107,19 @@
 
 
 def leaves_without_handing_over(patch: Patch) -> None:
-    """A member that ends keeps its place, and its standby waits until it is silent."""
+    """A member that shuts down keeps its place, and a standby waits until the member is unreachable."""
     patch.setattr(Handover, "begin", lambda self, timeout, done: done())
 
 
 def joiners_grow_the_membership(patch: Patch) -> None:
-    """Who is not needed is a member all the same."""
-    right = mesh_state.admit
+    """A machine that should be a standby becomes a member."""
+    original = mesh_state.admit
 
-    def admit(joiner: Any, silent: Any) -> mesh_state.Change:
+    def admit(joiner: Any, replaceable: Any) -> mesh_state.Change:
         def change(state: MeshState) -> tuple[MeshState | None, Any]:
-            made, answer = right(joiner, silent)(state)
+            changed, answer = original(joiner, replaceable)(state)
             if answer is not mesh_state.Admission.STANDBY:
-                return made, answer
+                return changed, answer
             members = (*state.members, joiner)
             return state.with_members(members, state.target_size), mesh_state.Admission.MEMBER
 
@@ -130,7 +130,7 @@
         if joiner.id not in mesh_state.member_ids(self.voter.state.members):
             change = mesh_state.admit(joiner, self.contacts.unreachable(1.0))
             self.changes.submit(
-                change, 1.0, lambda result, told: self._answer_decided_membership(args, reply, peer)
+                change, 1.0, lambda result, outcome: self._answer_decided_membership(args, reply, peer)
             )
         else:
             self._answer_decided_membership(args, reply, peer)
@@ -140,24 +140,24 @@
 
 
 def votes_without_the_text(patch: Patch) -> None:
-    """A joiner is admitted before it holds the newest text."""
+    """A joiner is admitted before it has the newest text."""
     patch.setattr(mesh_state, "require_text", lambda change, digest: change)
 
 
-def leaves_the_last_round_open(patch: Patch) -> None:
-    """A state that was accepted and never told to be committed stays so."""
-    right = MembershipManager._catch_up
+def leaves_the_last_write_open(patch: Patch) -> None:
+    """A state that was accepted, but is not known to be committed, is not settled."""
+    original = MembershipManager._catch_up
 
     def catch_up(self: MembershipManager) -> None:
         value = self.voter.state.value
         if value is None or value.revision <= self.known_state().revision:
-            right(self)
+            original(self)
 
     patch.setattr(MembershipManager, "_catch_up", catch_up)
 
 
 def scenario(test: Callable[..., None], *rows: Any) -> Scenario:
-    """A test as it stands, with each of its rows in turn."""
+    """Returns a scenario that runs a test with each of its rows of arguments."""
 
     def play() -> None:
         for row in rows or [()]:
@@ -167,25 +167,25 @@
 
 
 LEFT_OUT: list[tuple[Callable[[Patch], None], Scenario]] = [
-    (answers_from_what_it_knows, scenario(test_cut_off.test_twenty_seconds_cut_off, "both")),
-    (confirms_what_it_knows, scenario(test_cut_off.test_twenty_seconds_cut_off, "in")),
-    (waits_although_alone, scenario(test_cut_off.test_twenty_seconds_cut_off, "out")),
+    (reads_local_state, scenario(test_cut_off.test_twenty_seconds_cut_off, "both")),
+    (confirms_from_local_state, scenario(test_cut_off.test_twenty_seconds_cut_off, "in")),
+    (waits_without_majority, scenario(test_cut_off.test_twenty_seconds_cut_off, "out")),
     (
-        tells_late_reads,
+        completes_late_reads,
         scenario(test_cut_off.test_a_read_that_a_freeze_held_up_is_not_told_when_its_time_is_over),
     ),
     (
-        starts_alone,
+        starts_without_majority,
         scenario(test_mesh_state.test_without_a_majority_it_takes_nothing_however_long_it_waits),
     ),
     (
-        remembers_no_versions,
+        keeps_no_version_history,
         scenario(test_one_content.test_of_two_contents_under_one_version_one_is_confirmed_and_read_back),
     ),
-    (remembers_no_versions, scenario(test_history.test_every_history_is_that_of_one_register, 3)),
-    (answers_from_what_it_knows, scenario(test_history.test_every_history_is_that_of_one_register, 3)),
+    (keeps_no_version_history, scenario(test_history.test_every_history_is_that_of_one_register, 3)),
+    (reads_local_state, scenario(test_history.test_every_history_is_that_of_one_register, 3)),
     (
-        remembers_the_version_in_force_alone,
+        keeps_only_the_version_in_force,
         scenario(
             test_one_content.test_an_order_whose_answer_was_lost_is_confirmed_by_any_machine_after_losses_and_changes
         ),
@@ -200,14 +200,14 @@
     ),
     (votes_without_the_text, scenario(test_second_loss.test_a_joiner_has_no_vote_before_it_holds_the_text)),
     (
-        leaves_the_last_round_open,
+        leaves_the_last_write_open,
         scenario(test_second_loss.test_a_leaver_that_is_killed_while_it_hands_over, *test_second_loss.STEPS),
     ),
 ]
 
 
-@pytest.mark.parametrize("left_out", range(len(LEFT_OUT)), ids=[made.__name__ for made, _ in LEFT_OUT])
-def test_a_mechanism_that_is_left_out_is_missed(left_out: int, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize("left_out", range(len(LEFT_OUT)), ids=[patch.__name__ for patch, _ in LEFT_OUT])
+def test_leaving_out_a_mechanism_fails_its_scenario(left_out: int, monkeypatch: Patch) -> None:
     leave_out, play = LEFT_OUT[left_out]
     leave_out(monkeypatch)
     with pytest.raises(AssertionError):
--- a/tests/control/test_one_content.py
+++ b/tests/control/test_one_content.py
@@ -1,4 +1,4 @@
-"""One version, one content: what was confirmed stays confirmed, and nothing else is under its number."""
+"""Each version has one content: a confirmed content stays confirmed, and no other one takes its version."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def replaced(cluster: ControlCluster, ip: str, version: int, content: str) -> Call:
-    """An order, and its answer."""
+    """Sends a configuration, and waits for the answer."""
     call = cluster.replace(ip, version, content)
     cluster.run(0.9)
     return call
@@ -20,9 +20,9 @@
         cluster.run(1.0)
         assert sorted((one.status, other.status)) == [200, 409]
         confirmed = b"r7 one" if one.status == 200 else b"r7 other"
-        told = [cluster.describe(ip) for ip in cluster.ips]
+        reads = [cluster.describe(ip) for ip in cluster.ips]
         cluster.run(0.5)
-        assert [call.answers for call in told] == [[(200, confirmed, b"")]] * 3
+        assert [call.answers for call in reads] == [[(200, confirmed, b"")]] * 3
 
 
 def test_two_contents_that_come_to_one_machine_at_once() -> None:
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -1,4 +1,4 @@
-"""Whole control nodes: the operator's calls, machines that go, come back empty or are replaced, the end."""
+"""Complete control nodes: operators' calls, lost, wiped and replaced machines, and the shutdown."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tests.control.cluster import ControlCluster
 
 
-def roster(cluster: ControlCluster, ip: str) -> list[str]:
-    return [one.address.rpartition(":")[0] for one in cluster.programs[ip].replica.state.members]
+def member_ips(cluster: ControlCluster, ip: str) -> list[str]:
+    return [member.address.rpartition(":")[0] for member in cluster.programs[ip].replica.state.members]
 
 
-def test_what_one_takes_another_describes_as_it_was_sent() -> None:
+def test_a_configuration_is_described_by_another_node_as_it_was_sent() -> None:
     cluster = ControlCluster(1)
     cluster.run(0.3)
     assert cluster.describe("10.0.0.2").status == 0
@@ -20,16 +20,16 @@
     cluster.run(0.25)
     assert before.status in (200, 404)
     assert call.status == 200
-    told = cluster.describe("10.0.0.3")
+    reads = cluster.describe("10.0.0.3")
     cluster.run(0.1)
-    assert told.answers == [(200, b"r7 " + b"x" * 400_000, b"")]
+    assert reads.answers == [(200, b"r7 " + b"x" * 400_000, b"")]
     late, old = cluster.replace("10.0.0.2", 6), cluster.replace("10.0.0.3", 7, "other")
     bad = cluster.call("10.0.0.2", "POST", "/api/configuration/replace", b"?")
     cluster.run(0.3)
     assert (late.status, bad.status, old.status) == (200, 400, 409)
     again = cluster.describe("10.0.0.1")
     cluster.run(0.2)
-    assert again.answers[0][1] == told.answers[0][1]
+    assert again.answers[0][1] == reads.answers[0][1]
 
 
 def test_evacuations_begin_and_end_and_unknown_places_are_refused() -> None:
@@ -54,7 +54,7 @@
     assert cluster.known("10.0.0.1").evacuations == {"a": False}
 
 
-def test_without_a_majority_nothing_is_acknowledged_or_told_and_both_come_back_with_it() -> None:
+def test_without_a_majority_nothing_is_acknowledged_or_read_and_both_return_with_it() -> None:
     cluster = ControlCluster(3)
     cluster.run(0.5)
     cluster.split(["10.0.0.1"], ["10.0.0.2", "10.0.0.3"])
@@ -64,9 +64,9 @@
     assert (alone.status, read.status, other.status) == (503, 503, 200)
     cluster.network.cuts.clear()
     cluster.run(2.0)
-    told = cluster.describe("10.0.0.1")
+    reads = cluster.describe("10.0.0.1")
     cluster.run(0.5)
-    assert told.answers[0][1] in (b"r2 b", b"r3 a")
+    assert reads.answers[0][1] in (b"r2 b", b"r3 a")
 
 
 def test_a_wiped_disk_and_a_new_machine_take_the_places_of_the_lost_ones() -> None:
@@ -86,11 +86,11 @@
     del cluster.network.machines["10.0.0.1"]
     cluster.add("10.0.0.9")
     cluster.run(4.0)
-    assert sorted(roster(cluster, "10.0.0.2")) == ["10.0.0.2", "10.0.0.3", "10.0.0.9"]
-    cluster.network.machines["10.0.0.2"].off(power=True)  # only those that came empty are left
-    told = cluster.describe("10.0.0.9")
+    assert sorted(member_ips(cluster, "10.0.0.2")) == ["10.0.0.2", "10.0.0.3", "10.0.0.9"]
+    cluster.network.machines["10.0.0.2"].off(power=True)  # Only machines that joined with empty disks remain.
+    reads = cluster.describe("10.0.0.9")
     cluster.run(0.9)
-    assert told.answers == [(200, b"r5 five", b"")]
+    assert reads.answers == [(200, b"r5 five", b"")]
 
 
 @pytest.mark.parametrize("seed", [5, 6])
@@ -98,7 +98,7 @@
     cluster = ControlCluster(seed, 5)
     cluster.run(2.5)
     for ip in cluster.ips:
-        assert sorted(roster(cluster, ip)) == cluster.ips
+        assert sorted(member_ips(cluster, ip)) == cluster.ips
         assert cluster.known(ip).target_size == 5
     for ip in cluster.ips[:2]:
         cluster.network.machines[ip].off(power=True)
@@ -120,12 +120,12 @@
     for ip in cluster.ips:
         cluster.start(ip)
     cluster.run(0.5)
-    told = [cluster.describe(ip) for ip in cluster.ips]
+    reads = [cluster.describe(ip) for ip in cluster.ips]
     cluster.run(0.9)
-    assert [one.answers for one in told] == [[(200, b"r9 nine", b"")]] * 3
+    assert [read.answers for read in reads] == [[(200, b"r9 nine", b"")]] * 3
 
 
-def test_sigterm_ends_within_a_second_and_answers_what_is_at_work() -> None:
+def test_sigterm_ends_within_a_second_and_answers_pending_calls() -> None:
     cluster = ControlCluster(8)
     cluster.run(0.5)
     call = cluster.replace("10.0.0.1", 2)
--- a/tests/control/test_register.py
+++ b/tests/control/test_register.py
@@ -1,4 +1,4 @@
-"""The register explored: what was told as in force is never followed by what is older; rosters never fork."""
+"""Explores the register: a reported state is never followed by an older one, and memberships never fork."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     explore,
     members,
     proposer,
+    random_run,
     reader,
-    settled,
-    walk,
+    run_to_end,
 )
 
 FIRST = members([MemberId("a", "first"), MemberId("b", "first"), MemberId("c", "first")])
-MOST = int(os.environ.get("EXPLORE", "10000"))  # states of one exploration
+MAX_STATES = int(os.environ.get("EXPLORE", "10000"))  # The number of states of one exploration.
 
 
 def vote(disk: str, epoch: int = 1) -> Vote:
@@ -50,26 +50,26 @@
     )
 
 
-def walks(world: World, start: Callable[[], Node], count: int) -> int:
-    """Runs by chance; steps taken."""
-    return sum(walk(world, start(), Random(seed)) for seed in range(count))
+def random_runs(world: World, start: Callable[[], Node], count: int) -> int:
+    """Runs random orders of steps; returns the number of steps."""
+    return sum(random_run(world, start(), Random(seed)) for seed in range(count))
 
 
 def test_two_proposers_in_all_orders() -> None:
-    count, whole = explore(World(), two(), MOST, seed=1)
-    assert whole or count == MOST
+    count, whole = explore(World(), two(), MAX_STATES, seed=1)
+    assert whole or count == MAX_STATES
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_proposers_with_second_tries_and_a_reader(seed: int) -> None:
     start = two()
     start.actors += (reader(1, FIRST),)
-    count, _ = explore(World(tries=3), start, MOST, seed)
-    assert count == MOST
+    count, _ = explore(World(tries=3), start, MAX_STATES, seed)
+    assert count == MAX_STATES
 
 
-def swaps(made: type[QuorumWrite] = QuorumWrite) -> Node:
-    """Two put machines in silent members' places, and a third changes the word under the roster it knew."""
+def membership_changes(made: type[QuorumWrite] = QuorumWrite) -> Node:
+    """Returns a start with two replacements of members and a write under the old membership."""
     start = node(
         proposer(
             "p",
@@ -92,49 +92,49 @@
     return start
 
 
-def test_swaps_of_the_roster_never_fork() -> None:
-    walks(World(tries=3), swaps, 300)
-    count, _ = explore(World(tries=2), swaps(), MOST, seed=3)
-    assert count == MOST
+def test_changes_of_the_membership_never_fork() -> None:
+    random_runs(World(tries=3), membership_changes, 300)
+    count, _ = explore(World(tries=2), membership_changes(), MAX_STATES, seed=3)
+    assert count == MAX_STATES
 
 
-def stale(made: type[QuorumWrite] = QuorumWrite) -> Node:
-    """The roster went from a, b, c to a, b, d; one proposer knows, another does not."""
+def outdated_proposer(made: type[QuorumWrite] = QuorumWrite) -> Node:
+    """Returns a start after a change from a, b, c to a, b, d, which only one of two proposers knows."""
     swap = proposer(
         "r", mesh_state.admit(Member("d", "disk-d", "", False), [MemberId("c", "first")]), 1, FIRST
     )
     world = World()
-    start = settled(world, node(swap, more=("d",)), 0, {"a", "b", "d"})
-    asking = start.actors[0].asking
-    assert asking.decided.epoch == 2
-    for where in "ab":  # they have not been told that it was decided
+    start = run_to_end(world, node(swap, more=("d",)), 0, {"a", "b", "d"})
+    operation = start.actors[0].operation
+    assert operation.decided.epoch == 2
+    for where in "ab":  # These two don't know that the change was decided.
         assert start.votes[where].state.epoch == 1
     start.actors = (
-        proposer("p", mesh_state.replace_configuration(1, "one"), 2, asking.decided.members, 2, made),
+        proposer("p", mesh_state.replace_configuration(1, "one"), 2, operation.decided.members, 2, made),
         proposer("q", mesh_state.replace_configuration(1, "other"), 1, FIRST, 5, made),
     )
     return start
 
 
-def test_who_knows_an_older_roster_overtakes_nobody() -> None:
-    count, whole = explore(World(), stale(), MOST, seed=5)
-    assert whole or count == MOST
-    walks(World(tries=3), stale, 300)
+def test_a_proposer_with_an_older_membership_overwrites_nothing() -> None:
+    count, whole = explore(World(), outdated_proposer(), MAX_STATES, seed=5)
+    assert whole or count == MAX_STATES
+    random_runs(World(tries=3), outdated_proposer, 300)
 
 
 def other_name(state: AcceptorState) -> AcceptorState:
-    """What is right: a wiped disk has another name."""
+    """The correct behaviour: a wiped disk has another name."""
     return AcceptorState("new", 1, FIRST)
 
 
 def same_name(state: AcceptorState) -> AcceptorState:
-    """A mutation: it votes as if nothing had been lost."""
+    """A mutation: a wiped disk keeps its name and its vote."""
     return AcceptorState(state.disk, 1, FIRST)
 
 
-def settled_by_two() -> Node:
-    """A word that a and b hold; another proposer and a reader come."""
-    start = settled(
+def committed_by_two() -> Node:
+    """Returns a start with a state that a and b have accepted, another proposer and a reader."""
+    start = run_to_end(
         World(), node(proposer("r", mesh_state.replace_configuration(3, "three"), 1, FIRST)), 0, {"a", "b"}
     )
     start.actors = (reader(1, FIRST), proposer("q", mesh_state.replace_configuration(2, "two"), 1, FIRST, 3))
@@ -142,24 +142,24 @@
 
 
 def test_a_wiped_disk_has_no_vote() -> None:
-    explore(World(faults=1, wiped=other_name), settled_by_two(), MOST, seed=7)
+    explore(World(faults=1, wiped=other_name), committed_by_two(), MAX_STATES, seed=7)
     for seed in range(100):
         start = two()
         start.actors += (reader(1, FIRST),)
-        walk(World(tries=2, faults=1, wiped=other_name), start, Random(seed))
+        random_run(World(tries=2, faults=1, wiped=other_name), start, Random(seed))
 
 
-# Mutations that must be found.
+# Mutations that the exploration must detect.
 
 
 def test_found_a_wiped_acceptor_that_keeps_voting() -> None:
     with pytest.raises(BrokenError):
-        explore(World(faults=1, wiped=same_name), settled_by_two(), MOST, seed=7)
+        explore(World(faults=1, wiped=same_name), committed_by_two(), MAX_STATES, seed=7)
 
 
 def acknowledged(world: World) -> Node:
-    """What one proposer was acknowledged by a and b; then a reader comes."""
-    start = settled(
+    """Returns a start with a write that a and b have acknowledged, and a reader."""
+    start = run_to_end(
         world, node(proposer("p", mesh_state.replace_configuration(1, "one"), 1, FIRST)), 0, {"a", "b"}
     )
     start.actors = (*start.actors, reader(1, FIRST))
@@ -168,24 +168,24 @@
 
 def test_found_an_answer_before_the_sync() -> None:
     right = World(faults=3)
-    assert explore(right, acknowledged(right), MOST, seed=7)[1]
+    assert explore(right, acknowledged(right), MAX_STATES, seed=7)[1]
     wrong = World(faults=3, late_sync=("promised", "accepted"))
     with pytest.raises(BrokenError):
-        explore(wrong, acknowledged(wrong), MOST, seed=7)
+        explore(wrong, acknowledged(wrong), MAX_STATES, seed=7)
 
 
 def test_found_a_majority_of_those_that_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     def living(self: Quorums, by: object) -> bool:
-        there = set(by)  # type: ignore[call-overload]
-        return all(any(key in there for key in roster) for roster in self.memberships)
+        present = set(by)  # type: ignore[call-overload]
+        return all(any(key in present for key in required) for required in self.memberships)
 
     monkeypatch.setattr(Quorums, "covered", living)
     with pytest.raises(BrokenError):
-        explore(World(), two(), MOST, seed=1)
+        explore(World(), two(), MAX_STATES, seed=1)
 
 
-class Hasty(QuorumWrite):
-    """A mutation: promises of the roster that it knew are enough; the others are asked to accept only."""
+class PrepareInOldMembership(QuorumWrite):
+    """A mutation: promises of the known membership are enough; the others only get accept requests."""
 
     def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
@@ -199,8 +199,8 @@
         return self.contact(self.quorums.members())
 
 
-class Narrow(QuorumWrite):
-    """A mutation: the roster that it knew is enough for both halves."""
+class OldMembershipOnly(QuorumWrite):
+    """A mutation: majorities of the known membership are enough in both phases."""
 
     def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
@@ -214,29 +214,29 @@
 
 def test_found_no_joint_prepare() -> None:
     with pytest.raises(BrokenError):
-        walks(World(), lambda: stale(Hasty), 3000)
+        random_runs(World(), lambda: outdated_proposer(PrepareInOldMembership), 3000)
 
 
-def test_found_a_roster_changed_by_the_old_one_alone() -> None:
+def test_found_a_membership_changed_by_the_old_one_alone() -> None:
     with pytest.raises(BrokenError):
-        walks(World(tries=3), lambda: stale(Narrow), 3000)
+        random_runs(World(tries=3), lambda: outdated_proposer(OldMembershipOnly), 3000)
 
 
-class Forgetful(Acceptor):
-    """A mutation: accepts whatever it has promised since."""
+class PromiseForgettingAcceptor(Acceptor):
+    """A mutation: an acceptor ignores its promises when it accepts."""
 
     def _accept(
-        self, state: AcceptorState, ballot: ProposalNumber, value: MeshState
+        self, state: AcceptorState, number: ProposalNumber, value: MeshState
     ) -> tuple[AcceptorState, Answer]:
-        return super()._accept(replace(state, promised=NO_PROPOSAL), ballot, value)
+        return super()._accept(replace(state, promised=NO_PROPOSAL), number, value)
 
 
 def test_found_an_acceptor_that_forgets_its_promise() -> None:
     with pytest.raises(BrokenError):
-        explore(World(acceptor=Forgetful), two(), 20 * MOST, seed=1)
+        explore(World(acceptor=PromiseForgettingAcceptor), two(), 20 * MAX_STATES, seed=1)
 
 
-# Single parts.
+# Unit tests.
 
 
 def test_quorums_want_a_majority_of_each() -> None:
--- a/tests/control/test_second_loss.py
+++ b/tests/control/test_second_loss.py
@@ -1,6 +1,6 @@
-"""Losses that follow a repair or a planned replacement: a majority is left, and it holds the newest state.
+"""After a repair or a planned replacement, a further loss leaves a majority that has the newest state.
 
-Each scenario is played once for every step of the change of membership, and the next loss comes at that step.
+Each scenario is played with the next loss at each step of the change of the membership.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def started(seed: int, count: int = 3) -> ControlCluster:
-    """Control nodes that hold version 5."""
+    """Returns control nodes with version 5 in force."""
     cluster = ControlCluster(seed, count)
     cluster.run(2.5 if count > 3 else 1.0)
     call = cluster.replace(A, 5, "five")
@@ -25,23 +25,23 @@
     return cluster
 
 
-def lost(cluster: ControlCluster, ip: str) -> None:
-    """A machine is gone for good."""
+def lose(cluster: ControlCluster, ip: str) -> None:
+    """Loses a machine with its disk for good."""
     cluster.network.machines[ip].off(power=True)
     cluster.network.machines[ip].disk.files.clear()
 
 
 def members(cluster: ControlCluster, ip: str) -> list[str]:
-    """The membership that one knows."""
-    return sorted(one.address.rpartition(":")[0] for one in cluster.programs[ip].replica.state.members)
+    """Returns the membership that a control node knows."""
+    return sorted(each.address.rpartition(":")[0] for each in cluster.programs[ip].replica.state.members)
 
 
-def holds_on(cluster: ControlCluster, living: list[str], within: float = 2.5) -> None:
-    """Soon each of the living describes version 5, and an order is confirmed by one of them."""
+def check_available(cluster: ControlCluster, living: list[str], within: float = 2.5) -> None:
+    """Checks that each living node describes version 5 soon, and that one of them confirms an order."""
     cluster.run(within)
-    told = [cluster.describe(ip) for ip in living]
+    reads = [cluster.describe(ip) for ip in living]
     cluster.run(0.9)
-    assert [call.answers for call in told] == [[(200, TEXT, b"")]] * len(living)
+    assert [call.answers for call in reads] == [[(200, TEXT, b"")]] * len(living)
     order = cluster.replace(living[-1], 9, "nine")
     cluster.run(0.9)
     assert order.status == 200
@@ -52,14 +52,14 @@
     cluster = started(31)
     cluster.add(NEW)
     cluster.run(CATCH_UP_S)
-    assert members(cluster, B) == [A, B, C], "who is not needed yet has no vote"
+    assert members(cluster, B) == [A, B, C], "a machine that is not needed yet has no vote"
     cluster.programs[A].stop()
     cluster.run(step)
-    lost(cluster, B)
+    lose(cluster, B)
     cluster.run(3.0)
     assert cluster.network.machines[A].exited == 0
     assert members(cluster, C) == sorted([B, C, NEW])
-    holds_on(cluster, [C, NEW])
+    check_available(cluster, [C, NEW])
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -69,21 +69,21 @@
     cluster.run(CATCH_UP_S)
     cluster.programs[A].stop()
     cluster.run(step)
-    lost(cluster, A)
+    lose(cluster, A)
     cluster.run(CATCH_UP_S)
-    lost(cluster, C)
-    holds_on(cluster, [B, NEW])
+    lose(cluster, C)
+    check_available(cluster, [B, NEW])
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_a_joiner_that_dies_half_way(step: float) -> None:
     cluster = started(33)
-    lost(cluster, A)
+    lose(cluster, A)
     cluster.run(1.0)
     cluster.add(NEW)
     cluster.run(0.5 + step)
-    lost(cluster, NEW)
-    holds_on(cluster, [B, C])
+    lose(cluster, NEW)
+    check_available(cluster, [B, C])
     cluster.add(NEWER)
     cluster.run(2.0 + CATCH_UP_S)
     assert members(cluster, B) == sorted([B, C, NEWER])
@@ -91,9 +91,9 @@
 
 @pytest.mark.parametrize("count", [3, 4, 5, 7])
 @pytest.mark.parametrize("how", ["wiped", "replaced", "planned"])
-def test_as_many_losses_as_are_borne_after_each_repair(how: str, count: int) -> None:
+def test_as_many_losses_as_are_tolerated_after_each_repair(how: str, count: int) -> None:
     cluster = started(34, count)
-    borne = (count - 1) // 2
+    tolerated = (count - 1) // 2
     for turn in range(2):
         ips = members(cluster, cluster.ips[-1])
         gone, new = ips[0], f"10.0.0.{30 + turn}"
@@ -102,9 +102,9 @@
             cluster.run(CATCH_UP_S)
             cluster.programs[gone].stop()
             cluster.run(1.5)
-            lost(cluster, gone)
+            lose(cluster, gone)
         else:
-            lost(cluster, gone)
+            lose(cluster, gone)
             cluster.run(1.0)
             if how == "wiped":
                 cluster.start(gone)
@@ -113,9 +113,9 @@
             cluster.run(CATCH_UP_S)
         assert len(members(cluster, cluster.ips[-1])) == count
     ips = members(cluster, cluster.ips[-1])
-    for ip in ips[:borne]:
-        lost(cluster, ip)
-    holds_on(cluster, ips[borne:])
+    for ip in ips[:tolerated]:
+        lose(cluster, ip)
+    check_available(cluster, ips[tolerated:])
 
 
 def test_two_replacements_at_once() -> None:
@@ -126,11 +126,11 @@
     cluster.programs[A].stop()
     cluster.programs[B].stop()
     cluster.run(2.0)
-    left = cluster.ips[2:]
-    assert members(cluster, C) == sorted([*left, NEW, NEWER])
-    for ip in left[:2]:
-        lost(cluster, ip)
-    holds_on(cluster, [left[2], NEW, NEWER])
+    remaining = cluster.ips[2:]
+    assert members(cluster, C) == sorted([*remaining, NEW, NEWER])
+    for ip in remaining[:2]:
+        lose(cluster, ip)
+    check_available(cluster, [remaining[2], NEW, NEWER])
 
 
 def test_a_member_that_comes_back_from_a_long_cut_after_it_was_replaced() -> None:
@@ -138,7 +138,7 @@
     cluster.split([A], [B, C, NEW])
     cluster.add(NEW)
     cluster.run(20.0)
-    assert members(cluster, A) == [A, B, C], "it knows of nothing"
+    assert members(cluster, A) == [A, B, C], "it does not know of the change"
     assert members(cluster, B) == sorted([B, C, NEW])
     order = cluster.replace(B, 8, "eight")
     cluster.run(0.9)
@@ -147,9 +147,9 @@
     cluster.run(CATCH_UP_S)
     assert members(cluster, A) == sorted([B, C, NEW])
     assert not cluster.programs[A].replica.is_member()
-    told = cluster.describe(A)
+    read = cluster.describe(A)
     cluster.run(0.9)
-    assert told.answers == [(200, b"r8 eight", b"")]
+    assert read.answers == [(200, b"r8 eight", b"")]
 
 
 def test_a_joiner_has_no_vote_before_it_holds_the_text() -> None:
@@ -158,7 +158,7 @@
     texts = [each["word.body"] for each in methods]
     for each in methods:
         each["word.body"] = lambda args, reply, peer: reply(None)
-    lost(cluster, A)
+    lose(cluster, A)
     cluster.run(1.0)
     cluster.start(A)
     cluster.run(CATCH_UP_S)
@@ -167,8 +167,8 @@
         each["word.body"] = text
     cluster.run(CATCH_UP_S)
     assert cluster.programs[A].replica.is_member()
-    lost(cluster, B)
-    holds_on(cluster, [A, C])
+    lose(cluster, B)
+    check_available(cluster, [A, C])
 
 
 def test_a_planned_end_without_a_standby_keeps_the_place() -> None:
@@ -180,4 +180,4 @@
     cluster.start(A)
     cluster.run(1.0)
     assert cluster.programs[A].replica.is_member()
-    holds_on(cluster, [A, B, C])
+    check_available(cluster, [A, B, C])
--- a/tests/control/test_store.py
+++ b/tests/control/test_store.py
@@ -1,4 +1,4 @@
-"""The disk: power lost at every write, name and removal leaves the old register or the new one."""
+"""A power failure at every write, rename and removal leaves the old register or the new one."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
 
 def state(number: int) -> AcceptorState:
     value = MeshState(number, number, f"d{number}", {}, (), 1, 0)
-    ballot = ProposalNumber(number, "p", 1)
-    return AcceptorState("disk", 1, (), ballot, ballot, value)
+    proposal = ProposalNumber(number, "p", 1)
+    return AcceptorState("disk", 1, (), proposal, proposal, value)
 
 
-def busy(store: Store, kept: list[int]) -> None:
-    """Keep texts and states in turn; `kept` gets the numbers of those that were."""
+def save_states(store: Store, saved: list[int]) -> None:
+    """Saves texts and states; `saved` gets the numbers of the saved states."""
     for number in range(1, 7):
         store.put_text(f"d{number}", b"x" * (100 * number))
         store.save(state(number))
-        kept.append(number)
+        saved.append(number)
         store.remove_unreferenced({f"d{number}"})
 
 
 @pytest.mark.parametrize("torn", [False, True])
 def test_power_lost_at_every_operation(torn: bool) -> None:
-    whole = machine()
-    busy(Store(whole), [])
-    assert whole.disk.count > 18
-    for at in range(1, whole.disk.count + 1):
-        host, kept = machine(), [0]
+    undisturbed = machine()
+    save_states(Store(undisturbed), [])
+    assert undisturbed.disk.count > 18
+    for at in range(1, undisturbed.disk.count + 1):
+        host, saved = machine(), [0]
         Store(host).save(state(0))
         host.disk.fail_at, host.disk.torn = 2 + at, torn
         with pytest.raises(PowerLostError):
-            busy(Store(host), kept)
+            save_states(Store(host), saved)
         again = Store(host)
         found = again.load()
         assert found is not None
         number = found.promised[0]
-        assert number in (kept[-1], kept[-1] + 1)
+        assert number in (saved[-1], saved[-1] + 1)
         assert number == 0 or again.read_text(f"d{number}") == b"x" * (100 * number)
 
 
 def test_damage_is_a_lost_register_and_a_missing_text() -> None:
     host = machine()
     store = Store(host)
-    busy(store, [])
+    save_states(store, [])
     for name in (REGISTER, "config-d6"):
         data = bytearray(host.disk.files[name])
         data[len(data) // 2] ^= 1
@@ -70,15 +70,15 @@
     assert REGISTER_NEW not in host.disk.files
 
 
-def test_texts_that_nothing_names_are_removed_but_for_the_last() -> None:
+def test_unreferenced_texts_are_removed_except_the_last() -> None:
     store = Store(machine())
-    busy(store, [])
+    save_states(store, [])
     assert store.digests == [*[f"d{n}" for n in range(6 - MAX_UNREFERENCED_TEXTS, 6)], "d6"]
     with pytest.raises(ValueError, match="digest"):
         store.put_text("../register", b"")
 
 
-def test_a_disk_that_fails_answers_nothing_and_mends() -> None:
+def test_a_member_with_a_failing_disk_does_not_answer_and_recovers() -> None:
     cluster = ControlCluster(21)
     cluster.run(0.5)
     host = cluster.network.machines["10.0.0.2"]
@@ -122,7 +122,7 @@
     assert again.read_text("d7") == b"text"
 
 
-def test_a_register_whose_new_name_was_lost_is_found_beside() -> None:
+def test_a_register_whose_rename_was_lost_is_recovered() -> None:
     host = machine()
     store = Store(host)
     store.save(state(1))
@@ -136,7 +136,7 @@
     assert Store(host).load() is None
 
 
-def test_a_damaged_register_gives_way_to_the_whole_one_beside() -> None:
+def test_a_damaged_register_is_replaced_by_a_complete_new_one() -> None:
     host = machine()
     store = Store(host)
     store.save(state(2))
--- a/tests/control/test_store_repair.py
+++ b/tests/control/test_store_repair.py
@@ -1,4 +1,4 @@
-"""The disk told to people: format, check, repair, backup, and the return of a word when all else is gone."""
+"""Operators' commands for the disk: check, repair, backup and restore, and the version of the format."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def used() -> tuple[ControlCluster, Machine]:
-    """A cluster with a configuration and an evacuated zone, and one of its machines."""
+    """Returns a cluster with a configuration and an evacuated zone, and one of its machines."""
     cluster = ControlCluster(31)
     cluster.run(0.5)
     cluster.replace("10.0.0.1", 5, "the routes")
@@ -39,25 +39,25 @@
     return cluster, cluster.network.machines["10.0.0.2"]
 
 
-def spoil(host: Machine, name: str) -> None:
+def damage(host: Machine, name: str) -> None:
     data = bytearray(host.disk.files[name])
     data[-1] ^= 1
     host.disk.files[name] = bytes(data)
 
 
-def later(data: bytes) -> bytes:
-    """The same file as a later version would write it."""
+def of_later_format(data: bytes) -> bytes:
+    """Returns the same file with a later version of the format."""
     return data[:3] + b"%d" % (FORMAT_VERSION + 1) + data[4:]
 
 
 @pytest.mark.parametrize("name", [REGISTER, "config"])
 def test_a_later_format_is_never_taken_for_damage(name: str) -> None:
     cluster, host = used()
-    name = next(one for one in host.disk.files if one.startswith(name))
+    name = next(each for each in host.disk.files if each.startswith(name))
     host.off(power=True)
-    host.disk.files[name] = later(host.disk.files[name])
+    host.disk.files[name] = of_later_format(host.disk.files[name])
     before = dict(host.disk.files)
-    with pytest.raises(FormatError, match=f"format {FORMAT_VERSION + 1}, wanted at most {FORMAT_VERSION}"):
+    with pytest.raises(FormatError, match=f"expected at most {FORMAT_VERSION}, got {FORMAT_VERSION + 1}"):
         Store(host).load()
     if name == REGISTER:
         with pytest.raises(FormatError):
@@ -67,7 +67,7 @@
     assert host.disk.files == before
     assert cluster.replace("10.0.0.1", 6).answers == []
     cluster.run(0.5)
-    assert cluster.known("10.0.0.1").version == 6, "the other two go on"
+    assert cluster.known("10.0.0.1").version == 6, "the other two continue"
 
 
 def test_every_wrong_head_is_damage() -> None:
@@ -78,30 +78,30 @@
         assert decode_file(wrong) is None
 
 
-def test_check_tells_what_is_there_and_each_fault() -> None:
+def test_check_reports_the_contents_and_each_fault() -> None:
     _, host = used()
     report = repair.check(host)
     assert report.faults == []
     lines = "\n".join(report.lines)
     assert "configuration r5" in lines
     assert "evacuated b" in lines
-    assert "roster 1: 10.0.0.1:7620/" in lines
+    assert "membership 1: 10.0.0.1:7620/" in lines
     (text,) = [name for name in host.disk.files if name.startswith("config-")]
-    spoil(host, text)
+    damage(host, text)
     assert repair.check(host).faults == [f"{text}: damaged"]
     del host.disk.files[text]
-    assert repair.check(host).faults == [f"{text}: missing, and the register names it"]
-    spoil(host, REGISTER)
+    assert repair.check(host).faults == [f"{text}: missing, but the register names it"]
+    damage(host, REGISTER)
     assert repair.check(host).faults == [f"{REGISTER}: damaged"]
-    assert repair.check(machine()).lines == [f"{REGISTER}: none: the disk has no vote"]
+    assert repair.check(machine()).lines == [f"{REGISTER}: missing, the disk has no vote"]
 
 
-def test_repair_sets_damage_aside_and_gives_no_vote_back() -> None:
+def test_repair_renames_damaged_files_and_restores_no_vote() -> None:
     cluster, host = used()
     host.off(power=False)
     (text,) = [name for name in host.disk.files if name.startswith("config-")]
-    spoil(host, text)
-    spoil(host, REGISTER)
+    damage(host, text)
+    damage(host, REGISTER)
     assert len(repair.repair(host)) == 2
     assert sorted(name for name in host.disk.files if "drift" not in name) == [
         text + DAMAGED_SUFFIX,
@@ -112,13 +112,13 @@
     replica = cluster.programs["10.0.0.2"].replica
     assert replica.state.disk != "first", "a lost disk has no vote, even at the first start"
     cluster.run(4.0)
-    assert replica.is_member(), "it is admitted anew"
+    assert replica.is_member(), "it is admitted again"
     call = cluster.describe("10.0.0.2")
     cluster.run(1.0)
     assert call.answers[0][:2] == (200, TEXT)
 
 
-def test_repair_ends_a_write_that_was_cut_off() -> None:
+def test_repair_finishes_an_interrupted_write() -> None:
     host = machine()
     store = Store(host)
     store.save(replace(state(1), value=None))
@@ -126,32 +126,32 @@
     assert repair.repair(host) == [f"{REGISTER_NEW}: removed"]
     store.save(replace(state(2), value=None))
     host.disk.files[REGISTER_NEW] = host.disk.files[REGISTER]
-    spoil(host, REGISTER)
+    damage(host, REGISTER)
     assert len(repair.repair(host)) == 2
     again = Store(host).load()
     assert again is not None
     assert again.promised[0] == 2
 
 
-def test_a_backup_is_whole_or_nothing() -> None:
+def test_a_backup_is_complete_or_rejected() -> None:
     _, host = used()
     packed = backup.backup(host)
     assert backup.Backup.unpack(packed).text == TEXT
     for cut in range(0, len(packed), 7):
         with pytest.raises(backup.BackupError):
             backup.Backup.unpack(packed[:cut])
-    with pytest.raises(backup.BackupError, match="no backup"):
+    with pytest.raises(backup.BackupError, match="expected a backup, got"):
         backup.Backup.unpack(encode_file(b"\xc1"))
-    with pytest.raises(backup.BackupError, match="no word"):
+    with pytest.raises(backup.BackupError, match="expected an accepted state"):
         backup.backup(machine())
     (text,) = [name for name in host.disk.files if name.startswith("config-")]
     host.disk.files[text] = encode_file(zlib.compress(b"r5 others"))
-    with pytest.raises(backup.BackupError, match="no whole"):
+    with pytest.raises(backup.BackupError, match="expected the text that the register names"):
         backup.backup(host)
 
 
 @pytest.mark.parametrize("left", [0, 1])
-def test_a_word_returns_where_no_majority_is_left(left: int) -> None:
+def test_a_state_is_restored_without_a_majority(left: int) -> None:
     cluster, host = used()
     packed = backup.backup(host)
     before = cluster.known("10.0.0.1").revision
@@ -165,7 +165,7 @@
         with pytest.raises(backup.BackupError, match="among them"):
             backup.restore(cluster.network.machines[ip], packed, members, "10.0.0.9:7620")
         backup.restore(cluster.network.machines[ip], packed, members, f"{ip}:7620")
-        with pytest.raises(backup.BackupError, match="wanted an empty one"):
+        with pytest.raises(backup.BackupError, match="expected an empty one"):
             backup.restore(cluster.network.machines[ip], packed, members, f"{ip}:7620")
     for ip in cluster.ips:
         cluster.start(ip)
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -1,4 +1,4 @@
-"""The memory of versions: against a mapping, by seed; its bound; what is forgotten; its format."""
+"""The version history compared with a mapping, its bound, its floor and its format."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_it_remembers_what_a_mapping_would(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_it_agrees_with_a_mapping(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(version_history, "MAX_VERSIONS", 30)
     rng, history, wanted, floor = Random(seed), VersionHistory(), dict[int, str](), -1
     for _ in range(300):
@@ -52,7 +52,7 @@
     assert mesh_state.replace_configuration(oldest, "other")(state)[1].outcome is Outcome.CONFLICT
 
 
-def test_a_state_of_before_the_memory_remembers_the_version_in_force_alone() -> None:
+def test_a_state_without_a_history_has_only_the_version_in_force() -> None:
     packed = initial_state(()).pack_public()
     assert MeshState.unpack(packed).history == VersionHistory()
     state = MeshState.unpack({**packed, "version": 7, "digest": "ab" * 16})
