--- a/honeywharf/lease/acquisition.py
+++ b/honeywharf/lease/acquisition.py
@@ -1,9 +1,9 @@
-"""Asks grantors for the roles that a process wants, renews them while it wants them, and releases them.
+"""Acquires leases on the roles that a process needs, renews them while it needs them, and releases them.
 
-`wanted` is a list of groups of roles; the acquisition is granted when it holds one role of each group.
-Members are asked all at once; a slot that another holder has is left for the next of its group. Without a
-majority in `ACQUIRE_TIMEOUT_S` the acquisition is refused and its votes are released: the role is not taken
-then, and nothing else waits for it.
+The roles are given in groups; the acquisition is granted when it holds a lease on one role of each group. All
+members are asked at once; if another holder has a slot, the next slot of the group is tried. Without a
+majority within `ACQUIRE_TIMEOUT_S` the acquisition is rejected and its votes are released: the role is not
+taken then, and nothing else waits for it.
 """
 
 from __future__ import annotations
@@ -24,16 +24,19 @@
     from honeywharf.transport.host import Address, Host, Timer
 
     Call = Callable[[Address, str, object, float, Callable[[Any], None]], None]
-    Membership = Callable[[], tuple[int, Sequence[MemberId]]]  # epoch, members
+    Membership = Callable[[], tuple[int, Sequence[MemberId]]]  # Returns the epoch and the members.
 
-ACQUIRE_TIMEOUT_S = 0.3  # for a first round over all groups
-CALL_TIMEOUT_S = 0.2  # for one grantor
-MIN_RENEWAL_S = 0.01  # between two renewals
-MAX_ROUNDS = 24  # of one acquisition until it is granted or refused
+ACQUIRE_TIMEOUT_S = 0.3  # The time-out of an acquisition, over all groups.
+CALL_TIMEOUT_S = 0.2  # The time-out of a call to one grantor.
+MIN_RENEWAL_S = 0.01  # The shortest time between two renewals.
+MAX_ROUNDS = 24  # An acquisition takes at most this many rounds until it is granted or rejected.
 
 
 class LeaseAcquisition:
-    """See the module. `on_lost()` is called when a lease has ended that was still wanted."""
+    """An acquisition of leases on one role of each group.
+
+    `on_lost()` is called when a lease has expired although it was still needed.
+    """
 
     def __init__(
         self,
@@ -41,14 +44,14 @@
         call: Call,
         membership: Membership,
         holder: str,
-        wanted: Sequence[Sequence[Role]],
+        role_groups: Sequence[Sequence[Role]],
         on_lost: Callable[[], None] = lambda: None,
     ) -> None:
         self.host, self.call, self.membership = host, call, membership
         self.holder, self.on_lost = holder, on_lost
-        self.wanted = [list(group) for group in wanted]
+        self.role_groups = [list(group) for group in role_groups]
         self.leases: list[Lease] = []
-        self.done: Callable[[bool], None] | None = None  # while it is neither granted nor refused
+        self.done: Callable[[bool], None] | None = None  # Set while the acquisition is pending.
         self.is_granted = False
         self.rounds = 0
         self.deadline = 0.0
@@ -56,27 +59,27 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether it is neither granted nor refused."""
+        """Returns whether the acquisition is neither granted nor rejected."""
         return self.done is not None
 
     def holds(self) -> bool:
-        """Whether the roles may be acted in now."""
+        """Returns whether the process holds valid leases on the roles now."""
         now = self.host.now()
         return self.is_granted and all(lease.holds(now) for lease in self.leases)
 
     def numbers(self) -> list[int]:
-        """Fencing numbers of the leases, in the order of the groups."""
+        """Returns the fencing tokens of the leases, in the order of the groups."""
         return [lease.number for lease in self.leases]
 
     def begin(self, done: Callable[[bool], None]) -> None:
-        """Ask; `done` is called once, later."""
+        """Starts the acquisition; `done` is called once, later, with whether it is granted."""
         self.done = done
         self.deadline = self.host.now() + ACQUIRE_TIMEOUT_S
-        self.timer = self.host.after(ACQUIRE_TIMEOUT_S, partial(self._refuse, done))
+        self.timer = self.host.after(ACQUIRE_TIMEOUT_S, partial(self._reject, done))
         self._next_group()
 
     def end(self) -> None:
-        """It is not wanted any more: stop, and release the votes."""
+        """Ends the acquisition: stops its leases, and releases their votes."""
         self.is_granted, self.done = False, None
         if self.timer is not None:
             self.timer.cancel()
@@ -85,28 +88,28 @@
             lease.stop()
             self._release(lease)
 
-    # Until it is granted.
+    # The acquisition, until it is granted or rejected.
 
     def _next_group(self) -> None:
-        """Try the next slot of the group at hand, or be granted."""
-        if len(self.leases) == len(self.wanted):
+        """Tries the next slot of the current group; the acquisition is granted after the last group."""
+        if len(self.leases) == len(self.role_groups):
             self._grant()
             return
-        group = self.wanted[len(self.leases)]
+        group = self.role_groups[len(self.leases)]
         if not group or self.rounds >= MAX_ROUNDS:
-            self._refuse(self.done)
+            self._reject(self.done)
             return
         lease = Lease(group.pop(0), self.holder, max(self.numbers(), default=0))
         self.leases.append(lease)
-        self._ask_members(lease)
+        self._begin_round(lease)
 
-    def _ask_members(self, lease: Lease) -> None:
-        """Begin a round of a lease."""
+    def _begin_round(self, lease: Lease) -> None:
+        """Starts a round of a lease: requests the votes of all members."""
         epoch, members = self.membership()
         self.rounds += 1
         grantors = lease.begin(self.host.now(), epoch, members, int(self.host.wall() * 1000))
         if not grantors:
-            self._refuse(self.done)
+            self._reject(self.done)
             return
         round_number = lease.round
         for address, disk in grantors:
@@ -130,14 +133,14 @@
             return
         if lease.holds(now):
             self._next_group()
-        elif lease.is_hopeless():
+        elif lease.cannot_reach_majority():
             self._next_slot(lease)
 
     def _next_slot(self, lease: Lease) -> None:
-        """This slot is not to be had, or by a higher number only."""
+        """Retries with a higher number if only that is missing; else tries the next slot."""
         self._release(lease)
         if lease.needs_higher_number() and self.rounds < MAX_ROUNDS:
-            self._ask_members(lease)
+            self._begin_round(lease)
             return
         self.leases.remove(lease)
         self._next_group()
@@ -152,7 +155,7 @@
                 lambda answer: None,
             )
 
-    def _refuse(self, done: Callable[[bool], None] | None) -> None:
+    def _reject(self, done: Callable[[bool], None] | None) -> None:
         if done is not None and self.done is done:
             self.end()
             self.host.after(0.0, partial(done, False))
@@ -166,7 +169,7 @@
         if done is not None:
             done(True)
 
-    # While it is held.
+    # Renewal, while the leases are held.
 
     def _renewal_interval(self) -> float:
         return min(lease.renewal_interval() for lease in self.leases)
@@ -179,7 +182,7 @@
             self.on_lost()
             return
         for lease in self.leases:
-            self._ask_members(lease)
-        left = min(lease.until for lease in self.leases) - self.host.now()
-        delay = max(MIN_RENEWAL_S, min(left, self._renewal_interval()))
+            self._begin_round(lease)
+        remaining = min(lease.expires_at for lease in self.leases) - self.host.now()
+        delay = max(MIN_RENEWAL_S, min(remaining, self._renewal_interval()))
         self.timer = self.host.after(delay, self._renew)
--- a/honeywharf/lease/lease.py
+++ b/honeywharf/lease/lease.py
@@ -1,11 +1,11 @@
-"""A holder's side of one role: votes counted, and the time at which it stops. Time comes as an argument.
-
-Theory of operation. A round asks every member. Votes of one round count together, and the lease that they
-make ends `duration` after the round was *begun*: each vote began later than that and lasts a term by the
-grantor's clock. `duration` is a term less what two steady clocks may differ by meanwhile
-(`CLOCK_RATE_ERROR`) and less `MARGIN_S`, in which a call that was begun under the lease may end. A renewal
-is a round under the same number. Steps of the time of day change nothing here; a holder that stood still
-finds by its clock that its time is up.
+"""The holder's side of one lease: it counts votes and computes the expiry. The time is an argument.
+
+Theory of operation. A round requests the votes of all members. The votes of one round count together, and
+their lease expires `duration` after the *start* of the round: each vote starts later than that and lasts a
+term by the grantor's clock. `duration` is a term minus the difference that two steady clocks may accumulate
+meanwhile (`CLOCK_RATE_ERROR`) and minus `CALL_MARGIN_S`, in which a call that was started under the lease may
+finish. A renewal is a round under the same number. Steps of the time of day have no effect; a holder that was
+stalled finds by its steady clock that its lease has expired.
 """
 
 from __future__ import annotations
@@ -19,46 +19,47 @@
 
     from honeywharf.lease.grantor import Role
 
-    MemberId = tuple[str, str]  # address, disk
+    MemberId = tuple[str, str]  # The address and the name of the disk.
 
-CLOCK_RATE_ERROR = 0.01  # by which a steady clock may run fast or slow
-MARGIN_S = 0.05  # that what was begun in time may take to end
+CLOCK_RATE_ERROR = 0.01  # A steady clock may run fast or slow by this share.
+CALL_MARGIN_S = 0.05  # A call that was started in time may take this long to finish.
 RENEWALS_PER_TERM = 3
 
 
 class Lease:
-    """One role wanted by one holder, of its present incarnation (`holder` is new with each start)."""
+    """A lease on one role for one holder in its current incarnation (`holder` is new with each start)."""
 
     def __init__(self, role: Role, holder: str, floor: int) -> None:
-        """`floor`: the lease's number will be above it."""
+        """The number of the lease will be above `floor`."""
         self.role, self.holder = role, holder
-        self.number = floor  # of the lease, or the last one tried
-        self.until = 0.0  # by the own clock; 0 without a lease
+        self.number = floor  # The fencing token of the lease, or of the last attempt.
+        self.expires_at = 0.0  # The expiry by the holder's steady clock; 0 without a lease.
         self.round = 0
         self.begun_at = 0.0
         self.epoch = 0
         self.members: list[MemberId] = []
         self.votes: set[MemberId] = set()
         self.answered: set[MemberId] = set()
-        self.highest_number = floor  # that a grantor has told
-        self.rejections: set[str] = set()  # of this round
+        self.highest_number = floor  # The highest number that a grantor has reported.
+        self.rejections: set[str] = set()  # The rejecting answers of this round.
 
     def duration(self) -> float:
-        """Seconds that the holder may count on, from before it asked."""
-        return TERMS[self.role.kind] * (1 - 2 * CLOCK_RATE_ERROR) - MARGIN_S
+        """Returns the seconds from the start of a round to the expiry of its lease."""
+        return TERMS[self.role.kind] * (1 - 2 * CLOCK_RATE_ERROR) - CALL_MARGIN_S
 
     def renewal_interval(self) -> float:
-        """Seconds between renewals."""
+        """Returns the seconds between renewals."""
         return TERMS[self.role.kind] / RENEWALS_PER_TERM
 
     def majority(self) -> int:
-        """Votes that make a lease: a majority of the whole membership, whoever is in contact."""
+        """Returns the number of votes that a lease needs: a majority of all members, in contact or not."""
         return len(self.members) // 2 + 1
 
     def begin(self, now: float, epoch: int, members: Sequence[MemberId], wall_ms: int) -> list[MemberId]:
-        """Begin a round; whom to ask, with `role`, `holder`, `number`, `epoch` and `round`.
+        """Starts a round; returns the members whose votes are requested.
 
-        `wall_ms`: time of day in ms. A lease that is held is renewed; else there is a new number.
+        The requests carry `role`, `holder`, `number` and `epoch`. `wall_ms` is the time of day in ms. A valid
+        lease is renewed under its number; else the round gets a new number.
         """
         if not self.holds(now) or epoch != self.epoch:
             self.number = max(self.highest_number + 1, wall_ms)
@@ -68,7 +69,7 @@
         return self.members
 
     def received(self, now: float, round_number: int, member: MemberId, answer: str, highest: int) -> bool:
-        """A grantor's answer to a round; whether the lease is held now."""
+        """Counts a grantor's answer to a round; returns whether the lease is valid now."""
         self.highest_number = max(self.highest_number, highest)
         if round_number != self.round or member not in self.members:
             return self.holds(now)
@@ -76,29 +77,29 @@
         if answer == VoteAnswer.GRANTED:
             self.votes.add(member)
             if len(self.votes) >= self.majority():
-                self.until = max(self.until, self.begun_at + self.duration())
+                self.expires_at = max(self.expires_at, self.begun_at + self.duration())
         else:
             self.rejections.add(answer)
         return self.holds(now)
 
     def timed_out(self, round_number: int, member: MemberId) -> None:
-        """A grantor did not answer in time."""
+        """Records that a grantor did not answer in time."""
         if round_number == self.round:
             self.answered.add(member)
 
-    def is_hopeless(self) -> bool:
-        """Whether this round can't bring a majority any more."""
-        left = len(set(self.members) - self.answered)
-        return len(self.votes) + left < self.majority()
+    def cannot_reach_majority(self) -> bool:
+        """Returns whether this round can't get a majority any more."""
+        unanswered = len(set(self.members) - self.answered)
+        return len(self.votes) + unanswered < self.majority()
 
     def holds(self, now: float) -> bool:
-        """Whether the role may be acted in now. Asked before each act, and not remembered."""
-        return now < self.until
+        """Returns whether the lease is valid now. Callers check this before each action, without caching."""
+        return now < self.expires_at
 
     def stop(self) -> None:
-        """Act no more; only then may others be told."""
-        self.until, self.round = 0.0, self.round + 1
+        """Ends the lease at the holder; the grantors may be notified only after this."""
+        self.expires_at, self.round = 0.0, self.round + 1
 
     def needs_higher_number(self) -> bool:
-        """Whether all that this round lacks is a higher number."""
+        """Returns whether this round was rejected only because its number is too low."""
         return self.rejections == {VoteAnswer.LOW_NUMBER}
--- a/tests/lease/cluster.py
+++ b/tests/lease/cluster.py
@@ -1,6 +1,6 @@
-"""Machines that grant and want roles.
+"""Simulated machines that grant and acquire leases.
 
-Clocks that run apart and are set, freezes, cuts, starts, memberships.
+Their clocks drift and are stepped; they freeze, restart and are partitioned, and the membership changes.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from honeywharf.lease.lease import CLOCK_RATE_ERROR
 from honeywharf.transport.host import Address, Host
 
-Key = tuple[str, str]  # address, disk
+Key = tuple[str, str]  # The address and the name of the disk.
 
 PORT = 7620
-MEMBERSHIP_INTERVAL_S = (3.0, 8.0)  # seconds between changes of the membership
-PAUSE_S = (0.002, 0.04)  # seconds until a machine that was refused, or had the role, wants it again
+MEMBERSHIP_INTERVAL_S = (3.0, 8.0)  # The range of the time between changes of the membership.
+PAUSE_S = (0.002, 0.04)  # The range of the pause after a rejected or ended acquisition.
 
 
-class Due:
-    """A call that is due."""
+class ScheduledCall:
+    """A call that is scheduled and may be cancelled."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call: Callable[[], None] | None = call
@@ -35,25 +35,25 @@
 
 
 class Node:
-    """One machine: its grantor, and its acquisition while it wants the role."""
+    """One machine: its grantor, and its acquisition while it requests the role."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
         self.cluster, self.name, self.key = cluster, name, (f"{name}:{PORT}", "disk")
         self.rate = 1 + cluster.rng.choice((-CLOCK_RATE_ERROR, CLOCK_RATE_ERROR))
         self.offset, self.step = cluster.rng.uniform(10.0, 900.0), 0.0
         self.epoch = self.accepted = 1
-        self.life, self.frozen = 0, False
-        self.late: list[Callable[[], None]] = []
+        self.incarnation, self.frozen = 0, False
+        self.held_back: list[Callable[[], None]] = []
         self.start()
 
     def start(self) -> None:
-        self.life += 1
-        self.late = []
+        self.incarnation += 1
+        self.held_back = []
         self.acquisition: LeaseAcquisition | None = None
         self.grantor = Grantor(self.now(), lambda kind, scope: 1)
-        self.after(self.cluster.rng.uniform(0.0, 0.1), self.want)
+        self.after(self.cluster.rng.uniform(0.0, 0.1), self.acquire)
 
-    # A host.
+    # The methods of a host.
 
     def now(self) -> float:
         return self.offset + self.rate * self.cluster.time
@@ -61,35 +61,35 @@
     def wall(self) -> float:
         return 1.7e9 + self.step + self.cluster.time
 
-    def after(self, seconds: float, call: Callable[[], None]) -> Due:
-        due, life = Due(call), self.life
+    def after(self, seconds: float, call: Callable[[], None]) -> ScheduledCall:
+        due, life = ScheduledCall(call), self.incarnation
         self.cluster.at(
             seconds / self.rate, lambda: self.run(life, lambda: due.call() if due.call is not None else None)
         )
         return due
 
     def run(self, life: int, call: Callable[[], None]) -> None:
-        if life == self.life:
+        if life == self.incarnation:
             if self.frozen:
-                self.late.append(lambda: self.run(life, call))
+                self.held_back.append(lambda: self.run(life, call))
             else:
                 call()
 
     def resume(self) -> None:
         self.frozen = False
-        late, self.late = self.late, []
-        self.cluster.rng.shuffle(late)
-        for call in late:
+        calls, self.held_back = self.held_back, []
+        self.cluster.rng.shuffle(calls)
+        for call in calls:
             call()
 
-    # As a holder.
+    # The methods of a holder.
 
-    def want(self) -> None:
+    def acquire(self) -> None:
         self.acquisition = LeaseAcquisition(
             cast("Host", self),
             self.call,
             self.membership,
-            f"{self.name}/{self.life}",
+            f"{self.name}/{self.incarnation}",
             [[Role(MEMBER_REMOVAL, "", 0)]],
             self.ended,
         )
@@ -113,14 +113,14 @@
 
     def ended(self) -> None:
         self.acquisition = None
-        self.after(self.cluster.rng.uniform(*PAUSE_S), self.want)
+        self.after(self.cluster.rng.uniform(*PAUSE_S), self.acquire)
 
     def call(self, to: Address, method: str, args: Any, within: float, done: Callable[[Any], None]) -> None:
         answered: list[bool] = []
-        life = self.life
+        life = self.incarnation
 
         def finish(answer: Any) -> None:
-            if not answered and life == self.life:  # a connection ends with its process
+            if not answered and life == self.incarnation:  # A connection ends with its process.
                 answered.append(True)
                 done(answer)
 
@@ -128,12 +128,12 @@
         self.cluster.carry(
             self,
             self.cluster.nodes[to[0]],
-            lambda there: there.take(
+            lambda there: there.handle_request(
                 method, args, lambda answer: self.cluster.carry(there, self, lambda here: finish(answer))
             ),
         )
 
-    def take(self, method: str, args: Any, reply: Callable[[Any], None]) -> None:
+    def handle_request(self, method: str, args: Any, reply: Callable[[Any], None]) -> None:
         if method == rpc_methods.LEASE_REQUEST:
             kind, scope, slot, holder, number, epoch, _ = args
             self.grantor.adopt_epoch(self.now(), self.epoch, self.accepted)
@@ -146,11 +146,11 @@
 
 
 class Cluster:
-    """Five machines, three of them in the membership. `found` is what broke: when, and who held at once."""
+    """Five machines, three of them members. `found` has the violations: the time, and the holders at once."""
 
     def __init__(self, seed: int, steps: bool = True) -> None:
         self.rng, self.time, self.order = random.Random(seed), 0.0, 0
-        self.steps = steps  # whether the time of day is set
+        self.steps = steps  # Whether the time of day is stepped.
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.cuts: set[tuple[str, str]] = set()
         self.granted: list[tuple[float, str, int]] = []
@@ -169,7 +169,7 @@
     def carry(self, one: Node, other: Node, do: Callable[[Node], None]) -> None:
         if self.rng.random() < 0.01:
             return
-        life = other.life
+        life = other.incarnation
         late = self.rng.uniform(0.2, 1.5) if self.rng.random() < 0.005 else 0.0
         self.at(
             self.rng.uniform(0.0002, 0.002) + late,
@@ -177,12 +177,12 @@
         )
 
     def inject_fault(self) -> None:
-        """One machine stands still, is cut off, starts anew, or has its time of day set."""
+        """Freezes, partitions or restarts one machine, or steps its time of day."""
         self.at(self.rng.uniform(0.1, 0.9), self.inject_fault)
         node = self.rng.choice(list(self.nodes.values()))
         kind = self.rng.choice(("freeze", "cut", "start", "wall"))
-        if self.rng.random() < 0.6:  # who had the role
-            node = next((one for one in self.nodes.values() if one.holds()), node)
+        if self.rng.random() < 0.6:  # The fault hits the holder, if there is one.
+            node = next((each for each in self.nodes.values() if each.holds()), node)
         if kind == "freeze" and not node.frozen:
             node.frozen = True
             self.at(self.rng.uniform(0.05, 2.5), node.resume)
@@ -202,7 +202,7 @@
             node.step += self.rng.uniform(-500.0, 500.0)
 
     def change_membership(self) -> None:
-        """A majority of the old roster accepts another one, which then is decided."""
+        """Lets a majority of the old membership accept another one, which is decided then."""
         self.at(self.rng.uniform(*MEMBERSHIP_INTERVAL_S), self.change_membership)
         epoch = max(self.memberships)
         old = self.memberships[epoch]
@@ -224,7 +224,7 @@
         node.accepted = max(node.accepted, node.epoch)
 
     def run(self, until: float) -> Cluster:
-        """Let time pass; after each step nobody may hold the role beside another one."""
+        """Lets time pass; after each step at most one machine may hold the role."""
         while self.events and self.events[0][0] <= until and not self.found:
             self.time, _, call = heapq.heappop(self.events)
             call()
--- a/tests/lease/test_control_leases.py
+++ b/tests/lease/test_control_leases.py
@@ -1,4 +1,4 @@
-"""Leases in whole control nodes and sidecars: removal of members, and quarantine."""
+"""Leases in complete control nodes and sidecars: removal of members, and quarantine."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     cluster.run(4.0)
     leases = [cluster.programs[ip].leases for ip in ("10.0.0.2", "10.0.0.3")]
     assert cluster.programs["10.0.0.9"].replica.is_member()
-    assert sum(one.outcomes["granted"] for one in leases) >= 1
-    assert [one.holds() for one in leases] == [False, False]
-    assert [one.grantor.view(cluster.network.time) for one in leases] == [[], []]
+    assert sum(each.outcomes["granted"] for each in leases) >= 1
+    assert [each.holds() for each in leases] == [False, False]
+    assert [each.grantor.view(cluster.network.time) for each in leases] == [[], []]
 
 
 def test_without_a_majority_nobody_is_removed_and_nobody_waits_for_it() -> None:
@@ -57,7 +57,7 @@
     assert program.leases.view()["waits"] == []
 
 
-def test_calls_that_make_no_sense_are_no_votes() -> None:
+def test_invalid_calls_get_no_vote() -> None:
     cluster = ControlCluster(7)
     cluster.run(1.5)
     program = cluster.programs["10.0.0.1"]
@@ -71,20 +71,22 @@
             program.replica.methods["lease.ask"](args, lambda answer: None, ("", 0))
         except ValueError:
             continue
-        raise AssertionError(f"{args} was taken")
-    told: list[Any] = []
-    program.replica.methods["lease.ask"](["upkeep", "", 0, "a", 5, 1, "another disk"], told.append, ("", 0))
-    assert told == [["roster", 0]]
+        raise AssertionError(f"{args} was accepted")
+    answers: list[Any] = []
+    program.replica.methods["lease.ask"](
+        ["upkeep", "", 0, "a", 5, 1, "another disk"], answers.append, ("", 0)
+    )
+    assert answers == [["roster", 0]]
 
 
-def aside(trial: Trial) -> list[str]:
-    """Who stands aside by leave now."""
+def quarantined(trial: Trial) -> list[str]:
+    """Returns the sidecars that are in quarantine under a lease now."""
     drift_monitors = [cast(Any, side.proxy.program).drift_monitor for side in trial.field.sides]
     return [one.sidecar.settings.ip for one in drift_monitors if one.leave is not None and one.leave.holds()]
 
 
 def play(trial: Trial, until: float) -> int:
-    """Have three of six slip for good at one moment; the most that stood aside by leave at once."""
+    """Lets three of six sidecars drift permanently at once; returns the maximum in quarantine at once."""
     trial.field.until = until
     trial.world.run(9.0)
     for side in trial.field.sides[:3]:
@@ -94,17 +96,17 @@
     most = 0
     while trial.world.now < until:
         trial.world.run(trial.world.now + 0.01)
-        most = max(most, len(aside(trial)))
+        most = max(most, len(quarantined(trial)))
     return most
 
 
-def test_three_that_slip_at_one_moment_do_not_all_stand_aside() -> None:
+def test_three_that_drift_at_once_are_not_all_in_quarantine() -> None:
     trial = Trial(11, "none", 0)
     most = play(trial, 13.0)
     assert 1 <= most <= states.all_places(len(trial.field.sides)) == 2
 
 
-def test_without_a_majority_nobody_stands_aside_for_longer_than_it_asks() -> None:
+def test_without_a_majority_nobody_is_in_quarantine_for_longer_than_its_request() -> None:
     trial = Trial(12, "none", 0)
     trial.world.run(8.5)
     for core in trial.field.cores[:2]:
@@ -117,7 +119,7 @@
     assert not any(one.unfit for one in drift_monitors)
 
 
-def test_leave_that_has_ended_ends_the_refusals() -> None:
+def test_an_expired_lease_ends_the_quarantine() -> None:
     trial = Trial(13, "none", 0)
     trial.field.until = 20.0
     trial.world.run(9.0)
@@ -133,4 +135,4 @@
     trial.world.run(9.2 + TERMS[QUARANTINE] + 0.4)
     assert not drift_monitor.standing
     assert not drift_monitor.leave.holds()
-    assert drift_monitor.state.aside, "it is doubted all the same"
+    assert drift_monitor.state.aside, "the drift is still reported"
