--- a/honeywharf/hinted_handoff/__init__.py
+++ b/honeywharf/hinted_handoff/__init__.py
@@ -1,1 +1,1 @@
-"""Hinted handoff: what a missing machine should have had, kept by others within bounds until its return."""
+"""Hinted handoff: updates for an unreachable machine are kept by others, within bounds, until it returns."""
--- a/honeywharf/hinted_handoff/hints.py
+++ b/honeywharf/hinted_handoff/hints.py
@@ -1,60 +1,66 @@
-"""Hints kept for machines that are missing: bounded by entries, bytes and time, for each and in all. No I/O.
+"""Hints for missing machines, bounded by entries, bytes and time, per machine and in total. There is no I/O.
 
-Only names are kept (which entry, that the state has changed) with the bytes that they will take: the newest
-state of each is handed over, so two changes of one thing cost as much as one. What finds no space is counted,
-and logged once for each time that the store fills; anti-entropy repairs whatever is missing.
+A hint is only the name of what has changed (an entry, the mesh state) with its size in bytes: the newest
+value is handed over, so two changes of one value cost as much as one. Hints beyond the bounds are rejected
+and counted, and logged once each time that the store fills; anti-entropy repairs what is missing.
 """
 
 from __future__ import annotations
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
 MAX_MACHINES = 32
 MAX_ENTRIES_PER_MACHINE, MAX_ENTRIES = 256, 2048
 MAX_BYTES_PER_MACHINE, MAX_BYTES = 64 << 10, 256 << 10
-HINT_LIFETIME_S = 30.0  # who is gone for longer asks for everything anyway
+HINT_LIFETIME_S = 30.0  # A machine that is missing for longer requests the complete state anyway.
 
 
 class MachineHints:
-    """For one machine: names with bytes, since when it is missing (s), and whether some found no space."""
+    """The hints for one machine: names with sizes in bytes.
 
-    __slots__ = ("bytes", "since", "sizes", "spilled")
+    `since` is the time since which the machine is missing; `rejected` is set after a hint was rejected.
+    """
+
+    __slots__ = ("bytes", "rejected", "since", "sizes")
 
     def __init__(self, since: float) -> None:
-        self.since, self.bytes, self.spilled = since, 0, False
+        self.since, self.bytes, self.rejected = since, 0, False
         self.sizes: dict[str, int] = {}
 
 
 class HintStore:
-    """See the module. `log(line)` is called when it fills; times are seconds on the steady clock."""
+    """The hints for all missing machines. `log(line)` is called when the store fills.
+
+    Times are seconds on the steady clock.
+    """
 
     __slots__ = (
-        "_is_full", "by_machine", "expired", "handed_over", "log", "spilled", "total_bytes", "total_entries",
+        "_is_full", "by_machine", "expired", "handed_over", "log", "rejected", "total_bytes", "total_entries",
     )  # fmt: skip
 
     def __init__(self, log: Callable[[str], None] = lambda line: None) -> None:
         self.log = log
         self.by_machine: dict[str, MachineHints] = {}
         self.total_entries = self.total_bytes = 0
-        self.handed_over = 0  # names given to machines that came back
-        self.spilled = 0  # names and machines that found no space
-        self.expired = 0  # machines that stayed away for too long
+        self.handed_over = 0  # The number of hints that were handed to returned machines.
+        self.rejected = 0  # The number of hints and machines that were rejected because the store was full.
+        self.expired = 0  # The number of machines that were missing for longer than `HINT_LIFETIME_S`.
         self._is_full = False
 
     def begin(self, machine: str, since: float) -> bool:
-        """Keep hints for a machine from now on; False where there are too many machines."""
+        """Starts to keep hints for a machine; returns False if there are too many machines."""
         if machine in self.by_machine:
             return True
         if len(self.by_machine) >= MAX_MACHINES:
-            self._spill(f"no room for {machine}: {MAX_MACHINES} machines are missing")
+            self._reject(f"no hints kept for {machine}: {MAX_MACHINES} machines are missing already")
             return False
         self.by_machine[machine] = MachineHints(since)
         return True
 
     def add(self, name: str, size: int, machines: Iterable[str] | None = None) -> None:
-        """Something of so many bytes changed that these machines, else all missing ones, should have had."""
+        """Adds a hint of `size` bytes for these machines, by default for all missing ones."""
         for machine in list(self.by_machine if machines is None else machines):
             hints = self.by_machine.get(machine)
             if hints is not None and machine != name:
@@ -69,23 +75,23 @@
             or self.total_entries + more_entries > MAX_ENTRIES
             or self.total_bytes + more_bytes > MAX_BYTES
         ):
-            hints.spilled = True
+            hints.rejected = True
             total = f"{self.total_entries} entries, {self.total_bytes} bytes in all"
-            self._spill(f"full: {total}; the digest mends {machine}")
+            self._reject(f"full: {total}; anti-entropy repairs {machine}")
             return
         hints.sizes[name] = size
         hints.bytes += more_bytes
         self.total_bytes += more_bytes
         self.total_entries += more_entries
 
-    def _spill(self, reason: str) -> None:
-        self.spilled += 1
+    def _reject(self, reason: str) -> None:
+        self.rejected += 1
         if not self._is_full:
             self._is_full = True
             self.log(f"hinted handoff: {reason}")
 
     def take(self, machine: str) -> list[str]:
-        """A machine is back: the names that it should have had, oldest first; they are kept no more."""
+        """Removes the hints for a returned machine; returns their names, oldest first."""
         hints = self.drop(machine)
         if hints is None:
             return []
@@ -93,7 +99,7 @@
         return list(hints.sizes)
 
     def drop(self, machine: str) -> MachineHints | None:
-        """Keep no more hints for a machine."""
+        """Stops keeping hints for a machine; returns those that were kept."""
         hints = self.by_machine.pop(machine, None)
         if hints is not None:
             self.total_entries -= len(hints.sizes)
@@ -102,7 +108,7 @@
         return hints
 
     def sweep(self, now: float) -> None:
-        """Drop the hints for those who stay away."""
+        """Drops the hints that are older than `HINT_LIFETIME_S`."""
         expired = [
             machine for machine, hints in self.by_machine.items() if now - hints.since > HINT_LIFETIME_S
         ]
@@ -111,8 +117,8 @@
             self.expired += 1
 
     def counters(self) -> str:
-        """For a log line."""
+        """Returns the counters for a log line."""
         return (
             f"hinted handoff missing={len(self.by_machine)} entries={self.total_entries} "
-            f"bytes={self.total_bytes} handed={self.handed_over} spilled={self.spilled} stale={self.expired}"
+            f"bytes={self.total_bytes} handed={self.handed_over} spilled={self.rejected} stale={self.expired}"
         )
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -103,7 +103,7 @@
             "entries": hints.total_entries,
             "bytes": hints.total_bytes,
             "handed": hints.handed_over,
-            "spilled": hints.spilled,
+            "spilled": hints.rejected,
             "stale": hints.expired,
             "taken": self.newer_received,
         }
--- a/tests/hinted_handoff/test_hints.py
+++ b/tests/hinted_handoff/test_hints.py
@@ -1,4 +1,4 @@
-"""What is kept for missing machines: bounds, telling, time; and the handing over of news and words."""
+"""The hints for missing machines: bounds, log lines and lifetime, and the handover on their return."""
 
 from __future__ import annotations
 
@@ -10,76 +10,76 @@
 
 
 def test_the_newest_of_each_thing_is_handed_over_once() -> None:
-    held = HintStore()
-    assert held.begin("a", 1.0)
-    held.add("x", 100)
-    held.add("y", 50)
-    held.add("x", 300)
-    held.add("a", 70)  # its own words it knows
-    assert (held.total_entries, held.total_bytes) == (2, 350)
-    assert held.take("a") == ["x", "y"]
-    assert held.take("a") == []
-    assert (held.total_entries, held.total_bytes, held.handed_over) == (0, 0, 2)
-
-
-def test_each_machine_and_all_together_are_bounded_and_a_full_hinted_handoff_says_so_once() -> None:
+    store = HintStore()
+    assert store.begin("a", 1.0)
+    store.add("x", 100)
+    store.add("y", 50)
+    store.add("x", 300)
+    store.add("a", 70)  # A machine gets no hints about its own changes.
+    assert (store.total_entries, store.total_bytes) == (2, 350)
+    assert store.take("a") == ["x", "y"]
+    assert store.take("a") == []
+    assert (store.total_entries, store.total_bytes, store.handed_over) == (0, 0, 2)
+
+
+def test_hints_are_bounded_per_machine_and_in_total_and_a_full_store_logs_once() -> None:
     lines: list[str] = []
-    held = HintStore(lines.append)
-    held.begin("a", 1.0)
+    store = HintStore(lines.append)
+    store.begin("a", 1.0)
     for number in range(hints.MAX_ENTRIES_PER_MACHINE + 5):
-        held.add(f"n{number}", 10)
-    assert held.total_entries == hints.MAX_ENTRIES_PER_MACHINE
-    assert held.spilled == 5
+        store.add(f"n{number}", 10)
+    assert store.total_entries == hints.MAX_ENTRIES_PER_MACHINE
+    assert store.rejected == 5
     assert len(lines) == 1
-    held.add("n0", 20)  # what is there may be renewed
-    assert held.spilled == 5
-    held.take("a")
-    held.begin("b", 1.0)
-    held.add("big", hints.MAX_BYTES_PER_MACHINE + 1)
-    assert held.by_machine["b"].spilled
+    store.add("n0", 20)  # An existing hint may be updated.
+    assert store.rejected == 5
+    store.take("a")
+    store.begin("b", 1.0)
+    store.add("big", hints.MAX_BYTES_PER_MACHINE + 1)
+    assert store.by_machine["b"].rejected
     assert len(lines) == 2
     for number in range(hints.MAX_MACHINES + 3):
-        held.begin(f"m{number}", 1.0)
-    assert len(held.by_machine) == hints.MAX_MACHINES
+        store.begin(f"m{number}", 1.0)
+    assert len(store.by_machine) == hints.MAX_MACHINES
     for number in range(hints.MAX_ENTRIES_PER_MACHINE):
-        held.add(f"n{number}", 1)
-    assert held.total_entries <= hints.MAX_ENTRIES
-    assert held.total_bytes <= hints.MAX_BYTES
+        store.add(f"n{number}", 1)
+    assert store.total_entries <= hints.MAX_ENTRIES
+    assert store.total_bytes <= hints.MAX_BYTES
 
 
-def test_bytes_of_all_are_bounded() -> None:
-    held = HintStore()
+def test_the_total_bytes_are_bounded() -> None:
+    store = HintStore()
     for name in "abcdefgh":
-        held.begin(name, 1.0)
+        store.begin(name, 1.0)
     for number in range(100):
-        held.add(f"n{number}", 600)
-    assert hints.MAX_BYTES - 600 * 8 < held.total_bytes <= hints.MAX_BYTES
-    assert held.total_bytes == sum(kept.bytes for kept in held.by_machine.values())
+        store.add(f"n{number}", 600)
+    assert hints.MAX_BYTES - 600 * 8 < store.total_bytes <= hints.MAX_BYTES
+    assert store.total_bytes == sum(kept.bytes for kept in store.by_machine.values())
 
 
-def test_who_stays_away_is_kept_for_no_more() -> None:
-    held = HintStore()
-    held.begin("a", 1.0)
-    held.add("x", 100)
-    held.sweep(1.0 + hints.HINT_LIFETIME_S)
-    assert held.by_machine
-    held.sweep(1.1 + hints.HINT_LIFETIME_S)
-    assert (held.total_entries, held.total_bytes, held.expired, held.take("a")) == (0, 0, 1, [])
+def test_hints_expire_for_a_machine_that_stays_missing() -> None:
+    store = HintStore()
+    store.begin("a", 1.0)
+    store.add("x", 100)
+    store.sweep(1.0 + hints.HINT_LIFETIME_S)
+    assert store.by_machine
+    store.sweep(1.1 + hints.HINT_LIFETIME_S)
+    assert (store.total_entries, store.total_bytes, store.expired, store.take("a")) == (0, 0, 1, [])
 
 
-def test_what_came_since_its_last_sign_is_kept_too_and_a_new_life_asks_by_itself() -> None:
-    held = GossipHintStore(lambda line: None)
+def test_entries_since_the_last_heartbeat_are_kept_and_a_restart_drops_them() -> None:
+    store = GossipHintStore(lambda line: None)
     entries = [("old", 3.0, 10), ("late", 9.7, 10), ("fresh", 10.5, 10)]
-    held.update(11.2, {"a": 10.0, "b": 10.1}, 4, entries)
-    held.entry_changed("newest", 10)
-    assert held.take("a", 5) == (["late", "fresh", "newest"], True)
-    assert held.take("a", 5) == ([], False)
-    held.restarted("b")
-    assert "b" not in held
+    store.update(11.2, {"a": 10.0, "b": 10.1}, 4, entries)
+    store.entry_changed("newest", 10)
+    assert store.take("a", 5) == (["late", "fresh", "newest"], True)
+    assert store.take("a", 5) == ([], False)
+    store.restarted("b")
+    assert "b" not in store
 
 
 def returned(keeps: bool, seed: int) -> float:
-    """Seconds until a node whose datagrams were cut off knows all again."""
+    """Returns the seconds until a node knows all entries again after a partition."""
     network = settled(13, seed, loss=0.0)
     for membership in network.live():
         membership.keeps_hints = keeps
@@ -104,7 +104,7 @@
     return network.now - back
 
 
-def test_a_node_that_returns_is_told_before_a_digest_finds_what_it_lacks() -> None:
+def test_hints_reach_a_returning_node_before_anti_entropy() -> None:
     without = sum(returned(False, seed) for seed in range(1, 7))
     kept = sum(returned(True, seed) for seed in range(1, 7))
     assert kept < 0.8 * without
@@ -126,14 +126,14 @@
     assert not any(gone in one.hints for one in keepers if one.hints is not None)
 
 
-def test_nobody_has_a_hinted_handoff_while_nobody_was_missed() -> None:
+def test_no_node_has_a_hint_store_while_no_node_was_missing() -> None:
     network = GossipNetwork(1, 9, 0.0)
     network.start_all()
     network.run(8.0)
     assert all(one.hints is None for one in network.live())
 
 
-def test_a_control_node_that_returns_is_handed_the_word() -> None:
+def test_a_returning_control_node_gets_the_newest_state() -> None:
     cluster = ControlCluster(8)
     cluster.run(1.0)
     cluster.split(["10.0.0.3"], ["10.0.0.1", "10.0.0.2"])
@@ -141,10 +141,10 @@
     taken = cluster.replace("10.0.0.1", 5, "five")
     cluster.run(1.0)
     assert taken.status == 200
-    held = [cluster.programs[ip].hinted_handoff.hints for ip in ("10.0.0.1", "10.0.0.2")]
-    assert [tank.total_entries for tank in held] == [1, 1]
+    stores = [cluster.programs[ip].hinted_handoff.hints for ip in ("10.0.0.1", "10.0.0.2")]
+    assert [store.total_entries for store in stores] == [1, 1]
     cluster.network.cuts = set()
     cluster.run(1.5)
     assert cluster.known("10.0.0.3").version == 5
-    assert [tank.handed_over for tank in held] == [1, 1]
-    assert [tank.total_entries for tank in held] == [0, 0]
+    assert [store.handed_over for store in stores] == [1, 1]
+    assert [store.total_entries for store in stores] == [0, 0]
