--- a/honeywharf/mesh_config/changes.py
+++ b/honeywharf/mesh_config/changes.py
@@ -1,4 +1,4 @@
-"""The differences between two configurations, a line each, for who reviews one before it is sent."""
+"""Lists the differences between two configurations, a line each, for a review before one is sent."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from honeywharf.mesh_config.routes import Route, RoutingTable, Service
 
-#: What is compared, as the configuration calls it.
+#: The compared attributes, each with its name in the configuration.
 ROUTE_FIELDS = (
     ("name", "name"),
     ("kind", "route-kind"),
@@ -31,7 +31,7 @@
 
 
 def changes(before: RoutingTable, after: RoutingTable) -> Iterator[str]:
-    """Each change as one line: the version, limits, services by name, then routes by host and prefix."""
+    """Yields one line for each change: the version, limits, services by name, routes by host and prefix."""
     if before.version != after.version:
         yield f"version: r{before.version} -> r{after.version}"
     yield from _fields("limits", before.limits, after.limits, LIMIT_FIELDS)
@@ -44,28 +44,28 @@
 
 
 def format_route(route: Route) -> str:
-    """A route's host and prefix."""
+    """Returns a route's host and prefix as text."""
     return (route.host + route.prefix).decode("utf-8", "backslashreplace")
 
 
 def format_split(route: Route) -> str:
-    """Which services a route goes to, with the percentage of each where there are several."""
+    """Returns the services of a route, with the percentage of each if there are several."""
     total = sum(weight for _, weight in route.split)
     if len(route.split) == 1:
         return route.split[0][0]
     return ", ".join(f"{name} {100 * weight / total:.4g}%" for name, weight in route.split)
 
 
-def format_value(name: str, found: object) -> str:
-    """A field's value with its unit; names of times end in `_s`, of rates in `_per_s`."""
-    if isinstance(found, float):
+def format_value(name: str, value: object) -> str:
+    """Returns an attribute's value with its unit; names of times end in `_s`, those of rates in `_per_s`."""
+    if isinstance(value, float):
         is_time = name.endswith("_s") and not name.endswith("_per_s")
-        return f"{found:g}s" if is_time else f"{found:g}"
-    return str(found)
+        return f"{value:g}s" if is_time else f"{value:g}"
+    return str(value)
 
 
 def _fields(
-    what: str,
+    label: str,
     before: object,
     after: object,
     names: tuple[tuple[str, str], ...],
@@ -76,7 +76,7 @@
         if old != new:
             parts.append(f"{setting} {format_value(name, old)} -> {format_value(name, new)}")
     if parts:
-        yield f"{what}: {'; '.join(parts)}"
+        yield f"{label}: {'; '.join(parts)}"
 
 
 def _service(name: str, before: Service | None, after: Service | None) -> Iterator[str]:
@@ -88,10 +88,10 @@
 
 def _route(before: Route | None, after: Route | None) -> Iterator[str]:
     if before is None or after is None:
-        one = after if before is None else before
-        if one is not None:
-            done = "added" if before is None else "removed"
-            yield f"{format_route(one)}: {done}, {one.kind}, to {format_split(one)}"
+        route = after if before is None else before
+        if route is not None:
+            action = "added" if before is None else "removed"
+            yield f"{format_route(route)}: {action}, {route.kind}, to {format_split(route)}"
         return
     if sorted(before.split) != sorted(after.split):
         yield f"{format_route(after)}: to {format_split(before)} -> {format_split(after)}"
--- a/honeywharf/mesh_config/configuration.py
+++ b/honeywharf/mesh_config/configuration.py
@@ -1,9 +1,9 @@
-"""Whether a configuration is valid: its shape by a schema, then the rules that a schema cannot state.
+"""Validation of configurations: the shape by a schema, then the rules that a schema cannot express.
 
-Theory of operation. A configuration is accepted as a whole or not at all, and its text is kept byte for
-byte as it was sent; unknown fields are let through with it, for the format may grow. Every route is checked
-by itself, first its shape, then its rules, so that one bad route does not hide the next one's errors. An
-error is one line: its path into the JSON, what was found, what was wanted. Only the control plane and the
+Theory of operation. A configuration is accepted as a whole or not at all, and its text is kept byte for byte
+as it was sent; unknown fields are accepted, because the format may grow. Each route is checked separately,
+first its shape, then its rules, so that an invalid route does not hide the errors of the next one. An error
+is one line: the path in the JSON, the expected value, and the actual one. Only the control plane and the
 command line import this module.
 """
 
@@ -26,12 +26,12 @@
 if TYPE_CHECKING:
     from jsonschema.exceptions import ValidationError
 
-MAX_BYTES = 8 << 20  # some 35,000 routes; what is larger is not read
-MAX_VERSION = 2**63 - 1  # versions travel between processes as 64 bits
+MAX_BYTES = 8 << 20  # This is enough for some 35,000 routes; a larger text is not read.
+MAX_VERSION = 2**63 - 1  # Versions are sent between processes as 64-bit integers.
 MAX_TIMEOUT_S = 600.0
-MAX_REGIONS = 64  # regions of one route
-MAX_ERRORS = 5  # answered to who sends an invalid one
-MAX_SHOWN = 60  # characters of what was found
+MAX_REGIONS = 64  # A route may name at most this many regions.
+MAX_ERRORS = 5  # The answer to an invalid configuration names at most this many errors.
+MAX_SHOWN = 60  # An error shows at most this many characters of the actual value.
 ROUTE_KINDS = (READ_ONLY, MUTATING, UPLOAD)
 
 _TEXT = {"type": "string", "minLength": 1}
@@ -98,20 +98,20 @@
 
 @attrs.frozen
 class Configuration:
-    """A configuration that was checked."""
+    """A valid configuration. `text` is the text as it was sent; `digest` is computed from it."""
 
     version: int
-    digest: str  # 32 hexadecimal digits of the SHA-256 of the text
-    text: bytes = attrs.field(repr=False)  # as sent
+    digest: str
+    text: bytes = attrs.field(repr=False)
 
 
 def digest(text: bytes) -> str:
-    """What a text is known by: the first 32 hexadecimal digits of its SHA-256."""
+    """Returns the digest that identifies a text: the first 32 hexadecimal digits of its SHA-256."""
     return hashlib.sha256(text).hexdigest()[:32]
 
 
 def check(raw: bytes) -> Result[Configuration, str]:
-    """The configuration in `raw`, or at most MAX_FAULTS of its faults, separated by semicolons."""
+    """Returns the configuration in `raw`, or at most `MAX_ERRORS` of its errors, separated by semicolons."""
     document = _parse(raw)
     if isinstance(document, Err):
         return document
@@ -122,7 +122,7 @@
 
 
 def errors(raw: bytes) -> Iterator[str]:
-    """Every error of the configuration in `raw`, one line each; none where it is valid."""
+    """Yields every error of the configuration in `raw`, one line each."""
     document = _parse(raw)
     if isinstance(document, Err):
         yield document.err_value
@@ -130,25 +130,25 @@
         yield from _errors(document.ok_value)
 
 
-def _no_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is no JSON")
+def _reject_constant(name: str) -> NoReturn:
+    raise ValueError(f"{name}, which is not JSON")
 
 
 def _parse(raw: bytes) -> Result[dict[str, object], str]:
-    """The JSON object in the text."""
+    """Returns the JSON object in the text."""
     if len(raw) > MAX_BYTES:
-        return Err(f"the text: found {len(raw)} bytes, wanted at most {MAX_BYTES}")
+        return Err(f"the text: expected at most {MAX_BYTES} bytes, got {len(raw)}")
     try:
-        document = json.loads(raw.decode("utf-8"), parse_constant=_no_constant)
+        document = json.loads(raw.decode("utf-8"), parse_constant=_reject_constant)
     except UnicodeDecodeError as error:
-        return Err(f"the text: found a byte that is not UTF-8 at {error.start}, wanted whole JSON in UTF-8")
+        return Err(f"the text: expected JSON in UTF-8, got a byte that is not UTF-8 at {error.start}")
     except json.JSONDecodeError as error:
-        found = f"{error.msg.removesuffix(' at')} at character {error.pos} ({len(raw)} bytes in all)"
-        return Err(f"the text: found {found}, wanted whole JSON")
-    except (ValueError, RecursionError) as error:  # NaN, numbers or brackets without end
-        return Err(f"the text: found {_shown(str(error))}, wanted whole JSON")
+        got = f"{error.msg.removesuffix(' at')} at character {error.pos} ({len(raw)} bytes in total)"
+        return Err(f"the text: expected complete JSON, got {got}")
+    except (ValueError, RecursionError) as error:  # NaN, overlong numbers or excessive nesting.
+        return Err(f"the text: expected JSON, got {_shown(str(error))}")
     if not isinstance(document, dict):
-        return Err(f"the text: found {_shown(document)}, wanted an object")
+        return Err(f"the text: expected an object, got {_shown(document)}")
     return Ok(document)
 
 
@@ -158,9 +158,9 @@
     return text if len(text) <= MAX_SHOWN else text[: MAX_SHOWN - 3] + "..."
 
 
-def _error(path: str, found: object, wanted: str) -> str:
-    shown = "nothing" if found is None else _shown(json.dumps(found) if isinstance(found, str) else found)
-    return f"{path}: found {shown}, wanted {wanted}"
+def _error(path: str, got: object, expected: str) -> str:
+    shown = "nothing" if got is None else _shown(json.dumps(got) if isinstance(got, str) else got)
+    return f"{path}: expected {expected}, got {shown}"
 
 
 def _json_path(start: str, path: Iterable[str | int]) -> str:
@@ -173,47 +173,49 @@
     return joined
 
 
-def _alternatives(wanted: object) -> str:
-    return str(wanted) if isinstance(wanted, str) else " or ".join(str(one) for one in _as_list(wanted))
+def _alternatives(expected: object) -> str:
+    return (
+        str(expected) if isinstance(expected, str) else " or ".join(str(each) for each in _as_list(expected))
+    )
 
 
 def _as_list(value: object) -> list[object]:
     return list(value) if isinstance(value, list | tuple) else []
 
 
-def _wanted(keyword: str, value: object) -> str:
-    """What is wanted, by the schema's keyword that was broken and its value."""
+def _expected(keyword: str, value: object) -> str:
+    """Describes the expected value, from the violated keyword of the schema and the keyword's value."""
     if keyword == "minimum":
         return f"{value} or more"
     if keyword == "minLength":
-        return "some text"
+        return "a text that is not empty"
     return "a path that begins with a slash" if keyword == "pattern" else _alternatives(value)
 
 
 def _schema_error_lines(error: ValidationError, start: str) -> Iterator[str]:
-    """The lines for one error that the schema found."""
+    """Yields the lines for one error that the schema reports."""
     path = _json_path(start, error.absolute_path)
     if error.validator == "required":
         for key in _as_list(error.validator_value):
             if isinstance(error.instance, dict) and key not in error.instance:
-                yield f"{_json_path(path, [str(key)])}: found nothing, wanted it there"
+                yield f"{_json_path(path, [str(key)])}: expected a value, got nothing"
         return
-    yield _error(path, error.instance, _wanted(str(error.validator), error.validator_value))
+    yield _error(path, error.instance, _expected(str(error.validator), error.validator_value))
 
 
 def _schema_errors(validator: Draft202012Validator, value: object, start: str) -> list[str]:
-    """Errors of shape; the schema reports all missing fields with each of them, we each of them once."""
-    found: dict[str, None] = {}
+    """Returns the errors of shape, each once: the schema reports all missing fields for each of them."""
+    lines: dict[str, None] = {}
     for error in validator.iter_errors(value):
         for line in _schema_error_lines(error, start):
-            found[line] = None
-    return list(found)
+            lines[line] = None
+    return list(lines)
 
 
 def _errors(document: dict[str, object]) -> Iterator[str]:
-    """Every error: the frame first, then services, then routes."""
-    frame = _schema_errors(DOCUMENT, document, "")
-    yield from frame
+    """Yields every error: those of the top level first, then those of services, then those of routes."""
+    top_level = _schema_errors(DOCUMENT, document, "")
+    yield from top_level
     yield from _version_errors(document.get("config-version"))
     limits, services, routes = document.get("limits"), document.get("services"), document.get("routes")
     if isinstance(limits, dict):
@@ -228,32 +230,32 @@
 
 def _version_errors(value: object) -> Iterator[str]:
     if not isinstance(value, str):
-        return  # the frame has reported it
+        return  # The check of the top level reports this.
     try:
-        good = len(value) <= 20 and version_number(value) <= MAX_VERSION
+        is_valid = len(value) <= 20 and version_number(value) <= MAX_VERSION
     except ValueError:
-        good = False
-    if not good:
+        is_valid = False
+    if not is_valid:
         yield _error("config-version", value, "r and a number, such as r12")
 
 
 def _time_errors(path: str, value: object, above: float = -1.0, most: float = float("inf")) -> Iterator[str]:
-    """The error of a time that is not above `above` seconds or is above `most`; a missing one has none."""
+    """Yields an error for a time up to `above` seconds or over `most` seconds; none if it is missing."""
     if not isinstance(value, str) or not value:
-        return  # the shape has reported it where one is wanted
+        return  # The check of the shape reports a missing time that is required.
     try:
-        found = seconds(value)
+        time_s = seconds(value)
     except ValueError:
         yield _error(path, value, "a time such as 1500ms or 2.5s")
         return
-    if found > most:
+    if time_s > most:
         yield _error(path, value, f"at most {most:g}s")
-    elif found <= above or not isfinite(found):
-        yield _error(path, value, "a time above 0, and not without end")
+    elif time_s <= above or not isfinite(time_s):
+        yield _error(path, value, "a finite time above 0")
 
 
 def _service_errors(services: list[object], names: set[str]) -> Iterator[str]:
-    """Errors of services; the names of all go into `names`, so that an invalid one is reported once."""
+    """Yields errors of services; adds all their names to `names`, so that an invalid one is reported once."""
     for index, service in enumerate(services):
         path = f"services[{index}]"
         yield from _schema_errors(SERVICE, service, path)
@@ -263,7 +265,7 @@
         name = service.get("name")
         if isinstance(name, str):
             if name in names:
-                yield _error(f"{path}.name", name, "each service once")
+                yield _error(f"{path}.name", name, "a name that no other service has")
             names.add(name)
 
 
@@ -280,7 +282,7 @@
 
 
 def _rule_errors(route: dict[str, object], path: str, names: set[str]) -> Iterator[str]:
-    """What a schema cannot state, of one route of the right shape."""
+    """Yields errors of a route of valid shape against the rules that a schema cannot express."""
     prefix = route["path-prefix"]
     if isinstance(prefix, str) and not (prefix.startswith("/") and prefix.endswith("/")):
         yield _error(f"{path}.path-prefix", prefix, "a path that begins and ends with a slash")
@@ -288,8 +290,8 @@
     yield from _time_errors(f"{path}.target-latency", route.get("target-latency"))
     service, split = route.get("target-service"), route.get("traffic-split")
     if (service is None) == (split is None):
-        found = "neither" if service is None else "both"
-        yield f"{path}: found {found} of target-service and traffic-split, wanted one of them"
+        got = "neither" if service is None else "both"
+        yield f"{path}: expected one of target-service and traffic-split, got {got}"
     elif isinstance(split, list):
         yield from _split_errors(split, f"{path}.traffic-split", names)
     elif service not in names:
@@ -307,19 +309,19 @@
         else:
             total += weight
     if not 0 < total < float("inf"):
-        yield f"{path}: found weights with a sum of {total:g}, wanted a sum above 0"
+        yield f"{path}: expected weights with a finite sum above 0, got a sum of {total:g}"
 
 
 def _duplicate_errors(
     route: dict[str, object], index: int, first_index: dict[tuple[bytes, bytes], int]
 ) -> Iterator[str]:
-    """A host and prefix stand for one route only: which of two were meant could not be told."""
+    """Yields an error for the host and prefix of an earlier route, because a lookup would be ambiguous."""
     try:
         key = bare_host(str(route["hostname"]).encode()), str(route["path-prefix"]).encode()
     except UnicodeEncodeError:
-        yield f"routes[{index}]: found half a character in hostname or path-prefix, wanted text"
+        yield f"routes[{index}]: expected valid text in hostname and path-prefix, got half a character"
         return
     first = first_index.setdefault(key, index)
     if first != index:
-        wanted = f"one that routes[{first}] of the same host has not"
-        yield _error(f"routes[{index}].path-prefix", route["path-prefix"], wanted)
+        expected = f"another prefix than routes[{first}] of the same host"
+        yield _error(f"routes[{index}].path-prefix", route["path-prefix"], expected)
--- a/honeywharf/mesh_config/quantities.py
+++ b/honeywharf/mesh_config/quantities.py
@@ -1,4 +1,4 @@
-"""Times and addresses as the mesh writes them in text. Sidecars import this: nothing but plain functions."""
+"""Parsers of times and addresses. Sidecars import this module, so it contains only plain functions."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 def number(text: str) -> float:
-    """A number without a sign, in decimal digits with at most one point. ValueError for anything else."""
-    # float() would take "1e3", "nan", "1_0" and blanks too.
+    """Parses an unsigned decimal number without an exponent. Raises ValueError for anything else."""
+    # float() also accepts "1e3", "nan", "1_0" and blanks.
     if not DIGITS.issuperset(text) or text.count(".") > 1 or text in ("", "."):
-        raise ValueError(f"{text!r} is not a number")
+        raise ValueError(f"expected a number, got {text!r}")
     return float(text)
 
 
 def seconds(value: object) -> float:
-    """A time such as `1500ms` or `2.5s`, in seconds. ValueError for anything else."""
+    """Parses a time such as `1500ms` or `2.5s` to seconds. Raises ValueError for anything else."""
     if isinstance(value, str):
         if value.endswith("ms"):
             return number(value[:-2]) / 1000.0
         if value.endswith("s"):
             return number(value[:-1])
-    raise ValueError(f"{value!r} is not a time such as '1500ms' or '2.5s'")
+    raise ValueError(f"expected a time such as '1500ms' or '2.5s', got {value!r}")
 
 
 def port(text: str) -> int:
-    """A port, 1 to 65535. ValueError for anything else."""
+    """Parses a port, 1 to 65535. Raises ValueError for anything else."""
     if text.isascii() and text.isdigit() and len(text) <= 5 and 0 < int(text) < 65536:
         return int(text)
-    raise ValueError(f"{text!r} is not a port")
+    raise ValueError(f"expected a port, got {text!r}")
 
 
 def _is_byte(text: str) -> bool:
@@ -35,18 +35,18 @@
 
 
 def ipv4(value: object) -> str:
-    """An IPv4 address in dots, as it stands. ValueError for anything else."""
+    """Returns an IPv4 address in dotted form unchanged. Raises ValueError for anything else."""
     if isinstance(value, str):
         parts = value.split(".")
         if len(parts) == 4 and all(_is_byte(part) for part in parts):
             return value
-    raise ValueError(f"{value!r} is not an IPv4 address")
+    raise ValueError(f"expected an IPv4 address, got {value!r}")
 
 
 def address(value: object) -> tuple[str, int]:
-    """An address such as `10.1.0.8:8300`, as (IPv4 in dots, port). ValueError for anything else."""
+    """Parses an address such as `10.1.0.8:8300` to (IPv4, port). Raises ValueError for anything else."""
     if isinstance(value, str):
         host, colon, tail = value.rpartition(":")
         if colon:
             return ipv4(host), port(tail)
-    raise ValueError(f"{value!r} is not an address such as '10.1.0.8:8300'")
+    raise ValueError(f"expected an address such as '10.1.0.8:8300', got {value!r}")
--- a/honeywharf/mesh_config/routes.py
+++ b/honeywharf/mesh_config/routes.py
@@ -1,11 +1,11 @@
-"""Which service a request is for: a routing table built from a checked configuration, kept by every sidecar.
-
-Theory of operation. By host, then by prefix: one dictionary of prefixes for each host. A path is looked up
-by its longest beginning that ends with a slash and is no longer than the host's longest prefix, then by the
-next shorter, and so on: the cost is the number of slashes there, whatever the number of routes. Prefixes
-begin and end with a slash, so nothing else can match. Values that many routes share (names, times, splits)
-are interned, and each route's JSON is dropped as soon as it is read: a table takes some 260 bytes a route,
-and 460 beside the text while it is built (1,000 routes).
+"""The routing table, which maps requests to services; every sidecar builds it from a checked configuration.
+
+Theory of operation. The table has one dictionary of prefixes for each host. A path is looked up by its
+longest beginning that ends with a slash and does not exceed the host's longest prefix, then by the next
+shorter one, and so on: the cost depends on the number of slashes, not on the number of routes. Prefixes begin
+and end with a slash, so nothing else can match. Values that many routes share (names, times, splits) are
+interned, and the JSON of each route is dropped as soon as it is read: a table takes some 260 bytes per route,
+and 460 besides the text while it is built (1,000 routes).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 MUTATING = "mutating"
 UPLOAD = "upload"
 
-#: Of fields that a configuration leaves out. Source: PROTOCOL, "Configurations".
+#: The defaults of optional fields. Source: PROTOCOL, "Configurations".
 DEFAULT_HEALTH_CHECK_PATH = "/health"
 DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_MAX_HEADER_BYTES = 16384
@@ -30,30 +30,30 @@
 
 
 class Service:
-    """One service: its health check, and what its backends can take.
+    """One service: its health check, and the capacity of its backends.
 
-    `slow_start_s`: for how long a backend is warming up after its start; `slow_start_requests_per_s`: what it
-    can take meanwhile.
+    `slow_start_s` is the duration of a backend's slow start; `slow_start_requests_per_s` is its capacity
+    meanwhile.
     """
 
     __slots__ = ("health_check_path", "max_connections", "name", "slow_start_requests_per_s", "slow_start_s")
 
     def __init__(self, fields: dict[str, object]) -> None:
-        """From its JSON object. KeyError, TypeError or ValueError where that was never checked."""
+        """Reads a service's JSON object. Raises KeyError, TypeError or ValueError for an unchecked one."""
         self.name = str(fields["name"])
         self.health_check_path = str(_get(fields, "health-check-path", DEFAULT_HEALTH_CHECK_PATH))
         self.max_connections = _integer(_get(fields, "max-connections", DEFAULT_MAX_CONNECTIONS))
         self.slow_start_s = seconds(_get(fields, "cold-start", "0s"))
-        self.slow_start_requests_per_s = _float(_get(fields, "cold-per-s", float("inf")))  # requests a second
+        self.slow_start_requests_per_s = _float(_get(fields, "cold-per-s", float("inf")))
 
 
 class Limits:
-    """What a client may send, and how long it may take or stay idle. Bytes and seconds."""
+    """The limits of a client's requests and connections, in bytes and seconds."""
 
     __slots__ = ("header_timeout_s", "idle_timeout_s", "max_body_bytes", "max_header_bytes")
 
     def __init__(self, fields: dict[str, object]) -> None:
-        """From its JSON object. TypeError or ValueError where that was never checked."""
+        """Reads the JSON object of the limits. Raises TypeError or ValueError for an unchecked one."""
         self.max_header_bytes = _integer(_get(fields, "max-header-bytes", DEFAULT_MAX_HEADER_BYTES))
         self.max_body_bytes = _integer(_get(fields, "max-body-bytes", DEFAULT_MAX_BODY_BYTES))
         self.header_timeout_s = seconds(_get(fields, "header-timeout", f"{DEFAULT_HEADER_TIMEOUT_S}s"))
@@ -61,7 +61,11 @@
 
 
 class Route:
-    """One route. Times are seconds; `split` holds (service, weight), weights above 0 only."""
+    """One route. Times are seconds; `split` has pairs (service, weight) with weights above 0.
+
+    A request may run, and its body may be stored, only in the `allowed_regions`, sorted by name; an empty
+    tuple allows all regions.
+    """
 
     __slots__ = (
         "allowed_regions",
@@ -77,81 +81,79 @@
     )
 
     name: str
-    host: bytes  # in lower case, without a port
+    host: bytes  # In lower case, without a port.
     prefix: bytes
     kind: str
     timeout_s: float
     latency_target_s: float
-    priority: int  # 0 is highest
-    max_attempts: int  # backends that one request of a client may be sent to
-    allowed_regions: tuple[
-        str, ...
-    ]  # regions that may run it and hold its body, in order of their names; none: any
+    priority: int  # The highest priority is 0.
+    max_attempts: int  # A request of a client may be sent to at most this many backends.
+    allowed_regions: tuple[str, ...]
     split: tuple[tuple[str, float], ...]
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once (read only)."""
+        """Returns whether a request may run more than once, because it only reads."""
         return self.kind == READ_ONLY
 
     @property
     def is_upload(self) -> bool:
-        """Whether its bodies are large."""
+        """Returns whether the route takes uploads, whose bodies are large."""
         return self.kind == UPLOAD
 
     def service(self, draw: float) -> str:
-        """The service for a request, by weight; `draw` is an even random number in [0, 1)."""
+        """Returns the service for a request, by weight; `draw` is a uniform random number in [0, 1)."""
         split = self.split
         if len(split) == 1:
             return split[0][0]
-        left = draw * sum(weight for _, weight in split)
+        remaining = draw * sum(weight for _, weight in split)
         for name, weight in split:
-            left -= weight
-            if left < 0.0:
+            remaining -= weight
+            if remaining < 0.0:
                 return name
-        return split[-1][0]  # rounding
+        return split[-1][0]  # Rounding errors can leave a remainder.
 
 
 def _get(fields: dict[str, object], key: str, default: object) -> object:
-    found = fields.get(key)
-    return default if found is None else found
+    value = fields.get(key)
+    return default if value is None else value
 
 
 def _integer(value: object) -> int:
     if not isinstance(value, int | float):
-        raise ValueError(f"{value!r} is not a number")
+        raise ValueError(f"expected a number, got {value!r}")
     return int(value)
 
 
 def _float(value: object) -> float:
     if not isinstance(value, int | float):
-        raise ValueError(f"{value!r} is not a number")
+        raise ValueError(f"expected a number, got {value!r}")
     return float(value)
 
 
 def _objects(value: object) -> list[dict[str, object]]:
     if not isinstance(value, list):
-        raise ValueError("not a list")
+        raise ValueError("traffic-split: expected a list")
     return value
 
 
 def bare_host(host: bytes) -> bytes:
-    """A `Host` header's value in lower case, without its port."""
+    """Returns a `Host` header's value in lower case, without its port, which may be empty."""
     colon = host.rfind(b":")
-    if colon >= 0 and (colon == len(host) - 1 or host[colon + 1 :].isdigit()):  # an empty port is a port
+    if colon >= 0 and (colon == len(host) - 1 or host[colon + 1 :].isdigit()):
         host = host[:colon]
     return host.lower()
 
 
 def version_number(value: object) -> int:
-    """The number of a version such as `r12`. ValueError for anything else."""
+    """Returns the number of a version such as `r12`. Raises ValueError for anything else."""
     if isinstance(value, str) and value[:1] == "r" and value[1:].isascii() and value[1:].isdigit():
         return int(value[1:])
-    raise ValueError(f"{value!r} is not a version such as 'r12'")
+    raise ValueError(f"expected a version such as 'r12', got {value!r}")
 
 
 class _InternedValues:
-    """Gives one object for all equal ones while a table is built."""
+    """Returns one object for all equal values while a table is built."""
 
     __slots__ = ("times", "values")
 
@@ -167,34 +169,34 @@
     def text(self, value: object) -> str:
         interned = self.values.setdefault(value, value)
         if not isinstance(interned, str):
-            raise ValueError(f"{value!r} is not text")
+            raise ValueError(f"expected a text, got {value!r}")
         return interned
 
     def seconds(self, value: object) -> float:
-        found = self.times.get(value)
-        if found is None:
-            found = self.times[value] = seconds(value)
-        return found
+        time_s = self.times.get(value)
+        if time_s is None:
+            time_s = self.times[value] = seconds(value)
+        return time_s
 
     def regions(self, value: object) -> tuple[str, ...]:
         if value is None:
             return ()
         if not isinstance(value, list):
-            raise ValueError(f"{value!r} is not a list of regions")
-        made = tuple(sorted({self.text(region) for region in value}))
-        interned = self.values.setdefault(("regions", made), made)
-        return interned if isinstance(interned, tuple) else made
+            raise ValueError(f"allowed-regions: expected a list of regions, got {value!r}")
+        names = tuple(sorted({self.text(region) for region in value}))
+        interned = self.values.setdefault(("regions", names), names)
+        return interned if isinstance(interned, tuple) else names
 
     def split(self, fields: dict[str, object]) -> tuple[tuple[str, float], ...]:
         shares = fields.get("traffic-split")
         if shares is None:
-            made: object = ((self.text(fields["target-service"]), 1.0),)
+            weights: object = ((self.text(fields["target-service"]), 1.0),)
         else:
             pairs = [(self.text(s["target-service"]), _float(s["weight"])) for s in _objects(shares)]
-            made = tuple(pair for pair in pairs if pair[1] > 0)
-        interned = self.values.setdefault(made, made)
+            weights = tuple(pair for pair in pairs if pair[1] > 0)
+        interned = self.values.setdefault(weights, weights)
         if not isinstance(interned, tuple) or not interned:
-            raise ValueError("no weight above 0")
+            raise ValueError("traffic-split: expected a weight above 0")
         return interned
 
 
@@ -214,7 +216,7 @@
 
 
 def _route_reader(shared: _InternedValues) -> Callable[[dict[str, object]], object]:
-    """What turns each JSON object of a text into a Route as soon as it is read whole, if it is one."""
+    """Returns a hook that turns each JSON object that is a route into a `Route` as soon as it is parsed."""
 
     def read(fields: dict[str, object]) -> object:
         if "path-prefix" not in fields:
@@ -222,7 +224,7 @@
         try:
             return _route(fields, shared)
         except (KeyError, TypeError, ValueError):
-            return fields  # told where it stands among the routes; elsewhere it is nothing to us
+            return fields  # `RoutingTable` rejects the object among the routes; elsewhere it is no route.
 
     return read
 
@@ -233,17 +235,17 @@
     __slots__ = ("longest", "routes")
 
     def __init__(self) -> None:
-        self.longest = 0  # bytes of the longest prefix
+        self.longest = 0  # The length of the longest prefix in bytes.
         self.routes: dict[bytes, Route] = {}
 
 
 class RoutingTable:
-    """All routes, services and limits of one configuration."""
+    """The routes, services and limits of one configuration."""
 
     __slots__ = ("_hosts", "limits", "route_count", "services", "version")
 
     def __init__(self, text: bytes) -> None:
-        """Built from a checked configuration's text. ValueError where it is not one."""
+        """Builds the table from a checked configuration's text. Raises ValueError for any other text."""
         try:
             document = json.loads(text, object_hook=_route_reader(_InternedValues()))
             self.version: int = version_number(document["config-version"])
@@ -253,15 +255,15 @@
                 self.services[service.name] = service
             self.limits: Limits = Limits(document.get("limits") or {})
             self._hosts: dict[bytes, _HostRoutes] = {}
-            self.route_count: int = 0  # how many
+            self.route_count: int = 0
             self._fill(document["routes"])
-        except (KeyError, TypeError, AttributeError, RecursionError) as fault:
-            raise ValueError(f"not a checked configuration: {fault!r}") from None
+        except (KeyError, TypeError, AttributeError, RecursionError) as error:
+            raise ValueError(f"expected a checked configuration, got {error!r}") from None
 
     def _fill(self, routes: list[object]) -> None:
         for route in routes:
             if not isinstance(route, Route):
-                raise ValueError(f"not a checked route: {route!r}")
+                raise ValueError(f"expected a checked route, got {route!r}")
             host = self._hosts.get(route.host)
             if host is None:
                 host = self._hosts[route.host] = _HostRoutes()
@@ -270,9 +272,10 @@
         self.route_count = sum(len(host.routes) for host in self._hosts.values())
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route with the longest prefix that begins `path` (without its query), among those of `host`.
+        """Returns the route of `host` with the longest prefix that begins `path` (without its query).
 
-        `host` is the `Host` header's value; case and port make no difference. None where there is no route.
+        `host` is the `Host` header's value; case and port are ignored. The result is None if there is no
+        route.
         """
         routes = self._hosts.get(host)
         if routes is None:
@@ -282,12 +285,12 @@
         get = routes.routes.get
         end = path.rfind(SLASH, 0, routes.longest) + 1
         while end:
-            found = get(path[:end])
-            if found is not None:
-                return found
+            route = get(path[:end])
+            if route is not None:
+                return route
             end = path.rfind(SLASH, 0, end - 1) + 1
         return None
 
     def all_routes(self) -> list[Route]:
-        """Every route, by host and in the order of the configuration."""
+        """Returns all routes, by host and in the order of the configuration."""
         return [route for host in self._hosts.values() for route in host.routes.values()]
--- a/honeywharf/mesh_config/settings.py
+++ b/honeywharf/mesh_config/settings.py
@@ -1,9 +1,9 @@
-"""The settings file that a process of the mesh is started with, read and checked.
+"""Reads and checks the settings file that a process of the mesh is started with.
 
-Theory of operation. The file is YAML; what is read becomes one plain object with every time in seconds. A
-field that is not known is ignored, for the file may grow. A required field is either read or rejected with
-a SettingsError, which names the file, the key, what was found and what was wanted. A bound that is not
-understood is kept in `unknown_bounds` and does not stop the process; asking for it by name then raises
+Theory of operation. The file is YAML; its content becomes one plain object with all times in seconds. An
+unknown field is ignored, because the file may grow. A required field is either read or rejected with a
+SettingsError, which names the file, the key, the actual value and the expected one. A bound that cannot be
+parsed is kept in `unknown_bounds` and does not stop the process; looking it up by name then raises
 SettingsError.
 """
 
@@ -13,30 +13,30 @@
 
 from honeywharf.mesh_config.quantities import address, ipv4, number, seconds
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from typing import TypeVar
 
     T = TypeVar("T")
 
-#: The addresses of ours that must be addresses; what else `listen-addresses` holds is kept where it is one.
+#: These entries of `listen-addresses` must be addresses; any other entry is ignored if it is not one.
 REQUIRED_ADDRESSES = ("inbound", "outbound", "readiness", "control-plane")
-MAX_BYTES = 1 << 20  # a settings file is some 2 KiB; what is larger is not one
+MAX_BYTES = 1 << 20  # A settings file has some 2 KiB.
 BOOLEAN_BOUNDS = {"true": 1.0, "false": 0.0}
 
 
 class SettingsError(ValueError):
-    """A settings file that cannot be used; the text names file, key, found and wanted."""
+    """A settings file cannot be used; the text names the file, the key, the actual and the expected value."""
 
-    def __init__(self, file: str, key: str, found: str, wanted: str) -> None:
-        """Each part as text for the operator; `key` is a path such as `limits.memory-mb`."""
-        super().__init__(f"{file}: {key}: found {found}, wanted {wanted}")
+    def __init__(self, file: str, key: str, got: str, expected: str) -> None:
+        """The parts are texts for the operator; `key` is a path such as `limits.memory-mb`."""
+        super().__init__(f"{file}: {key}: found {got}, wanted {expected}")
         self.file = file
         self.key = key
 
 
 class Settings:
-    """One process's settings. Times are seconds, addresses are (IPv4 in dots, port)."""
+    """The settings of one process. Times are seconds; addresses are pairs (IPv4 address, port)."""
 
     __slots__ = (
         "application",
@@ -72,7 +72,7 @@
         "zones",
     )
 
-    file: str  # where it was read from, for errors
+    file: str  # The path of the file, for errors.
     node_name: str
     role: str
     machine_class: str
@@ -80,11 +80,11 @@
     ip: str
     zone: str
     region: str
-    zones: dict[str, str]  # region by zone
-    listen_addresses: dict[str, tuple[str, int]]  # by what it is for: see LISTENS
-    internal_ports: tuple[int, int]  # first and last of those free for the mesh itself
+    zones: dict[str, str]  # The region of each zone.
+    listen_addresses: dict[str, tuple[str, int]]  # The addresses by name; see REQUIRED_ADDRESSES.
+    internal_ports: tuple[int, int]  # The first and the last port that the mesh may use internally.
     seeds: list[tuple[str, int]]
-    gateways: list[tuple[tuple[str, int], str, str]]  # address, region, zone
+    gateways: list[tuple[tuple[str, int], str, str]]  # The address, region and zone of each gateway.
     initial_start: bool
     loss_counted: bool
     memory_mb: float
@@ -98,50 +98,53 @@
     contracts: list[str]
     machine_failures: int
     zone_failures: int
-    bounds: dict[str, float]  # times in seconds, truths as 1.0 and 0.0
-    unknown_bounds: list[str]  # bounds that were not understood, as they stand
+    bounds: dict[str, float]  # Times are in seconds; true and false are 1.0 and 0.0.
+    unknown_bounds: list[str]  # The lines that could not be parsed as bounds.
     config_mode: str
     application: tuple[str, int] | None
     service: str | None
 
     def bound(self, name: str, default: float | None = None) -> float:
-        """A bound by name: seconds, or its number. SettingsError where it is missing and has no default."""
-        found = self.bounds.get(name, default)
-        if found is None:
+        """Returns a bound by name, in seconds or as a number.
+
+        Raises SettingsError if it is missing and has no default.
+        """
+        value = self.bounds.get(name, default)
+        if value is None:
             raise SettingsError(self.file, f"bounds.{name}", "nothing", "a time or a number")
-        return found
+        return value
 
 
 class _FieldReader:
-    """Reads fields out of one mapping of the file; what is wrong raises SettingsError."""
+    """Reads fields from one mapping of the file; an invalid one raises SettingsError."""
 
     __slots__ = ("file", "prefix", "values")
 
-    def __init__(self, file: str, inside: str, values: Mapping[object, object]) -> None:
+    def __init__(self, file: str, key_prefix: str, values: Mapping[object, object]) -> None:
         self.file = file
-        self.prefix = inside
+        self.prefix = key_prefix
         self.values = values
 
-    def error(self, key: str, found: object, wanted: str) -> SettingsError:
-        shown = "nothing" if found is None else repr(found)
+    def error(self, key: str, got: object, expected: str) -> SettingsError:
+        shown = "nothing" if got is None else repr(got)
         if len(shown) > 80:
             shown = shown[:77] + "..."
-        return SettingsError(self.file, self.prefix + key, shown, wanted)
+        return SettingsError(self.file, self.prefix + key, shown, expected)
 
-    def read(self, key: str, how: Callable[[object], T], wanted: str) -> T:
-        """A required field."""
-        found = self.values.get(key)
+    def read(self, key: str, convert: Callable[[object], T], expected: str) -> T:
+        """Returns a required field."""
+        value = self.values.get(key)
         try:
-            return how(found)
+            return convert(value)
         except (ValueError, TypeError):
-            raise self.error(key, found, wanted) from None
+            raise self.error(key, value, expected) from None
 
-    def read_optional(self, key: str, how: Callable[[object], T], wanted: str, default: T) -> T:
-        """A field that may be missing or null."""
-        return default if self.values.get(key) is None else self.read(key, how, wanted)
+    def read_optional(self, key: str, convert: Callable[[object], T], expected: str, default: T) -> T:
+        """Returns a field that may be missing or null."""
+        return default if self.values.get(key) is None else self.read(key, convert, expected)
 
     def nested(self, key: str) -> _FieldReader:
-        """The mapping under a key."""
+        """Returns a reader for the mapping under a key."""
         return _FieldReader(self.file, f"{self.prefix}{key}.", self.read(key, _mapping, "a mapping"))
 
 
@@ -185,7 +188,7 @@
     if not isinstance(value, list) or not all(isinstance(each, dict) for each in value):
         raise ValueError
     rows = [[each.get(name) for name in ("address", "region", "zone")] for each in value]
-    return [(address(at), _text(region), _text(zone)) for at, region, zone in rows]
+    return [(address(listen), _text(region), _text(zone)) for listen, region, zone in rows]
 
 
 def _addresses(value: object) -> list[tuple[str, int]]:
@@ -204,7 +207,7 @@
 
 
 def _lines(value: object) -> list[str]:
-    """A list of texts; in a file of lines, one line separated by commas."""
+    """Returns a list of texts, which may also be written as one text separated by commas."""
     if isinstance(value, str):
         return [part.strip() for part in value.split(",") if part.strip()]
     if not isinstance(value, list):
@@ -219,34 +222,34 @@
 
 
 def _bounds(lines: list[str]) -> tuple[dict[str, float], list[str]]:
-    """Bounds by name, and the lines that were not understood."""
-    read: dict[str, float] = {}
+    """Returns the bounds by name, and the lines that could not be parsed."""
+    bounds: dict[str, float] = {}
     unknown = []
     for line in lines:
         name, _, value = line.partition("=")
         try:
-            read[name.strip()] = _bound(value.strip())
+            bounds[name.strip()] = _bound(value.strip())
         except ValueError:
             unknown.append(line)
-    return read, unknown
+    return bounds, unknown
 
 
 def _listen_addresses(field: _FieldReader) -> dict[str, tuple[str, int]]:
-    """Our own addresses; a name that is not known may stand for something that is no address."""
-    read = {}
+    """Returns the listen addresses by name; an unknown name may have a value that is not an address."""
+    addresses = {}
     for name, value in field.values.items():
         if name in REQUIRED_ADDRESSES:
-            read[str(name)] = field.read(str(name), address, "an address such as '10.1.0.8:8300'")
+            addresses[str(name)] = field.read(str(name), address, "an address such as '10.1.0.8:8300'")
             continue
         try:
-            read[str(name)] = address(value)
+            addresses[str(name)] = address(value)
         except ValueError:
             continue
-    return read
+    return addresses
 
 
 def _read_identity(settings: Settings, top: _FieldReader) -> None:
-    """The names of the process, its zone and region."""
+    """Reads the names of the process, its zone and its region."""
     settings.node_name = top.read("node-name", _text, "a name")
     settings.role = top.read("role", _text, "a name")
     settings.machine_class = top.read_optional("machine-class", _text, "a name", "")
@@ -263,7 +266,7 @@
 
 
 def _read_addresses(settings: Settings, top: _FieldReader) -> None:
-    """Addresses, ports and the disk."""
+    """Reads addresses, ports and the data directory."""
     settings.listen_addresses = _listen_addresses(top.nested("listen-addresses"))
     settings.internal_ports = top.read(
         "internal-port-range", _port_range, "two ports, the first not above the second"
@@ -276,7 +279,7 @@
 
 
 def _read_limits(settings: Settings, top: _FieldReader) -> None:
-    """Limits of the machine, and how many may fail."""
+    """Reads the limits of the machine, and the number of tolerated failures."""
     limits = top.nested("limits")
     settings.memory_mb = limits.read("memory-mb", _amount, "megabytes")
     settings.max_file_descriptors = limits.read("max-file-descriptors", _count, "a whole number")
@@ -284,13 +287,13 @@
     settings.cpu_cores = limits.read_optional("cpu-cores", _amount, "a number", 1.0)
     settings.link_mbps = limits.read_optional("link-mbps", _amount, "megabits a second", 1000.0)
     settings.disk_mb = limits.read_optional("disk-mb", _amount, "megabytes", 0.0)
-    losses = top.nested("fault-tolerance")
-    settings.machine_failures = losses.read("machine-failures", _count, "a whole number")
-    settings.zone_failures = losses.read_optional("zones", _count, "a whole number", 0)
+    tolerance = top.nested("fault-tolerance")
+    settings.machine_failures = tolerance.read("machine-failures", _count, "a whole number")
+    settings.zone_failures = tolerance.read_optional("zones", _count, "a whole number", 0)
 
 
 def _read_rules(settings: Settings, top: _FieldReader) -> None:
-    """Contracts in force, and bounds."""
+    """Reads the contracts in force, and the bounds."""
     settings.heartbeat_s = top.read("heartbeat-interval", seconds, "a time such as '1300ms'")
     settings.contracts = top.read_optional("contracts", _texts, "a list of names", [])
     settings.config_mode = top.read_optional("config-mode", _text, "a name", "highest")
@@ -300,43 +303,43 @@
 
 
 def _load_yaml(text: str, file: str) -> _FieldReader:
-    """The file as one mapping."""
-    import yaml  # imported here, so that who uses the class alone does not load it
+    """Returns a reader for the top-level mapping of the file."""
+    import yaml  # Imported late, so that a module that needs only the classes does not load it.
 
-    loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # the one in C takes a tenth of the time
+    loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # The C loader takes a tenth of the time.
     try:
-        found = yaml.load(text, Loader=loader)  # both build plain values only
-    except (yaml.YAMLError, RecursionError) as fault:
-        mark = getattr(fault, "problem_mark", None)
+        document = yaml.load(text, Loader=loader)  # Both loaders build plain values only.
+    except (yaml.YAMLError, RecursionError) as error:
+        mark = getattr(error, "problem_mark", None)
         place = f"line {mark.line + 1}" if mark is not None else "the file"
-        raise SettingsError(file, place, str(getattr(fault, "problem", None) or fault), "YAML") from None
-    if not isinstance(found, dict):
-        raise SettingsError(file, "the file", type(found).__name__, "a mapping of settings")
-    return _FieldReader(file, "", found)
+        raise SettingsError(file, place, str(getattr(error, "problem", None) or error), "YAML") from None
+    if not isinstance(document, dict):
+        raise SettingsError(file, "the file", type(document).__name__, "a mapping of settings")
+    return _FieldReader(file, "", document)
 
 
 def parse(text: str, file: str = "settings") -> Settings:
-    """Settings out of a file's text; `file`: its name for errors. SettingsError where they cannot be used."""
+    """Returns the settings in a file's text; errors name `file`. Raises SettingsError for invalid ones."""
     if len(text) > MAX_BYTES:
         raise SettingsError(file, "the file", f"{len(text)} characters", f"at most {MAX_BYTES}")
     top = _load_yaml(text, file)
-    read = Settings()
-    read.file = file
-    _read_identity(read, top)
-    _read_addresses(read, top)
-    _read_limits(read, top)
-    _read_rules(read, top)
-    return read
+    settings = Settings()
+    settings.file = file
+    _read_identity(settings, top)
+    _read_addresses(settings, top)
+    _read_limits(settings, top)
+    _read_rules(settings, top)
+    return settings
 
 
 def load(path: str) -> Settings:
-    """Settings out of the file at `path`. SettingsError where it cannot be read or used."""
+    """Returns the settings in the file at `path`. Raises SettingsError if it cannot be read or is invalid."""
     try:
         with open(path, "rb") as file:
             raw = file.read(MAX_BYTES + 1)
         return parse(raw.decode("utf-8"), path)
-    except OSError as fault:
-        why = fault.strerror or str(fault)
-        raise SettingsError(path, "the file", why, "a file that can be read") from None
+    except OSError as error:
+        reason = error.strerror or str(error)
+        raise SettingsError(path, "the file", reason, "a file that can be read") from None
     except UnicodeDecodeError:
         raise SettingsError(path, "the file", "bytes that are not UTF-8", "YAML in UTF-8") from None
--- a/tests/mesh_config/examples.py
+++ b/tests/mesh_config/examples.py
@@ -1,4 +1,4 @@
-"""A settings file and a configuration as the platform's pages show them, and larger ones drawn by seed."""
+"""A settings file and a configuration from the platform's documentation, and larger random ones."""
 
 from __future__ import annotations
 
@@ -75,28 +75,28 @@
 
 
 def example() -> Any:
-    """The configuration as values, fresh for each caller."""
+    """Returns a new copy of the configuration as Python values."""
     return json.loads(CONFIGURATION)
 
 
-def text(whole: object) -> bytes:
-    """As it is sent."""
-    return json.dumps(whole, separators=(",", ":")).encode()
+def text(document: object) -> bytes:
+    """Returns a configuration's JSON text."""
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
 def drawn(seed: int, routes: int, hosts: int = 10) -> Any:
-    """A configuration of so many routes, some below one another."""
+    """Returns a random configuration with a number of routes, some of them nested."""
     random = Random(seed)
-    whole = example()
-    services = [service["name"] for service in whole["services"]]
-    whole["routes"] = []
-    taken: set[tuple[str, str]] = set()
-    while len(taken) < routes:
+    document = example()
+    services = [service["name"] for service in document["services"]]
+    document["routes"] = []
+    used: set[tuple[str, str]] = set()
+    while len(used) < routes:
         host = f"ho{random.randrange(hosts)}.example"
         prefix = "/" + "".join(f"p{random.randrange(40)}/" for _ in range(random.randrange(4)))
-        if len(prefix) < 2 or (host, prefix) in taken:
-            prefix += f"q{len(taken)}/"
-        taken.add((host, prefix))
+        if len(prefix) < 2 or (host, prefix) in used:
+            prefix += f"q{len(used)}/"
+        used.add((host, prefix))
         route = {
             "name": f"r-{random.getrandbits(32):08x}",
             "hostname": host,
@@ -108,5 +108,5 @@
             "priority": random.randrange(4),
             "target-service": random.choice(services),
         }
-        whole["routes"].append(route)
-    return whole
+        document["routes"].append(route)
+    return document
--- a/tests/mesh_config/test_routes.py
+++ b/tests/mesh_config/test_routes.py
@@ -1,4 +1,4 @@
-"""Route tables against a search through all routes, and what they cost."""
+"""Routing tables compared with a linear search through all routes, and their cost."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from tests.mesh_config.examples import CONFIGURATION, drawn, example, text
 
 
-def searched(table: RoutingTable, host: bytes, path: bytes) -> Route | None:
-    """What the pages say, word for word: of the host's routes the longest prefix that begins the path."""
-    found = [route for route in table.all_routes() if route.host == host and path.startswith(route.prefix)]
-    return max(found, key=lambda route: len(route.prefix), default=None)
+def linear_search(table: RoutingTable, host: bytes, path: bytes) -> Route | None:
+    """The documented rule: of the host's routes the one with the longest prefix that begins the path."""
+    matches = [route for route in table.all_routes() if route.host == host and path.startswith(route.prefix)]
+    return max(matches, key=lambda route: len(route.prefix), default=None)
 
 
 def test_the_example_is_read() -> None:
@@ -50,22 +50,22 @@
         host = f"ho{random.randrange(4)}.example".encode()
         path = random.choice(paths)
         path = path[: random.randrange(len(path) + 1)] + random.choice([b"", b"/", b"x", b"p1/p2/", b"//p3"])
-        assert table.find(host, path) is searched(table, host, path)
+        assert table.find(host, path) is linear_search(table, host, path)
 
 
 @pytest.mark.parametrize(
     "path", [b"", b"*", b"/", b"lepu270/", b"/lepu270", b"/lepu2701/x", b"/LEPU270/", b"//lepu270/"]
 )
-def test_what_no_prefix_begins_has_no_route(path: bytes) -> None:
+def test_a_path_that_begins_with_no_prefix_has_no_route(path: bytes) -> None:
     assert RoutingTable(CONFIGURATION).find(b"jepu9.example", path) is None
 
 
-def test_a_prefix_of_one_slash_takes_what_is_left() -> None:
-    whole = example()
-    whole["routes"].append(
-        {**whole["routes"][1], "hostname": "jepu9.example", "path-prefix": "/", "name": "rest"}
+def test_a_prefix_of_one_slash_matches_all_other_paths() -> None:
+    document = example()
+    document["routes"].append(
+        {**document["routes"][1], "hostname": "jepu9.example", "path-prefix": "/", "name": "rest"}
     )
-    table = RoutingTable(text(whole))
+    table = RoutingTable(text(document))
     for path, name in ((b"/lepu270/x", "r-n2ctnfz"), (b"/lepu270", "rest"), (b"/", "rest")):
         found = table.find(b"jepu9.example", path)
         assert found is not None
@@ -91,56 +91,56 @@
 
 
 def test_services_are_drawn_by_weight_and_never_one_of_no_weight() -> None:
-    whole = example()
-    whole["routes"][0]["traffic-split"] = [
+    document = example()
+    document["routes"][0]["traffic-split"] = [
         {"target-service": "huvo11a", "weight": 0},
         {"target-service": "kafi81c", "weight": 0.5},
         {"target-service": "wuno96b", "weight": 1.5},
         {"target-service": "huvo11a", "weight": 0},
     ]
-    route = RoutingTable(text(whole)).all_routes()[0]
+    route = RoutingTable(text(document)).all_routes()[0]
     drawn_of = Counter(route.service(step / 1000) for step in range(1000))
     assert drawn_of == {"kafi81c": 250, "wuno96b": 750}
     assert route.service(1.0 - 2**-53) == "wuno96b"
 
 
-class Counted(bytes):
-    """Counts how often it is searched."""
+class CountingBytes(bytes):
+    """Bytes that count their searches."""
 
     searches = 0
 
     def rfind(self, *where: object) -> int:
-        Counted.searches += 1
+        CountingBytes.searches += 1
         return super().rfind(*where)  # type: ignore[arg-type]
 
 
 def test_the_cost_is_the_depth_of_prefixes_not_their_number_nor_the_length_of_the_path() -> None:
     for routes in (10, 2000):
-        Counted.searches = 0
-        assert RoutingTable(text(drawn(1, routes))).find(b"ho1.example", Counted(b"/a" * 8000)) is None
-        assert Counted.searches <= 10
+        CountingBytes.searches = 0
+        assert RoutingTable(text(drawn(1, routes))).find(b"ho1.example", CountingBytes(b"/a" * 8000)) is None
+        assert CountingBytes.searches <= 10
 
 
-def test_a_table_of_a_thousand_routes_is_small_and_is_built_without_much_beside_it() -> None:
+def test_a_table_of_a_thousand_routes_needs_little_memory_also_while_it_is_built() -> None:
     sent = text(drawn(3, 1000))
     RoutingTable(sent)
     gc.collect()
     tracemalloc.start()
     table = RoutingTable(sent)
-    held, peak = tracemalloc.get_traced_memory()
+    size, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert table.route_count == 1000
-    assert held < 330 * table.route_count
+    assert size < 330 * table.route_count
     assert peak < 600 * table.route_count
 
 
 def test_a_field_that_is_left_out_has_a_default() -> None:
-    whole = example()
-    whole["services"] = [{"name": service["name"]} for service in whole["services"]]
-    whole["limits"] = {}
+    document = example()
+    document["services"] = [{"name": service["name"]} for service in document["services"]]
+    document["limits"] = {}
     for key in ("target-latency", "priority"):
-        del whole["routes"][0][key]
-    table = RoutingTable(text(whole))
+        del document["routes"][0][key]
+    table = RoutingTable(text(document))
     assert table.services["huvo11a"].health_check_path == "/health"
     assert table.services["huvo11a"].slow_start_requests_per_s == float("inf")
     assert table.limits.idle_timeout_s == 15.0
@@ -162,12 +162,12 @@
         CONFIGURATION.replace(b'"hostname"', b'"host"'),
     ],
 )
-def test_what_was_never_checked_is_refused_and_not_half_built(sent: bytes) -> None:
-    with pytest.raises(ValueError):  # noqa: PT011  (json's own words among them)
+def test_an_unchecked_text_is_rejected(sent: bytes) -> None:
+    with pytest.raises(ValueError):  # noqa: PT011  (some messages are those of json)
         RoutingTable(sent)
 
 
-def test_what_looks_like_a_route_elsewhere_is_let_be() -> None:
-    whole = example()
-    whole["shadow"] = [{"path-prefix": 5}, whole["routes"][0]]
-    assert RoutingTable(text(whole)).route_count == 2
+def test_an_object_like_a_route_elsewhere_is_ignored() -> None:
+    document = example()
+    document["shadow"] = [{"path-prefix": 5}, document["routes"][0]]
+    assert RoutingTable(text(document)).route_count == 2
--- a/tests/mesh_config/test_settings.py
+++ b/tests/mesh_config/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is read, what is ignored, what is refused and in which words."""
+"""Settings files: fields that are read, ignored or rejected, and the errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def without(key: str) -> str:
-    """The example without a key at the top and what stands below it."""
+    """Returns the example without a top-level key and its value."""
     kept, inside = [], False
     for line in SETTINGS.splitlines():
         if not line.startswith(" "):
@@ -43,7 +43,7 @@
     assert (read.config_mode, read.serves, read.contracts) == ("highest", ["sidecar"], ["base", "drain"])
 
 
-NEEDED = (
+REQUIRED = (
     "node-name",
     "role",
     "ip-address",
@@ -59,8 +59,8 @@
 )
 
 
-@pytest.mark.parametrize("key", NEEDED)
-def test_a_missing_field_that_is_needed_is_named(key: str) -> None:
+@pytest.mark.parametrize("key", REQUIRED)
+def test_a_missing_required_field_is_named(key: str) -> None:
     with pytest.raises(SettingsError, match=rf"^boot\.yaml: {key}: found nothing, wanted "):
         parse(without(key), "boot.yaml")
 
@@ -81,14 +81,14 @@
         "discovery-source",
     ],
 )
-def test_a_missing_field_that_is_not_needed_has_a_default(key: str) -> None:
+def test_a_missing_optional_field_has_a_default(key: str) -> None:
     read = parse(without(key))
     assert read.region == "lounaeesti"
     assert read.config_mode == "highest"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "error"),
     [
         ("8304", "83040", "listen-addresses.outbound: found '10.1.0.8:83040', wanted an address"),
         (
@@ -115,20 +115,20 @@
         ("zones:\n  tartu", "zones: none\nother:\n  tartu", "zones: found 'none', wanted a mapping"),
     ],
 )
-def test_a_wrong_field_is_refused_with_what_was_found(old: str, new: str, told: str) -> None:
+def test_an_invalid_field_is_rejected_with_its_value(old: str, new: str, error: str) -> None:
     assert old in SETTINGS
-    with pytest.raises(SettingsError) as refused:
+    with pytest.raises(SettingsError) as rejected:
         parse(SETTINGS.replace(old, new, 1), "boot.yaml")
-    assert str(refused.value).startswith(f"boot.yaml: {told}")
+    assert str(rejected.value).startswith(f"boot.yaml: {error}")
 
 
-def test_what_a_refusal_shows_is_bounded() -> None:
-    with pytest.raises(SettingsError) as refused:
+def test_the_length_of_an_error_is_bounded() -> None:
+    with pytest.raises(SettingsError) as rejected:
         parse(SETTINGS.replace('"10.1.0.8"', '"' + "9" * 5000 + '"', 1))
-    assert len(str(refused.value)) < 200
+    assert len(str(rejected.value)) < 200
 
 
-def test_fields_listeners_and_bounds_that_are_not_known_are_no_hindrance() -> None:
+def test_unknown_fields_listeners_and_bounds_are_ignored() -> None:
     text = SETTINGS.replace("bounds:\n", 'bounds:\n  - "mode=fast"\n  - "lone"\n  - "late=true"\n  - 5\n')
     text = text.replace("listen-addresses:\n", 'listen-addresses:\n  spy: "unix:/x"\n  probe: "10.1.0.8:1"\n')
     read = parse(text + "\nnew-thing: {deep: [1, 2]}\n")
@@ -143,32 +143,32 @@
     assert read.bounds == {"contact": 2.0, "cold-overage": 1.5, "cold-slack": 5.0}
 
 
-def test_a_bound_that_is_missing_takes_the_default_or_is_refused_by_name() -> None:
+def test_a_missing_bound_has_the_default_or_is_rejected_by_name() -> None:
     read = parse(SETTINGS, "boot.yaml")
     assert read.bound("recovery", 15.0) == 15.0
     with pytest.raises(SettingsError, match=r"boot\.yaml: bounds\.recovery: found nothing"):
         read.bound("recovery")
 
 
-def test_a_file_cut_anywhere_is_read_or_refused_and_nothing_else() -> None:
-    """The file may be read while it is written."""
+def test_a_file_truncated_anywhere_is_read_or_rejected() -> None:
+    """Guards against any other failure when the file is read while it is written."""
     read = 0
     for length in range(0, len(SETTINGS), 7):
         with suppress(SettingsError):
             parse(SETTINGS[:length])
             read += 1
-    assert read < 20  # only where nothing that is needed is cut off
+    assert read < 20  # A truncated file is read only if no required field is missing.
 
 
 @pytest.mark.parametrize(
     "text", ["", "[]", "a: [", "\t", "&a [*a]", "? {}", "!!python/object:os.system {}", "[" * 5000]
 )
-def test_what_is_no_mapping_of_settings_is_refused(text: str) -> None:
+def test_a_file_without_a_mapping_is_rejected(text: str) -> None:
     with pytest.raises(SettingsError, match=r"^boot: "):
         parse(text, "boot")
 
 
-def test_a_file_that_is_missing_binary_or_endless_is_refused(tmp_path: Path) -> None:
+def test_a_missing_binary_or_oversized_file_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "boot.yaml"
     with pytest.raises(SettingsError, match="No such file"):
         load(str(path))
@@ -213,8 +213,8 @@
         ["1s"],
     ],
 )
-def test_what_is_no_time_is_refused(value: object) -> None:
-    with pytest.raises(ValueError, match="not a"):
+def test_an_invalid_time_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match="expected a"):
         seconds(value)
 
 
@@ -236,6 +236,6 @@
         80,
     ],
 )
-def test_what_is_no_address_is_refused(value: object) -> None:
-    with pytest.raises(ValueError, match=r"not an? "):
+def test_an_invalid_address_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match=r"expected an? "):
         address(value)
