--- a/tests/compatibility/golden_messages.py
+++ b/tests/compatibility/golden_messages.py
@@ -1,7 +1,7 @@
-"""One of each message and stored value that has an object in the code, built from that object.
+"""One example of each message and stored value that has a class in the code.
 
-`write_golden` wrote their bytes once, with the build of 3af6ad9; the tests build them again, and read the old
-bytes with the present code.
+`write_golden` wrote the bytes of these examples with the build of 3af6ad9; the tests build them again, and
+read the old bytes with the current code.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
     for address, zone in zip(ADDRESSES, "abc", strict=True)
 )
 TEXT = b'{"version": "r9", "routes": []}'
-BALLOT, EARLIER = ProposalNumber(12, ADDRESSES[0], 281474976710655), ProposalNumber(11, ADDRESSES[1], 7)
+NUMBER, EARLIER = ProposalNumber(12, ADDRESSES[0], 281474976710655), ProposalNumber(11, ADDRESSES[1], 7)
 DECIDED = DecidedMembership(3, MEMBERS)
 
 
 def full_history() -> VersionHistory:
-    """A memory of versions that is full and has forgotten some."""
+    """Returns a full version history with a floor."""
     records = b"".join(
         version.to_bytes(8, "big") + b"%016x" % (version * 0x9E3779B97F4A7C15 % (1 << 64))
         for version in range(1000, 1000 + MAX_VERSIONS)
@@ -46,30 +46,30 @@
 
 
 def mesh_state(history: VersionHistory | None = None) -> MeshState:
-    """A state after some changes."""
-    some = VersionHistory().add(7, "a" * 32).add(9, digest(TEXT))
-    return MeshState(21, 9, digest(TEXT), {"a": True, "b": False}, MEMBERS, 3, 3, history or some)
+    """Returns a state after some changes."""
+    short = VersionHistory().add(7, "a" * 32).add(9, digest(TEXT))
+    return MeshState(21, 9, digest(TEXT), {"a": True, "b": False}, MEMBERS, 3, 3, history or short)
 
 
 def acceptor_state(history: VersionHistory | None = None) -> AcceptorState:
-    """What one member has on its disk."""
-    return AcceptorState("first", 3, MEMBERS, BALLOT, BALLOT, mesh_state(history))
+    """Returns the durable state of one member."""
+    return AcceptorState("first", 3, MEMBERS, NUMBER, NUMBER, mesh_state(history))
 
 
 REGISTER_MESSAGES: dict[str, messages.Request | messages.Answer] = {
-    "register prepare": messages.Prepare("first", DECIDED, BALLOT),
-    "register accept": messages.Accept("first", DECIDED, BALLOT, mesh_state()),
+    "register prepare": messages.Prepare("first", DECIDED, NUMBER),
+    "register accept": messages.Accept("first", DECIDED, NUMBER, mesh_state()),
     "register read": messages.Read("5eed", DECIDED),
-    "register promised": messages.Promised(DECIDED, BALLOT, EARLIER, mesh_state()),
-    "register promised, nothing accepted": messages.Promised(DECIDED, BALLOT, messages.NO_PROPOSAL, None),
-    "register accepted": messages.Accepted(DECIDED, BALLOT),
-    "register current": messages.CurrentValue(DECIDED, BALLOT, mesh_state().without_history()),
-    "register rejected": messages.Rejected(DECIDED, EARLIER, BALLOT),
+    "register promised": messages.Promised(DECIDED, NUMBER, EARLIER, mesh_state()),
+    "register promised, nothing accepted": messages.Promised(DECIDED, NUMBER, messages.NO_PROPOSAL, None),
+    "register accepted": messages.Accepted(DECIDED, NUMBER),
+    "register current": messages.CurrentValue(DECIDED, NUMBER, mesh_state().without_history()),
+    "register rejected": messages.Rejected(DECIDED, EARLIER, NUMBER),
     "register newer membership": messages.NewerMembership(DECIDED),
     "register other disk": messages.DiskMismatch(DECIDED),
-    "register text missing": messages.TextMissing(DECIDED, BALLOT),
+    "register text missing": messages.TextMissing(DECIDED, NUMBER),
 }
-HEARTBEAT = Heartbeat(ADDRESSES[1], "first", 3, 21, BALLOT, "b", digest(TEXT))
+HEARTBEAT = Heartbeat(ADDRESSES[1], "first", 3, 21, NUMBER, "b", digest(TEXT))
 REQUEST = ForwardedRequest(
     service="tile-vault",
     attempt_id=b"0123456789abcdef",
@@ -89,29 +89,29 @@
 
 
 def node_entry() -> Entry:
-    """What one node says of itself."""
+    """Returns the gossip entry of a node."""
     return Entry(0x0A000001, 1700000000123, 42, "a", {"core": True, "disk": "first", "rev": 21})
 
 
 def tombstone() -> Entry:
-    """What is left of a node that has said that it goes."""
+    """Returns the gossip entry of a node that has left."""
     return Entry(0x0A000002, 1700000000124, 43, "b", None)
 
 
 def failure_detector_heartbeat() -> bytes:
-    """A heartbeat of a node that holds a revision."""
+    """Returns a heartbeat of a node with a known revision."""
     detector = FailureDetector("10.0.0.1", "a", {})
     detector.revision = 70000
     return detector.heartbeat()
 
 
 def backup() -> bytes:
-    """A backup's file, of a disk with the state and its text."""
+    """Returns a backup file with the state and its text."""
     return control_backup.Backup(3, 12, mesh_state(), TEXT).pack()
 
 
 class Golden(NamedTuple):
-    """`build` gives the bytes anew; `rewrite` reads old bytes and writes what it has read."""
+    """`build` returns the current bytes; `rewrite` reads old bytes and writes the result again."""
 
     build: Callable[[], bytes]
     rewrite: Callable[[bytes], bytes]
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -1,9 +1,9 @@
-"""The shape of every message between processes and of every stored file, as two seeded days show them.
+"""Records the shape of every message between processes and of every stored file, in seeded simulations.
 
     PYTHONHASHSEED=0 python -m tests.compatibility.message_shapes > FILE
 
-A shape keeps what another build relies on: the names of maps' keys, the number and the types of fields, the
-names of remote methods. It leaves out values, and how often a list's element repeats.
+A shape contains what other builds rely on: the keys of maps, the number and the types of fields, the names of
+remote methods. It omits values and the repetitions of list elements.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 MESH_SEEDS = (1, 3, 9)
 REGION_SEEDS = (0, 1, 2, 3)
-DRIFTS = ("build", "disk")  # injected, so that drift is reported and leases are wanted
+DRIFTS = ("build", "disk")  # The injected kinds of drift cause drift reports and lease requests.
 DRIFT_SEED, DRIFT_COUNT = 5, 3
-VIEW_S = 2.0  # virtual time for an operator's view of all sidecars
+VIEW_S = 2.0  # The virtual time for an operator's view of all sidecars.
 #: Maps whose keys are values (zones, versions), not names of fields.
 OPEN_MAPS = ("evac",)
-ENTRY_ARRAYS = ("r", "h")  # datagrams that are arrays of entries
-STORED_HEADS = {b"hwr1": 8, b"hwa1": 8}  # bytes before the body, by the file's mark
+ENTRY_ARRAYS = ("r", "h")  # These kinds of datagrams are arrays of entries.
+STORED_HEADS = {b"hwr1": 8, b"hwa1": 8}  # The size of the header of a file, by its magic.
 
 
 def shape(value: Any) -> Any:
-    """What of a value another build relies on, as JSON holds it."""
+    """Returns the shape of a value as a JSON value."""
     if isinstance(value, dict):
         return {str(key): "map" if key in OPEN_MAPS else shape(item) for key, item in sorted(value.items())}
     if isinstance(value, list | tuple):
         shapes = [shape(item) for item in value]
-        distinct = {json.dumps(one): one for one in shapes}
+        distinct = {json.dumps(each): each for each in shapes}
         is_repeated = len(shapes) > 1 and len(distinct) == 1 and isinstance(shapes[0], list)
         return [shapes[0], "..."] if is_repeated else shapes
     return type(value).__name__
@@ -50,11 +50,11 @@
         self.methods: dict[tuple[machine.End | None, int], str] = {}
 
     def add(self, name: str, value: Any) -> None:
-        """One message."""
+        """Adds the shape of one message."""
         self.shapes.setdefault(name, set()).add(json.dumps(shape(value)))
 
     def sent(self, end: machine.End, data: bytes) -> None:
-        """Bytes of a connection: whole frames, where it is one between processes of the mesh."""
+        """Records sent bytes, which are complete frames on a connection between processes of the mesh."""
         if self.protocols.get(end) == "http":
             return
         reader = self.readers.setdefault(end, FrameReader())
@@ -69,7 +69,7 @@
             self.frame(end, frame)
 
     def frame(self, end: machine.End, frame: Any) -> None:
-        """One frame: the greeting of a connection, or what follows it."""
+        """Records one frame: the greeting of a connection, or a later one."""
         if end not in self.protocols:
             answers = self.protocols.get(end.other) if end.other is not None else None
             if isinstance(frame, str):
@@ -93,7 +93,7 @@
             self.add(f"{protocol} frame {frame[0]}", frame)
 
     def datagram(self, data: bytes) -> None:
-        """One datagram: a kind of one byte, then what that kind holds."""
+        """Records one datagram: its kind in one byte, then its body."""
         kind, body = data[:1].decode("latin-1"), data[1:]
         try:
             value = msgpack.unpackb(body, strict_map_key=False)
@@ -103,7 +103,7 @@
             self.add(f"datagram {kind}", element)
 
     def stored(self, name: str, data: bytes) -> None:
-        """One file as it is written; texts of configurations count by their name's beginning."""
+        """Records one written file; the names of texts of configurations are reduced to their prefixes."""
         name = name.rpartition("-")[0] if name.startswith(("config-", "drift-text-")) else name
         head = STORED_HEADS.get(data[:4])
         body: Any = data
@@ -112,8 +112,12 @@
         self.add(f"file {name}", [data[:4].decode("latin-1") if head else "", body])
 
     def install(self) -> None:
-        """Record from now on what simulated processes send and store."""
-        send, throw, write = machine.End.send, machine.Process.send_datagram, machine.Process.write
+        """Starts to record the messages and files of simulated processes."""
+        send, original_datagram, write = (
+            machine.End.send,
+            machine.Process.send_datagram,
+            machine.Process.write,
+        )
 
         def recorded_send(end: machine.End, data: bytes) -> None:
             self.sent(end, data)
@@ -121,7 +125,7 @@
 
         def recorded_datagram(process: machine.Process, to: Any, data: bytes) -> None:
             self.datagram(data)
-            throw(process, to, data)
+            original_datagram(process, to, data)
 
         def recorded_write(process: machine.Process, name: str, data: bytes) -> None:
             self.stored(name, data)
@@ -132,30 +136,31 @@
         machine.Process.write = recorded_write  # type: ignore[method-assign, assignment]
 
     def result(self) -> dict[str, list[Any]]:
-        """All shapes, in a fixed order."""
+        """Returns all shapes, in a fixed order."""
         return {
-            name: [json.loads(one) for one in sorted(shapes)] for name, shapes in sorted(self.shapes.items())
+            name: [json.loads(each) for each in sorted(shapes)]
+            for name, shapes in sorted(self.shapes.items())
         }
 
 
 class OperatorCall:
-    """A call of the operator whose answer nobody looks at."""
+    """An operator's call whose answer is ignored."""
 
     method, path, body = b"GET", b"/api/drift", b""
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
-        """Called once, later."""
+        """Ignores the answer."""
 
 
 def view_drift(trial: slips.Trial) -> None:
-    """Have a control node ask every sidecar for its view of drift."""
+    """Lets a control node request the drift view of every sidecar."""
     core: Any = trial.field.cores[0].program
     trial.field.cores[0].call(trial.field.cores[0].life, core.operator.handle, OperatorCall())
     trial.world.run(trial.world.now + VIEW_S)
 
 
 def record() -> dict[str, list[Any]]:
-    """Play the days."""
+    """Runs the simulations; returns the shapes."""
     recorder = ShapeRecorder()
     recorder.install()
     for seed in MESH_SEEDS:
--- a/tests/compatibility/stored_disks.py
+++ b/tests/compatibility/stored_disks.py
@@ -1,4 +1,4 @@
-"""The disks of three control nodes after a few changes, as files of one folder a node."""
+"""The disks of three control nodes after some changes, stored as one directory for each node."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def content(version: int) -> str:
-    """What the configuration of a version says."""
+    """Returns the content of a version's configuration."""
     return f"content of {version}"
 
 
 def play() -> dict[str, dict[str, bytes]]:
-    """Make the changes; files by node and name."""
+    """Makes the changes; returns the files by node and name."""
     cluster = ControlCluster(SEED)
     cluster.run(0.5)
     for version in VERSIONS:
@@ -32,7 +32,7 @@
 
 
 def read() -> dict[str, dict[str, bytes]]:
-    """The golden files."""
+    """Returns the golden files by node and name."""
     return {
         folder.name: {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
         for folder in sorted(DISKS.iterdir())
--- a/tests/compatibility/test_golden.py
+++ b/tests/compatibility/test_golden.py
@@ -1,4 +1,4 @@
-"""What the build of 3af6ad9 sent and stored is read by the present code, which sends and stores the same."""
+"""The current code reads the messages and files of the build of 3af6ad9, and writes the same bytes."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 
 
 @cache
-def present_shapes() -> dict[str, list[Any]]:
-    """Those of the present code, recorded in a process of its own: the days depend on the order of sets."""
+def current_shapes() -> dict[str, list[Any]]:
+    """Records the shapes of the current code in a separate process, because they depend on the hash seed."""
     ran = subprocess.run(
         [sys.executable, "-m", "tests.compatibility.message_shapes"],
         cwd=ROOT,
@@ -63,10 +63,10 @@
     return shapes
 
 
-def test_every_message_of_the_recorded_days_has_its_old_name_and_fields() -> None:
-    present = present_shapes()
-    assert present.keys() == OLD_SHAPES.keys()
-    assert present == OLD_SHAPES
+def test_every_message_of_the_recorded_simulations_has_its_old_name_and_fields() -> None:
+    current = current_shapes()
+    assert current.keys() == OLD_SHAPES.keys()
+    assert current == OLD_SHAPES
 
 
 def test_a_field_by_another_name_has_another_shape() -> None:
@@ -77,7 +77,7 @@
 
 
 def cluster_on_old_disks() -> ControlCluster:
-    """Three control nodes on the disks that 3af6ad9 left."""
+    """Returns three control nodes with the disks of the build of 3af6ad9."""
     cluster = ControlCluster(77)
     for ip, files in stored_disks.read().items():
         machine = cluster.network.machines[ip]
@@ -87,7 +87,7 @@
     return cluster
 
 
-def test_control_nodes_go_on_from_old_disks() -> None:
+def test_control_nodes_continue_from_old_disks() -> None:
     cluster, last = cluster_on_old_disks(), stored_disks.VERSIONS[-1]
     cluster.run(1.0)
     described = [cluster.describe(ip) for ip in cluster.ips]
--- a/tests/compatibility/write_golden.py
+++ b/tests/compatibility/write_golden.py
@@ -1,4 +1,4 @@
-"""Writes the golden files anew, from the present code. Only where a format is meant to change.
+"""Rewrites the golden files from the current code. To be run only for an intended change of a format.
 
 PYTHONHASHSEED=0 python -m tests.compatibility.write_golden
 """
@@ -23,7 +23,7 @@
 
 
 def write_laboratory(path: Path) -> None:
-    """Write a file of the laboratory's results."""
+    """Writes a file of the laboratory's results."""
     results = Results(path, code=LABORATORY_CODE)
     for row in LABORATORY_ROWS:
         results.add(*row)
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Write all of them."""
+    """Writes all golden files."""
     FOLDER.mkdir(exist_ok=True)
     texts = {name: golden.build().hex() for name, golden in GOLDEN.items()}
     MESSAGES.write_text(json.dumps(texts, indent=1) + "\n")
