--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -34,9 +34,9 @@
 from honeywharf.core.driver import Driver
 from honeywharf.core.messages import Status
 from honeywharf.core.transport import Clock, UpstreamRequest
-from honeywharf.orderkeys.edge import Edge
-from honeywharf.orderkeys.redis import Store
-from honeywharf.orderkeys.shared import Rules
+from honeywharf.orderkeys.deduplicator import KeyDeduplicator
+from honeywharf.orderkeys.redis import RedisLink
+from honeywharf.orderkeys.shared_store import StoreRules
 from honeywharf.orderkeys.table import Answer, Claim, Table, Verdict
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
@@ -166,7 +166,9 @@
     settings = wire.settings(node.settings([ORDER]))
     driver = Driver(settings, Balancer(settings, 1), near, loop, clock)
     if keys:
-        driver.seams.joins = Edge(driver, Table(number, 32 * 1024 * 1024, 16384), {"order": KEPT_MS})
+        driver.hooks.request_deduplicator = KeyDeduplicator(
+            driver, Table(number, 32 * 1024 * 1024, 16384), {"order": KEPT_MS}
+        )
     driver.start(
         api.EndpointsListed(
             api.ListKind.FULL, tuple(api.Endpoint(f"n{i}", "z", cell=i % 4) for i in range(8))
@@ -181,7 +183,7 @@
         request.id, request.class_name, request.left_ms = f"p{i}", "order", 1400.0
         request.idempotency_key, request.read_ms = b"p%d" % i, clock.now()
         laps = [time.perf_counter()]
-        driver.arrived(request, near)
+        driver.accept(request, near)
         laps.append(time.perf_counter())
         await asyncio.sleep(0)  # the decision is made in the loop's next turn
         laps.append(time.perf_counter())
@@ -216,7 +218,7 @@
 class Claimer:
     """Claims and ends new keys in a shared store, `most` at a time, as fast as a proxy's side goes."""
 
-    def __init__(self, store: Store, number: int, most: int) -> None:
+    def __init__(self, store: RedisLink, number: int, most: int) -> None:
         self.store, self.left, self.most = store, number, most
         self.out, self.done = 0, asyncio.get_running_loop().create_future()
         self.serial = 0
@@ -228,7 +230,7 @@
             self.left, self.out, self.serial = self.left - 1, self.out + 1, self.serial + 1
             one = Claiming(self, b"%016d" % self.serial)
             if not self.store.shared.claim(one.name, "tenant", b"p" * 16, 1000.0, KEPT_MS, 0.0, one):
-                one.claimed(Claim(Verdict.AWAY))
+                one.claimed(Claim(Verdict.STORE_UNAVAILABLE))
         if not self.left and not self.out and not self.done.done():
             self.done.set_result(None)
 
@@ -256,12 +258,12 @@
 async def shared_alone(number: int = 10_000) -> tuple[float, Counter[str]]:
     """Keys claimed, noted and ended a second by one proxy's side."""
     server = await Redis().start()
-    store = Store(
+    store = RedisLink(
         asyncio.get_running_loop(),
         server.url,
         "",
         "bench",
-        Rules(10 * number, 10**9, 16384, wait_ms=1000.0, trust_empty=True),
+        StoreRules(10 * number, 10**9, 16384, wait_ms=1000.0, trust_empty=True),
         lambda: time.time() * 1000.0,
         lambda what: None,
     )
@@ -272,7 +274,7 @@
         claimer, begun = Claimer(store, number, 64), time.perf_counter()
         claimer.fill()
         await claimer.done
-        while store.shared.owed:
+        while store.shared.unconfirmed_ends:
             await asyncio.sleep(0.001)
         return number / (time.perf_counter() - begun), claimer.refused
     finally:
--- a/honeywharf/admin/__init__.py
+++ b/honeywharf/admin/__init__.py
@@ -17,12 +17,12 @@
 from typing import TYPE_CHECKING, Any
 
 from honeywharf.admin import protocol, views
-from honeywharf.core.parts import Ask, AskError, Change, Part
+from honeywharf.core.components import Component, MutatingCommand, OperatorCommand, OperatorCommandError
 from honeywharf.core.transport import log
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Admin as Features
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 __all__ = ["AdminPart", "attach"]
 
@@ -30,17 +30,17 @@
 MAX_AT_ONCE = 8  # operators; further ones are cut: each holds a descriptor
 
 
-class AdminPart(Part):
+class AdminPart(Component):
     """The socket and what is asked on it."""
 
-    def __init__(self, proxy: Assembly, path: Path) -> None:
+    def __init__(self, proxy: ProxyContext, path: Path) -> None:
         self.proxy, self.path = proxy, path
         self.server: asyncio.Server | None = None
         self.open = self.asked = self.cut = self.faults = 0
-        self.answers: dict[str, Ask] = {
+        self.answers: dict[str, OperatorCommand] = {
             **proxy.operations(),
             "status": lambda _: self._status(),
-            "drain": Change(lambda _: proxy.drain()),
+            "drain": MutatingCommand(lambda _: proxy.drain()),
             "endpoints": lambda _: views.endpoints(proxy.balancer),
             "config": lambda _: proxy.in_force(),
         }
@@ -50,8 +50,8 @@
 
         OSError where that is not to be.
         """
-        for part in self.proxy.parts:
-            self.answers.update(part.asks())
+        for part in self.proxy.components:
+            self.answers.update(part.operator_commands())
         if self.path.exists():
             if not stat.S_ISSOCK(self.path.stat().st_mode):
                 raise OSError(f"admin.socket: found {self.path}, which is no socket, wanted a free path")
@@ -103,7 +103,7 @@
         do = self.answers.get(asked.do)
         if do is None:
             return protocol.Answer(f"found {asked.do!r}, wanted one of {', '.join(sorted(self.answers))}")
-        if isinstance(do, Change):
+        if isinstance(do, MutatingCommand):
             if not asked.yes:
                 return protocol.Answer(f"{asked.do} is a change: it wants its confirmation")
             user = struct.unpack(
@@ -120,7 +120,7 @@
         try:
             found = do(asked.of)
             return protocol.Answer(data=await found if isinstance(found, asyncio.Future) else found)
-        except AskError as fault:
+        except OperatorCommandError as fault:
             return protocol.Answer(str(fault))
 
     def _status(self) -> dict[str, Any]:
@@ -129,12 +129,12 @@
             "name": self.proxy.name,
             "zone": driver.settings.zone,
             "ready": self.proxy.front.ready(),
-            "open": driver.open,
+            "open": driver.open_requests,
             "counts": dict(driver.counts),
             **views.status(self.proxy.balancer),
         }
 
 
-def attach(proxy: Assembly, features: Features) -> Part:
+def attach(proxy: ProxyContext, features: Features) -> Component:
     """Let operators ask this proxy."""
     return AdminPart(proxy, Path(features.socket))
--- a/honeywharf/coap/__init__.py
+++ b/honeywharf/coap/__init__.py
@@ -14,10 +14,10 @@
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Coap
-    from honeywharf.core.parts import Assembly, Part
+    from honeywharf.core.components import Component, ProxyContext
 
 
-def attach(proxy: Assembly, features: Coap) -> Part:
+def attach(proxy: ProxyContext, features: Coap) -> Component:
     """What the file of features asks for, at work in that proxy; ValueError where the address is none."""
     from honeywharf.coap.part import CoapPart
 
--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -23,7 +23,7 @@
 from honeywharf.coap.messages import Exchange, Layer, Peer
 from honeywharf.codecs import coap
 from honeywharf.core.driver import Driver
-from honeywharf.core.messages import Request, Status, is_call, whole_seconds
+from honeywharf.core.messages import Request, Status, is_forwarded_path, whole_seconds
 from honeywharf.core.transport import Address, Clock
 
 CODES = {
@@ -142,11 +142,11 @@
         request.read_ms = self.clock.now()
         if not request.id:
             request.id = "coap-" + secrets.token_hex(8)
-        if not is_call(request.target):
+        if not is_forwarded_path(request.target):
             self.layer.answer(exchange, coap.NOT_FOUND)
         elif self.draining:
             caller.answer(Status.REFUSED)  # before it reaches the module: nothing has run
-        elif (wrong := self.driver.offer(request, caller)) is not None:
+        elif (wrong := self.driver.submit(request, caller)) is not None:
             self.layer.answer(exchange, coap.BAD_REQUEST, payload=wrong.encode())
 
     def _in_blocks(self, caller: Caller, message: coap.Message) -> bool:
--- a/honeywharf/coap/part.py
+++ b/honeywharf/coap/part.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from honeywharf.core.parts import Assembly, Part
+from honeywharf.core.components import Component, ProxyContext
 from honeywharf.core.transport import address
 
 if TYPE_CHECKING:
@@ -14,17 +14,17 @@
     from honeywharf.config.features import Coap
 
 
-class CoapPart(Part):
+class CoapPart(Component):
     """The front where clients may come, and the transport where nodes may be asked."""
 
-    def __init__(self, proxy: Assembly, features: Coap) -> None:
+    def __init__(self, proxy: ProxyContext, features: Coap) -> None:
         self.front: Front | None = None
         self.pool: Pool | None = None
         if features.nodes:
             from honeywharf.coap.backend import Pool
 
             self.pool = pool = Pool(proxy.loop, proxy.clock, features.nstart, features.probing_rate)
-            proxy.carry("coap", pool, pool)
+            proxy.add_transport("coap", pool, pool)
         if features.listen:
             from honeywharf.coap.front import Front
 
@@ -42,7 +42,7 @@
         if self.front is not None:
             self.front.draining = True
 
-    def owed(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Whether an exchange is open."""
         return self.front is not None and bool(self.front.layer.open_of)
 
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -213,7 +213,7 @@
 
 
 def _hint(request: Request, value: bytes) -> None:
-    hint = messages.figure(value)
+    hint = messages.parse_number(value)
     request.hint_ms = None if hint is None else hint / 1000.0
 
 
--- a/honeywharf/core/__init__.py
+++ b/honeywharf/core/__init__.py
@@ -1,22 +1,23 @@
-"""Requests, attempts and answers of no protocol, and the driver that passes them to the decision module.
+"""Protocol-independent requests, attempts and answers, and the driver that runs the decision module.
 
-Theory of operation. A protocol's front turns what it reads into a `messages.Request`, gives it to the
-driver, and is told its one final answer, a `Status` with a body. The driver hands events to the decision
-module one at a time and carries out its actions in order. An attempt is a `transport.UpstreamRequest` that a
-protocol's backend writes in its own form; what becomes of it is one `interface.Outcome` and, where an
-answer came, a `messages.Response`.
+Theory of operation. A protocol's front end parses its input into a `messages.Request`, submits it to the
+driver, and receives exactly one final answer: a `Status` with a body. The driver hands events to the decision
+module one at a time and carries out the returned actions in order. An attempt is a
+`transport.UpstreamRequest` that the protocol's backend writes in its own format; its result is one
+`interface.Outcome` and, if an answer came, a `messages.Response`.
 
-By concern; each knows those above it only:
+Modules, in order of dependency; each one knows only those above it:
 
-    messages, transport     requests, answers; what the driver stands between
-    seams                   where what is no part of the driver hangs on, in the order of a request's course
-    turns                   how late this proxy itself is
-    exchange                a request in the table, its attempts, and its own seams: sending, ended, finished,
-                            settled
-    forms                   arrival: whether a request has its class's form, and its time
-    probes                  health checks, each bounded in time
-    driver                  events in, actions out, timers, the table
+    messages, transport     requests and answers; the interfaces around the driver
+    hooks                   extension points, in the order in which a request passes them
+    turns                   how late this proxy itself is in reading its input
+    exchange                a request in the driver's table, its attempts, and the calls of its observers
+    validation              whether a request fits its class, and how long it may take
+    probes                  health checks, each with a time-out
+    driver                  events in, actions out, timers, the table of requests
+    components              optional features of a proxy that start, drain and close with it
+    transport_router        several transports behind one, chosen by endpoint
 
-Arrows point one way: http, coap, discovery -> codecs -> core -> the decision module. Nothing here imports a
-protocol or opens a socket, and no protocol's package imports another's (tests/test_layers.py).
+Dependencies point one way: http, coap, discovery -> codecs -> core -> the decision module. Nothing here
+imports a protocol or opens a socket, and no protocol's package imports another's (tests/test_layers.py).
 """
--- a/honeywharf/core/driver.py
+++ b/honeywharf/core/driver.py
@@ -1,8 +1,8 @@
-"""The driver: events into the decision module one at a time, its actions carried out in order.
+"""The driver hands events to the decision module one at a time and carries out its actions in order.
 
-It owns the clock, the timers and the table of requests, and knows nothing of sockets: callers and backends
-are behind `Caller` and `Transport`. It decides nothing. What else is told of a request's course hangs on
-the seams (`core.seams`); bytes either way are a request's and a response's `pipe`.
+It owns the clock, the timers and the table of requests, but no sockets: clients and backends are behind
+`Caller` and `Transport`. It makes no balancing decisions. Other parts observe a request through the hooks
+(`core.hooks`); bodies are streamed through the `pipe` of a request or response.
 """
 
 from __future__ import annotations
@@ -12,39 +12,40 @@
 from typing import cast
 
 from honeywharf.core.exchange import Attempt, Exchange
-from honeywharf.core.forms import Forms, tries_name
-from honeywharf.core.messages import Request, Response, Status, pairs
+from honeywharf.core.hooks import NO_OBSERVERS, Hooks, RequestObserver
+from honeywharf.core.messages import Request, Response, Status, parse_pairs
 from honeywharf.core.probes import Probes
-from honeywharf.core.seams import NOBODY, Follower, Seams
 from honeywharf.core.transport import (
     Caller,
     Clock,
-    Decider,
+    DecisionModule,
     Loop,
     Registry,
     StreamingCaller,
     Transport,
     log,
 )
-from honeywharf.core.turns import Turns
+from honeywharf.core.turns import LoopTurns
+from honeywharf.core.validation import RequestValidator, retry_group
 from honeywharf.policy import interface as api
 
-# The request's timer may come so early, and ends its attempts. Guards against one that is sent after that, to
-# a silent backend: it would stay for ever.
-LAST_MS = 1.0
+# Attempts with less time left are not sent. The request's timer may fire this much early and end its
+# attempts, so nothing would end one that is sent after that to a silent backend.
+MIN_ATTEMPT_MS = 1.0
 INFINITY = float("inf")
-COUNTED = {outcome: outcome.value for outcome in api.Outcome}  # looked up faster than an enum's value
-FAILED_BY = {reason: f"failed:{reason.value or 'unsaid'}" for reason in api.Reason}
-REFUSED_BY = {reason: f"refused:{reason.value or 'unsaid'}" for reason in api.Reason}
+# A table, because an enum's `value` is slower to look up.
+OUTCOME_COUNTERS = {outcome: outcome.value for outcome in api.Outcome}
+FAILURE_COUNTERS = {reason: f"failed:{reason.value or 'unsaid'}" for reason in api.Reason}
+REFUSAL_COUNTERS = {reason: f"refused:{reason.value or 'unsaid'}" for reason in api.Reason}
 
 
 class Driver:
-    """One proxy's decision module at work."""
+    """Runs the decision module of one proxy."""
 
     def __init__(
         self,
         settings: api.Settings,
-        balancer: Decider,
+        balancer: DecisionModule,
         transport: Transport,
         loop: Loop,
         clock: Clock,
@@ -53,259 +54,267 @@
         self.settings, self.transport, self.loop, self.clock = settings, transport, loop, clock
         self.decide: Callable[[float, api.Event], list[api.Action]] = balancer.handle
         self.registry: Registry | None = None
-        self.seams = Seams()
-        self.turns = Turns(clock)
-        self.forms = Forms(settings)
-        # A report's figures by the settings' names, or by the interface's where they are the same thing.
+        self.hooks = Hooks()
+        self.loop_turns = LoopTurns(clock)
+        self.validator = RequestValidator(settings)
+        # The fields of a load report under the names of the settings, or of the interface.
         self.report_fields = tuple(zip(report_fields, settings.report_fields, strict=False))
         self.requests: dict[str, Exchange] = {}
-        self.open = 0  # requests that are owed an answer
-        self.events: deque[tuple[api.Event, Exchange | None]] = deque()
+        self.open_requests = 0  # requests without a final answer
+        self.event_queue: deque[tuple[api.Event, Exchange | None]] = deque()
         self.scheduled = self.running = False
         self.counts: dict[str, int] = {}
-        self.probes = Probes(transport, loop, clock, self._feed, self._report)
+        self.probes = Probes(transport, loop, clock, self._enqueue, self._parse_report)
 
     def start(self, known: api.EndpointsListed) -> None:
-        """Tell the module that it runs, and the list that it held last."""
-        self._feed(api.Started())
-        self._feed(known)
-        self._run()
-
-    # What happens.
-
-    def full(self) -> bool:
-        """Whether the site's bound on open requests is reached."""
-        return 0 < self.settings.limits.max_open <= self.open
-
-    def offer(self, request: Request, caller: Caller) -> str | None:
-        """Take a request, or refuse it before it reaches the module; what is wrong with it, if so."""
-        fault = self.forms.fault_of(request)
-        if fault is None:
-            if self.seams.tracer is not None:
-                self.seams.begin(request, request.read_ms or self.clock.now())
-            if self.full():
-                self.closed(request, "refused", "too many open")
-                caller.answer(Status.REFUSED)  # nothing has run
-            elif not self.arrived(request, caller):
-                self.closed(request, "failed", "conflict")
+        """Starts the decision module with the list of endpoints that was known last."""
+        self._enqueue(api.Started())
+        self._enqueue(known)
+        self._process_events()
+
+    # Input from clients, discovery and operators.
+
+    def is_full(self) -> bool:
+        """Whether the configured limit on open requests is reached."""
+        return 0 < self.settings.limits.max_open <= self.open_requests
+
+    def submit(self, request: Request, caller: Caller) -> str | None:
+        """Accepts a request, or answers it without a decision. Returns what is invalid, if anything."""
+        error = self.validator.error_of(request)
+        if error is None:
+            if self.hooks.tracer is not None:
+                self.hooks.begin(request, request.read_ms or self.clock.now())
+            if self.is_full():
+                self.close_without_decision(request, "refused", "too many open")
+                caller.answer(Status.REFUSED)  # nothing has run, so a retry is safe
+            elif not self.accept(request, caller):
+                self.close_without_decision(request, "failed", "conflict")
                 caller.answer(Status.CONFLICT)
-        return fault
+        return error
 
-    def closed(self, request: Request, how: str, reason: str) -> None:
-        """End the trace of a request that is answered without the module; before its answer is written."""
-        self.seams.unseen(request, how, reason, self.clock.now())
+    def close_without_decision(self, request: Request, how: str, reason: str) -> None:
+        """Ends the trace of a request that is answered without a decision, before its answer."""
+        self.hooks.answered_without_decision(request, how, reason, self.clock.now())
 
-    def arrived(self, request: Request, caller: Caller) -> bool:
-        """Take a sound request; False where its id is in the table, or its key's request can't be joined."""
+    def accept(self, request: Request, caller: Caller) -> bool:
+        """Accepts a valid request. Returns False if its id is in the table or it can't be joined."""
         if request.left_ms is None:
             return False
-        left = self.forms.left_ms(request) - (self.clock.now() - request.read_ms)
-        cls = self.forms.classes[request.class_name]
+        remaining_ms = self.validator.answer_time_ms(request) - (self.clock.now() - request.read_ms)
+        cls = self.validator.classes[request.class_name]
         if (
-            self.seams.joins is not None
+            self.hooks.request_deduplicator is not None
             and cls.effect is api.Effect.KEYED
             and (request.idempotency_key and request.pipe is None)
-        ):  # it is known by its payload: not in hand
-            return self.seams.joins.arrived(request, caller, left)
-        return self.take(request, caller, left)
+        ):  # Joining compares payloads, and a streamed body has not been read yet.
+            return self.hooks.request_deduplicator.accept(request, caller, remaining_ms)
+        return self.admit(request, caller, remaining_ms)
 
-    def take(
+    def admit(
         self,
         request: Request,
         caller: Caller,
-        left: float,
+        remaining_ms: float,
         earlier: api.Earlier | None = None,
-        follower: Follower | None = None,
+        observer: RequestObserver | None = None,
     ) -> bool:
-        """Take a request that has `left` ms; False where its id is already in the table."""
+        """Adds a request that has `remaining_ms` to the table. Returns False if its id is already there."""
         if request.id in self.requests:
             return False
-        self._blind()
+        self._note_arrival()
         arriving = request.pipe is not None and not request.pipe.ended
-        followers = NOBODY
-        if follower is not None:
-            followers += (follower,)
-        if request.traced is not None:
-            followers += (request.traced,)
-        exchange = Exchange(request, caller, INFINITY if arriving else self.clock.now() + left, followers)
+        observers = NO_OBSERVERS
+        if observer is not None:
+            observers += (observer,)
+        if request.trace is not None:
+            observers += (request.trace,)
+        exchange = Exchange(
+            request, caller, INFINITY if arriving else self.clock.now() + remaining_ms, observers
+        )
         self.requests[request.id] = exchange
-        self.open += 1
+        self.open_requests += 1
         if arriving and request.pipe is not None:
-            request.pipe.on_whole = lambda: self.whole(exchange)  # its time runs from its last byte
+            # the time limit starts with the last byte
+            request.pipe.on_whole = lambda: self.body_completed(exchange)
         else:
-            exchange.timer = self.loop.call_later(max(0.0, left) / 1000.0, self._overdue, exchange)
-        if self.seams.connected:
-            self._feed(api.ClientsConnected(self.seams.connections()))
-        self._feed(
+            exchange.timer = self.loop.call_later(
+                max(0.0, remaining_ms) / 1000.0, self._deadline_passed, exchange
+            )
+        if self.hooks.new_connections:
+            self._enqueue(api.ClientsConnected(self.hooks.take_new_connections()))
+        self._enqueue(
             api.RequestArrived(
                 request.id,
                 request.class_name,
-                left,
+                remaining_ms,
                 request.account,
                 request.repeat,
                 request.sid,
-                pairs(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
+                parse_pairs(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
                 request.hint_ms,
                 earlier,
-                tries_name(request) if self.seams.storms else b"",
+                retry_group(request) if self.hooks.storm_control else b"",
                 arriving,
             ),
             exchange,
         )
         return True
 
-    def whole(self, exchange: Exchange) -> None:
-        """The last byte of a long body has come: the request's time, and its attempt's, runs from now."""
+    def body_completed(self, exchange: Exchange) -> None:
+        """Starts the time limit of a request, and of its attempts, when its streamed body has been read."""
         request, now = exchange.request, self.clock.now()
         if exchange.answered or request.left_ms is None:
             return
-        left = self.forms.left_ms(request)
-        exchange.deadline_ms = now + left
-        exchange.timer = self.loop.call_later(left / 1000.0, self._overdue, exchange)
-        for attempt in exchange.out():
+        remaining_ms = self.validator.answer_time_ms(request)
+        exchange.deadline_ms = now + remaining_ms
+        exchange.timer = self.loop.call_later(remaining_ms / 1000.0, self._deadline_passed, exchange)
+        for attempt in exchange.attempts_in_flight():
             attempt.sent_ms, attempt.until_ms = now, exchange.deadline_ms
-        self._feed(api.RequestWhole(request.id, left), exchange)
+        self._enqueue(api.RequestWhole(request.id, remaining_ms), exchange)
 
-    def gone(self, request: Request) -> None:
-        """The client has left. Attempts that are out go on, as they do at the backend."""
+    def client_disconnected(self, request: Request) -> None:
+        """Ends a request whose client disconnected. Attempts in flight go on, as they do at the backend."""
         exchange = self.requests.get(request.id)
         if exchange is not None and exchange.request is request and not exchange.answered:
             self._finish(exchange, "gone")
-            if exchange.deadline_ms == INFINITY:  # nobody will ever have all of its body
-                for attempt in exchange.out():
-                    self._end(attempt, api.Outcome.CANCELLED)
-            self._feed(api.RequestExpired(request.id), exchange)
-        elif self.seams.joins is not None:
-            self.seams.joins.gone(request)
-
-    def beside(self, zones: dict[str, int]) -> None:
-        """The other process of this proxy has so many calls out, by zone."""
-        self._feed(api.CallsBeside(zones))
-
-    def broken(self, endpoint: str) -> None:
-        """An answer that had begun has broken off in the middle."""
+            if exchange.deadline_ms == INFINITY:  # the body is never going to be complete
+                for attempt in exchange.attempts_in_flight():
+                    self._abort(attempt, api.Outcome.CANCELLED)
+            self._enqueue(api.RequestExpired(request.id), exchange)
+        elif self.hooks.request_deduplicator is not None:
+            self.hooks.request_deduplicator.client_disconnected(request)
+
+    def sibling_calls_changed(self, zones: dict[str, int]) -> None:
+        """Passes on how many calls, by zone, the other process of this proxy has in flight."""
+        self._enqueue(api.CallsBeside(zones))
+
+    def answer_broken(self, endpoint: str) -> None:
+        """Reports that a streamed answer broke off before its end."""
         self.count("broken off")
-        self._feed(api.AnswerBroken(endpoint))
+        self._enqueue(api.AnswerBroken(endpoint))
 
-    def listed(self, event: api.EndpointsListed) -> None:
-        """Word from discovery goes before all that waits: a drain holds for each send after it."""
-        self.events.appendleft((event, None))
-        self._run()
+    def endpoints_listed(self, event: api.EndpointsListed) -> None:
+        """Handles a list from discovery before all queued events: a drain applies to every later send."""
+        self.event_queue.appendleft((event, None))
+        self._process_events()
 
-    def retune(
+    def change_settings(
         self,
         settings: api.Settings,
         report_fields: tuple[str, ...],
-        former: dict[str, api.RequestClass],
+        previous: dict[str, api.RequestClass],
     ) -> None:
-        """Take new settings over, before all that waits. `former`: classes that may come in that form too."""
-        self.settings, self.forms = settings, Forms(settings, former)
+        """Applies new settings before all queued events.
+
+        `previous`: older forms of classes whose requests are still accepted.
+        """
+        self.settings, self.validator = settings, RequestValidator(settings, previous)
         self.report_fields = tuple(zip(report_fields, settings.report_fields, strict=False))
-        self.events.appendleft((api.SettingsChanged(settings), None))
-        self._run()
+        self.event_queue.appendleft((api.SettingsChanged(settings), None))
+        self._process_events()
 
-    def excluded(self, names: frozenset[str]) -> None:
-        """An operator's word on who is out goes before all that waits, as discovery's does."""
-        self.events.appendleft((api.EndpointsExcluded(names), None))
-        self._run()
+    def endpoints_excluded(self, names: frozenset[str]) -> None:
+        """Applies an operator's list of excluded endpoints before all queued events."""
+        self.event_queue.appendleft((api.EndpointsExcluded(names), None))
+        self._process_events()
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, response: Response | None) -> None:
-        """Note an attempt's one outcome; the first 200 goes to the client at once."""
+        """Records an attempt's single outcome; the first successful answer goes to the client at once."""
         if not attempt.live:
             return
         exchange, now = attempt.exchange, self.clock.now()
         attempt.live = False
-        exchange.live -= 1
+        exchange.in_flight -= 1
         if attempt.timer is not None:
             attempt.timer.cancel()
-        own = now - max(attempt.sent_ms, self._blind())
+        own_ms = now - max(attempt.sent_ms, self._note_arrival())
         pipe = exchange.request.pipe
-        if exchange.followers:
+        if exchange.observers:
             exchange.ended(attempt.number, outcome, response, now)
         if outcome is api.Outcome.OK and response is not None and not exchange.answered:
             self._finish(exchange, "served")
-            if response.pipe is None:  # the usual one: an argument less is some time less
+            if response.pipe is None:  # The common case passes fewer arguments, for speed.
                 exchange.caller.answer(Status.SERVED, response.body, kind=response.kind)
             else:
                 cast("StreamingCaller", exchange.caller).pass_on(response.pipe, response.kind)
         elif response is not None and response.pipe is not None:
-            response.pipe.cancel()  # of a copy that nobody waits for
-        self.count(COUNTED[outcome])
-        self._feed(
+            response.pipe.cancel()  # an answer to a redundant attempt is discarded
+        self.count(OUTCOME_COUNTERS[outcome])
+        self._enqueue(
             api.AttemptEnded(
                 exchange.request.id,
                 attempt.number,
                 outcome,
                 now - attempt.sent_ms,
                 exchange.answered,
-                self._report(response.load) if response is not None else None,
+                self._parse_report(response.load) if response is not None else None,
                 attempt.endpoint,
-                max(0.0, own),
+                max(0.0, own_ms),
                 pipe is not None and pipe.spent,
             ),
             exchange,
         )
 
-    def _blind(self) -> float:
-        """Since when this proxy's own work may have kept it from reading what came."""
-        return self.turns.came(self.loop.time())
+    def _note_arrival(self) -> float:
+        """Notes input in the current turn. Returns the earliest time at which it may have arrived unread."""
+        return self.loop_turns.note_arrival(self.loop.time())
 
     # Timers.
 
-    def _overdue(self, exchange: Exchange) -> None:
-        """The client's time is up: what is out has timed out, and the answer is due now."""
-        early = exchange.deadline_ms - self.clock.now()
-        if early > LAST_MS:  # the loop's timers may come a little early
-            exchange.timer = self.loop.call_later(early / 1000.0, self._overdue, exchange)
+    def _deadline_passed(self, exchange: Exchange) -> None:
+        """Times out the attempts of a request whose deadline has passed, and makes sure it is answered."""
+        early_ms = exchange.deadline_ms - self.clock.now()
+        if early_ms > MIN_ATTEMPT_MS:  # the loop's timers may fire early
+            exchange.timer = self.loop.call_later(early_ms / 1000.0, self._deadline_passed, exchange)
             return
-        for attempt in exchange.out():
+        for attempt in exchange.attempts_in_flight():
             self._time_out(attempt)
-        self._run()
+        self._process_events()
         if not exchange.answered:
-            # Guards against a module that keeps a request past its time, or broke on it.
+            # Guards against a decision module that keeps a request past its deadline or raised on it.
             self._finish(exchange, "overdue")
             exchange.caller.answer(Status.FAILED)
-            self._feed(api.RequestExpired(exchange.request.id), exchange)
+            self._enqueue(api.RequestExpired(exchange.request.id), exchange)
 
     def _time_out(self, attempt: Attempt) -> None:
-        """Nothing came in time. Guards against a vanished machine, which says nothing ever."""
-        self._end(attempt, api.Outcome.TIMEOUT)
+        """Times an attempt out. Guards against a backend that vanished and never closes its connection."""
+        self._abort(attempt, api.Outcome.TIMEOUT)
 
-    def _end(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Nobody waits for what is out any more."""
+    def _abort(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """Aborts an attempt whose answer nobody waits for any more."""
         if attempt.live:
             self.transport.abort(attempt)
             self.attempt_ended(attempt, outcome, None)
 
-    def _woken(self, at_ms: float, token: str) -> None:
-        early = at_ms - self.clock.now()
-        if early > 0:
-            self.loop.call_later(early / 1000.0, self._woken, at_ms, token)
+    def _timer_due(self, at_ms: float, token: str) -> None:
+        early_ms = at_ms - self.clock.now()
+        if early_ms > 0:
+            self.loop.call_later(early_ms / 1000.0, self._timer_due, at_ms, token)
         else:
-            self._feed(api.TimerFired(token))
+            self._enqueue(api.TimerFired(token))
 
     # Events in, actions out.
 
-    def _feed(self, event: api.Event, exchange: Exchange | None = None) -> None:
+    def _enqueue(self, event: api.Event, exchange: Exchange | None = None) -> None:
         if exchange is not None:
-            exchange.queued += 1
-        self.events.append((event, exchange))
+            exchange.queued_events += 1
+        self.event_queue.append((event, exchange))
         if not self.scheduled:
             self.scheduled = True
-            self.loop.call_soon(self._run)
+            self.loop.call_soon(self._process_events)
 
-    def _run(self) -> None:
-        """Hand the module all that waits, one at a time; what its actions cause is queued behind."""
+    def _process_events(self) -> None:
+        """Handles all queued events one at a time; events caused by their actions are queued behind them."""
         if self.running:
             return
         self.running = True
-        while self.events:
-            event, exchange = self.events.popleft()
+        while self.event_queue:
+            event, exchange = self.event_queue.popleft()
             try:
                 actions = self.decide(self.clock.now(), event)
-            except Exception as fault:  # one broken decision must not take the others' requests along
+            except Exception as error:  # an error in one decision must not affect other requests
                 log(
-                    f"decision failed on {type(event).__name__}: {type(fault).__name__}: {fault}",
+                    f"decision failed on {type(event).__name__}: {type(error).__name__}: {error}",
                     "decision.failed",
                     "error",
                 )
@@ -314,25 +323,25 @@
                     self._finish(exchange, "broken")
                     exchange.caller.answer(Status.FAILED)
                 if exchange is not None and not isinstance(event, api.RequestExpired):
-                    # Nothing of it stays in the module.
-                    self._feed(api.RequestExpired(exchange.request.id), exchange)
+                    # The decision module must not keep any state of the request.
+                    self._enqueue(api.RequestExpired(exchange.request.id), exchange)
             for action in actions:
                 try:
                     self._perform(action)
-                except Exception as fault:
+                except Exception as error:
                     log(
-                        f"action failed: {action!r}: {type(fault).__name__}: {fault}",
+                        f"action failed: {action!r}: {type(error).__name__}: {error}",
                         "action.failed",
                         "error",
                     )
             if exchange is not None:
-                exchange.queued -= 1
-                if exchange.answered and not exchange.live and not exchange.queued:
+                exchange.queued_events -= 1
+                if exchange.answered and not exchange.in_flight and not exchange.queued_events:
                     self._forget(exchange)
         self.running = self.scheduled = False
-        turn_ms = self.turns.turned()
+        turn_ms = self.loop_turns.turn_ended()
         if turn_ms >= 0.0:
-            self._feed(api.LoopTurned(turn_ms))
+            self._enqueue(api.LoopTurned(turn_ms))
 
     def _perform(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
@@ -346,16 +355,16 @@
                 action.reason.value,
                 action.why,
             ):
-                self.count(REFUSED_BY[action.reason])
+                self.count(REFUSAL_COUNTERS[action.reason])
         elif isinstance(action, api.Fail):
             if self._answer(
                 action.request, Status.FAILED, "failed", reason=action.reason.value, why=action.why
             ):
-                self.count(FAILED_BY[action.reason])
+                self.count(FAILURE_COUNTERS[action.reason])
         elif isinstance(action, api.SetTimer):
-            if action.at_ms < INFINITY:  # not for what is still arriving
+            if action.at_ms < INFINITY:  # a request whose body is still arriving has no deadline yet
                 delay = max(0.0, action.at_ms - self.clock.now()) / 1000.0
-                self.loop.call_later(delay, self._woken, action.at_ms, action.token)
+                self.loop.call_later(delay, self._timer_due, action.at_ms, action.token)
         elif isinstance(action, api.Cancel):
             self._cancel(action)
         elif isinstance(action, api.Probe):
@@ -369,15 +378,15 @@
         elif isinstance(action, api.CloseIdle):
             self.transport.close_idle(action.endpoint)
         elif isinstance(action, api.PaceConnections):
-            if self.seams.pace is not None:
-                self.seams.pace(action.per_s)
+            if self.hooks.pace is not None:
+                self.hooks.pace(action.per_s)
         else:
             log(action.words, "module")
 
     def _send(self, action: api.Send) -> None:
         exchange, now = self.requests.get(action.request), self.clock.now()
         if exchange is None:
-            self._feed(
+            self._enqueue(
                 api.AttemptEnded(action.request, 0, api.Outcome.NOT_SENT, 0.0, True, None, action.endpoint)
             )
             return
@@ -390,11 +399,11 @@
             gone
             or exchange.answered
             or len(exchange.attempts) >= self.settings.limits.max_attempts
-            or until <= now + LAST_MS
+            or until <= now + MIN_ATTEMPT_MS
             or not self.transport.known(action.endpoint)
         ):
-            # Guards the rules on answers, effects and drains, whatever the module asks for.
-            self._feed(
+            # Enforces the rules on answers, effects and drains whatever the decision module returns.
+            self._enqueue(
                 api.AttemptEnded(
                     exchange.request.id,
                     len(exchange.attempts),
@@ -412,24 +421,28 @@
             return
         attempt = Attempt(self, exchange, action.endpoint, now, until)
         exchange.attempts.append(attempt)
-        exchange.live += 1
-        leaves = not exchange.followers or exchange.sending(attempt, action, now)
-        if until < exchange.deadline_ms - LAST_MS:  # else the request's own timer ends it
+        exchange.in_flight += 1
+        leaves = not exchange.observers or exchange.sending(attempt, action, now)
+        if until < exchange.deadline_ms - MIN_ATTEMPT_MS:  # otherwise the request's own timer ends it
             attempt.timer = self.loop.call_later((until - now) / 1000.0, self._time_out, attempt)
         if leaves:
             self.transport.start(attempt)
 
-    def go(self, request: str, number: int, sure: bool) -> None:
-        """An attempt that a follower has held back leaves now, or never."""
+    def release_attempt(self, request: str, number: int, sure: bool) -> None:
+        """Sends an attempt that an observer held back, or ends it as not sent if `sure` is False."""
         attempt = self._attempt(request, number)
         if attempt is not None and attempt.live:
-            if sure and not attempt.exchange.answered and attempt.until_ms > self.clock.now() + LAST_MS:
+            if (
+                sure
+                and not attempt.exchange.answered
+                and attempt.until_ms > self.clock.now() + MIN_ATTEMPT_MS
+            ):
                 self.transport.start(attempt)
             else:
                 self.attempt_ended(attempt, api.Outcome.NOT_SENT, None)
 
     def _attempt(self, request: str, number: int) -> Attempt | None:
-        """One of a request's attempts; None where there is none, or it was never sent."""
+        """Returns an attempt by number; None if the request is unknown or the attempt was never sent."""
         exchange = self.requests.get(request)
         if exchange is None or not 0 <= number < len(exchange.attempts):
             return None
@@ -438,7 +451,7 @@
     def _cancel(self, action: api.Cancel) -> None:
         attempt = self._attempt(action.request, action.attempt)
         if attempt is not None:
-            self._end(attempt, api.Outcome.CANCELLED)
+            self._abort(attempt, api.Outcome.CANCELLED)
 
     def _answer(
         self,
@@ -449,7 +462,7 @@
         reason: str = "",
         why: api.Why | None = None,
     ) -> bool:
-        """Give the final answer; False where there is none to give any more."""
+        """Gives the final answer. Returns False if the request was already answered or is unknown."""
         exchange = self.requests.get(request)
         if exchange is None or exchange.answered:
             return False
@@ -458,15 +471,15 @@
         return True
 
     def fail_all(self) -> None:
-        """Answer all that is open: the process is about to be killed."""
+        """Fails all open requests because the process is about to be killed."""
         for exchange in list(self.requests.values()):
             if not exchange.answered:
                 self._finish(exchange, "cut off")
                 exchange.caller.answer(Status.FAILED)
-        if self.seams.joins is not None:
-            self.seams.joins.fail_all()
+        if self.hooks.request_deduplicator is not None:
+            self.hooks.request_deduplicator.fail_all()
 
-    # The table.
+    # The table of requests.
 
     def _finish(
         self,
@@ -475,31 +488,33 @@
         reason: str = "",
         why: api.Why | None = None,
     ) -> None:
-        """Nothing is owed any more; the one place that says so, so that there is one final answer."""
+        """Marks a request as answered. Every answer passes through here, so that there is exactly one."""
         exchange.answered = True
-        self.open -= 1
+        self.open_requests -= 1
         self.count(how)
-        if exchange.followers:
+        if exchange.observers:
             exchange.finished(how, reason, why, self.clock.now())
-        if self.seams.answers:
+        if self.hooks.answer_callbacks:
             request, now = exchange.request, self.clock.now()
-            self.seams.answered(request, how, now - (request.read_ms or now), now, request.traced)
+            self.hooks.answered(request, how, now - (request.read_ms or now), now, request.trace)
 
     def _forget(self, exchange: Exchange) -> None:
         if self.requests.get(exchange.request.id) is exchange:
             del self.requests[exchange.request.id]
         if exchange.timer is not None:
             exchange.timer.cancel()
-        exchange.settled(self.clock.now() if exchange.followers else 0.0)
+        exchange.settled(self.clock.now() if exchange.observers else 0.0)
 
     def count(self, what: str) -> None:
-        """One more of it, for the operator's line."""
+        """Increments an event counter of the operator's status."""
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def _report(self, load: bytes | None) -> tuple[float, ...] | None:
-        """A load report in the order of the settings; None where it is none, or lacks a figure."""
+    def _parse_report(self, load: bytes | None) -> tuple[float, ...] | None:
+        """Parses a load report into the order of the settings; None if it is empty or lacks a field."""
         if not load or not self.report_fields:
             return None
-        figures = pairs(load)
-        row = [figures.get(told, figures.get(own)) for told, own in self.report_fields]
+        values = parse_pairs(load)
+        row = [
+            values.get(field, values.get(interface_field)) for field, interface_field in self.report_fields
+        ]
         return None if None in row else tuple(x for x in row if x is not None)
--- a/honeywharf/core/exchange.py
+++ b/honeywharf/core/exchange.py
@@ -1,30 +1,30 @@
-"""A request in the driver's table, its attempts, and those who are told of its course.
+"""A request in the driver's table, its attempts, and the calls of its observers.
 
-Each seam of one request (`core.seams`) is named here once: before a send, an attempt's end, the answer,
-settled. Nothing here knows the decision module's actions but by what is told on.
+Each hook of a single request (`core.hooks`) is called from one place here: before a send, at an attempt's
+end, before the answer, and when settled. Actions of the decision module are only passed on to observers.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
+from honeywharf.core.hooks import NO_OBSERVERS, RequestObserver
 from honeywharf.core.messages import Request, Response
-from honeywharf.core.seams import NOBODY, Follower
 from honeywharf.core.transport import Caller, Timer, UpstreamRequest
 from honeywharf.policy import interface as api
 
 
 class Exchange:
-    """A request in the table: until it is answered, its attempts have ended and the module was told."""
+    """A request in the table until it is answered, its attempts have ended and its events are handled."""
 
     __slots__ = (
         "answered",
         "attempts",
         "caller",
         "deadline_ms",
-        "followers",
-        "live",
-        "queued",
+        "in_flight",
+        "observers",
+        "queued_events",
         "request",
         "timer",
     )
@@ -34,35 +34,35 @@
         request: Request,
         caller: Caller,
         deadline_ms: float,
-        followers: tuple[Follower, ...],
+        observers: tuple[RequestObserver, ...],
     ) -> None:
         self.request, self.caller, self.deadline_ms = request, caller, deadline_ms
-        self.attempts: list[Attempt | None] = []  # None where it was never sent
-        self.live = 0
-        self.queued = 0  # events that name it and are not handled yet
+        self.attempts: list[Attempt | None] = []  # None for an attempt that was never sent
+        self.in_flight = 0
+        self.queued_events = 0  # events of this request that are not handled yet
         self.answered = False
         self.timer: Timer | None = None
-        self.followers = followers
+        self.observers = observers
 
-    def out(self) -> list[Attempt]:
-        """The attempts that have no outcome yet."""
+    def attempts_in_flight(self) -> list[Attempt]:
+        """Returns the attempts that have no outcome yet."""
         return [a for a in self.attempts if a is not None and a.live]
 
     def streams(self) -> bool:
-        """Whether an answer may be passed on as it arrives: who asks for it whole gets it whole."""
+        """Whether an answer may be streamed to the client; not if an observer needs it complete."""
         if self.request.streams:
-            for follower in self.followers:
-                if follower.needs_whole():
+            for observer in self.observers:
+                if observer.needs_complete_answer():
                     return False
         return self.request.streams
 
-    # Its seams.
+    # Calls of the observers.
 
     def sending(self, attempt: Attempt, action: api.Send, now: float) -> bool:
-        """An attempt is about to leave; False where a follower holds it back until `Driver.go`."""
+        """Notifies observers before a send. Returns False if one holds the attempt back."""
         leaves = True
-        for follower in self.followers:
-            lines = follower.sending(attempt.number, action, now)
+        for observer in self.observers:
+            lines = observer.sending(attempt.number, action, now)
             if lines is None:
                 leaves = False
             else:
@@ -70,30 +70,31 @@
         return leaves
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now: float) -> None:
-        """An attempt has its one outcome."""
-        for follower in self.followers:
-            follower.ended(number, outcome, response, now)
+        """Notifies observers of an attempt's single outcome."""
+        for observer in self.observers:
+            observer.ended(number, outcome, response, now)
 
     def finished(self, how: str, reason: str, why: api.Why | None, now: float) -> None:
-        """The one final answer is about to be written, or nobody waits for it any more."""
-        for follower in self.followers:
-            lines = follower.answered(how, reason, why, now)
+        """Notifies observers before the final answer is written, or when nobody waits for it any more."""
+        for observer in self.observers:
+            lines = observer.answered(how, reason, why, now)
             if lines:
                 self.request.answer_lines = lines
 
     def settled(self, now: float) -> None:
-        """Nothing of it is out or owed any more."""
-        for follower in self.followers:
-            follower.settled(now)
-        self.followers = NOBODY
-        self.attempts = []  # guards against memory that waits for the collector: they hold it in turn
+        """Notifies observers that the request is answered and no attempt is in flight."""
+        for observer in self.observers:
+            observer.settled(now)
+        self.observers = NO_OBSERVERS
+        # Breaks the reference cycle with the attempts, so that memory is freed without the collector.
+        self.attempts = []
 
 
 class AttemptOwner(Protocol):
-    """Who sends attempts, and is told how each has ended."""
+    """Sends attempts, and is notified of their outcomes."""
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, response: Response | None) -> None:
-        """An attempt is over; `response`: what came, where anything did."""
+        """Handles the end of an attempt; `response` is the answer, if any came."""
 
 
 class Attempt(UpstreamRequest):
@@ -116,5 +117,5 @@
         self.streams = exchange.streams()
 
     def ended(self, outcome: api.Outcome, response: Response | None) -> None:
-        """Pass the outcome on."""
+        """Passes the outcome to the driver."""
         self.driver.attempt_ended(self, outcome, response)
--- a/honeywharf/core/probes.py
+++ b/honeywharf/core/probes.py
@@ -1,4 +1,4 @@
-"""Health checks of backends that the decision module asks for, each bounded in time."""
+"""Health checks of backends on behalf of the decision module, each with a time-out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Probe(UpstreamRequest):
-    """A health check of a backend."""
+    """One health check of a backend."""
 
     __slots__ = ("live", "probes", "sent_ms", "timer")
 
@@ -22,43 +22,52 @@
         self.timer: Timer | None = None
 
     def ended(self, outcome: api.Outcome, response: Response | None) -> None:
-        """Pass the finding on."""
+        """Passes the result on."""
         self.probes.ended(self, outcome, response)
 
 
 class Probes:
-    """Those of one driver. `feed` takes what was found, `read` a load report as the settings order it."""
+    """The health checks of one driver.
 
-    __slots__ = ("clock", "feed", "loop", "read", "transport")
+    `enqueue` takes the results as events; `parse_report` parses a load report in the order of the settings.
+    """
+
+    __slots__ = ("clock", "enqueue", "loop", "parse_report", "transport")
 
     def __init__(
         self,
         transport: Transport,
         loop: Loop,
         clock: Clock,
-        feed: Callable[[api.Event], None],
-        read: Callable[[bytes | None], tuple[float, ...] | None],
+        enqueue: Callable[[api.Event], None],
+        parse_report: Callable[[bytes | None], tuple[float, ...] | None],
     ) -> None:
-        self.transport, self.loop, self.clock, self.feed, self.read = transport, loop, clock, feed, read
+        self.transport, self.loop, self.clock, self.enqueue, self.parse_report = (
+            transport,
+            loop,
+            clock,
+            enqueue,
+            parse_report,
+        )
 
     def start(self, endpoint: str, reports: bool) -> None:
-        """Check on an endpoint. `reports`: its load is asked for too."""
+        """Starts a health check of an endpoint; `reports` asks for its load report too."""
         if not self.transport.known(endpoint):
-            self.feed(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0.0))
+            self.enqueue(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0.0))
             return
         probe = Probe(self, endpoint, self.clock.now(), reports)
         probe.timer = self.loop.call_later(PROBE_TIMEOUT_MS / 1000.0, self._time_out, probe)
         self.transport.start(probe)
 
     def ended(self, probe: Probe, outcome: api.Outcome, response: Response | None) -> None:
-        """Tell the module what a probe found."""
+        """Reports the result of a health check to the decision module."""
         if not probe.live:
             return
         probe.live = False
         if probe.timer is not None:
             probe.timer.cancel()
-        report = self.read(response.load or response.body) if response is not None else None
-        self.feed(api.ProbeEnded(probe.endpoint, outcome, self.clock.now() - probe.sent_ms, report))
+        report = self.parse_report(response.load or response.body) if response is not None else None
+        self.enqueue(api.ProbeEnded(probe.endpoint, outcome, self.clock.now() - probe.sent_ms, report))
 
     def _time_out(self, probe: Probe) -> None:
         if probe.live:
--- a/honeywharf/core/transport.py
+++ b/honeywharf/core/transport.py
@@ -1,4 +1,4 @@
-"""What the driver stands between: clock and loop, callers, transports, discovery, the decision module."""
+"""The interfaces around the driver: clock, event loop, clients, transports, discovery, decision module."""
 
 from __future__ import annotations
 
@@ -16,68 +16,67 @@
 Address = tuple[str, int]
 
 
-Sink = Callable[[str, str, str, Mapping[str, object]], None]  # level, event, words, fields
-_sinks: list[Sink] = []  # one at most: where lines go in place of standard error
+Sink = Callable[[str, str, str, Mapping[str, object]], None]  # level, event, message, fields
+_sink: list[Sink] = []  # at most one; replaces standard error
 
 
-def log(words: str, event: str, level: str = "info", fields: Mapping[str, object] | None = None) -> None:
-    """A line for the operator.
+def log(message: str, event: str, level: str = "info", fields: Mapping[str, object] | None = None) -> None:
+    """Logs a line for the operator.
 
-    `event` is one of `honeywharf.logs.EVENTS`, `fields` what the words say, for those who read by machine.
+    `event` is one of `honeywharf.logs.EVENTS`; `fields` holds the values in the message for structured logs.
     """
-    if _sinks:
-        _sinks[0](level, event, words, fields or {})
+    if _sink:
+        _sink[0](level, event, message, fields or {})
     else:
-        print(words, file=sys.stderr, flush=True)
+        print(message, file=sys.stderr, flush=True)
 
 
-def log_through(sink: Sink | None) -> None:
-    """Let lines go there; None for plain words on standard error."""
-    _sinks[:] = [sink] if sink is not None else []
+def set_log_sink(sink: Sink | None) -> None:
+    """Sends log lines to a sink; None restores plain text on standard error."""
+    _sink[:] = [sink] if sink is not None else []
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class Clock:
-    """Wall-clock time at the start plus the monotonic time since, in ms: it never goes back.
+    """Wall-clock time at the start plus the monotonic time since then, in ms; it never goes back.
 
-    Guards against comparing `startedAtMs`, which is Unix time, with a clock of another origin, or one that
-    somebody sets.
+    `startedAtMs` is Unix time, so it is not comparable with a clock of another origin or one that is set.
     """
 
     def __init__(self) -> None:
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now(self) -> float:
-        """Milliseconds of Unix time."""
+        """Returns Unix time in ms."""
         return self._offset_ms + time.monotonic() * 1000.0
 
     def at(self, monotonic_s: float) -> float:
-        """A time of the monotonic clock in milliseconds of Unix time."""
+        """Converts a time of the monotonic clock in s to Unix time in ms."""
         return self._offset_ms + monotonic_s * 1000.0
 
 
 class Timer(Protocol):
-    """What the event loop gives for a callback that is to come."""
+    """A callback that the event loop has scheduled."""
 
     def cancel(self) -> None:
-        """Take the callback back."""
+        """Cancels the callback."""
 
 
 class Loop(Protocol):
-    """The part of the event loop that the driver needs."""
+    """The part of the event loop that the driver uses."""
 
     def time(self) -> float:
-        """When the loop's present turn began to carry callbacks out, in s of the monotonic clock."""
+        """Returns when the current turn began to run callbacks, in s of the monotonic clock."""
 
     def call_soon(self, callback: Callable[..., object], *args: object) -> object:
-        """Call back in the loop's next turn."""
+        """Schedules a callback for the next turn of the loop."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: object) -> Timer:
-        """Call back after so many seconds."""
+        """Schedules a callback after a delay in s."""
 
 
 class Caller(Protocol):
-    """Where a request came from and its one final answer goes."""
+    """The client side of one request, which receives its single final answer."""
 
     def answer(
         self,
@@ -87,21 +86,21 @@
         retry_after_ms: float = 0.0,
         kind: bytes = b"",
     ) -> None:
-        """Write the final answer."""
+        """Writes the final answer."""
 
 
 class StreamingCaller(Protocol):
-    """A caller whose request says that it `streams`."""
+    """A caller whose request has `streams` set."""
 
     def pass_on(self, pipe: Pipe, kind: bytes) -> None:
-        """Write the head of a final answer that serves, and its body as it arrives."""
+        """Writes the head of a successful answer at once, and its body as it arrives."""
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class UpstreamRequest:
-    """A request on its way to a node and back. The transport calls `ended` once, unless it is aborted.
+    """A request to a backend. The transport calls `ended` exactly once, unless the request is aborted.
 
-    Without a request it is a health check, which asks for the node's report of load where `report` says so.
+    Without a client's request it is a health check; `report` asks for the backend's load report.
     """
 
     __slots__ = ("connection", "endpoint", "lines", "opening", "report", "request", "streams", "until_ms")
@@ -117,62 +116,62 @@
         self.endpoint, self.request, self.until_ms, self.report = endpoint, request, until_ms, report
         self.connection: object = None
         self.opening = False
-        self.lines = b""  # header lines that go with it alone
-        self.streams = False  # whether a long answer may be passed on as it arrives
+        self.lines = b""  # header lines of this attempt only
+        self.streams = False  # whether a long answer may be streamed
 
     def ended(self, outcome: api.Outcome, response: Response | None) -> None:
-        """What came of it."""
+        """Handles the outcome and the answer, if any came."""
         raise NotImplementedError
 
 
 class Transport(Protocol):
-    """The way to the backends."""
+    """Sends requests to backends."""
 
     def known(self, endpoint: str) -> bool:
-        """Whether a list has named the endpoint."""
+        """Whether a list from discovery has named the endpoint."""
 
     def start(self, call: UpstreamRequest) -> None:
-        """Carry the call; its end comes later, never from within."""
+        """Sends the request; `ended` is called later, never from within this call."""
 
     def abort(self, call: UpstreamRequest) -> None:
-        """Give the call up: its connection closes, and no end is told."""
+        """Aborts the request: its connection is closed, and `ended` is not called."""
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the idle connections to an endpoint."""
+        """Closes the idle connections to an endpoint."""
 
 
 class AddressBook(Protocol):
-    """Who is told where endpoints are."""
+    """Receives the addresses of endpoints."""
 
     def name(self, endpoint: str, address: Address, started_ms: float | None, *, open_for_work: bool) -> None:
-        """Take over an endpoint's address."""
+        """Sets the address of an endpoint."""
 
     def forget(self, endpoint: str) -> None:
-        """The endpoint is gone: nothing can be sent there any more."""
+        """Removes an endpoint that is gone; nothing can be sent there any more."""
 
 
 class Registry(Protocol):
-    """Where lists of endpoints come from."""
+    """The source of endpoint lists."""
 
     def watch(self) -> None:
-        """Ask for changes from now on."""
+        """Starts to watch for changes."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Fetches the full list once."""
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     """The decision module."""
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Take one event; what to do, in order."""
+        """Handles one event. Returns the actions to carry out, in order."""
 
 
 def address(text: object) -> Address:
-    """A `host:port` as a pair; ValueError where it is none."""
+    """Parses `host:port`. ValueError if the text is not of that form."""
     if not isinstance(text, str):
-        raise ValueError(f"an address is wanted, not {text!r}")
+        raise ValueError(f"address: expected host:port, got {text!r}")
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"an address is host:port, not {text!r}")
+        raise ValueError(f"address: expected host:port, got {text!r}")
     return host.strip("[]"), int(port)
--- a/honeywharf/core/turns.py
+++ b/honeywharf/core/turns.py
@@ -1,49 +1,66 @@
-"""The loop's turns: how late this proxy itself is, by the clock alone.
+"""Measures how late this proxy reads its input, from the start and end of each turn of the event loop.
 
-Guards against taking its own lateness for a zone's: while it is busy, an answer that came in the last turn is
-read in this one, behind others.
+Guards against attributing the proxy's own lateness to a zone: while the proxy is busy, an answer that arrives
+during one turn is read in the next one, behind other input.
 """
 
 from __future__ import annotations
 
 from honeywharf.core.transport import Clock
 
-LOOP_MS = 100.0  # how often the module is told of the loop's turns: of the shortest in that time
-BUSY_MS = 0.5  # a wait for I/O shorter than that is none: the loop knows its own time by the ms only
-NOTHING = -1.0
+REPORT_INTERVAL_MS = 100.0  # how often the shortest turn since the last report is reported
+MIN_IO_WAIT_MS = 0.5  # Shorter waits for I/O count as none, because the loop's time has a resolution of 1 ms.
+NOTHING_TO_REPORT = -1.0
 
 
-class Turns:
-    """When turns began and ended. Times are ms of the proxy's clock, but for the loop's own, in seconds."""
+class LoopTurns:
+    """Start and end of the loop's turns. Times are ms of the proxy's clock, except the loop's own in s."""
 
-    __slots__ = ("began_ms", "blind_ms", "clock", "least_ms", "marked", "tell_ms", "waits_ms")
+    __slots__ = (
+        "clock",
+        "earliest_arrival_ms",
+        "had_arrival",
+        "io_wait_began_ms",
+        "next_report_ms",
+        "shortest_turn_ms",
+        "turn_began_ms",
+    )
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.began_ms = 0.0  # this turn
-        self.blind_ms = 0.0  # since then, what came in may have waited for this proxy
-        self.waits_ms = 0.0  # when the loop last went to wait for I/O
-        self.tell_ms = 0.0  # when the shortest turn is told next
-        self.least_ms = float("inf")  # since it was told
-        self.marked = False  # whether anything came in this turn
-
-    def came(self, turn_s: float) -> float:
-        """Something came in, in the loop's turn that began at `turn_s`: since when it may have waited."""
+        self.turn_began_ms = 0.0  # start of the current turn
+        self.earliest_arrival_ms = 0.0  # earliest arrival of the input of this turn
+        self.io_wait_began_ms = 0.0  # end of the previous turn
+        self.next_report_ms = 0.0  # when the next report is due
+        self.shortest_turn_ms = float("inf")  # since the last report
+        self.had_arrival = False  # whether there was input in this turn
+
+    def note_arrival(self, turn_s: float) -> float:
+        """Notes input in the turn that began at `turn_s`. Returns the earliest possible arrival, in ms."""
         turn = self.clock.at(turn_s)
-        if turn != self.began_ms:
-            busy = turn - self.waits_ms < BUSY_MS
-            self.blind_ms, self.began_ms = self.began_ms if busy else turn, turn
-        self.marked = True
-        return self.blind_ms
-
-    def turned(self) -> float:
-        """The loop is about to wait for I/O: the shortest turn where the module is to be told, else -1."""
-        before, self.waits_ms = self.waits_ms, self.clock.now()
-        if not self.marked:
-            return NOTHING  # nothing that counts came in this turn: its start is not known
-        self.marked = False
-        self.least_ms = min(self.least_ms, self.waits_ms - max(before, self.began_ms))
-        if self.waits_ms < self.tell_ms:
-            return NOTHING
-        self.tell_ms, least, self.least_ms = self.waits_ms + LOOP_MS, self.least_ms, float("inf")
+        if turn != self.turn_began_ms:
+            busy = turn - self.io_wait_began_ms < MIN_IO_WAIT_MS
+            self.earliest_arrival_ms, self.turn_began_ms = (
+                self.turn_began_ms if busy else turn,
+                turn,
+            )
+        self.had_arrival = True
+        return self.earliest_arrival_ms
+
+    def turn_ended(self) -> float:
+        """Notes the end of a turn. Returns the shortest turn in ms when a report is due, otherwise -1."""
+        before, self.io_wait_began_ms = self.io_wait_began_ms, self.clock.now()
+        if not self.had_arrival:
+            return NOTHING_TO_REPORT  # without input the start of the turn is not known
+        self.had_arrival = False
+        self.shortest_turn_ms = min(
+            self.shortest_turn_ms, self.io_wait_began_ms - max(before, self.turn_began_ms)
+        )
+        if self.io_wait_began_ms < self.next_report_ms:
+            return NOTHING_TO_REPORT
+        self.next_report_ms, least, self.shortest_turn_ms = (
+            self.io_wait_began_ms + REPORT_INTERVAL_MS,
+            self.shortest_turn_ms,
+            float("inf"),
+        )
         return least
--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from honeywharf.core.parts import Part
+from honeywharf.core.components import Component
 from honeywharf.core.transport import Address, Clock, log
 from honeywharf.handover import knowledge, state
 from honeywharf.handover.link import Desk
@@ -45,7 +45,7 @@
         """Take a list over; the event for the module."""
 
 
-class Handover(Part):
+class Handover(Component):
     """What is taken from the process before, and given to the one after."""
 
     def __init__(
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from honeywharf.codecs import http1
-from honeywharf.core.messages import WHOLE_ANSWER
+from honeywharf.core.messages import MAX_BUFFERED_ANSWER
 from honeywharf.core.transport import Address, Clock, UpstreamRequest
 from honeywharf.flow.account import Account
 from honeywharf.flow.pipe import Pipe
@@ -163,7 +163,7 @@
             left = http1.time_left(
                 until - self.pool.clock.now() if until < INFINITY else request.left_ms or 0.0
             )
-            self.reader.whole_most = WHOLE_ANSWER if call.streams else 0
+            self.reader.whole_most = MAX_BUFFERED_ANSWER if call.streams else 0
             self.transport.write(
                 b"%b%b%b\r\n%b" % (http1.head_of(request, host), left, call.lines, request.body)
             )
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -10,7 +10,7 @@
 
 from honeywharf.codecs import http1
 from honeywharf.core.driver import Driver
-from honeywharf.core.messages import MAX_BUFFERED_BODY, Status, is_call
+from honeywharf.core.messages import MAX_BUFFERED_BODY, Status, is_forwarded_path
 from honeywharf.core.transport import Address, Clock
 from honeywharf.flow.account import Account
 from honeywharf.flow.pace import HEAD_MS, MIN_PER_S, STALL_MS, Pace
@@ -170,7 +170,7 @@
         """What comes is no body: whoever has part of it learns that the rest never will."""
         pipe, request = self.coming, self.current
         if pipe is not None and request is not None and request.pipe is pipe:
-            self.front.driver.gone(request)
+            self.front.driver.client_disconnected(request)
             self.reject(400)
         elif pipe is not None:
             self._arrived()
@@ -211,7 +211,7 @@
         request = self.current
         self.reject(400)
         if request is not None:
-            self.front.driver.gone(request)
+            self.front.driver.client_disconnected(request)
 
     def _next(self) -> None:
         if self.waiting:
@@ -309,7 +309,7 @@
         """The caller's body comes so slowly that it is given up; what was sent on of it never ran."""
         request = self.current
         if request is not None and request.pipe is self.coming:
-            self.front.driver.gone(request)
+            self.front.driver.client_disconnected(request)
         self.reject(408)
 
     def cut_off(self) -> None:
@@ -466,7 +466,9 @@
         """The caller has gone; so has its request, if it was not answered."""
         request = self.current
         if request is not None:
-            self.front.driver.gone(request)  # before its body breaks off: that is no end of its attempt
+            self.front.driver.client_disconnected(
+                request
+            )  # before its body breaks off: that is no end of its attempt
         self._arrived()
         self._stop()
         self.front.left(self)
@@ -531,8 +533,8 @@
     def joined(self, connection: Connection) -> None:
         """A caller has connected. Beyond the bound the one least likely to be missed has to go."""
         self.connections.add(connection)
-        if self.driver.seams.storms:
-            self.driver.seams.connected += 1
+        if self.driver.hooks.storm_control:
+            self.driver.hooks.new_connections += 1
         if len(self.connections) > self.most and not self._make_room():
             connection.reject(REFUSED)
             if len(self.connections) > self.most + MAX_TURNED_AWAY:
@@ -591,11 +593,11 @@
         """Answer what the proxy answers by itself; give the rest to the driver."""
         if request.target.partition(b"?")[0] == READY and request.method == b"GET":
             connection.reply(200 if self.ready() else REFUSED)
-        elif not is_call(request.target):
+        elif not is_forwarded_path(request.target):
             connection.reply(404)
         elif self.refusing or (request.pipe is not None and not request.pipe.place and not request.pipe.over):
             connection.reply(REFUSED)  # nothing has run; of a long body there is no place for, too
-        elif self.driver.offer(request, connection) is not None:
+        elif self.driver.submit(request, connection) is not None:
             connection.reject(400)
 
     def ready(self) -> bool:
--- a/honeywharf/logs.py
+++ b/honeywharf/logs.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from honeywharf.core.transport import log_through
+from honeywharf.core.transport import set_log_sink
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Log as Features
@@ -69,4 +69,4 @@
             }
             made.info(event, level=level, message=words, proxy=name, **more)
 
-    log_through(sink)
+    set_log_sink(sink)
--- a/honeywharf/metrics/__init__.py
+++ b/honeywharf/metrics/__init__.py
@@ -15,13 +15,13 @@
 from typing import TYPE_CHECKING, Any
 
 from honeywharf.admin import views
-from honeywharf.core.parts import Ask, Part
+from honeywharf.core.components import Component, OperatorCommand
 from honeywharf.core.transport import Address, address
 from honeywharf.metrics.durations import Answers
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Metrics as Features
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 __all__ = ["MetricsPart", "attach"]
 
@@ -30,10 +30,10 @@
 MAX_HEAD = 8 * 1024
 
 
-class MetricsPart(Part):
+class MetricsPart(Component):
     """The figures, and the port where they are scraped, if one is given."""
 
-    def __init__(self, proxy: Assembly, at: Address | None) -> None:
+    def __init__(self, proxy: ProxyContext, at: Address | None) -> None:
         from honeywharf import VERSION
         from honeywharf.metrics.families import Families
 
@@ -43,12 +43,12 @@
         )
         self.server: asyncio.Server | None = None
         self.open = self.scraped = self.cut = 0
-        proxy.driver.seams.answers.append(self.answers.answered)
+        proxy.driver.hooks.answer_callbacks.append(self.answers.answered)
 
     def _status(self) -> dict[str, Any]:
         return {
             **views.status(self.proxy.balancer),
-            "open": self.proxy.driver.open,
+            "open": self.proxy.driver.open_requests,
             "ready": self.proxy.front.ready(),
         }
 
@@ -70,7 +70,7 @@
         """Scrapes, and those cut for want of room."""
         return {"metrics:scraped": self.scraped, "metrics:cut": self.cut} if self.at is not None else {}
 
-    def asks(self) -> dict[str, Ask]:
+    def operator_commands(self) -> dict[str, OperatorCommand]:
         """The text that is scraped, and a line for each exemplar."""
         return {"metrics": lambda _: {"text": self.text().decode()}}
 
@@ -107,7 +107,7 @@
         ).encode() + body
 
 
-def attach(proxy: Assembly, features: Features) -> MetricsPart:
+def attach(proxy: ProxyContext, features: Features) -> MetricsPart:
     """Count answers' times, and show all that is counted; ValueError where that can't be."""
     at = address(features.listen) if features.listen else None
     if at is not None and not _loopback(at[0]):
--- a/honeywharf/metrics/durations.py
+++ b/honeywharf/metrics/durations.py
@@ -10,7 +10,7 @@
 
 from bisect import bisect_left
 
-from honeywharf.core.messages import Traced
+from honeywharf.core.messages import RequestTrace
 
 #: Upper bounds in s: the client's whole deadline of 5 s, and the aim of 2 s, are bounds of their own.
 BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
@@ -35,7 +35,9 @@
         self.series: dict[tuple[str, str], Durations] = {}
         self.left_out = 0  # beyond the bound on series
 
-    def answered(self, cls: str, how: str, took_ms: float, now_ms: float, traced: Traced | None) -> None:
+    def answered(
+        self, cls: str, how: str, took_ms: float, now_ms: float, traced: RequestTrace | None
+    ) -> None:
         """One final answer of class `cls`, ended so, `took_ms` after its request had come."""
         found = self.series.get((cls, how))
         if found is None:
--- a/honeywharf/orderkeys/__init__.py
+++ b/honeywharf/orderkeys/__init__.py
@@ -1,20 +1,21 @@
-"""Idempotency keys at the edge: no key's effect twice while it is known here.
+"""Deduplication by idempotency key: no key's effect happens twice while the key is known.
 
-Theory of operation. A key is known by tenant, class and the value of `Idempotency-Key` (draft-ietf-httpapi-
-idempotency-key-header); the same value from another tenant or in another class is another key. `table` holds
-what is known of each key, in one of three states, and is all rules: no clock, no socket.
+Theory of operation. A key is identified by tenant, class and the value of `Idempotency-Key`
+(draft-ietf-httpapi-idempotency-key-header); the same value from another tenant or in another class is another
+key. `table` holds the keys and the rules for their three states, without a clock or sockets.
 
 - running: a request holds the claim. A repeat joins it.
-- done: the effect has happened once, and its answer is kept (or, where it is long, its digest).
-- uncertain: no answer came, and an attempt may have run: where and when it was sent is kept.
+- done: the effect has happened once, and its answer is kept (or the digest of a long answer).
+- uncertain: no answer came and an attempt may have run; where and when it was sent is kept.
 
-`edge` stands between the callers' connections and the driver: it claims a key before anything is sent, joins
-repeats, and gives a claim back once nothing of the request is out. A repeat of an uncertain key is a new
-request to the decision module, which is told of the earlier attempt and holds the rules on cells and windows
-for both as if they were one.
+`deduplicator` stands between the clients' connections and the driver: it claims a key before anything is
+sent, joins repeats, and releases the claim once no attempt of the request is in flight. A repeat of an
+uncertain key is a new request to the decision module, which is told of the earlier attempt and applies its
+rules on cells and windows to both as if they were one request.
 
-Keys that proxies share lie in Redis: `scripts` has the rules as it carries them out, `shared` one proxy's
-side of them (claims asked for, ends owed, the breaker), without I/O as well, and `redis` the connection.
+Keys that proxies share are stored in Redis: `scripts` has the rules as Redis executes them, `shared_store`
+one proxy's side of the protocol without I/O (claims, unconfirmed ends, circuit breaker), and `redis` the
+connection.
 """
 
 from __future__ import annotations
@@ -22,45 +23,53 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from honeywharf.core.parts import Ask, Part
+from honeywharf.core.components import Component, OperatorCommand
 
 if TYPE_CHECKING:
     from honeywharf.config.features import OrderKeys
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 
-class KeysPart(Part):
-    """The keys of one proxy, for those who ask."""
+class OrderKeysComponent(Component):
+    """The operators' access to one proxy's keys."""
 
-    def __init__(self, proxy: Assembly, features: OrderKeys) -> None:
-        from honeywharf.orderkeys.edge import Edge
-        from honeywharf.orderkeys.views import Views
+    def __init__(self, proxy: ProxyContext, features: OrderKeys) -> None:
+        from honeywharf.orderkeys.deduplicator import KeyDeduplicator
+        from honeywharf.orderkeys.operator_commands import KeyCommands
 
-        assert isinstance(proxy.driver.seams.joins, Edge)
-        self.edge, self.driver, self.features = proxy.driver.seams.joins, proxy.driver, features
-        self.views = Views(proxy.driver.seams.joins, proxy.loop)
+        assert isinstance(proxy.driver.hooks.request_deduplicator, KeyDeduplicator)
+        self.deduplicator, self.driver, self.features = (
+            proxy.driver.hooks.request_deduplicator,
+            proxy.driver,
+            features,
+        )
+        self.key_commands = KeyCommands(proxy.driver.hooks.request_deduplicator, proxy.loop)
 
-    def retuned(self) -> None:
-        """How long a key is known goes by the classes; those of a class that went are known as before."""
-        from honeywharf.orderkeys.edge import kept_ms
+    def settings_changed(self) -> None:
+        """Updates how long keys are kept for each class; classes that were removed keep their value."""
+        from honeywharf.orderkeys.deduplicator import keep_times_ms
 
-        self.edge.keep_ms = {**self.edge.keep_ms, **kept_ms(self.driver.settings, self.features)}
+        self.deduplicator.keep_ms = {
+            **self.deduplicator.keep_ms,
+            **keep_times_ms(self.driver.settings, self.features),
+        }
 
-    def asks(self) -> Mapping[str, Ask]:
-        """What is known of a key, and having it forgotten."""
-        return self.views.asks()
+    def operator_commands(self) -> Mapping[str, OperatorCommand]:
+        """Returns the commands that show a key and remove it."""
+        return self.key_commands.operator_commands()
 
 
-def attach(proxy: Assembly, features: OrderKeys) -> Part:
-    """The edge that the file of features asks for, before the proxy's driver; ValueError where the classes
-    don't fit it.
+def attach(proxy: ProxyContext, features: OrderKeys) -> Component:
+    """Installs the deduplicator that the features file configures.
+
+    ValueError if its times do not fit the classes.
     """
     if features.store == "redis":
         from honeywharf.orderkeys import redis
 
-        proxy.driver.seams.joins = redis.make(proxy.driver, features, proxy.loop)
+        proxy.driver.hooks.request_deduplicator = redis.make(proxy.driver, features, proxy.loop)
     else:
-        from honeywharf.orderkeys import edge
+        from honeywharf.orderkeys import deduplicator
 
-        proxy.driver.seams.joins = edge.make(proxy.driver, features)
-    return KeysPart(proxy, features)
+        proxy.driver.hooks.request_deduplicator = deduplicator.make(proxy.driver, features)
+    return OrderKeysComponent(proxy, features)
--- a/honeywharf/orderkeys/redis.py
+++ b/honeywharf/orderkeys/redis.py
@@ -1,7 +1,6 @@
-"""The connection to the Redis that proxies share keys in: sockets and timers round `shared`.
+"""The connection to the Redis server in which proxies share keys: sockets and timers for `shared_store`.
 
-Speaks RESP3 with hiredis, whose parser is the C one of Redis's own client; commands are written as they come
-and never waited for one by one.
+Speaks RESP3 with hiredis, the C parser of Redis's own client. Commands are pipelined.
 """
 
 from __future__ import annotations
@@ -20,8 +19,8 @@
 from honeywharf.core.driver import Driver
 from honeywharf.core.transport import log
 from honeywharf.orderkeys import scripts
-from honeywharf.orderkeys.edge import Edge, kept_ms, table_of
-from honeywharf.orderkeys.shared import Rules, Shared
+from honeywharf.orderkeys.deduplicator import KeyDeduplicator, keep_times_ms, make_table
+from honeywharf.orderkeys.shared_store import SharedStore, StoreRules
 
 if TYPE_CHECKING:
     from honeywharf.config.features import OrderKeys
@@ -35,14 +34,14 @@
     "forget": scripts.FORGET,
 }
 DIGESTS = {name: sha1(text.encode(), usedforsecurity=False).hexdigest() for name, text in SCRIPTS.items()}
-CONNECT_S = 1.0  # for a connection, and for the store to be opened on it
-RETRY_S, RETRY_MOST_S = 0.05, 1.0
+CONNECT_S = 1.0  # time limit for the connection, and for opening the store on it
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0
 
 
 def address_of(url: str) -> tuple[str, str, int, bool, int]:
-    """`redis[s]://[user@]host:port[/db]` or `unix://path`: path, host, port, whether TLS, database.
+    """Parses `redis[s]://[user@]host:port[/db]` or `unix://path`.
 
-    ValueError names what is wrong.
+    Returns path, host, port, whether to use TLS, and the database. ValueError describes what is wrong.
     """
     parts = urlsplit(url)
     try:
@@ -60,24 +59,24 @@
         or parts.password is not None
     ):
         raise ValueError(
-            f"order_keys.redis.url: found {url!r}, wanted redis://[user@]host:port[/db], rediss://... or"
-            " unix://path; the password goes into a file, password_file"
+            "order_keys.redis.url: expected redis://[user@]host:port[/db], rediss://... or unix://path with"
+            f" the password in password_file, got {url!r}"
         )
     return "", parts.hostname, port, parts.scheme == "rediss", int(database)
 
 
 class Connection(asyncio.Protocol):
-    """One connection."""
+    """One connection to the Redis server."""
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: RedisLink) -> None:
         self.store = store
         self.reader = hiredis.Reader()
         self.transport: asyncio.WriteTransport | None = None
-        self.expects = 0  # replies to what opens the store; the last is the script's
+        self.pending_replies = 0  # replies until the store is open; the last one is the script's
         self.open = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet, subscribe, load the scripts, open the store, in one write."""
+        """Authenticates, loads the scripts, opens the store and subscribes, in one write."""
         self.transport = made = cast("asyncio.WriteTransport", transport)
         store, shared = self.store, self.store.shared
         hello = ("HELLO", "3", *(("AUTH", store.user, store.password()) if store.password_file else ()))
@@ -96,19 +95,19 @@
                 "durable" if rules.durable else "",
             )
         )
-        self.expects = len(first)
-        subscribe = ("SUBSCRIBE", f"{store.prefix}:p:{shared.proxy}")  # told by a push, not by a reply
+        self.pending_replies = len(first)
+        subscribe = ("SUBSCRIBE", f"{store.prefix}:p:{shared.proxy}")  # confirmed by a push, not by a reply
         made.write(b"".join(map(hiredis.pack_command, [*first, subscribe])))
 
     def data_received(self, data: bytes) -> None:
-        """Take replies and pushes."""
+        """Parses replies and pushed messages."""
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
                 self._take(reply)
         except (hiredis.ProtocolError, ValueError, IndexError, TypeError, AssertionError) as fault:
-            # Guards against a peer that is not Redis, or not one that this build knows.
-            self.store.lost(self, f"strange reply: {type(fault).__name__}: {fault}")
+            # Guards against a peer that is not Redis, or an incompatible version.
+            self.store.lost(self, f"unexpected reply: {type(fault).__name__}: {fault}")
 
     def _take(self, reply: Any) -> None:
         store = self.store
@@ -116,7 +115,7 @@
             return
         if isinstance(reply, hiredis.PushNotification):
             if reply[0] == b"message":
-                store.shared.pushed(reply[2])
+                store.shared.key_settled(reply[2])
             return
         fault = str(reply) if isinstance(reply, hiredis.ReplyError) else ""
         if self.open:
@@ -124,24 +123,24 @@
             if fault and not fault.startswith("OOM"):
                 store.lost(self, fault)
             return
-        self.expects -= 1
+        self.pending_replies -= 1
         if fault:
             store.lost(self, fault)
-        elif not self.expects:
+        elif not self.pending_replies:
             self.open = True
-            wrong = store.shared.opened(float(reply[1]), reply[2].decode())
-            if wrong:
-                store.lost(self, wrong)
+            error = store.shared.opened(float(reply[1]), reply[2].decode())
+            if error:
+                store.lost(self, error)
             else:
                 store.opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other side has closed."""
+        """Handles a connection that the peer closed."""
         self.store.lost(self, str(exc) if exc else "the store closed the connection")
 
 
-class Store:
-    """The link to the store: there while it can be, made anew where it is lost."""
+class RedisLink:
+    """The link to the store, which reconnects when the connection is lost."""
 
     def __init__(
         self,
@@ -149,7 +148,7 @@
         url: str,
         password_file: str,
         prefix: str,
-        rules: Rules,
+        rules: StoreRules,
         clock: Callable[[], float],
         count: Callable[[str], None],
     ) -> None:
@@ -157,28 +156,28 @@
         self.user, self.password_file = urlsplit(url).username or "default", password_file
         self.prefix = prefix
         self.loop, self.clock = loop, clock
-        self.shared = Shared(rules, self, clock, self._notice, count)
-        self.edge: Edge | None = None
+        self.shared = SharedStore(rules, self, clock, self._retry_key, count)
+        self.deduplicator: KeyDeduplicator | None = None
         self.connection: Connection | None = None
-        self.retry_s = RETRY_S
+        self.retry_delay_s = MIN_RETRY_DELAY_S
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
-        self.told = ""  # the fault that the operator was told last
+        self.last_fault = ""  # the last fault that was logged
 
-    def _notice(self, name: bytes) -> None:
-        if self.edge is not None:
-            self.edge.noticed(name)
+    def _retry_key(self, name: bytes) -> None:
+        if self.deduplicator is not None:
+            self.deduplicator.retry_key(name)
 
     def password(self) -> str:
-        """The password as the file has it now; empty where it can't be read."""
+        """Reads the password from its file; empty if the file can't be read."""
         try:
             return Path(self.password_file).read_text("utf-8").strip()
         except (OSError, UnicodeDecodeError) as fault:
-            log(f"order keys: password_file: {fault}", "keys.password", "error")
+            log(f"order_keys.redis.password_file: {fault}", "keys.password", "error")
             return ""
 
     def start(self) -> None:
-        """Connect."""
+        """Connects to the store."""
         self.task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -198,79 +197,92 @@
         except (OSError, TimeoutError) as fault:
             self.lost(connection, f"no connection: {fault or type(fault).__name__}")
             return
-        self.loop.call_later(CONNECT_S, self._silent, connection)
+        self.loop.call_later(CONNECT_S, self._check_opened, connection)
 
-    def _silent(self, connection: Connection) -> None:
+    def _check_opened(self, connection: Connection) -> None:
         if not connection.open:
-            self.lost(connection, "no answer to the greeting")
+            self.lost(connection, "no reply to HELLO in time")
 
     def opened(self) -> None:
-        """The store can be asked."""
-        self.retry_s = RETRY_S
+        """Logs that the store is available."""
+        self.retry_delay_s = MIN_RETRY_DELAY_S
         log(
-            f"order keys: the shared store is there ({self.path or f'{self.host}:{self.port}'})",
+            f"order_keys: connected to the shared store ({self.path or f'{self.host}:{self.port}'})",
             "keys.store_there",
         )
-        self.told = ""
+        self.last_fault = ""
 
     def lost(self, connection: Connection, why: str) -> None:
-        """Give the connection up, and try again in a while, longer each time."""
+        """Gives the connection up and reconnects after a delay with exponential backoff."""
         if self.connection is not connection:
             return
         self.connection = None
         if connection.transport is not None:
             connection.transport.abort()
-        if why != self.told:
-            log(f"order keys: the shared store is away: {why}", "keys.store_away", "error")
-            self.told = why
+        if why != self.last_fault:
+            log(f"order_keys: the shared store is unavailable: {why}", "keys.store_away", "error")
+            self.last_fault = why
         self.shared.closed()
-        self.loop.call_later(random.uniform(0.5, 1.0) * self.retry_s, self.start)
-        self.retry_s = min(RETRY_MOST_S, 2.0 * self.retry_s)
+        self.loop.call_later(random.uniform(0.5, 1.0) * self.retry_delay_s, self.start)
+        self.retry_delay_s = min(MAX_RETRY_DELAY_S, 2.0 * self.retry_delay_s)
 
-    # What `shared` asks for.
+    # Calls of the shared store.
 
     def send(self, script: str, arguments: tuple[object, ...]) -> None:
-        """Write a call of a script."""
+        """Writes a call of a script."""
         connection = self.connection
         assert connection is not None
         assert connection.transport is not None
         command = ("EVALSHA", DIGESTS[script], 1, self.prefix, *arguments)
         connection.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]
         if script == "claim" and self.timer is None:
-            self.timer = self.loop.call_later(self.shared.rules.wait_ms / 1000.0, self._woken)
+            self.timer = self.loop.call_later(self.shared.rules.wait_ms / 1000.0, self._check_timeouts)
 
-    def _woken(self) -> None:
-        """Look after claims that have waited too long."""
+    def _check_timeouts(self) -> None:
+        """Lets claims time out that have waited too long."""
         self.timer = None
-        self.shared.woken()
-        due = self.shared.next_ms()
+        self.shared.check_timeouts()
+        due = self.shared.next_check_ms()
         if due < float("inf"):
-            self.timer = self.loop.call_later(max(0.0, due - self.clock()) / 1000.0 + 0.001, self._woken)
+            self.timer = self.loop.call_later(
+                max(0.0, due - self.clock()) / 1000.0 + 0.001, self._check_timeouts
+            )
 
     def reset(self) -> None:
-        """The store has been silent for too long on this connection."""
+        """Replaces a connection on which the store has been silent too long."""
         if self.connection is not None:
-            self.lost(self.connection, "silent")
+            self.lost(self.connection, "no reply in time")
+
 
+def make(driver: Driver, features: OrderKeys, loop: asyncio.AbstractEventLoop) -> KeyDeduplicator:
+    """Returns a deduplicator whose keys are shared by all proxies with this store and prefix.
 
-def make(driver: Driver, features: OrderKeys, loop: asyncio.AbstractEventLoop) -> Edge:
-    """An edge whose keys all proxies with this store and prefix share; ValueError where it doesn't fit."""
-    told = features.redis
-    rules = Rules(
+    ValueError if its times do not fit the classes.
+    """
+    redis_settings = features.redis
+    rules = StoreRules(
         features.entries,
         features.bytes,
         features.whole_answer_bytes,
-        told.wait_ms,
-        told.empty == "trust",
-        told.durable,
+        redis_settings.wait_ms,
+        redis_settings.empty == "trust",
+        redis_settings.durable,
+    )
+    store = RedisLink(
+        loop,
+        redis_settings.url,
+        redis_settings.password_file,
+        redis_settings.prefix,
+        rules,
+        driver.clock.now,
+        driver.count,
     )
-    store = Store(loop, told.url, told.password_file, told.prefix, rules, driver.clock.now, driver.count)
-    store.edge = Edge(
+    store.deduplicator = KeyDeduplicator(
         driver,
-        table_of(features),
-        kept_ms(driver.settings, features),
+        make_table(features),
+        keep_times_ms(driver.settings, features),
         store.shared,
         frozenset(features.alone),
     )
     loop.call_soon(store.start)
-    return store.edge
+    return store.deduplicator
--- a/honeywharf/orderkeys/scripts.py
+++ b/honeywharf/orderkeys/scripts.py
@@ -1,18 +1,19 @@
-"""The rules of a key as Redis 7 carries them out: scripts, each of them one atomic step.
+"""The rules for a shared key as scripts for Redis 7, each one an atomic step.
 
-All entries of a site lie under one prefix, `KEYS[1]`, on one primary (no cluster: the scripts name further
-keys themselves). Times are ms of Redis's own clock, so that proxies' clocks need not agree.
+All entries of a site are stored under one prefix, `KEYS[1]`, on one primary (not in a cluster, because the
+scripts construct further key names). Times are ms of Redis's own clock, so that proxies' clocks need not
+agree.
 
     {p}:k:{name}  an entry: s state (R running, D done, U uncertain), h holder, p payload, t tenant, x when
-                  its lease or its time ends, k how long it is kept, z c m the place (zone, cell, when), u 1
-                  where the place is that of an ended request (L: whose lease ran out), d digest of a long
-                  answer, b bytes counted
-    {p}:a:{name}  a done key's answer: its kind, a line's end, its body
+                  the lease or entry expires, k how long it is kept, z c m the place (zone, cell, time), u 1
+                  if the place is that of an ended request (L: whose lease expired), d digest of a long
+                  answer, b counted bytes
+    {p}:a:{name}  the answer of a done key: its media type, a newline, its body
     {p}:w:{name}  the proxies that wait for a running key
-    {p}:x         all names, by x: what is over is swept, a few with each claim
-    {p}:n         by tenant: keys that run or are uncertain
-    {p}:t         tenants by how many done keys they have, which {p}:d:{tenant} lists, the oldest first
-    {p}:meta      bytes held; birth: since when nothing has been lost; run: Redis's run id at that time
+    {p}:x         all names, sorted by x; each claim removes a few expired ones
+    {p}:n         number of running and uncertain keys by tenant
+    {p}:t         number of done keys by tenant; {p}:d:{tenant} lists them, the oldest first
+    {p}:meta      stored bytes; birth: since when no data has been lost; run: Redis's run id at that time
 """
 
 from __future__ import annotations
@@ -56,8 +57,8 @@
 end
 """
 
-# Arguments: `wait` where an empty store waits, `durable` where a restart loses nothing. Reply: now, and what
-# Redis does when its memory is full.
+# Opens the store. Arguments: `wait` if an empty store must not grant claims for a while, `durable` if a
+# restart loses no data. Reply: the time, and Redis's eviction policy.
 OPEN = (
     """#!lua flags=allow-oom
 """
@@ -75,9 +76,9 @@
 """
 )
 
-# Arguments: name, tenant, payload, holder, lease ms, keep ms, how long a new store waits, the proxy, the most
-# entries, the most bytes, bytes of an entry, the latest time at which the claim may be carried out, the most
-# proxies that wait for one key. Reply: the verdict, now, and what belongs to it.
+# Claims a key. Arguments: name, tenant, payload, holder, lease ms, keep ms, how long a new store waits, the
+# proxy, the limit on entries, the limit on bytes, bytes of an entry, the latest time for the claim, the limit
+# on proxies that wait for one key. Reply: the verdict, the time, and the verdict's data.
 CLAIM = (
     """#!lua
 """
@@ -143,8 +144,8 @@
 """
 )
 
-# Where an attempt is about to be sent. Arguments: name, holder, zone, cell, when at the earliest. Reply: 1
-# where the holder still has the key.
+# Notes where an attempt is about to be sent. Arguments: name, holder, zone, cell, earliest time. Reply: 1 if
+# the holder still has the key.
 NOTE = (
     """#!lua flags=allow-oom
 """
@@ -158,10 +159,9 @@
 """
 )
 
-# The end of a request. Arguments: name, holder, 'answer' or 'digest' or 'none', the answer or its digest,
-# zone ('' where nothing can have run), cell, when, keep ms, tenant, payload, bytes of an entry, the most
-# entries. Reply: 1 where the holder still had the key, or nobody has it any more and what happened is entered
-# again.
+# Ends a request. Arguments: name, holder, 'answer' or 'digest' or 'none', the answer or its digest, zone (''
+# if nothing can have run), cell, time, keep ms, tenant, payload, bytes of an entry, the limit on entries.
+# Reply: 1 if the holder still had the key, or if nobody has it any more and the end is stored again.
 END = (
     """#!lua flags=allow-oom
 """
@@ -209,8 +209,8 @@
 """
 )
 
-# What is known of a key, for an operator; of no name, how much is known in all. Reply: 'none', or the state,
-# how long it is still so, tenant, zone, cell, bytes and whether there is an answer; or counts and tenants.
+# Shows a key to an operator, or counts of all keys for an empty name. Reply: 'none'; or the state, how long
+# it lasts, tenant, zone, cell, bytes and whether there is an answer; or counts and tenants.
 SHOW = """#!lua flags=no-writes
 local P = KEYS[1]
 local clock = redis.call('TIME')
@@ -226,7 +226,7 @@
   redis.call('GET', P .. ':a:' .. ARGV[1]) and 1 or 0}
 """
 
-# An operator has a settled key forgotten. Reply: 1, or 0 where it is not known, or runs.
+# Removes a settled key for an operator. Reply: 1, or 0 if the key is unknown or running.
 FORGET = (
     """#!lua flags=allow-oom
 """
--- a/honeywharf/orderkeys/table.py
+++ b/honeywharf/orderkeys/table.py
@@ -1,8 +1,8 @@
-"""What is known of each idempotency key: its states, its bounds, who holds the claim. No I/O, no clock.
+"""The table of known idempotency keys: their states, limits and claims. No I/O, no clock.
 
-All times are ms on the caller's clock, which never goes back. A claim is held under a fence, a number that
-grows with each claim: what comes under an older one changes nothing (Lamport's fencing, as in Chubby's
-sequencers, Burrows 2006, section 2.4).
+All times are ms on the caller's clock, which never goes back. A claim is held under a fencing token that
+grows with each claim: calls with an older token change nothing (Lamport's fencing, as in Chubby's sequencers,
+Burrows 2006, section 2.4).
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from honeywharf.policy import interface as api
 
-ENTRY_BYTES = 700  # that a key takes besides its answer's body, with its places in the tables; measured
-PINNED_PART = 0.5  # of all entries that one tenant may hold as running or uncertain: the rest is for others
+ENTRY_BYTES = 700  # memory of a key with its places in the tables, without its answer's body
+MAX_UNSETTLED_SHARE = 0.5  # of all entries, the share one tenant may hold as running or uncertain
 
 
 class State(Enum):
-    """What is known of a key."""
+    """The state of a known key."""
 
     RUNNING = "running"
     DONE = "done"
@@ -27,24 +27,24 @@
 
 
 class Verdict(Enum):
-    """What is to be done with a request."""
+    """How to handle a request with a key."""
 
-    RUN = "run"  # the claim is its own
+    RUN = "run"  # the request holds the claim
     JOIN = "join"  # another request holds the claim
-    ANSWER = "answer"  # the effect has happened: the answer is there
+    ANSWER = "answer"  # the key is done and its answer is known
     OTHER_PAYLOAD = "other payload"  # the key was used for another request
-    FULL = "full"  # no room for a new key: nothing has run
-    BUSY = "busy"  # as JOIN, but too many wait already
-    AWAY = "away"  # a shared store can't be asked, or doesn't know: nothing of this request has run
+    FULL = "full"  # no room for a new key; this request has not run
+    BUSY = "busy"  # as JOIN, but too many requests wait already
+    STORE_UNAVAILABLE = "away"  # a shared store doesn't answer or has lost its keys: this request has not run
 
 
-# Plain classes, not data classes: those are made by code that is not compiled, at several times the cost.
+# Plain classes, because data classes are not compiled and are several times slower to create.
 
 
 class Answer:
     """The final answer to a key's request, status 200.
 
-    `origin`: the mark of the attempt that earned it, where traces are recorded; not shared between proxies.
+    `origin`: the trace mark of the attempt that got it, if traces are recorded; not shared between proxies.
     """
 
     __slots__ = ("body", "kind", "origin")
@@ -54,10 +54,10 @@
 
 
 class Claim:
-    """The verdict on a request. `fence` and `earlier` where it is to run, `answer` where it is done.
+    """The verdict on a request. `fence` and `earlier` are set if it may run, `answer` if the key is done.
 
-    `digest`: of the answer that the key's first request got, where it was too long to keep. `wait_ms`: how
-    long a running key's lease still is, or a store waits that has lost its keys.
+    `digest`: digest of the first answer, if that was too long to keep. `wait_ms`: how long the lease of the
+    running key lasts, or how long a store that has lost its keys does not answer claims.
     """
 
     __slots__ = ("answer", "digest", "earlier", "fence", "verdict", "wait_ms")
@@ -76,9 +76,9 @@
 
 
 class Entry:
-    """One key. `earlier` is the first attempt that may have run, `digest` of an answer too long to keep.
+    """One key. `earlier` is the first attempt that may have run; `digest` that of a long answer.
 
-    `bytes`: what it counts for in the bound on bytes.
+    `bytes`: its size as counted towards the limit on bytes.
     """
 
     __slots__ = ("answer", "bytes", "digest", "earlier", "expires_ms", "fence", "payload", "state", "tenant")
@@ -93,49 +93,50 @@
 
 
 def digest(data: bytes) -> bytes:
-    """16 bytes that tell data apart; BLAKE2b (RFC 7693)."""
+    """Returns a digest of 16 bytes; BLAKE2b (RFC 7693)."""
     return hashlib.blake2b(data, digest_size=16).digest()
 
 
-def name_of(tenant: str, class_name: str, key: bytes) -> bytes:
-    """A key's name in the table, 16 bytes however long the key is.
+def key_name(tenant: str, class_name: str, key: bytes) -> bytes:
+    """Returns the name of a key in the table: 16 bytes, however long the key is.
 
-    Lengths part the fields: no tenant can reach another's key by clever characters.
+    Each field is preceded by its length, so that no tenant can construct a key that equals another's.
     """
     tenant_bytes, class_bytes = tenant.encode("utf-8", "surrogateescape"), class_name.encode()
     return digest(b"%d:%b%d:%b%b" % (len(tenant_bytes), tenant_bytes, len(class_bytes), class_bytes, key))
 
 
-def payload_of(method: bytes, target: bytes, body: bytes) -> bytes:
-    """The fingerprint of what a key was used for, 16 bytes."""
+def payload_digest(method: bytes, target: bytes, body: bytes) -> bytes:
+    """Returns the fingerprint of a request's payload, 16 bytes."""
     return digest(b"%b %b\n%b" % (method, target, body))
 
 
 class Table:
-    """All keys, within `entries` and `bytes`. `whole_bytes`: the longest answer that is kept whole.
+    """All keys, within limits on entries and bytes. `max_answer_bytes`: the longest answer that is kept.
 
-    A full table drops done keys, of the tenant that has most of them, the oldest first; keys that run or are
-    uncertain stay until their time is up, and where only such are left a new key is refused.
+    A full table drops done keys, the oldest one of the tenant with most of them first. Running and uncertain
+    keys stay until they expire; if only such keys are left, a new key is refused.
     """
 
-    def __init__(self, entries: int, most_bytes: int, whole_bytes: int) -> None:
-        if entries < 1 or most_bytes < ENTRY_BYTES:
+    def __init__(self, entries: int, max_bytes: int, max_answer_bytes: int) -> None:
+        if entries < 1 or max_bytes < ENTRY_BYTES:
             raise ValueError(
-                f"order keys: room for a key is wanted, not {entries} entries of {most_bytes} bytes"
+                f"order_keys: expected room for at least one key, got {entries} entries, {max_bytes} bytes"
             )
-        self.most, self.most_bytes, self.whole_bytes = entries, most_bytes, whole_bytes
+        self.max_entries, self.max_bytes, self.max_answer_bytes = entries, max_bytes, max_answer_bytes
         self.entries: dict[bytes, Entry] = {}
         self.held_bytes = 0
         self.fence = 0
-        self.done: dict[str, OrderedDict[bytes, None]] = {}  # by tenant: done keys, the oldest first
-        self.by_count: dict[int, dict[str, None]] = {}  # tenants by how many done keys they have
-        self.most_done = 0
-        self.pinned: dict[str, int] = {}  # by tenant: keys that run or are uncertain
-        self.expiries: OrderedDict[bytes, None] = OrderedDict()  # settled keys, roughly by when they expire
-        self.dropped = 0  # done keys that had to go before their time
+        self.done: dict[str, OrderedDict[bytes, None]] = {}  # done keys by tenant, the oldest first
+        self.tenants_by_done: dict[int, dict[str, None]] = {}  # tenants by their number of done keys
+        self.max_done = 0
+        self.unsettled: dict[str, int] = {}  # number of running and uncertain keys by tenant
+        # settled keys, roughly in the order in which they expire
+        self.expiries: OrderedDict[bytes, None] = OrderedDict()
+        self.dropped = 0  # done keys that were dropped before they expired
 
     def claim(self, name: bytes, tenant: str, payload: bytes, now_ms: float) -> Claim:
-        """Take the key for a request, or say why not."""
+        """Claims the key for a request, or returns why it can't be claimed."""
         entry = self.entries.get(name)
         if entry is not None and entry.state is not State.RUNNING and entry.expires_ms <= now_ms:
             self._remove(name, entry)
@@ -146,7 +147,7 @@
             self.fence += 1
             entry = self.entries[name] = Entry(tenant, payload, self.fence)
             self.held_bytes += entry.bytes
-            self.pinned[tenant] = self.pinned.get(tenant, 0) + 1
+            self.unsettled[tenant] = self.unsettled.get(tenant, 0) + 1
             return Claim(Verdict.RUN, self.fence)
         if entry.payload != payload:
             return Claim(Verdict.OTHER_PAYLOAD)
@@ -154,7 +155,7 @@
             return Claim(Verdict.JOIN)
         if entry.answer is not None:
             return Claim(Verdict.ANSWER, answer=entry.answer)
-        # Uncertain, or done with an answer that was too long: the rack that has it answers again, or nobody.
+        # The key is uncertain, or done with an answer too long to keep: only the cell that ran it may answer.
         self._unlist(name, entry)
         self.fence += 1
         entry.state, entry.fence = State.RUNNING, self.fence
@@ -169,15 +170,15 @@
         earlier: api.Earlier | None,
         until_ms: float,
     ) -> bool:
-        """The effect has happened; the answer is kept until `until_ms`. False where the claim was lost."""
-        entry = self._held(name, fence)
+        """Marks a key as done and keeps its answer until `until_ms`. Returns False if the claim was lost."""
+        entry = self._claimed_entry(name, fence)
         if entry is None:
             return False
-        whole = len(answer.body) + len(answer.kind) <= self.whole_bytes
+        is_short = len(answer.body) + len(answer.kind) <= self.max_answer_bytes
         self._unlist(name, entry)
         entry.state, entry.expires_ms = State.DONE, until_ms
         entry.earlier = entry.earlier or earlier
-        if whole:
+        if is_short:
             entry.answer = answer
             size = len(answer.body) + len(answer.kind) + len(answer.origin)
             entry.bytes += size
@@ -185,16 +186,16 @@
         else:
             entry.digest = digest(answer.body)
         self._list(name, entry)
-        while self.held_bytes > self.most_bytes and self._drop_done():
+        while self.held_bytes > self.max_bytes and self._drop_done():
             pass
         return True
 
     def settle(self, name: bytes, fence: int, earlier: api.Earlier | None, until_ms: float) -> bool:
-        """The request is over without an answer that counts; `earlier` if an attempt may have run.
+        """Ends a claim without an answer; `earlier` is set if an attempt may have run.
 
-        A key of which nothing has run is free again. False where the claim was lost.
+        A key without such an attempt becomes free. Returns False if the claim was lost.
         """
-        entry = self._held(name, fence)
+        entry = self._claimed_entry(name, fence)
         if entry is None:
             return False
         self._unlist(name, entry)
@@ -213,54 +214,55 @@
         return True
 
     def expire(self, now_ms: float, most: int = 256) -> int:
-        """Forget settled keys whose time is up, at most so many at once; how many they were."""
-        gone = 0
+        """Removes up to `most` settled keys that have expired. Returns how many were removed."""
+        expired = 0
         for name in list(islice(self.expiries, most)):
             entry = self.entries[name]
             if entry.expires_ms <= now_ms:
                 self._remove(name, entry)
-                gone += 1
+                expired += 1
             else:
-                self.expiries.move_to_end(name)  # classes differ in how long they keep: looked at in turn
-        return gone
+                # Keys of other classes may expire earlier, so this one is checked later.
+                self.expiries.move_to_end(name)
+        return expired
 
     def known(self, name: bytes, now_ms: float) -> Entry | None:
-        """What is known of a key, if anything still is; nothing is changed."""
+        """Returns the entry of a key, None if it is unknown or expired; nothing is changed."""
         entry = self.entries.get(name)
         if entry is None or (entry.state is not State.RUNNING and entry.expires_ms <= now_ms):
             return None
         return entry
 
     def forget(self, name: bytes) -> bool:
-        """Drop a settled key: a repeat of it will run. False where it is not known, or runs."""
+        """Removes a settled key, so that a repeat runs. Returns False if the key is unknown or running."""
         entry = self.entries.get(name)
         if entry is None or entry.state is State.RUNNING:
             return False
         self._remove(name, entry)
         return True
 
-    # Bounds.
+    # Limits.
 
-    def _held(self, name: bytes, fence: int) -> Entry | None:
+    def _claimed_entry(self, name: bytes, fence: int) -> Entry | None:
         entry = self.entries.get(name)
         return entry if entry is not None and entry.state is State.RUNNING and entry.fence == fence else None
 
     def _make_room(self, tenant: str, size: int, now_ms: float) -> bool:
-        """Whether there is room for one more key of the tenant, after dropping what may go."""
-        if self.pinned.get(tenant, 0) >= max(1, int(self.most * PINNED_PART)):
+        """Drops keys that may be dropped. Returns whether there is room for one more key of the tenant."""
+        if self.unsettled.get(tenant, 0) >= max(1, int(self.max_entries * MAX_UNSETTLED_SHARE)):
             return False
-        while len(self.entries) >= self.most or self.held_bytes + size > self.most_bytes:
+        while len(self.entries) >= self.max_entries or self.held_bytes + size > self.max_bytes:
             if not self.expire(now_ms) and not self._drop_done():
                 return False
         return True
 
     def _drop_done(self) -> bool:
-        """Drop the oldest done key of a tenant that has most: a flood of one costs no other its keys."""
-        while self.most_done and not self.by_count.get(self.most_done):
-            self.most_done -= 1
-        if not self.most_done:
+        """Drops the oldest done key of the tenant with most, so that a flood costs others no keys."""
+        while self.max_done and not self.tenants_by_done.get(self.max_done):
+            self.max_done -= 1
+        if not self.max_done:
             return False
-        tenant = next(iter(self.by_count[self.most_done]))
+        tenant = next(iter(self.tenants_by_done[self.max_done]))
         name = next(iter(self.done[tenant]))
         self._remove(name, self.entries[name])
         self.dropped += 1
@@ -272,13 +274,13 @@
         del self.entries[name]
 
     def _list(self, name: bytes, entry: Entry) -> None:
-        """Enter a key in the lists that its state asks for."""
+        """Adds a key to the lists of its state."""
         if entry.state is State.DONE:
             names = self.done.setdefault(entry.tenant, OrderedDict())
             names[name] = None
             self._recount(entry.tenant, len(names) - 1, len(names))
         else:
-            self.pinned[entry.tenant] = self.pinned.get(entry.tenant, 0) + 1
+            self.unsettled[entry.tenant] = self.unsettled.get(entry.tenant, 0) + 1
         if entry.state is not State.RUNNING:
             self.expiries[name] = None
 
@@ -290,17 +292,17 @@
             if not names:
                 del self.done[entry.tenant]
         else:
-            self.pinned[entry.tenant] -= 1
-            if not self.pinned[entry.tenant]:
-                del self.pinned[entry.tenant]
+            self.unsettled[entry.tenant] -= 1
+            if not self.unsettled[entry.tenant]:
+                del self.unsettled[entry.tenant]
         self.expiries.pop(name, None)
 
-    def _recount(self, tenant: str, before: int, after: int) -> None:
-        if before:
-            group = self.by_count[before]
+    def _recount(self, tenant: str, old_count: int, new_count: int) -> None:
+        if old_count:
+            group = self.tenants_by_done[old_count]
             del group[tenant]
             if not group:
-                del self.by_count[before]
-        if after:
-            self.by_count.setdefault(after, {})[tenant] = None
-            self.most_done = max(self.most_done, after)
+                del self.tenants_by_done[old_count]
+        if new_count:
+            self.tenants_by_done.setdefault(new_count, {})[tenant] = None
+            self.max_done = max(self.max_done, new_count)
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -17,8 +17,8 @@
 
 from honeywharf import limits
 from honeywharf.config import node as config
+from honeywharf.core.components import Component, OperatorCommand
 from honeywharf.core.driver import Driver
-from honeywharf.core.parts import Ask, Part
 from honeywharf.core.transport import AddressBook, Clock, Transport, log
 from honeywharf.discovery.watch import Directory, Watch
 from honeywharf.flow.account import PART, Account
@@ -71,7 +71,7 @@
             polled=conf.settings.polled_discovery,
         )
         self.driver.registry = self.watch
-        self.pool.on_broken = self.driver.broken
+        self.pool.on_broken = self.driver.answer_broken
         self.front = Front(
             loop, self.clock, self.driver, room - upstream, lambda: self.watch.up, self.account
         )
@@ -79,7 +79,7 @@
             loop, self.clock, self.front, self, max(c.deadline_ms for c in conf.settings.classes)
         )
         self.features = features
-        self.parts: list[Part] = attached(self, features) if features is not None else []
+        self.components: list[Component] = attached(self, features) if features is not None else []
         self.door: HttpServer | None = None  # operators' second address
         self.told: dict[str, int] = {}
         self.environ: Mapping[str, str] = os.environ
@@ -90,12 +90,12 @@
 
         return source.in_force(self.conf, self.features, self.environ)
 
-    def carry(self, scheme: str, transport: Transport, book: AddressBook) -> None:
+    def add_transport(self, scheme: str, transport: Transport, book: AddressBook) -> None:
         """Endpoints of that scheme are reached by another transport, beside those of before."""
-        from honeywharf.core.routes import Routes
+        from honeywharf.core.transport_router import TransportRouter
 
         self.books[scheme] = book
-        self.transport = self.driver.transport = Routes(self.transport, transport)
+        self.transport = self.driver.transport = TransportRouter(self.transport, transport)
 
     async def run(self) -> None:
         """Serve until SIGTERM and then until nothing is open."""
@@ -117,17 +117,17 @@
                 self.balancer,
                 self.directory,
                 self.front,
-                self.driver.beside,
+                self.driver.sibling_calls_changed,
             )
             later = await handover.take()
             if later is not None:
                 self.listed(later)
             handover.know()
-            self.parts.append(handover)
+            self.components.append(handover)
         host, port = await self.front.listen(self.conf.listen, inherited)
         log(f"{self.conf.name} listens on {host}:{port}", "listening", fields={"host": host, "port": port})
         self.keeper.listening()
-        for part in self.parts:
+        for part in self.components:
             words = await part.start()
             if words:
                 log(f"{self.conf.name} {words}", "feature")
@@ -150,7 +150,7 @@
         await self.keeper.stopped.wait()
         if self.door is not None:
             self.door.close()
-        for part in self.parts:
+        for part in self.components:
             part.close()
         self._stats()  # what was done since the last line is told too
 
@@ -161,7 +161,7 @@
     ) -> None:
         """Discovery has spoken: the module is told, and who may be banned is known."""
         self.keeper.bans.saw(self.directory.rows)
-        (tell or self.driver.listed)(event)
+        (tell or self.driver.endpoints_listed)(event)
 
     def reload(self) -> None:
         """Take a new file over, whole or not at all. All that is held, requests and records, goes on."""
@@ -205,11 +205,11 @@
 
     def _retune(self, settings: api.Settings, former: dict[str, api.RequestClass]) -> None:
         """Let all parts go by new settings."""
-        self.driver.retune(settings, self.conf.report_fields, former)
+        self.driver.change_settings(settings, self.conf.report_fields, former)
         self.pool.retune(settings.limits)
         self.keeper.life.longest_ms = max(c.deadline_ms for c in settings.classes)
-        for part in self.parts:
-            part.retuned()
+        for part in self.components:
+            part.settings_changed()
 
     def _retuned(self, conf: config.Config) -> None:
         """What was under way by the settings of before has ended, unless there are newer ones by now."""
@@ -220,25 +220,25 @@
         """Leave service without losing a request: see DEPLOY and PROTOCOL on planned restarts."""
         self.keeper.terminate()
 
-    def operations(self) -> Mapping[str, Ask]:
+    def operations(self) -> Mapping[str, OperatorCommand]:
         """What operators may have done to this proxy, for every door."""
-        return self.keeper.asks()
+        return self.keeper.operator_commands()
 
     # What the keeper acts on.
 
     def excluded(self, out: Mapping[str, float]) -> None:
         """These endpoints are out by an operator's word, and no others."""
         self.directory.exclude(out)
-        self.driver.excluded(frozenset(out))
+        self.driver.endpoints_excluded(frozenset(out))
 
     def leaving(self) -> None:
         """The process ends: its parts take nothing new."""
-        for part in self.parts:
+        for part in self.components:
             part.drain()
 
-    def owed(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Whether one without a connection is still owed an answer."""
-        return any(part.owed() for part in self.parts)
+        return any(part.has_pending_answers() for part in self.components)
 
     def answer_all(self) -> None:
         """What is still open is answered before the process is killed."""
@@ -255,7 +255,7 @@
                     "bodies:answers": self.pool.streams,
                 }
             )
-        for part in self.parts:
+        for part in self.components:
             counts.update(part.counts())
         return counts
 
@@ -291,9 +291,9 @@
     raise config.ConfigError(f"NODE_INHERITED_FD: found {found} at {number}, wanted a listening socket")
 
 
-def attached(proxy: Proxy, features: Features) -> list[Part]:
+def attached(proxy: Proxy, features: Features) -> list[Component]:
     """The features that are on. Nothing of one that is off is imported: that costs memory."""
-    parts: list[Part] = []
+    parts: list[Component] = []
     if (features.log.format, features.log.level) != ("plain", "info"):
         from honeywharf import logs
 
@@ -343,10 +343,10 @@
 def unfit(features: Features, conf: config.Config) -> Iterator[tuple[str, str]]:
     """What of a file of features does not fit the platform's configuration: each key, and what is wanted."""
     if features.order_keys.store != "off":
-        from honeywharf.orderkeys import edge
+        from honeywharf.orderkeys import deduplicator
 
         try:
-            edge.kept_ms(conf.settings, features.order_keys)
+            deduplicator.keep_times_ms(conf.settings, features.order_keys)
         except ValueError as fault:
             key, _, words = str(fault).partition(": ")
             yield key, words
--- a/honeywharf/reports/__init__.py
+++ b/honeywharf/reports/__init__.py
@@ -27,16 +27,16 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from honeywharf.core.parts import Part
+from honeywharf.core.components import Component
 from honeywharf.reports.reports import LoadReports
 
 if TYPE_CHECKING:
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 __all__ = ["LoadReports", "ReportsPart", "attach"]
 
 
-class ReportsPart(Part):
+class ReportsPart(Component):
     """The load reports that one proxy hears."""
 
     def __init__(self, loads: LoadReports) -> None:
@@ -47,7 +47,7 @@
         return {f"reports:{k}": v for k, v in self.loads.counts.items()}
 
 
-def attach(proxy: Assembly) -> Part:
+def attach(proxy: ProxyContext) -> Component:
     """Let the proxy's decision module read what nodes say; ValueError where they say nothing of load."""
     settings = proxy.driver.settings
     loads = LoadReports(settings)
--- a/honeywharf/service/keeper.py
+++ b/honeywharf/service/keeper.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from honeywharf.core.parts import Ask, AskError, Change
+from honeywharf.core.components import MutatingCommand, OperatorCommand, OperatorCommandError
 from honeywharf.core.transport import Clock, log
 from honeywharf.service.bans import BanError, Bans
 from honeywharf.service.calls import Call
@@ -51,7 +51,7 @@
     def leaving(self) -> None:
         """The process ends: its parts take nothing new."""
 
-    def owed(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Whether one without a connection is still owed an answer."""
 
     def answer_all(self) -> None:
@@ -125,7 +125,7 @@
         elif self.life.state in (State.ENDING, State.HANDING_OVER) and not any(
             step is Step.STOP_ACCEPTING for _, step in self.life.due
         ):
-            if self.served.owed():  # those without a connection, who are waited for
+            if self.served.has_pending_answers():  # those without a connection, who are waited for
                 self.loop.call_later(FINISHED_S, self.emptied)
             else:
                 self.happens(Event.FINISHED, "nothing is open")
@@ -168,20 +168,20 @@
 
     # What operators say.
 
-    def asks(self) -> dict[str, Ask]:
+    def operator_commands(self) -> dict[str, OperatorCommand]:
         """The calls, for both doors: each of a name and, of a backend, its `id`."""
         return {
             "readyz": lambda _: self.readyz(),
-            "exclude": Change(lambda of: self.exclude(_id(of))),
-            "include": Change(lambda of: self.include(_id(of))),
-            "evacuate": Change(lambda _: self.evacuate()),
-            "activate": Change(lambda _: self.activate()),
+            "exclude": MutatingCommand(lambda of: self.exclude(_id(of))),
+            "include": MutatingCommand(lambda of: self.include(_id(of))),
+            "evacuate": MutatingCommand(lambda _: self.evacuate()),
+            "activate": MutatingCommand(lambda _: self.activate()),
         }
 
     def call(self, call: Call) -> str:
         """Carry out what was said at the second address; ValueError says why not."""
-        ask = self.asks()[call.do]
-        if isinstance(ask, Change):
+        ask = self.operator_commands()[call.do]
+        if isinstance(ask, MutatingCommand):
             log(
                 f"operator: {call.do} {call.of}".rstrip(),
                 "operator.change",
@@ -193,7 +193,7 @@
         """Whether this process takes clients."""
         if not (self.life.conduct.readyz and self.front.ready()):
             why = self.life.state.value if not self.life.conduct.readyz else "waiting for discovery's list"
-            raise AskError(f"not ready: {why}")
+            raise OperatorCommandError(f"not ready: {why}")
         if self.ready_told is not None:
             self.ready_told()
         return self.life.state.value
@@ -203,7 +203,7 @@
         try:
             new = self.bans.exclude(name, self.clock.now())
         except BanError as fault:
-            raise AskError(str(fault)) from None
+            raise OperatorCommandError(str(fault)) from None
         if new:
             self.banned()
         return f"{name} is out" if new else f"{name} was out already"
@@ -213,7 +213,7 @@
         try:
             new = self.bans.include(name, self.clock.now())
         except BanError as fault:
-            raise AskError(str(fault)) from None
+            raise OperatorCommandError(str(fault)) from None
         if new:
             self.banned()
         return f"{name} is used again" if new else f"{name} was not out"
@@ -238,7 +238,7 @@
             if not passed_on:  # else it is the other process's to carry out
                 self.happens(event, f"an operator's {event.value}")
         except ImpossibleError as fault:
-            raise AskError(str(fault)) from None
+            raise OperatorCommandError(str(fault)) from None
         self.evacuated, self.evacuated_ms = event is Event.EVACUATE, self.clock.now()
         if self.changed is not None:
             self.changed()
@@ -270,5 +270,5 @@
 
 def _id(of: Mapping[str, str]) -> str:
     if not of.get("id"):
-        raise AskError("found no id, wanted that of a backend")
+        raise OperatorCommandError("found no id, wanted that of a backend")
     return of["id"]
--- a/honeywharf/storms/__init__.py
+++ b/honeywharf/storms/__init__.py
@@ -32,17 +32,17 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from honeywharf.core.parts import Part
+from honeywharf.core.components import Component
 from honeywharf.storms.storms import Rules, Storms
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Storms as Features
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 __all__ = ["Rules", "Storms", "StormsPart", "attach"]
 
 
-class StormsPart(Part):
+class StormsPart(Component):
     """The storms that one proxy sees."""
 
     def __init__(self, storms: Storms) -> None:
@@ -60,7 +60,7 @@
         }
 
 
-def attach(proxy: Assembly, features: Features) -> Part:
+def attach(proxy: ProxyContext, features: Features) -> Component:
     """Let the proxy's decision module watch for storms, and its listener be paced."""
     settings = proxy.driver.settings
     rules = Rules(
@@ -72,7 +72,7 @@
     )
     storms = Storms(rules, random.Random(secrets.randbits(64)), secrets.token_bytes(32))
     proxy.balancer.storms = storms
-    seams = proxy.driver.seams
-    seams.storms, seams.pace = True, proxy.front.pace
+    hooks = proxy.driver.hooks
+    hooks.storm_control, hooks.pace = True, proxy.front.pace
     proxy.front.paced = True
     return StormsPart(storms)
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -1,6 +1,6 @@
 """Traces with every attempt: what came of a request, at which hop, by which server, and why it was chosen.
 
-Theory of operation. The driver tells of a request's course (`core.transport.Traced`); `recorder` makes
+Theory of operation. The driver tells of a request's course (`core.transport.RequestTrace`); `recorder` makes
 spans of it and the header lines that carry the trace on; `sampler` settles which are kept; `spool` writes
 those to a file. Rules without I/O but for the spool and the line:
 
@@ -32,7 +32,7 @@
 
 import orjson
 
-from honeywharf.core.parts import Part
+from honeywharf.core.components import Component
 from honeywharf.core.transport import Address, address
 from honeywharf.traces.line import Line
 from honeywharf.traces.notes import OWN, Notes
@@ -43,7 +43,7 @@
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Traces as Features
-    from honeywharf.core.parts import Assembly
+    from honeywharf.core.components import ProxyContext
 
 __all__ = ["Recorder", "Sampler", "Sampling", "Spool", "TracesPart", "attach"]
 
@@ -64,7 +64,7 @@
         """Export what waits, for a bounded time."""
 
 
-class TracesPart(Part):
+class TracesPart(Component):
     """The traces of one proxy."""
 
     def __init__(
@@ -126,7 +126,7 @@
     return made
 
 
-def attach(proxy: Assembly, features: Features) -> Part:
+def attach(proxy: ProxyContext, features: Features) -> Component:
     """Let the proxy's driver tell of its requests, and its decision module explain itself."""
     settings = proxy.driver.settings
     exporters = exporters_of(features)
@@ -163,6 +163,6 @@
     if features.notes:
         peers = frozenset(address(peer) for peer in features.peers)
         line = Line(Notes(), peers, proxy.clock.now, sampler.note)
-    proxy.driver.seams.tracer = recorder
+    proxy.driver.hooks.tracer = recorder
     proxy.balancer.explains = True
     return TracesPart(recorder, exporters, line, address(features.notes) if features.notes else ("", 0))
--- a/honeywharf/traces/recorder.py
+++ b/honeywharf/traces/recorder.py
@@ -4,7 +4,7 @@
 
 import random
 
-from honeywharf.core.messages import Request, Response, Traced
+from honeywharf.core.messages import Request, RequestTrace, Response
 from honeywharf.policy import interface as api
 from honeywharf.traces import context
 from honeywharf.traces.sampler import Sampler
@@ -23,7 +23,7 @@
         self.sampler, self.random = sampler, rng
         self.damaged = {"parent": 0, "twice": 0, "state": 0}
 
-    def begin(self, request: Request, now_ms: float) -> Traced:
+    def begin(self, request: Request, now_ms: float) -> RequestTrace:
         """A request has been taken."""
         found, fault, bad = None, "", False
         if request.trace_parents:
@@ -63,7 +63,7 @@
         return Course(self, hop)
 
 
-class Course(Traced):
+class Course(RequestTrace):
     """One request on its course."""
 
     __slots__ = ("hop", "recorder")
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -155,7 +155,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], on(tmp_path / "s")) as w:
-            (part,) = [p for p in w.proxy.parts if isinstance(p, AdminPart)]
+            (part,) = [p for p in w.proxy.components if isinstance(p, AdminPart)]
             silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_AT_ONCE)]
             await until(lambda: part.open == MAX_AT_ONCE)
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "s"))
@@ -181,7 +181,7 @@
         async with world([backend.row("b")], on(path)) as w:
             answer = await said(path, protocol.frame(protocol.Question("endpoints")))
             assert msgspec.to_builtins(answer.data)["number"] == 1
-            (first,) = w.proxy.parts
+            (first,) = w.proxy.components
             assert isinstance(first, AdminPart)
             with pytest.raises(OSError, match="in use, wanted a free path"):
                 await AdminPart(w.proxy, path).start()
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -20,11 +20,11 @@
 from honeywharf import logs
 from honeywharf.config import features as of_features, node as of_node, source
 from honeywharf.config.features import Admin, Features, Log, Metrics, OrderKeys, Traces
-from honeywharf.core.transport import log, log_through
+from honeywharf.core.transport import log, set_log_sink
 from honeywharf.metrics import MetricsPart
 from honeywharf.metrics.durations import BOUNDS_S, MAX_SERIES, Answers
 from honeywharf.metrics.families import Families, exposed
-from honeywharf.orderkeys import KeysPart
+from honeywharf.orderkeys import OrderKeysComponent
 from tests.admin.test_admin import called
 from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, until, world
 from tests.orderkeys.shared import sharing
@@ -149,7 +149,10 @@
 def test_shared_keys_are_shown_and_forgotten_for_all_proxies(tmp_path: Path) -> None:
     async def main() -> None:
         async with sharing(2, 1) as (redis, worlds, _):
-            one, other = (next(p for p in w.proxy.parts if isinstance(p, KeysPart)).views for w in worlds)
+            one, other = (
+                next(p for p in w.proxy.components if isinstance(p, OrderKeysComponent)).key_commands
+                for w in worlds
+            )
             client = await Client.to(worlds[0].port)
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             assert await client.status() == 200
@@ -166,9 +169,9 @@
             assert await other.forget(of) == {"forgotten": True}
             assert await one.show(of) == {"state": "not known"}
             redis.kill()
-            shared = one.edge.shared
+            shared = one.deduplicator.shared
             assert shared is not None
-            await until(lambda: not shared.up)
+            await until(lambda: not shared.connected)
             with pytest.raises(ValueError, match="found the shared store away"):
                 one.show(of)
 
@@ -209,7 +212,7 @@
             assert len(kept) == 1
             assert [s.value for s in found["honeywharf_failures"].samples] == [1.0]
             assert {s.labels["zone"] for s in found["honeywharf_zone_limit"].samples} == {"z"}
-            (at_port,) = [p.at for p in w.proxy.parts if isinstance(p, MetricsPart)]
+            (at_port,) = [p.at for p in w.proxy.components if isinstance(p, MetricsPart)]
             assert at_port is not None
             port = at_port[1]
             for wants, exemplars in (("application/openmetrics-text", True), ("*/*", False)):
@@ -293,7 +296,7 @@
         log("n3 listens on x", "listening", fields={"port": 7, "event": "mine"})
         log("it broke\nin two", "loop.fault", "error")
     finally:
-        log_through(None)
+        set_log_sink(None)
     told = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert len(told) == lines
     last = told[-1]
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -14,7 +14,7 @@
 from honeywharf.coap.part import CoapPart
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features
-from honeywharf.core.routes import Routes
+from honeywharf.core.transport_router import TransportRouter
 from honeywharf.policy import interface as api
 from honeywharf.standins.messages import row
 from tests.loopback import Backend, Client as Caller, World, run, until, world
@@ -246,8 +246,8 @@
         async with nodes() as (w, (node,)):
             assert (await pay(w))[0] == 200
             transport = w.proxy.driver.transport
-            assert isinstance(transport, Routes)
-            pool = transport.ways[1]
+            assert isinstance(transport, TransportRouter)
+            pool = transport.transports[1]
             assert isinstance(pool, Pool)
             at = pool.nodes["c0"]
             old = at.socket
@@ -390,7 +390,7 @@
 def test_a_request_that_the_probing_rate_keeps_back_goes_to_another_node() -> None:
     async def main() -> None:
         async with nodes(2) as (w, made):
-            (part,) = [p for p in w.proxy.parts if isinstance(p, CoapPart)]
+            (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             assert part.pool is not None
             quiet = part.pool.nodes["c0"].client
             quiet.silent, quiet.probe_ms = True, w.proxy.clock.now() + 60_000.0
@@ -411,7 +411,7 @@
         async with nodes(5, contract=cold, profiles=quick) as (w, made):
             fresh = row("c0", made[0].port, cell=0, scheme="coap", startedAtMs=int(w.proxy.clock.now()))
             w.discovery.tell(2, fresh)
-            (part,) = [p for p in w.proxy.parts if isinstance(p, CoapPart)]
+            (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             await until(lambda: part.counts()["coap:node starts"] == 1)
             before = [len(n.got) for n in made]
             while len(made[0].got) < before[0] + 6:
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -31,7 +31,7 @@
     """A proxy before one scripted HTTP node."""
     backend = await Backend().start()
     async with world([backend.row("b0", cell=0)], features, **changes) as w:
-        (part,) = [p for p in w.proxy.parts if isinstance(p, CoapPart)]
+        (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
         front = part.front
         assert front is not None
         await until(lambda: front.transport is not None)
@@ -292,7 +292,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b0")], Features()) as w:
-            assert w.proxy.parts == []
+            assert w.proxy.components == []
         await backend.stop()
 
     run(main())
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -12,7 +12,7 @@
 from honeywharf.standins.units import GAVE_UP
 from tests.coap.test_front import Unit, port_of, served, told
 from tests.loopback import Client, reply, run, until
-from tests.orderkeys.shared import edge_of
+from tests.orderkeys.shared import deduplicator_of
 
 
 def test_a_key_tried_by_coap_and_http_clients_is_charged_once(tmp_path: Path) -> None:
@@ -49,7 +49,7 @@
             caller.send("order", b"x", "4000m", "X-Repeat: 1", key="k")
             await until(lambda: len(backend.requests) == 1)
             unit.send(told(id="late"), payload=b"x")
-            await until(lambda: any(run.joined for run in edge_of(w).runs.values()))
+            await until(lambda: any(run.joined for run in deduplicator_of(w).runs.values()))
             for writer in list(backend.writers):
                 writer.write(unseen)
             answer = await unit.next()
--- a/tests/config/test_retune.py
+++ b/tests/config/test_retune.py
@@ -182,7 +182,7 @@
             await soon(backend.came.wait())
             read, order, pay = SETTINGS["profiles"]
             reload(profiles=[{**read, "deadlineMs": 0}, order, pay])
-            assert w.proxy.driver.forms.classes["read"].deadline_ms == 5000.0  # refused whole
+            assert w.proxy.driver.validator.classes["read"].deadline_ms == 5000.0  # refused whole
             reload(
                 profiles=[
                     order,
@@ -227,8 +227,8 @@
             for classes in (short[1:], short[2:]):
                 file.write_text(json.dumps({**good, "settings": {**SETTINGS, "profiles": classes}}))
                 w.proxy.reload()
-            assert set(w.proxy.driver.forms.classes) == {"read", "order", "pay"}
-            await until(lambda: set(w.proxy.driver.forms.classes) == {"pay"})
+            assert set(w.proxy.driver.validator.classes) == {"read", "order", "pay"}
+            await until(lambda: set(w.proxy.driver.validator.classes) == {"pay"})
             await asyncio.sleep(0)
             assert [c.name for c in w.proxy.balancer.settings.classes] == ["pay"]
 
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -265,12 +265,12 @@
                     b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: u%d\r\nX-Service-Class: pay\r\n"
                     b"X-Time-Left: 3000m\r\nContent-Length: 1000000\r\n\r\n" % leaves + b"y" * 100_000
                 )
-                await until(lambda: w.proxy.driver.open == 1)
+                await until(lambda: w.proxy.driver.open_requests == 1)
                 if leaves:
                     client.writer.transport.abort()
                 else:
                     assert await client.status() == 408
-                await until(lambda: w.proxy.driver.open == 0 and not w.proxy.driver.requests)
+                await until(lambda: w.proxy.driver.open_requests == 0 and not w.proxy.driver.requests)
                 await until(lambda: w.proxy.account.open == 0)
             assert len(backend.requests) == 2  # neither upload became a request there
         await backend.stop()
--- a/tests/orderkeys/explorer.py
+++ b/tests/orderkeys/explorer.py
@@ -1,12 +1,12 @@
-"""Every interleaving of claims, notes, sends, answers and ends of one key: the scripts' model, explored.
-
-Proxies, each with one request of the key; two cells. A step is one of: a message arrives at the store, a
-reply at a proxy, an attempt at a rack, an answer at a proxy; a proxy acts, or gives up its attempt or the
-wait for its claim; a proxy is killed, and what it had written to the store arrives in part or not at all;
-the lease of the running key ends under a holder that goes on, as one that was paused does. Messages
-between a proxy and the store keep their order; attempts keep none, and may arrive at any time later, also
-of a proxy that is dead. A rack charges a key once; windows and the time for which a key is kept do not
-end. Breadth first over all states, those alike but for the proxies' order counted as one.
+"""Explores every interleaving of claims, notes, sends, answers and ends of one key on a model of the scripts.
+
+There are several proxies, each with one request of the key, and two cells. In one step a message arrives at
+the store, a reply at a proxy, an attempt at a backend, or an answer at a proxy; or a proxy acts, or gives up
+its attempt or its wait for the claim; or a proxy is killed, and its messages to the store arrive in part or
+not at all; or the lease of the running key ends while its holder goes on, as after a pause. Messages between
+a proxy and the store stay in order. Attempts do not, and may arrive at any later time, even from a dead
+proxy. A backend charges a key once; retry windows and keep times do not end. The search is breadth first over
+all states; states that differ only in the order of the proxies count as one.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """What the proxies and the store do; a test spoils one rule at a time."""
+    """What the proxies and the store do; a test breaks one rule at a time."""
 
     claim: Callable[..., tuple[model.Entry | None, tuple[object, ...]]] = model.claim
     note: Callable[..., tuple[model.Entry | None, int]] = model.note
     end: Callable[..., tuple[model.Entry | None, int]] = model.end
-    sure: bool = True  # an attempt to another cell than the noted one waits for its note
-    unknown_fails: bool = True  # a key that may have run nobody knows where is sent nowhere
-    first_cell_only: bool = True  # one whose place is known is sent there only
-    claims: bool = True  # anything is claimed at all
+    wait_for_note: bool = True  # an attempt to another cell than the noted one waits for its note
+    unknown_place_fails: bool = True  # a key that may have run in an unknown cell is not sent
+    first_cell_only: bool = True  # a key with a known place is sent to that cell only
+    use_claims: bool = True  # keys are claimed at all
 
 
 class Proxy(NamedTuple):
-    """One proxy and its request. `cell`: of its attempt; `out` and `back`: between it and the store."""
+    """One proxy and its request. `cell`: of its attempt; `to_store`, `from_store`: messages in transit."""
 
     phase: str = "new"
     cell: int = 0
-    noted: int = 0  # the cell that its note names
-    known: int = 0  # the cell of an earlier attempt, which the store told
+    noted: int = 0  # the noted cell
+    known: int = 0  # the cell of an earlier attempt, from the store
     rejected: tuple[int, ...] = ()
-    out: tuple[tuple[Any, ...], ...] = ()
-    back: tuple[Any, ...] = ()
-    flying: tuple[int, ...] = ()  # attempts on their way to racks
-    answer: str = ""  # on its way back from the rack, or given
+    to_store: tuple[tuple[Any, ...], ...] = ()
+    from_store: tuple[Any, ...] = ()
+    attempts_in_flight: tuple[int, ...] = ()  # cells of attempts that have not arrived
+    answer: str = ""  # in transit from the backend, or given to the client
 
 
 class World(NamedTuple):
-    """One state of all."""
+    """One state of the whole system."""
 
     proxies: tuple[Proxy, ...]
     entry: model.Entry | None = None
     now: int = 0
-    charged: tuple[tuple[int, str], ...] = ()  # cells, and whose attempt was charged there
+    charged: tuple[tuple[int, str], ...] = ()  # cells that charged the key, and for which holder
     crashes: int = 2
     expiries: int = 1
 
@@ -68,7 +68,7 @@
 
 
 class Explorer:
-    """All states that can be reached, and what is wrong in them."""
+    """Visits all reachable states and finds what is wrong in them."""
 
     def __init__(self, rules: Rules, proxies: int = 3, crashes: int = 2, expiries: int = 1) -> None:
         self.rules = rules
@@ -77,8 +77,8 @@
         self.phases: set[str] = set()
 
     def run(self, most: int = 5_000_000) -> list[str] | None:
-        """The steps to the first state that is wrong, with what is; None where there is none."""
-        came: dict[World, tuple[World, str] | None] = {self.start: None}
+        """Return the steps to the first wrong state, with what is wrong; None if there is none."""
+        predecessors: dict[World, tuple[World, str] | None] = {self.start: None}
         level = [self.start]
         while level:
             following = []
@@ -86,29 +86,29 @@
                 for step, after in self.after(world):
                     self.steps += 1
                     after = canonical(after)
-                    if after in came:
+                    if after in predecessors:
                         continue
-                    came[after] = (world, step)
-                    if len(came) > most:
+                    predecessors[after] = (world, step)
+                    if len(predecessors) > most:
                         raise MemoryError(f"explorer: more than {most} states")
                     wrong = self.wrong(after)
                     if wrong:
-                        return [wrong, *self._way(came, after)]
+                        return [wrong, *self._steps_to(predecessors, after)]
                     following.append(after)
                 self.phases.update(p.phase for p in world.proxies)
             level = following
-        self.states = len(came)
+        self.states = len(predecessors)
         return None
 
-    def _way(self, came: dict[World, tuple[World, str] | None], world: World) -> list[str]:
+    def _steps_to(self, predecessors: dict[World, tuple[World, str] | None], world: World) -> list[str]:
         steps = []
-        while (before := came[world]) is not None:
+        while (before := predecessors[world]) is not None:
             world, step = before
             steps.append(step)
         return steps[::-1]
 
     def wrong(self, w: World) -> str:
-        """What must hold in every state."""
+        """Return which invariant the state violates; empty if none."""
         if len(w.charged) > 1:
             return "charged twice"
         served = {p.answer for p in w.proxies if p.phase == "served"}
@@ -119,34 +119,37 @@
         if w.charged and w.entry is None:
             return "the key is lost"
         for i, p in enumerate(w.proxies):
-            if p.phase == "refused" and (p.flying or any(by == holder(i) for _, by in w.charged)):
+            if p.phase == "refused" and (p.attempts_in_flight or any(by == holder(i) for _, by in w.charged)):
                 return "refused, and it may run"
         return ""
 
     def after(self, w: World) -> Iterator[tuple[str, World]]:
-        """All states that one step leads to."""
+        """Yield all states that are one step away."""
         for i, p in enumerate(w.proxies):
 
             def put(new: Proxy, i: int = i, **more: Any) -> World:
                 return w._replace(proxies=(*w.proxies[:i], new, *w.proxies[i + 1 :]), **more)
 
-            if p.out:
-                yield self._store(w, i, p, put)
+            if p.to_store:
+                yield self._store_step(w, i, p, put)
                 if p.phase == "dead":
-                    yield f"{i}: what it had written is lost", put(p._replace(out=()))
-            for n, cell in enumerate(p.flying):
-                yield from self._rack(w, i, p, n, cell, put)
+                    yield f"{i}: what it had written is lost", put(p._replace(to_store=()))
+            for n, cell in enumerate(p.attempts_in_flight):
+                yield from self._backend_step(w, i, p, n, cell, put)
             if p.phase == "dead":
                 continue
             if w.crashes and p.phase not in END:
-                # What is on its way stays so; nothing comes back to it.
-                yield f"{i}: killed", put(p._replace(phase="dead", back=(), answer=""), crashes=w.crashes - 1)
-            yield from self._proxy(w, i, p, put)
+                # Messages that were sent stay in transit; replies to it are lost.
+                yield (
+                    f"{i}: killed",
+                    put(p._replace(phase="dead", from_store=(), answer=""), crashes=w.crashes - 1),
+                )
+            yield from self._proxy_step(w, i, p, put)
         e = w.entry
         if w.expiries and e is not None and e.state == "R":
             yield "the lease ends", w._replace(now=e.until, expiries=w.expiries - 1)
 
-    def _store(
+    def _store_step(
         self,
         w: World,
         i: int,
@@ -154,11 +157,12 @@
         put: Callable[..., World],
     ) -> tuple[str, World]:
         """The oldest message of a proxy arrives at the store."""
-        kind, *rest = p.out[0]
+        kind, *rest = p.to_store[0]
         reply: Any
         if kind == "claim":
             entry, reply = self.rules.claim(w.entry, w.now, "P", holder(i), LEASE, KEEP)
-            reply = tuple(reply[:1]) + tuple(reply[3:4]) if len(reply) > 2 else reply  # the verdict, the cell
+            # the verdict and the cell
+            reply = tuple(reply[:1]) + tuple(reply[3:4]) if len(reply) > 2 else reply
         elif kind == "note":
             entry, reply = self.rules.note(w.entry, holder(i), ("z", rest[0], w.now))
         else:
@@ -166,14 +170,16 @@
             entry, reply = self.rules.end(
                 w.entry, w.now, holder(i), how, kept, ("z", cell, w.now) if cell else None, KEEP, "P"
             )
-        back = (
-            p.back
+        from_store = (
+            p.from_store
             if p.phase in END or kind == "end" or (kind == "note" and not rest[1])
-            else (*p.back, reply)
+            else (*p.from_store, reply)
+        )
+        return f"{i}: {kind} arrives: {reply}", put(
+            p._replace(to_store=p.to_store[1:], from_store=from_store), entry=entry
         )
-        return f"{i}: {kind} arrives: {reply}", put(p._replace(out=p.out[1:], back=back), entry=entry)
 
-    def _rack(
+    def _backend_step(
         self,
         w: World,
         i: int,
@@ -182,8 +188,8 @@
         cell: int,
         put: Callable[..., World],
     ) -> Iterator[tuple[str, World]]:
-        """An attempt arrives: it runs, or is turned away while somebody waits for it."""
-        left = p.flying[:n] + p.flying[n + 1 :]
+        """An attempt arrives: it runs, or is rejected while its proxy still waits for it."""
+        left = p.attempts_in_flight[:n] + p.attempts_in_flight[n + 1 :]
         charged = w.charged
         if not any(c == cell for c, _ in charged):
             charged = (*charged, (cell, holder(i)))
@@ -191,12 +197,12 @@
         waits = p.phase == "sent" and p.cell == cell and not p.answer
         yield (
             f"{i}: runs in {cell}",
-            put(p._replace(flying=left, answer=body if waits else p.answer), charged=charged),
+            put(p._replace(attempts_in_flight=left, answer=body if waits else p.answer), charged=charged),
         )
         if waits:
-            yield f"{i}: turned away in {cell}", put(p._replace(flying=left, answer="no"))
+            yield f"{i}: rejected in {cell}", put(p._replace(attempts_in_flight=left, answer="no"))
 
-    def _proxy(
+    def _proxy_step(
         self,
         w: World,
         i: int,
@@ -206,48 +212,54 @@
         """A proxy acts."""
         rules = self.rules
         if p.phase == "new":
-            if not rules.claims:
+            if not rules.use_claims:
                 for cell in CELLS:
                     yield f"{i}: sends to {cell}", put(p._replace(phase="ready", cell=cell))
                 return
-            yield f"{i}: claims", put(p._replace(phase="asked", out=(*p.out, ("claim",))))
+            yield f"{i}: claims", put(p._replace(phase="asked", to_store=(*p.to_store, ("claim",))))
         elif p.phase == "asked":
-            if p.back:
-                yield self._claimed(i, p, put)
-            # It waits no more, gives back what it may have been given, and refuses.
-            yield f"{i}: the store is late", put(self._ended(p._replace(back=()), "none", "", 0, "refused"))
-            if p.out:
+            if p.from_store:
+                yield self._receive_claim(i, p, put)
+            # The proxy stops waiting, gives back what it may have been granted, and refuses.
+            yield (
+                f"{i}: the store is late",
+                put(self._end(p._replace(from_store=()), "none", "", 0, "refused")),
+            )
+            if p.to_store:
                 yield (
                     f"{i}: the connection is cut",
-                    put(self._ended(p._replace(back=(), out=()), "none", "", 0, "refused")),
+                    put(self._end(p._replace(from_store=(), to_store=()), "none", "", 0, "refused")),
                 )
         elif p.phase == "claimed":
             for cell in CELLS if not p.known else (p.known,):
-                yield from self._sends(i, p, cell, put)
-        elif p.phase == "noting" and p.back:
-            fresh = p._replace(back=p.back[1:])
-            if p.back[0] == 1:
+                yield from self._choose_cell(i, p, cell, put)
+        elif p.phase == "noting" and p.from_store:
+            fresh = p._replace(from_store=p.from_store[1:])
+            if p.from_store[0] == 1:
                 yield f"{i}: the note is sure", put(fresh._replace(phase="ready", noted=p.cell))
             else:
-                yield f"{i}: the claim is lost", put(self._ended(fresh, "none", "", 0, "refused"))
+                yield f"{i}: the claim is lost", put(self._end(fresh, "none", "", 0, "refused"))
         elif p.phase == "ready":
-            yield f"{i}: its attempt leaves", put(p._replace(phase="sent", flying=(*p.flying, p.cell)))
+            yield (
+                f"{i}: its attempt is sent",
+                put(p._replace(phase="sent", attempts_in_flight=(*p.attempts_in_flight, p.cell))),
+            )
         elif p.phase == "sent":
             if p.answer == "no":
                 fresh = p._replace(phase="claimed", answer="", rejected=(*p.rejected, p.cell))
                 if not p.known and len(fresh.rejected) < len(CELLS):
                     for cell in CELLS:
                         if cell not in fresh.rejected:
-                            yield from self._sends(i, fresh, cell, put)
+                            yield from self._choose_cell(i, fresh, cell, put)
                 how = "failed" if p.known else "refused"
-                yield f"{i}: gives up", put(self._ended(fresh, "none", "", 0, how))
+                yield f"{i}: gives up", put(self._end(fresh, "none", "", 0, how))
             elif p.answer:
-                yield f"{i}: has the answer", put(self._ended(p, "answer", p.answer, p.cell, "served"))
+                yield f"{i}: has the answer", put(self._end(p, "answer", p.answer, p.cell, "served"))
             else:
-                yield f"{i}: its time is up", put(self._ended(p, "none", "", p.cell, "failed"))
+                yield f"{i}: its deadline passes", put(self._end(p, "none", "", p.cell, "failed"))
 
-    def _claimed(self, i: int, p: Proxy, put: Callable[..., World]) -> tuple[str, World]:
-        reply, fresh = p.back[0], p._replace(back=p.back[1:])
+    def _receive_claim(self, i: int, p: Proxy, put: Callable[..., World]) -> tuple[str, World]:
+        reply, fresh = p.from_store[0], p._replace(from_store=p.from_store[1:])
         what = f"{i}: is told {reply}"
         if reply[0] == "run" and len(reply) == 1:
             return what, put(fresh._replace(phase="claimed"))
@@ -255,36 +267,40 @@
             if self.rules.first_cell_only:
                 fresh = fresh._replace(known=reply[1], noted=reply[1])
             return what, put(fresh._replace(phase="claimed"))
-        if reply[0] == "run" and not self.rules.unknown_fails:
+        if reply[0] == "run" and not self.rules.unknown_place_fails:
             return what, put(fresh._replace(phase="claimed"))
         if reply[0] == "run":
-            return what, put(self._ended(fresh, "none", "", 0, "failed"))
+            return what, put(self._end(fresh, "none", "", 0, "failed"))
         if reply[0] == "answer":
             return what, put(fresh._replace(phase="served", answer=reply[1]))
-        return what, put(fresh._replace(phase="new"))  # it waits, and asks again at any time
+        return what, put(fresh._replace(phase="new"))  # it waits, and may claim again at any time
 
-    def _sends(self, i: int, p: Proxy, cell: int, put: Callable[..., World]) -> Iterator[tuple[str, World]]:
+    def _choose_cell(
+        self, i: int, p: Proxy, cell: int, put: Callable[..., World]
+    ) -> Iterator[tuple[str, World]]:
         chosen = p._replace(cell=cell)
-        if p.noted == cell or not self.rules.claims:
+        if p.noted == cell or not self.rules.use_claims:
             yield f"{i}: chooses {cell}", put(chosen._replace(phase="ready"))
-        elif p.noted and self.rules.sure:
+        elif p.noted and self.rules.wait_for_note:
             yield (
                 f"{i}: asks to note {cell}",
-                put(chosen._replace(phase="noting", out=(*p.out, ("note", cell, True)))),
+                put(chosen._replace(phase="noting", to_store=(*p.to_store, ("note", cell, True)))),
             )
         else:
             yield (
                 f"{i}: chooses {cell} and notes it",
-                put(chosen._replace(phase="ready", noted=cell, out=(*p.out, ("note", cell, False)))),
+                put(
+                    chosen._replace(phase="ready", noted=cell, to_store=(*p.to_store, ("note", cell, False)))
+                ),
             )
 
-    def _ended(self, p: Proxy, how: str, kept: str, cell: int, phase: str) -> Proxy:
-        out = (*p.out, ("end", how, kept, cell)) if self.rules.claims else p.out
-        return p._replace(phase=phase, out=out, answer=kept)
+    def _end(self, p: Proxy, how: str, kept: str, cell: int, phase: str) -> Proxy:
+        to_store = (*p.to_store, ("end", how, kept, cell)) if self.rules.use_claims else p.to_store
+        return p._replace(phase=phase, to_store=to_store, answer=kept)
 
 
 def canonical(w: World) -> World:
-    """One of the states that differ by the order of the proxies only."""
+    """Return the representative of the states that differ only in the order of the proxies."""
     order = sorted(
         range(len(w.proxies)),
         key=lambda i: (
@@ -304,15 +320,15 @@
 
 
 def _renamed(p: Proxy, new: dict[str, str]) -> Proxy:
-    out = tuple((m[0], m[1], new.get(m[2], m[2]), m[3]) if m[0] == "end" else m for m in p.out)
-    back = tuple(
-        (r[0], new.get(r[1], r[1])) if isinstance(r, tuple) and r[0] == "answer" else r for r in p.back
+    to_store = tuple((m[0], m[1], new.get(m[2], m[2]), m[3]) if m[0] == "end" else m for m in p.to_store)
+    from_store = tuple(
+        (r[0], new.get(r[1], r[1])) if isinstance(r, tuple) and r[0] == "answer" else r for r in p.from_store
     )
-    return p._replace(answer=new.get(p.answer, p.answer), out=out, back=back)
+    return p._replace(answer=new.get(p.answer, p.answer), to_store=to_store, from_store=from_store)
 
 
 def main() -> int:
-    """Explore and print what was covered; status 1 with the way to a state that is wrong."""
+    """Explore and print the number of states; status 1 with the steps to a wrong state."""
     explorer = Explorer(Rules())
     found = explorer.run()
     print(*(found or ["nothing is wrong"]), f"{explorer.states} states, {explorer.steps} steps", sep="\n")
--- a/tests/orderkeys/shared.py
+++ b/tests/orderkeys/shared.py
@@ -1,4 +1,4 @@
-"""Proxies in this process that share their keys in a Redis, for the tests."""
+"""Helpers: proxies in this process that share their keys in a Redis server."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from honeywharf.config import features
 from honeywharf.config.features import Features, OrderKeys
-from honeywharf.orderkeys.edge import Edge
-from honeywharf.orderkeys.redis import Store
+from honeywharf.orderkeys.deduplicator import KeyDeduplicator
+from honeywharf.orderkeys.redis import RedisLink
 from honeywharf.standins.redis import Redis
 from honeywharf.standins.relay import Relay
 from tests.loopback import Backend, World, until, world
 
 
-def on(
+def features_on(
     redis: Redis | Relay,
     empty: str = "trust",
     wait_ms: float = 2000.0,
     password_file: str = "",
     **changes: Any,
 ) -> Features:
-    """The features of a proxy that shares its keys there."""
+    """The features of a proxy that shares its keys in that server."""
     told: dict[str, Any] = {
         "url": f"redis://127.0.0.1:{redis.port}",
         "empty": empty,
@@ -33,26 +33,26 @@
     return Features(order_keys=OrderKeys(store="redis", redis=features.Redis(**told), **changes))
 
 
-def edge_of(w: World) -> Edge:
-    assert isinstance(w.proxy.driver.seams.joins, Edge)
-    return w.proxy.driver.seams.joins
+def deduplicator_of(w: World) -> KeyDeduplicator:
+    assert isinstance(w.proxy.driver.hooks.request_deduplicator, KeyDeduplicator)
+    return w.proxy.driver.hooks.request_deduplicator
 
 
-def store_of(w: World) -> Store:
-    shared = edge_of(w).shared
+def store_of(w: World) -> RedisLink:
+    shared = deduplicator_of(w).shared
     assert shared is not None
-    assert isinstance(shared.link, Store)
+    assert isinstance(shared.link, RedisLink)
     return shared.link
 
 
-def up(w: World) -> bool:
+def store_available(w: World) -> bool:
     return store_of(w).shared.available()
 
 
-def at_rest(w: World) -> bool:
-    """Whether nothing is held, owed or waited for."""
-    edge, driver = edge_of(w), w.proxy.driver
-    return not (driver.requests or driver.open or edge.runs or edge.waiting)
+def is_idle(w: World) -> bool:
+    """Whether no request is in progress or waiting."""
+    deduplicator, driver = deduplicator_of(w), w.proxy.driver
+    return not (driver.requests or driver.open_requests or deduplicator.runs or deduplicator.waiting)
 
 
 @asynccontextmanager
@@ -62,21 +62,21 @@
     told: dict[str, Any] | None = None,
     **changes: Any,
 ) -> AsyncIterator[tuple[Redis, list[World], list[Backend]]]:
-    """So many proxies before the same backends, each in a cell of its own; all must be over at the end."""
+    """Proxies before the same backends, each in its own cell. All requests must have ended on exit."""
     redis = await Redis().start()
     made = [await Backend().start() for _ in range(backends)]
     try:
         async with AsyncExitStack() as stack:
             rows = [b.row(f"b{i}", cell=i) for i, b in enumerate(made)]
             worlds = [
-                await stack.enter_async_context(world(rows, on(redis, **(told or {})), **changes))
+                await stack.enter_async_context(world(rows, features_on(redis, **(told or {})), **changes))
                 for _ in range(proxies)
             ]
             for w in worlds:
-                await until(partial(up, w))
+                await until(partial(store_available, w))
             yield redis, worlds, made
             for w in worlds:
-                await until(partial(at_rest, w))
+                await until(partial(is_idle, w))
     finally:
         redis.kill()
         for backend in made:
--- a/tests/orderkeys/test_day.py
+++ b/tests/orderkeys/test_day.py
@@ -1,4 +1,4 @@
-"""A short bad day of order keys over proxies that are killed, without the feature and with it."""
+"""The demo of order keys with proxies that are killed, without the feature and with it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def test_the_demo_of_keys_charges_some_twice_without_the_feature_and_none_with_it() -> None:
-    said: list[str] = []
-    assert play_keys(2.0, 1, said.append) == 0
-    twice = [int(found[1]) for line in said if (found := re.search(r"(\d+) of them twice", line))]
-    assert len(twice) == 2
-    assert twice[0] > 0
-    assert twice[1] == 0
-    assert said[-1].endswith("rules broken: none")
+    lines: list[str] = []
+    assert play_keys(2.0, 1, lines.append) == 0
+    charged_twice = [int(found[1]) for line in lines if (found := re.search(r"(\d+) of them twice", line))]
+    assert len(charged_twice) == 2
+    assert charged_twice[0] > 0
+    assert charged_twice[1] == 0
+    assert lines[-1].endswith("rules broken: none")
--- a/tests/orderkeys/test_edge.py
+++ b/tests/orderkeys/test_deduplicator.py
@@ -1,4 +1,4 @@
-"""Idempotency keys at the edge, through a running proxy on loopback sockets."""
+"""Idempotency keys of one proxy, through a running proxy on loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 import pytest
 
 from honeywharf.config.features import Features, OrderKeys
-from honeywharf.orderkeys.edge import JOINED_MOST, Edge
+from honeywharf.orderkeys.deduplicator import MAX_JOINED_PER_KEY, KeyDeduplicator
 from honeywharf.policy import interface as api
 from honeywharf.proxy import Proxy
 from tests.loopback import SETTINGS, Backend, Client, World, make_config, reply, run, soon, until, world
 
-ON = Features(order_keys=OrderKeys(store="process"))
+ENABLED = Features(order_keys=OrderKeys(store="process"))
 
 
 def short_window(window_ms: float) -> list[dict[str, Any]]:
@@ -23,47 +23,47 @@
 
 
 @asynccontextmanager
-async def racks(
+async def proxy_with_backends(
     number: int = 1,
-    features: Features | None = ON,
+    features: Features | None = ENABLED,
     **changes: Any,
 ) -> AsyncIterator[tuple[World, list[Backend]]]:
-    """A proxy before so many backends, each in a cell of its own, and the check that nothing is left over."""
+    """A proxy before `number` backends, each in its own cell. Checks at the end that no request is left."""
     backends = [await Backend().start() for _ in range(number)]
     async with world([b.row(f"b{i}", cell=i) for i, b in enumerate(backends)], features, **changes) as w:
         yield w, backends
         await until(lambda: not w.proxy.driver.requests)
-        edge = w.proxy.driver.seams.joins
-        assert w.proxy.driver.open == 0
-        if isinstance(edge, Edge):
-            assert not edge.runs
-            assert not edge.waiting
+        deduplicator = w.proxy.driver.hooks.request_deduplicator
+        assert w.proxy.driver.open_requests == 0
+        if isinstance(deduplicator, KeyDeduplicator):
+            assert not deduplicator.runs
+            assert not deduplicator.waiting
     for backend in backends:
         await backend.stop()
 
 
-def edge_of(w: World) -> Edge:
-    assert isinstance(w.proxy.driver.seams.joins, Edge)
-    return w.proxy.driver.seams.joins
+def deduplicator_of(w: World) -> KeyDeduplicator:
+    assert isinstance(w.proxy.driver.hooks.request_deduplicator, KeyDeduplicator)
+    return w.proxy.driver.hooks.request_deduplicator
 
 
 async def clients(w: World, number: int) -> list[Client]:
     return [await Client.to(w.port) for _ in range(number)]
 
 
-async def joined(w: World, backend: Backend) -> tuple[Client, Client]:
-    """A client whose order runs, at a backend that says nothing yet, and one that waits for the same key."""
+async def running_and_joined(w: World, backend: Backend) -> tuple[Client, Client]:
+    """A client whose order runs at a silent backend, and a client that waits for the same key."""
     backend.then = None
     first, repeat = await clients(w, 2)
     first.send("order", b"x", key="k")
     await until(lambda: backend.came.is_set())
     repeat.send("order", b"x", key="k")
-    await until(lambda: len(edge_of(w).waiting) == 1)
+    await until(lambda: len(deduplicator_of(w).waiting) == 1)
     return first, repeat
 
 
 async def answer_all(backend: Backend, body: bytes = b"tile") -> None:
-    """Answer on every connection, once a request has come: what comes before one is nobody's answer."""
+    """Answer on every connection once a request has come; earlier bytes would answer no request."""
     await soon(backend.came.wait())
     for writer in list(backend.writers):
         writer.write(reply(200, body))
@@ -71,16 +71,16 @@
 
 def test_five_copies_of_a_key_at_once_run_once_and_have_one_answer() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             backend.then = None
             copies = await clients(w, 5)
             for client in copies:
                 client.send("order", b"x", key="k")
-            await until(lambda: len(edge_of(w).waiting) == 4)
+            await until(lambda: len(deduplicator_of(w).waiting) == 4)
             await answer_all(backend, b"the one")
             answers = [await client.answer() for client in copies]
             assert {(a[0].split()[1], a[2]) for a in answers} == {(b"200", b"the one")}
-            copies[0].send("order", b"x", key="k")  # and once more, when all is done
+            copies[0].send("order", b"x", key="k")  # once more, when the key is done
             assert (await copies[0].answer())[2] == b"the one"
             assert len(backend.requests) == 1
 
@@ -88,26 +88,26 @@
 
 
 def test_without_the_feature_each_copy_is_sent() -> None:
-    """The comparison that shows what the tests above rest on."""
+    """Shows that the test above passes because of the feature."""
 
     async def main() -> None:
-        async with racks(features=None) as (w, (backend,)):
+        async with proxy_with_backends(features=None) as (w, (backend,)):
             (client,) = await clients(w, 1)
             for _ in range(2):
                 client.send("order", b"x", key="k")
                 assert await client.status() == 200
             assert len(backend.requests) == 2
-            assert w.proxy.driver.seams.joins is None
+            assert w.proxy.driver.hooks.request_deduplicator is None
 
     run(main())
 
 
-def test_the_repeat_has_the_answer_though_the_first_client_has_left() -> None:
+def test_a_repeat_gets_the_answer_after_the_first_client_disconnected() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
-            first, repeat = await joined(w, backend)
+        async with proxy_with_backends() as (w, (backend,)):
+            first, repeat = await running_and_joined(w, backend)
             first.writer.transport.abort()
-            await until(lambda: w.proxy.driver.open == 1)
+            await until(lambda: w.proxy.driver.open_requests == 1)
             await answer_all(backend)
             assert await repeat.status() == 200
             assert len(backend.requests) == 1
@@ -115,40 +115,40 @@
     run(main())
 
 
-def test_a_repeat_that_leaves_takes_nothing_along() -> None:
+def test_a_repeat_that_disconnects_does_not_affect_the_first_request() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
-            first, repeat = await joined(w, backend)
+        async with proxy_with_backends() as (w, (backend,)):
+            first, repeat = await running_and_joined(w, backend)
             repeat.writer.transport.abort()
-            await until(lambda: not edge_of(w).waiting)
+            await until(lambda: not deduplicator_of(w).waiting)
             await answer_all(backend)
             assert await first.status() == 200
 
     run(main())
 
 
-def test_a_repeat_of_less_time_has_its_own_end_and_the_first_goes_on() -> None:
+def test_a_repeat_with_less_time_times_out_alone_and_the_first_request_goes_on() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             backend.then = None
             first, repeat = await clients(w, 2)
             first.send("order", b"x", key="k")
             await until(lambda: backend.came.is_set())
             repeat.send("order", b"x", "150m", key="k")
-            assert await repeat.status() == 502  # not refused: the first may have run
+            assert await repeat.status() == 502  # not refused, because the first may have run
             await answer_all(backend)
             assert await first.status() == 200
-            assert len(backend.requests) == 1  # without the feature the repeat was sent, and timed out alike
+            assert len(backend.requests) == 1  # the repeat was not sent
 
     run(main())
 
 
 @pytest.mark.parametrize("waits", [True, False])
-def test_a_repeat_of_more_time_is_sent_to_the_same_cell_only(waits: bool) -> None:
+def test_a_repeat_with_more_time_is_sent_to_the_same_cell_only(waits: bool) -> None:
     async def main() -> None:
-        async with racks(4) as (w, backends):
+        async with proxy_with_backends(4) as (w, backends):
             for backend in backends:
-                backend.script = [None, None]  # a last try may leave just before the end
+                backend.script = [None, None]  # a last attempt may be sent just before the deadline
             first, repeat = await clients(w, 2)
             first.send("order", b"x", "300m", key="k")
             await until(lambda: any(b.came.is_set() for b in backends))
@@ -171,12 +171,12 @@
     run(main())
 
 
-def test_after_the_window_an_uncertain_key_fails_and_is_sent_nowhere() -> None:
+def test_after_the_window_an_uncertain_key_fails_and_is_not_sent() -> None:
     async def main() -> None:
         keep = Features(order_keys=OrderKeys(store="process", keep_ms={"order": 60000.0}))
-        async with racks(2, keep, profiles=short_window(400.0)) as (w, backends):
+        async with proxy_with_backends(2, keep, profiles=short_window(400.0)) as (w, backends):
             for backend in backends:
-                backend.script = [None, None]  # a last try may leave just before the end
+                backend.script = [None, None]  # a last attempt may be sent just before the deadline
             (client,) = await clients(w, 1)
             client.send("order", b"x", "200m", key="k")
             assert await client.status() == 502
@@ -184,17 +184,17 @@
             sent = sum(len(b.requests) for b in backends)
             await asyncio.sleep(0.4)
             client.send("order", b"x", key="k")
-            assert await client.status() == 502  # a refusal would promise that trying again is harmless
+            assert await client.status() == 502  # a refusal would promise that a retry is safe
             assert sum(len(b.requests) for b in backends) == sent > 0
 
     run(main())
 
 
-def test_where_the_cell_is_gone_an_uncertain_key_fails_and_is_never_refused() -> None:
+def test_when_its_cell_is_gone_an_uncertain_key_fails_and_is_never_refused() -> None:
     async def main() -> None:
-        async with racks(2) as (w, backends):
+        async with proxy_with_backends(2) as (w, backends):
             for backend in backends:
-                backend.script = [None, None]  # a last try may leave just before the end
+                backend.script = [None, None]  # a last attempt may be sent just before the deadline
             (client,) = await clients(w, 1)
             client.send("order", b"x", "200m", key="k")
             assert await client.status() == 502
@@ -214,15 +214,15 @@
     run(main())
 
 
-def test_a_key_that_was_turned_away_is_free() -> None:
+def test_a_key_that_the_backend_rejected_is_free() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             backend.then = reply(503, b"", b"X-Unprocessed: 1")
             (client,) = await clients(w, 1)
             client.send("order", b"x", key="k")
             assert await client.status() == 503
             await until(lambda: not w.proxy.driver.requests)
-            assert not edge_of(w).table.entries
+            assert not deduplicator_of(w).table.entries
             assert all(e.earlier is None for e in w.events if isinstance(e, api.RequestArrived))
 
     run(main())
@@ -230,7 +230,7 @@
 
 def test_another_payload_is_422_and_another_tenant_has_its_own_key() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             (client,) = await clients(w, 1)
             tries = ((b"x", "a", 200), (b"y", "a", 422), (b"y", "b", 200), (b"x", "a", 200))
             for body, account, status in tries:
@@ -242,9 +242,9 @@
 
 
 @pytest.mark.parametrize("key", [b"\x80\xff", b"k" * 10240, b'"quoted, ; key"'], ids=["binary", "10 KB", "q"])
-def test_odd_keys_are_keys(key: bytes) -> None:
+def test_unusual_keys_are_accepted(key: bytes) -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             (client,) = await clients(w, 1)
             head = (
                 b"POST /api?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: %d\r\n"
@@ -258,10 +258,10 @@
     run(main())
 
 
-@pytest.mark.parametrize("features", [None, ON], ids=["off", "on"])
-def test_an_empty_key_is_none(features: Features | None) -> None:
+@pytest.mark.parametrize("features", [None, ENABLED], ids=["off", "on"])
+def test_an_empty_key_is_invalid(features: Features | None) -> None:
     async def main() -> None:
-        async with racks(features=features) as (w, (backend,)):
+        async with proxy_with_backends(features=features) as (w, (backend,)):
             (client,) = await clients(w, 1)
             assert (
                 await client.ask(
@@ -276,31 +276,33 @@
     run(main())
 
 
-def test_more_repeats_than_may_wait_are_told_409() -> None:
+def test_repeats_beyond_the_limit_get_status_409() -> None:
     async def main() -> None:
-        async with racks() as (w, (backend,)):
+        async with proxy_with_backends() as (w, (backend,)):
             backend.then = None
-            copies = await clients(w, JOINED_MOST + 2)
+            copies = await clients(w, MAX_JOINED_PER_KEY + 2)
             for client in copies[:-1]:
                 client.send("order", b"x", key="k")
-            await until(lambda: len(edge_of(w).waiting) == JOINED_MOST)
+            await until(lambda: len(deduplicator_of(w).waiting) == MAX_JOINED_PER_KEY)
             copies[-1].send("order", b"x", key="k")
             assert await copies[-1].status() == 409
             await answer_all(backend)
-            assert [await c.status() for c in copies[:-1]] == [200] * (JOINED_MOST + 1)
+            assert [await c.status() for c in copies[:-1]] == [200] * (MAX_JOINED_PER_KEY + 1)
 
     run(main())
 
 
-def test_where_there_is_no_room_a_new_key_is_refused_before_anything_has_run() -> None:
+def test_a_full_table_refuses_a_new_key_before_anything_has_run() -> None:
     async def main() -> None:
         two = Features(order_keys=OrderKeys(store="process", entries=2))
-        async with racks(features=two) as (w, (backend,)):
+        async with proxy_with_backends(features=two) as (w, (backend,)):
             backend.then = None
             first, second = await clients(w, 2)
             first.send("order", b"x", "4000m", "X-Account: a", key="k")
             await until(lambda: backend.came.is_set())
-            second.send("order", b"x", "4000m", "X-Account: a", key="other")  # half the room at most
+            second.send(
+                "order", b"x", "4000m", "X-Account: a", key="other"
+            )  # a tenant gets half of the entries at most
             status, headers, _ = await second.answer()
             assert status.split()[1] == b"503"
             assert float(headers[b"retry-after"]) > 0
@@ -311,10 +313,10 @@
     run(main())
 
 
-def test_a_long_answer_is_asked_for_again_in_its_cell_and_another_one_is_not_passed_on() -> None:
+def test_a_long_answer_is_requested_again_from_its_cell_and_a_different_one_is_not_passed_on() -> None:
     async def main() -> None:
         digest = Features(order_keys=OrderKeys(store="process", whole_answer_bytes=1))
-        async with racks(3, digest) as (w, backends):
+        async with proxy_with_backends(3, digest) as (w, backends):
             (client,) = await clients(w, 1)
             for status in (200, 200):
                 client.send("order", b"x", key="k")
@@ -329,7 +331,7 @@
     run(main())
 
 
-def test_a_time_shorter_than_the_window_and_a_class_without_keys_are_told() -> None:
+def test_a_keep_time_below_the_window_and_a_class_without_keys_are_errors() -> None:
     async def main() -> None:
         for keep, words in (
             ({"order": 1000.0}, "wanted 7500 at least"),
--- a/tests/orderkeys/test_explorer.py
+++ b/tests/orderkeys/test_explorer.py
@@ -1,4 +1,4 @@
-"""All interleavings of three proxies, two kills and one lease that ends; and each rule is needed."""
+"""All interleavings of three proxies, two kills and one lease that ends; each rule is necessary."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 
 
 @pytest.mark.skipif(not os.environ.get("HONEYWHARF_LONG"), reason="HONEYWHARF_LONG=1 explores four proxies")
-def test_nor_does_one_of_four_proxies_and_two_leases() -> None:
+def test_no_interleaving_of_four_proxies_and_two_leases_does() -> None:
     assert Explorer(Rules(), proxies=4, crashes=2, expiries=2).run(20_000_000) is None
 
 
 Verdict = tuple[model.Entry | None, tuple[object, ...]]
 
 
-def frees_at_the_lease(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
+def claim_frees_key_after_lease(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
     return model.claim(None if e is not None and e.state == "R" and e.until <= now else e, now, *rest)
 
 
-def gives_to_all(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
+def claim_ignores_lease(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
     return model.claim(None if e is not None and e.state == "R" else e, now, *rest)
 
 
-def forgets_the_uncertain(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
+def claim_forgets_uncertain_key(e: model.Entry | None, now: int, *rest: Any) -> Verdict:
     return model.claim(None if e is not None and e.state == "U" else e, now, *rest)
 
 
-def notes_for_anyone(e: model.Entry | None, _: str, place: model.Place) -> tuple[model.Entry | None, int]:
+def note_from_anyone(e: model.Entry | None, _: str, place: model.Place) -> tuple[model.Entry | None, int]:
     return model.note(e, e.holder if e is not None else "", place)
 
 
-def ends_for_anyone(
+def end_from_anyone(
     e: model.Entry | None,
     now: int,
     holder: str,
@@ -65,17 +65,17 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "broken_rules",
     [
-        Rules(claims=False),
-        Rules(sure=False),
-        Rules(unknown_fails=False),
+        Rules(use_claims=False),
+        Rules(wait_for_note=False),
+        Rules(unknown_place_fails=False),
         Rules(first_cell_only=False),
-        Rules(claim=frees_at_the_lease),
-        Rules(claim=gives_to_all),
-        Rules(claim=forgets_the_uncertain),
-        Rules(note=notes_for_anyone),
-        Rules(end=ends_for_anyone),
+        Rules(claim=claim_frees_key_after_lease),
+        Rules(claim=claim_ignores_lease),
+        Rules(claim=claim_forgets_uncertain_key),
+        Rules(note=note_from_anyone),
+        Rules(end=end_from_anyone),
     ],
     ids=[
         "no claims",
@@ -89,7 +89,7 @@
         "ends for anyone",
     ],
 )
-def test_without_any_one_of_the_rules_there_is_one_that_does(spoilt: Rules) -> None:
-    found = Explorer(spoilt).run()
+def test_without_any_one_rule_some_interleaving_breaks_the_key(broken_rules: Rules) -> None:
+    found = Explorer(broken_rules).run()
     assert found is not None
     assert found[0] in ("charged twice", "the key is lost", "two answers, or one from nothing")
