--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -1,4 +1,4 @@
-"""A proxy that is killed, and a network that fails, between the steps of a key; a Redis server, processes."""
+"""A proxy process that is killed, and a network that fails, between the steps of a key shared in Redis."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from honeywharf.standins.redis import Redis
 from honeywharf.standins.relay import Relay
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
-from tests.orderkeys.shared import on, sharing, store_of, up
+from tests.orderkeys.shared import features_on, sharing, store_available, store_of
 from tests.test_process import Process
 
 TOML = '[order_keys]\nstore = "redis"\n[order_keys.redis]\nurl = "redis://127.0.0.1:{}"\nempty = "trust"\n'
 
 
 class Scene:
-    """One proxy as a process that reaches Redis through a relay, and one in the test, before two racks."""
+    """A proxy process that reaches Redis through a relay, and a proxy in the test, before two backends."""
 
     def __init__(
         self,
@@ -37,29 +37,29 @@
         client.send("order", b"x", left, key="k")
         return client
 
-    async def held(self) -> tuple[Client, int]:
-        """An order that a rack has, and says nothing to; the client, and which rack."""
+    async def unanswered_order(self) -> tuple[Client, int]:
+        """Send an order that a backend receives and does not answer. Returns the client and the cell."""
         for backend in self.backends:
             backend.script = [None] * 9
         client = await self.order()
-        await until(lambda: any(self.sent()))
-        return client, self.used()
+        await until(lambda: any(self.requests_by_cell()))
+        return client, self.used_cell()
 
     async def states(self) -> list[object]:
-        """The state, and the cell of the note, of all keys that Redis has."""
+        """The state and the noted cell of all keys in Redis."""
         names = await self.redis.ask("ZRANGE", "honeywharf:x", "0", "-1")
         assert isinstance(names, list)
         return [await self.redis.ask("HMGET", b"honeywharf:k:" + name, "s", "c") for name in names]
 
-    def killed(self) -> None:
+    def kill_first(self) -> None:
         self.first.process.kill()
         self.first.process.wait()
 
-    def sent(self) -> list[int]:
+    def requests_by_cell(self) -> list[int]:
         return [len(b.requests) for b in self.backends]
 
-    def used(self) -> int:
-        (cell,) = [i for i, number in enumerate(self.sent()) if number]
+    def used_cell(self) -> int:
+        (cell,) = [i for i, number in enumerate(self.requests_by_cell()) if number]
         return cell
 
     async def repeat(self) -> int:
@@ -82,11 +82,11 @@
     try:
         pipe, lines = process.process.stderr, process.early
         assert pipe is not None
-        while not any("the shared store is there" in line for line in lines):
+        while not any("connected to the shared store" in line for line in lines):
             lines.append(await soon(asyncio.to_thread(pipe.readline)))
             assert lines[-1], "the process has ended"
-        async with world(rows, on(redis)) as other:
-            await until(lambda: up(other))
+        async with world(rows, features_on(redis)) as other:
+            await until(lambda: store_available(other))
             yield Scene(redis, relay, process, other, backends)
     finally:
         process.process.kill()
@@ -97,7 +97,7 @@
             await backend.stop()
 
 
-def test_killed_between_claim_and_send_the_key_fails_and_is_sent_nowhere(
+def test_killed_between_claim_and_send_the_key_fails_and_is_not_sent(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -105,13 +105,13 @@
         async with scene(tmp_path, monkeypatch) as s:
             s.relay.hold_back = True
             client = await s.order()
-            await until(lambda: s.relay.held_back > 0)  # the claim is taken, and the proxy doesn't know
-            s.killed()
+            await until(lambda: s.relay.held_back > 0)  # the claim is granted, but the proxy has no reply yet
+            s.kill_first()
             assert await client.closed()
             assert await s.states() == [[b"R", None]]
-            assert await s.repeat() == 502  # waits for the lease; then nobody knows where it may have run
+            assert await s.repeat() == 502  # waits for the lease to end; no place is noted
             assert await s.states() == [[b"U", None]]
-            assert s.sent() == [0, 0]
+            assert s.requests_by_cell() == [0, 0]
 
     run(main())
 
@@ -122,13 +122,13 @@
 ) -> None:
     async def main() -> None:
         async with scene(tmp_path, monkeypatch) as s:
-            client, used = await s.held()
-            s.killed()
+            client, used = await s.unanswered_order()
+            s.kill_first()
             assert await s.states() == [[b"R", b"%d" % used]]
             assert await client.closed()
             s.backends[used].script = []
             assert await s.repeat() == 200
-            assert s.sent()[1 - used] == 0
+            assert s.requests_by_cell()[1 - used] == 0
             assert await s.states() == [[b"D", b"%d" % used]]
 
     run(main())
@@ -140,17 +140,17 @@
 ) -> None:
     async def main() -> None:
         async with scene(tmp_path, monkeypatch) as s:
-            client, used = await s.held()
+            client, used = await s.unanswered_order()
             s.relay.hold_there = True
             for writer in list(s.backends[used].writers):
                 writer.write(reply(200, b"tile"))
             assert await client.status() == 200
             await until(lambda: s.relay.held_there > 0)
-            s.killed()
+            s.kill_first()
             s.backends[used].script = []
-            s.relay.cut()  # the end of the key is lost
+            s.relay.cut()  # the report of the key's end is lost
             assert await s.repeat() == 200
-            assert s.sent()[1 - used] == 0
+            assert s.requests_by_cell()[1 - used] == 0
             (place,) = [e.earlier for e in s.other.events if isinstance(e, api.RequestArrived)]
             assert place is not None
             assert place.cell == used
@@ -164,14 +164,14 @@
         async with sharing(1, 1) as (redis, _, (backend,)):
             relay = await Relay(redis.port).start()
             rows = [backend.row("b0", cell=0)]
-            async with world(rows, on(relay)) as w:
-                await until(lambda: up(w))
+            async with world(rows, features_on(relay)) as w:
+                await until(lambda: store_available(w))
                 client = await Client.to(w.port)
                 relay.cut_back_after = after
                 client.send("order", b"x", key="k")
                 status = await client.status()
                 assert status in ((503,) if after < 20 else (200, 503))
-                await until(lambda: up(w) and not store_of(w).shared.owed)
+                await until(lambda: store_available(w) and not store_of(w).shared.unconfirmed_ends)
                 client.send("order", b"x", key="k")
                 assert await client.status() == 200
                 assert len(backend.requests) == 1
@@ -180,7 +180,7 @@
     run(main())
 
 
-def test_an_answer_after_the_lease_ended_still_ends_the_key_where_nobody_took_it() -> None:
+def test_an_answer_after_the_lease_still_settles_a_key_that_nobody_else_has_claimed() -> None:
     async def main() -> None:
         async with sharing(1, 1, {"wait_ms": 100.0}) as (redis, (w,), (backend,)):
             backend.then = None
@@ -192,10 +192,10 @@
                 for writer in list(backend.writers):
                     writer.write(reply(200, b"tile"))
                 assert await client.status() == 200
-                await asyncio.sleep(1.2)  # its lease of 850 ms is over
+                await asyncio.sleep(1.2)  # its lease of 850 ms has ended
             finally:
                 redis.resume()
-            await until(lambda: not store_of(w).shared.owed and up(w))
+            await until(lambda: not store_of(w).shared.unconfirmed_ends and store_available(w))
             client.send("order", b"x", key="k")
             assert (await client.answer())[2] == b"tile"
             assert len(backend.requests) == 1
@@ -203,13 +203,13 @@
     run(main())
 
 
-def test_a_store_that_stands_for_three_seconds_loses_nothing() -> None:
+def test_a_store_that_is_paused_for_three_seconds_loses_no_key() -> None:
     async def main() -> None:
         async with sharing(2, 2, {"wait_ms": 100.0}) as (redis, worlds, backends):
             clients = [await Client.to(w.port) for w in worlds]
             clients[0].send("order", b"x", key="before")
             assert await clients[0].status() == 200
-            await until(lambda: not store_of(worlds[0]).shared.owed)
+            await until(lambda: not store_of(worlds[0]).shared.unconfirmed_ends)
             redis.pause()
             try:
                 end = asyncio.get_running_loop().time() + 3.0
@@ -222,7 +222,9 @@
                     await asyncio.sleep(0.05)
             finally:
                 redis.resume()
-            await until(lambda: all(up(w) and not store_of(w).shared.owed for w in worlds))
+            await until(
+                lambda: all(store_available(w) and not store_of(w).shared.unconfirmed_ends for w in worlds)
+            )
             for client in clients:
                 for key in ("before", "during"):
                     client.send("order", b"x", key=key)
--- a/tests/orderkeys/test_scripts.py
+++ b/tests/orderkeys/test_scripts.py
@@ -1,4 +1,4 @@
-"""The scripts in a Redis server against the model of one key, and their bounds; its clock is set by hand."""
+"""The scripts in a Redis server compared with the model of one key, and their limits; a manual clock."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 LEASE, KEEP = 50, 200
 
 
-class Scripts:
-    """The scripts on a connection, with a clock that stands until it is set."""
+class ScriptClient:
+    """The scripts on a connection to a server whose clock only moves when it is set."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), 10.0)
@@ -53,8 +53,8 @@
         payload: str = "P",
         tenant: str = "t",
         entries: int = 100,
-        most_bytes: int = 10**9,
-        empty: int = 0,
+        max_bytes: int = 10**9,
+        empty_ms: int = 0,
     ) -> list[Any]:
         got = self.run(
             "claim",
@@ -64,10 +64,10 @@
             holder,
             LEASE,
             KEEP,
-            empty,
+            empty_ms,
             "proxy",
             entries,
-            most_bytes,
+            max_bytes,
             ENTRY_BYTES,
             self.now + 1,
             16,
@@ -101,29 +101,29 @@
 
 
 @pytest.fixture
-def redis() -> Iterator[Scripts]:
+def redis() -> Iterator[ScriptClient]:
     server = asyncio.run(Redis().start())
-    made = Scripts(server.port)
+    made = ScriptClient(server.port)
     yield made
     made.socket.close()
     server.kill()
 
 
-def check_counts(s: Scripts, most: int) -> None:
-    """What is counted is what there is, and within its bounds."""
+def check_counts(s: ScriptClient, max_entries: int) -> None:
+    """Check that the counters equal the stored entries and stay within the limits."""
     names = s.ask("ZRANGE", "p:x", "0", "-1")
-    assert len(names) <= most
-    size, pinned, done = 0, dict[bytes, int](), dict[bytes, int]()
+    assert len(names) <= max_entries
+    size, unsettled, done = 0, dict[bytes, int](), dict[bytes, int]()
     for name in names:
         state, tenant, own = s.ask("HMGET", b"p:k:" + name, "s", "t", "b")
         size += int(own)
-        group = done if state == b"D" else pinned
+        group = done if state == b"D" else unsettled
         group[tenant] = group.get(tenant, 0) + 1
     kept = s.ask("KEYS", "p:k:*")
     assert sorted(kept) == sorted(b"p:k:" + n for n in names)
     assert int(s.ask("HGET", "p:meta", "bytes") or 0) == size
     flat = s.ask("HGETALL", "p:n")
-    assert {k: int(v) for k, v in zip(flat[::2], flat[1::2], strict=True)} == pinned
+    assert {k: int(v) for k, v in zip(flat[::2], flat[1::2], strict=True)} == unsettled
     flat = s.ask("ZRANGE", "p:t", "0", "-1", "WITHSCORES")
     assert {k: int(v) for k, v in zip(flat[::2], flat[1::2], strict=True)} == done
     for tenant, number in done.items():
@@ -131,16 +131,16 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_scripts_do_what_the_model_says(redis: Scripts, seed: int) -> None:
+def test_the_scripts_do_what_the_model_says(redis: ScriptClient, seed: int) -> None:
     draw, entries = random.Random(seed), dict[str, model.Entry]()
-    seen = set()
+    outcomes = set()
     for step in range(3000):
         redis.now += draw.choice((0, 1, 3, 10, 60 if draw.random() < 0.2 else 0, 0))
-        redis.now += 3 * KEEP if step % 25 == 0 else 0  # all is over: keys begin anew
+        redis.now += 3 * KEEP if step % 25 == 0 else 0  # every entry expires: keys begin anew
         name, holder = draw.choice("ab"), f"h{step - draw.randrange(6)}"
         now, payload = redis.now, "P" if draw.random() < 0.9 else "Q"
         place = (draw.choice("xy"), draw.randrange(3), now - draw.randrange(20))
-        # The sweep of a claim takes what is over, of every key.
+        # A claim also removes expired entries of other keys.
         before = entries.get(name)
         if before is not None and draw.random() < 0.3:
             holder = before.holder
@@ -149,30 +149,30 @@
         if kind == "claim":
             for key, other in list(entries.items()):
                 if key != name and other.until <= now:
-                    swept = model.lapsed(other) if other.state == "R" else None
+                    swept = model.lease_expired(other) if other.state == "R" else None
                     entries.update({key: swept} if swept else {})
                     if swept is None:
                         del entries[key]
             holder = f"h{step}"
             after, verdict = model.claim(before, now, payload, holder, LEASE, KEEP)
             wanted, got = list(verdict), redis.claim(name, holder, payload)
-            seen.add((verdict[0], len(verdict)))
+            outcomes.add((verdict[0], len(verdict)))
         elif kind == "note":
             after, wanted = model.note(before, holder, place)
             got = redis.run("note", name, holder, *place)[0]
-            seen.add((kind, wanted))
+            outcomes.add((kind, wanted))
         else:
             how, kept = draw.choice((("none", ""), ("none", ""), ("answer", "tile"), ("digest", "0123")))
             where = place if how != "none" or draw.random() < 0.6 else None
             after, wanted = model.end(before, now, holder, how, kept, where, KEEP, payload)
             got = redis.end(name, holder, how, kept, where, payload)
-            seen.add((how, wanted))
+            outcomes.add((how, wanted))
         assert got == wanted, (step, kind, before)
         entries.pop(name, None)
         if after is not None:
             entries[name] = after
     check_counts(redis, 100)
-    assert seen >= {
+    assert outcomes >= {
         ("run", 1),
         ("run", 2),
         ("run", 5),
@@ -189,38 +189,40 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_the_bounds_hold_under_a_flood_and_the_counts_are_true(redis: Scripts, seed: int) -> None:
-    draw, most, verdicts = random.Random(seed), 12, set()
+def test_the_limits_hold_and_the_counters_are_right_under_a_flood(redis: ScriptClient, seed: int) -> None:
+    draw, max_entries, verdicts = random.Random(seed), 12, set()
     for step in range(2500):
         redis.now += draw.choice((0, 0, 1, 30 if draw.random() < 0.02 else 0))
         tenant = draw.choice(("a", "a", "a", "b", "c"))
-        got = redis.claim(f"k{step}", f"h{step}", tenant=tenant, entries=most, most_bytes=9000)
+        got = redis.claim(f"k{step}", f"h{step}", tenant=tenant, entries=max_entries, max_bytes=9000)
         verdicts.add(got[0])
         if got[0] == "run" and draw.random() < 0.8:
             how, kept = draw.choice((("none", ""), ("answer", "x" * draw.randrange(300)), ("digest", "d")))
             where = ("z", 1, redis.now) if how != "none" or draw.random() < 0.1 else None
-            redis.end(f"k{step}", f"h{step}", how, kept, where, tenant=tenant, entries=most)
+            redis.end(f"k{step}", f"h{step}", how, kept, where, tenant=tenant, entries=max_entries)
         if step % 100 == 0:
-            check_counts(redis, most)
-    check_counts(redis, most)
+            check_counts(redis, max_entries)
+    check_counts(redis, max_entries)
     assert verdicts == {"run", "full"}
     redis.now += 10 * KEEP
     while redis.ask("ZCARD", "p:x") > 1:
-        redis.claim("one", "h", entries=most)
-    check_counts(redis, most)
+        redis.claim("one", "h", entries=max_entries)
+    check_counts(redis, max_entries)
 
 
-def test_what_runs_is_never_dropped_and_a_tenant_holds_half_at_most(redis: Scripts) -> None:
+def test_running_keys_are_never_dropped_and_a_tenant_gets_half_of_the_entries_at_most(
+    redis: ScriptClient,
+) -> None:
     got = [redis.claim(f"k{i}", f"h{i}", tenant="a", entries=4)[0] for i in range(3)]
     assert got == ["run", "run", "full"]
     assert [redis.claim(f"m{i}", f"n{i}", tenant="b", entries=4)[0] for i in range(2)] == ["run", "run"]
     assert redis.claim("c", "c", tenant="c", entries=4) == ["full"]
     assert redis.end("k0", "h0", "answer", "tile") == 1
-    assert redis.claim("c", "c", tenant="c", entries=4) == ["run"]  # the done one had to go
+    assert redis.claim("c", "c", tenant="c", entries=4) == ["run"]  # the done key was dropped
     assert redis.claim("k1", "x", entries=4)[0] == "join"
 
 
-def test_a_claim_that_comes_too_late_is_not_carried_out(redis: Scripts) -> None:
+def test_a_claim_that_arrives_too_late_is_not_granted(redis: ScriptClient) -> None:
     reply = redis.run(
         "claim", "k", "t", "P", "h", LEASE, KEEP, 0, "proxy", 10, 10**6, ENTRY_BYTES, redis.now - 1, 16
     )
@@ -228,7 +230,7 @@
     assert redis.claim("k", "other") == ["run"]
 
 
-def test_no_more_proxies_wait_for_a_key_than_may(redis: Scripts) -> None:
+def test_the_number_of_proxies_that_wait_for_a_key_is_limited(redis: ScriptClient) -> None:
     redis.claim("k", "h")
     got = [
         redis.run(
@@ -252,11 +254,11 @@
     assert got == ["join", "join", "busy", "busy"]
 
 
-def test_who_has_lost_its_keys_says_for_how_long_it_does_not_know(redis: Scripts) -> None:
-    assert redis.claim("k", "h", empty=500) == ["young", 500]
+def test_a_store_that_has_lost_its_keys_grants_no_claim_for_a_while(redis: ScriptClient) -> None:
+    assert redis.claim("k", "h", empty_ms=500) == ["young", 500]
     redis.now += 499
-    assert redis.claim("k", "h", empty=500) == ["young", 1]
+    assert redis.claim("k", "h", empty_ms=500) == ["young", 1]
     redis.now += 1
-    assert redis.claim("k", "h", empty=500) == ["run"]
+    assert redis.claim("k", "h", empty_ms=500) == ["run"]
     redis.ask("DEL", "p:meta")
-    assert redis.claim("m", "h", empty=500) == ["young", 500]
+    assert redis.claim("m", "h", empty_ms=500) == ["young", 500]
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -10,7 +10,7 @@
 from honeywharf.orderkeys.redis import address_of
 from honeywharf.policy import interface as api
 from tests.loopback import Client, World, reply, run, until
-from tests.orderkeys.shared import edge_of, sharing, store_of, up
+from tests.orderkeys.shared import deduplicator_of, sharing, store_available, store_of
 
 
 async def clients(*worlds: World) -> list[Client]:
@@ -29,7 +29,7 @@
             copies = await clients(*worlds)
             for client in copies:
                 client.send("order", b"x", key="k")
-            await until(lambda: sum(len(edge_of(w).waiting) for w in worlds) == 4)
+            await until(lambda: sum(len(deduplicator_of(w).waiting) for w in worlds) == 4)
             await until(lambda: any(b.requests for b in backends))
             for backend in backends:
                 for writer in list(backend.writers):
@@ -100,14 +100,14 @@
     run(main())
 
 
-def test_a_key_that_was_turned_away_is_free_for_all() -> None:
+def test_a_key_that_the_backend_rejected_is_free_at_every_proxy() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (redis, worlds, (backend,)):
             backend.script = [reply(503, b"", b"X-Unprocessed: 1")] * 3
             first, second = await clients(*worlds)
             first.send("order", b"x", key="k")
             assert await first.status() == 503
-            await until(lambda: not store_of(worlds[0]).shared.owed)
+            await until(lambda: not store_of(worlds[0]).shared.unconfirmed_ends)
             assert await redis.ask("ZCARD", "honeywharf:x") == 0
             second.send("order", b"x", key="k")
             assert await second.status() == 200
@@ -115,7 +115,7 @@
     run(main())
 
 
-def test_a_repeat_of_less_time_has_its_own_end_though_the_first_runs_elsewhere() -> None:
+def test_a_repeat_with_less_time_times_out_alone_while_the_first_runs_through_another_proxy() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (_, worlds, (backend,)):
             backend.then = None
@@ -132,7 +132,7 @@
     run(main())
 
 
-def test_an_attempt_in_another_cell_leaves_only_once_the_store_knows_it() -> None:
+def test_an_attempt_to_another_cell_is_sent_only_after_the_store_has_the_note() -> None:
     async def main() -> None:
         async with sharing(1, 2) as (redis, (w,), backends):
             for backend in backends:
@@ -141,15 +141,15 @@
             shared = store_of(w).shared
             inner = shared.note
 
-            def note(name: bytes, fence: int, place: api.Earlier, sure: object = None) -> bool:
-                notes.append(sure is not None)
-                return inner(name, fence, place, sure)  # type: ignore[arg-type]
+            def note(name: bytes, fence: int, place: api.Earlier, on_confirmed: object = None) -> bool:
+                notes.append(on_confirmed is not None)
+                return inner(name, fence, place, on_confirmed)  # type: ignore[arg-type]
 
             shared.note = note  # type: ignore[method-assign]
             (client,) = await clients(w)
             client.send("order", b"x", key="k")
             assert await client.status() == 200
-            assert notes[0] is False  # the first leaves at once
+            assert notes[0] is False  # the first attempt is sent at once
             assert True in notes[1:]
             sent = [e for e in w.actions if isinstance(e, api.Send)]
             name = (await redis.ask("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
@@ -159,34 +159,34 @@
     run(main())
 
 
-def test_where_the_store_is_gone_new_keys_are_refused_at_once_and_repeats_fail() -> None:
+def test_without_the_store_new_keys_are_refused_at_once_and_repeats_fail() -> None:
     async def main() -> None:
         async with sharing(1, 1) as (redis, (w,), (backend,)):
             redis.kill()
-            await until(lambda: not up(w))
+            await until(lambda: not store_available(w))
             (client,) = await clients(w)
             client.send("order", b"x", key="k")
             status, headers, _ = await client.answer()
             assert status.split()[1] == b"503"
             assert float(headers[b"retry-after"]) > 0
             client.send("order", b"x", "4000m", "X-Repeat: 1", key="k")
-            assert await client.status() == 502  # an earlier one may have run: no promise
+            assert await client.status() == 502  # an earlier request may have run
             client.send("read")
-            assert await client.status() == 200  # what needs no key goes on
+            assert await client.status() == 200  # requests without a key go on
             assert len(backend.requests) == 1
             await redis.start()
-            await until(lambda: up(w))
+            await until(lambda: store_available(w))
             client.send("order", b"x", key="k")
             assert await client.status() == 200
 
     run(main())
 
 
-def test_a_class_that_may_go_on_alone_does_so_and_its_repeats_are_known_here() -> None:
+def test_without_the_store_a_class_in_alone_is_deduplicated_by_the_proxy() -> None:
     async def main() -> None:
         async with sharing(1, 1, {"alone": ("order",)}) as (redis, (w,), (backend,)):
             redis.kill()
-            await until(lambda: not up(w))
+            await until(lambda: not store_available(w))
             (client,) = await clients(w)
             for _ in range(2):
                 client.send("order", b"x", key="k")
@@ -196,7 +196,7 @@
     run(main())
 
 
-def test_an_answer_that_comes_while_the_store_is_gone_is_told_later() -> None:
+def test_an_answer_while_the_store_is_unavailable_is_reported_later() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (redis, worlds, (backend,)):
             backend.then = None
@@ -204,17 +204,19 @@
             first.send("order", b"x", key="k")
             await until(lambda: backend.came.is_set())
             redis.kill()
-            await until(lambda: not any(up(w) for w in worlds))
+            await until(lambda: not any(store_available(w) for w in worlds))
             for writer in list(backend.writers):
                 writer.write(reply(200, b"tile"))
-            assert await first.status() == 200  # what is in flight ends by the rules
+            assert await first.status() == 200  # requests in flight end as usual
             shared = store_of(worlds[0]).shared
-            await until(lambda: len(shared.owed) == 1)
+            await until(lambda: len(shared.unconfirmed_ends) == 1)
             first.send("order", b"x", key="k")
-            assert await first.status() == 502  # known to have run: never refused as harmless
+            assert await first.status() == 502  # known to have run, so never refused
             await redis.start()
-            await until(lambda: all(up(w) for w in worlds) and not shared.owed)
-            (repeat,) = await clients(worlds[1])  # not before: who says nothing for 2 s is cut off
+            await until(lambda: all(store_available(w) for w in worlds) and not shared.unconfirmed_ends)
+            (repeat,) = await clients(
+                worlds[1]
+            )  # connect late, because a silent client is disconnected after 2 s
             repeat.send("order", b"x", key="k")
             assert (await repeat.answer())[2] == b"tile"
             assert len(backend.requests) == 1
@@ -222,7 +224,7 @@
     run(main())
 
 
-def test_a_store_that_started_empty_is_not_believed_until_all_keys_would_have_ended() -> None:
+def test_a_store_that_started_empty_grants_no_claim_until_all_keys_would_have_expired() -> None:
     async def main() -> None:
         window = [
             {
@@ -238,22 +240,22 @@
         async with sharing(2, 2, told, profiles=window) as (redis, worlds, backends):
             (first,) = await clients(worlds[0])
             first.send("order", b"x", "400m", key="k")
-            assert await first.status() == 503  # new, and so as good as one that has lost its keys
+            assert await first.status() == 503  # a new store is treated like one that has lost its keys
             while True:
                 first.send("order", b"x", "400m", key="k")
                 if await first.status() == 200:
                     break
                 await asyncio.sleep(0.02)
             redis.kill()
-            await until(lambda: not any(up(w) for w in worlds))
+            await until(lambda: not any(store_available(w) for w in worlds))
             await redis.start()
-            await until(lambda: all(up(w) for w in worlds))
+            await until(lambda: all(store_available(w) for w in worlds))
             (repeat,) = await clients(worlds[1])
             repeat.send("order", b"x", "400m", "X-Repeat: 1", key="k")
             assert await repeat.status() == 502
             repeat.send("order", b"x", "400m", key="new")
             assert await repeat.status() == 503
-            await redis.ask("FLUSHALL")  # and likewise where all is lost on a connection that stands
+            await redis.ask("FLUSHALL")  # the same when data is lost while the connection is open
             await asyncio.sleep(1.72)
             repeat.send("order", b"x", "400m", key="new")
             assert await repeat.status() == 503
@@ -262,22 +264,24 @@
     run(main())
 
 
-def test_a_store_that_may_forget_keys_is_not_used() -> None:
+def test_a_store_that_may_evict_keys_is_not_used() -> None:
     async def main() -> None:
         async with sharing(1, 1) as (redis, (w,), _):
             await redis.ask("CONFIG", "SET", "maxmemory", "100mb")
             await redis.ask("CONFIG", "SET", "maxmemory-policy", "allkeys-lru")
             store = store_of(w)
             store.reset()
-            await until(lambda: store.told.startswith("found maxmemory-policy allkeys-lru"))
-            assert not up(w)
+            await until(
+                lambda: store.last_fault.startswith("maxmemory-policy: expected noeviction, got allkeys-lru")
+            )
+            assert not store_available(w)
             await redis.ask("CONFIG", "SET", "maxmemory-policy", "noeviction")
-            await until(lambda: up(w))
+            await until(lambda: store_available(w))
 
     run(main())
 
 
-def test_a_store_without_memory_takes_no_new_key_and_the_end_of_those_it_has() -> None:
+def test_a_store_out_of_memory_accepts_ends_but_no_new_keys() -> None:
     async def main() -> None:
         async with sharing(1, 1) as (redis, (w,), (backend,)):
             backend.then = None
@@ -290,16 +294,16 @@
             for writer in list(backend.writers):
                 writer.write(reply(200, b"tile"))
             assert await first.status() == 200
-            await until(lambda: not store_of(w).shared.owed)
+            await until(lambda: not store_of(w).shared.unconfirmed_ends)
             name = (await redis.ask("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
             assert await redis.ask("HGET", b"honeywharf:k:" + name, "s") == b"D"
-            assert up(w)
+            assert store_available(w)
             assert len(backend.requests) == 1
 
     run(main())
 
 
-def test_a_paused_store_costs_one_wait_and_then_nothing() -> None:
+def test_a_paused_store_delays_one_claim_and_later_ones_fail_at_once() -> None:
     async def main() -> None:
         async with sharing(1, 1, {"wait_ms": 100.0}) as (redis, (w,), (backend,)):
             redis.pause()
@@ -308,17 +312,17 @@
                 client.send("order", b"x", key="k")
                 assert await client.status() == 503
                 assert counted(w, "keys:store late") == 1
-                claims = store_of(w).shared.fences
+                claims = store_of(w).shared.last_fence
                 for i in range(20):
                     client.send("order", b"x", key=f"k{i}")
                     assert await client.status() == 503
-                assert store_of(w).shared.fences == claims  # nobody was asked, so nobody waited
+                assert store_of(w).shared.last_fence == claims  # no claim was sent, so none waited
                 assert not backend.requests
             finally:
                 redis.resume()
-            await until(lambda: up(w))
-            await until(lambda: not store_of(w).shared.owed)
-            client.send("order", b"x", key="k")  # the claim that was taken late is given back
+            await until(lambda: store_available(w))
+            await until(lambda: not store_of(w).shared.unconfirmed_ends)
+            client.send("order", b"x", key="k")  # the claim that was granted late is given back
             assert await client.status() == 200
 
     run(main())
@@ -332,9 +336,9 @@
             await redis.ask("CONFIG", "SET", "requirepass", "right")
             store = store_of(w)
             store.reset()
-            await until(lambda: store.told.startswith("WRONGPASS"))
+            await until(lambda: store.last_fault.startswith("WRONGPASS"))
             secret.write_text("right\n")
-            await until(lambda: up(w))
+            await until(lambda: store_available(w))
 
     run(main())
 
@@ -342,6 +346,6 @@
 @pytest.mark.parametrize(
     "url", ["http://x", "redis://h:port", "redis://u:secret@h", "redis://h/a", "unix://"]
 )
-def test_a_bad_address_is_told(url: str) -> None:
-    with pytest.raises(ValueError, match=r"order_keys.redis.url: found .* wanted redis://"):
+def test_an_invalid_url_is_an_error(url: str) -> None:
+    with pytest.raises(ValueError, match=r"order_keys.redis.url: expected redis://.* got "):
         address_of(url)
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -127,7 +127,7 @@
                         accepted.append(full.accept()[0])
                     except BlockingIOError:
                         await asyncio.sleep(0.01)
-                    if w.proxy.driver.open == 0:
+                    if w.proxy.driver.open_requests == 0:
                         break
                 assert await client.status() == 503  # nothing has run: a repeat is harmless
                 for one in accepted:
--- a/tests/storms/test_sockets.py
+++ b/tests/storms/test_sockets.py
@@ -23,7 +23,7 @@
 
 
 def storms_of(w: World) -> Storms:
-    (part,) = [p for p in w.proxy.parts if isinstance(p, StormsPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, StormsPart)]
     return part.storms
 
 
@@ -151,7 +151,7 @@
                 client.send()
                 assert await client.status() == 200
             assert sum(slot[2] for slot in s.detector.slots) == 7
-            part = next(p for p in w.proxy.parts if isinstance(p, StormsPart))
+            part = next(p for p in w.proxy.components if isinstance(p, StormsPart))
             assert part.counts() == {
                 "storms:turned away": 0,
                 "storms:promises kept": 0,
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -102,7 +102,7 @@
             assert await other.status() == 200
             for writer in list(backend.writers):
                 writer.write(reply())
-            await until(lambda: not w.proxy.driver.requests and w.proxy.driver.open == 0)
+            await until(lambda: not w.proxy.driver.requests and w.proxy.driver.open_requests == 0)
         await backend.stop()
 
     run(main())
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -62,7 +62,7 @@
             "7f3a",
         )
         assert (request.left_ms, request.hint_ms, request.repeat) == (480.0, 2.5, True)
-        assert messages.pairs(request.facts) == {"isWrite": 1.0}
+        assert messages.parse_pairs(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
     assert whole.head() == piece.head()
 
@@ -238,8 +238,8 @@
     ],
 )
 def test_a_figure_that_makes_no_sense_is_none(text: bytes) -> None:
-    assert messages.figure(text) is None
-    assert messages.pairs(b"a=" + text + b",b=2") == {"b": 2.0}
+    assert messages.parse_number(text) is None
+    assert messages.parse_pairs(b"a=" + text + b",b=2") == {"b": 2.0}
     (request,) = reader().feed(GOOD.replace(b"2500", text))
     assert request.hint_ms is None
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -129,9 +129,9 @@
     "storms",
     "codecs",
     "core/exchange.py",
-    "core/forms.py",
+    "core/validation.py",
     "core/probes.py",
-    "core/seams.py",
+    "core/hooks.py",
     "service/life.py",
     "service/bans.py",
     "service/calls.py",
@@ -139,8 +139,8 @@
     "handover/knowledge.py",
     "handover/state.py",
     "orderkeys/table.py",
-    "orderkeys/edge.py",
-    "orderkeys/shared.py",
+    "orderkeys/deduplicator.py",
+    "orderkeys/shared_store.py",
     "orderkeys/scripts.py",
     "coap/options.py",
     "coap/blocks.py",
@@ -362,4 +362,6 @@
 def test_the_scan_sees_what_it_is_to_see() -> None:
     front = set(imported(ROOT / "http" / "front.py"))
     assert {"asyncio", "honeywharf.codecs", "honeywharf.core.driver"} <= front
-    assert "honeywharf.config.features" not in set(imported(ROOT / "orderkeys" / "edge.py"))  # for types only
+    assert "honeywharf.config.features" not in set(
+        imported(ROOT / "orderkeys" / "deduplicator.py")
+    )  # for types only
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The proxy's own time: measured in the driver, taken out in the module, and shed by a limit of its own."""
+"""The proxy's own lateness: measured by the driver, excluded by the module, and limited by load shedding."""
 
 from __future__ import annotations
 
@@ -9,26 +9,35 @@
 from honeywharf.core.driver import Driver
 from honeywharf.policy import interface as api
 from tests import helpers
-from tests.test_driver import SETTINGS, FakeCaller, FakeClock, FakeLoop, FakeTransport, Script, ok, send_each
+from tests.test_driver import (
+    SETTINGS,
+    FakeCaller,
+    FakeClock,
+    FakeLoop,
+    FakeTransport,
+    ScriptedModule,
+    ok,
+    send_to_b1,
+)
 
 
 class BusyLoop(FakeLoop):
-    """A loop whose turn began when the test says, not now."""
+    """A loop whose turn began at a time that the test sets."""
 
-    begun_ms = 0.0
+    turn_began_ms = 0.0
 
     def time(self) -> float:
-        return self.begun_ms / 1000.0
+        return self.turn_began_ms / 1000.0
 
 
-class Busy:
-    """A driver, with turns of the loop that take as long as the test says."""
+class BusyDriver:
+    """A driver whose loop turns take as long as the test sets."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
         self.loop = BusyLoop(self.clock)
-        self.transport, self.script = FakeTransport(), Script()
-        self.script.on = send_each
+        self.transport, self.script = FakeTransport(), ScriptedModule()
+        self.script.on = send_to_b1
         self.turns: list[float] = []
         inner = self.script.handle
 
@@ -41,67 +50,67 @@
         self.driver = Driver(SETTINGS, self.script, self.transport, self.loop, self.clock)
         self.count = 0
 
-    def poll(self, waited_ms: float) -> None:
-        """The loop waits for I/O for so long, and begins a turn."""
+    def begin_turn_after(self, waited_ms: float) -> None:
+        """Let the loop wait for I/O and begin a turn."""
         self.clock.ms += waited_ms
-        self.loop.begun_ms = self.clock.ms
+        self.loop.turn_began_ms = self.clock.ms
 
     def arrive(self) -> None:
         request = http1.Request()
         self.count += 1
         request.id, request.class_name, request.left_ms = f"r{self.count}", "order", 1000.0
         request.read_ms = self.clock.ms
-        assert self.driver.arrived(request, FakeCaller())
+        assert self.driver.accept(request, FakeCaller())
 
-    def ended(self) -> api.AttemptEnded:
+    def last_attempt_end(self) -> api.AttemptEnded:
         return next(e for _, e in reversed(self.script.seen) if isinstance(e, api.AttemptEnded))
 
 
-def test_an_answer_read_late_in_a_busy_turn_may_have_waited_since_the_turn_before() -> None:
-    busy = Busy()
-    busy.poll(5.0)
+def test_an_answer_read_in_a_busy_turn_may_have_arrived_during_the_previous_turn() -> None:
+    busy = BusyDriver()
+    busy.begin_turn_after(5.0)
     busy.arrive()
-    busy.loop.turn()  # sent at once
-    busy.clock.ms += 30.0  # the rest of the turn: other requests
+    busy.loop.run_soon()  # the attempt is sent
+    busy.clock.ms += 30.0  # other requests take the rest of the turn
     busy.script.on = lambda event: []
-    busy.driver._feed(api.TimerFired("x"))
-    busy.loop.turn()
-    busy.poll(0.0)  # nothing to wait for: the answer was there
+    busy.driver._enqueue(api.TimerFired("x"))
+    busy.loop.run_soon()
+    busy.begin_turn_after(0.0)  # no wait, because the answer had arrived
     busy.clock.ms += 8.0
     busy.transport.started[0].ended(api.Outcome.OK, ok())
-    busy.loop.turn()
-    assert busy.ended().elapsed_ms == pytest.approx(38.0)
-    assert busy.ended().proxy_ms == pytest.approx(38.0)
+    busy.loop.run_soon()
+    assert busy.last_attempt_end().elapsed_ms == pytest.approx(38.0)
+    assert busy.last_attempt_end().proxy_ms == pytest.approx(38.0)
 
 
-def test_an_answer_that_the_loop_waited_for_took_the_server_that_long() -> None:
-    busy = Busy()
-    busy.poll(5.0)
+def test_an_answer_that_the_loop_waited_for_is_the_servers_time() -> None:
+    busy = BusyDriver()
+    busy.begin_turn_after(5.0)
     busy.arrive()
-    busy.loop.turn()
-    busy.poll(40.0)
+    busy.loop.run_soon()
+    busy.begin_turn_after(40.0)
     busy.transport.started[0].ended(api.Outcome.OK, ok())
-    busy.loop.turn()
-    assert busy.ended().elapsed_ms == pytest.approx(40.0)
-    assert busy.ended().proxy_ms == 0.0
+    busy.loop.run_soon()
+    assert busy.last_attempt_end().elapsed_ms == pytest.approx(40.0)
+    assert busy.last_attempt_end().proxy_ms == 0.0
 
 
-def test_the_module_is_told_of_the_shortest_turn_now_and_then() -> None:
-    busy = Busy()
+def test_the_shortest_turn_is_reported_periodically() -> None:
+    busy = BusyDriver()
     for length in (70.0, 20.0, 70.0, 70.0):
-        busy.poll(1.0)
+        busy.begin_turn_after(1.0)
         busy.arrive()
         busy.clock.ms += length
-        busy.loop.turn()
-    assert busy.turns == pytest.approx([70.0, 20.0])  # the first at once, then once in 100 ms
+        busy.loop.run_soon()
+    assert busy.turns == pytest.approx([70.0, 20.0])  # the first at once, later ones every 100 ms
 
 
-def test_a_saturated_proxy_sheds_by_its_own_limit_and_blames_no_zone() -> None:
+def test_a_saturated_proxy_sheds_load_by_its_own_limit_and_keeps_the_zones_limits() -> None:
     driver = helpers.Driver()
     driver.list([helpers.endpoint(f"a{i}") for i in range(4)])
     driver.fill(200)
     before = [z.limiter.limit for z in driver.balancer.endpoints.zones.values()]
-    for _ in range(40):  # the loop takes 100 ms a turn, where the aim is 1000 ms
+    for _ in range(40):  # turns of 100 ms with a latency target of 1000 ms
         driver.now += 100.0
         driver.feed(api.LoopTurned(100.0))
     refused = []
@@ -118,15 +127,15 @@
     assert isinstance(driver.request()[0], api.Send)
 
 
-def test_without_the_proxys_own_time_the_same_answers_would_shut_the_zone() -> None:
-    """The comparison that could have gone the other way."""
+def test_without_the_proxys_own_time_the_same_answers_would_close_the_zone() -> None:
+    """Shows that the exclusion of the proxy's own lateness makes the difference."""
     limiter = limits.LatenessLimiter(8.0)
     for i in range(300):
         limiter.learn(1000.0 + 10.0 * i, 800.0, 5.0, 400.0, 8.0)
     assert limiter.limit == 2.0
 
 
-def test_shed_requests_of_an_ordered_class_leave_no_line_behind() -> None:
+def test_shed_requests_of_an_ordered_class_leave_no_queue_behind() -> None:
     ordered = api.RequestClass("read", 1000, 2000, in_order=True)
     driver = helpers.Driver(helpers.make_settings(classes=(ordered,)))
     driver.list([helpers.endpoint("a0")])
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -32,7 +32,7 @@
 
 
 def exporter(w: World) -> otlp.Collector:
-    (part,) = [p for p in w.proxy.parts if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (made,) = part.exporters
     assert isinstance(made, otlp.Collector)
     return made
@@ -235,7 +235,7 @@
                 client.send("pay", b"x")
                 assert await client.status() in (502, 503)
             await until(lambda: len(made.queue) == 2 or made.delivery.failures > 0)
-            (part,) = w.proxy.parts
+            (part,) = w.proxy.components
             await until(lambda: part.counts()["traces:otlp lost bad"] == 3)
             await collector.start()
             await until(lambda: made.sent == 2)
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -32,7 +32,7 @@
 
 
 def spool_of(w: World) -> Spool:
-    (part,) = [p for p in w.proxy.parts if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     return spool
@@ -97,7 +97,7 @@
             (hop,) = await kept(w, 1)
             assert (hop["trace_id"] == ID) == (fault == "state")
             assert hop["kept"] == ["ordinary"]
-            (part,) = w.proxy.parts
+            (part,) = w.proxy.components
             assert part.counts()[f"traces:damaged {fault}"] == 1
         await backend.stop()
 
@@ -147,7 +147,7 @@
                 ask("plain", lambda i: ()),
             )
             spool = spool_of(w)
-            (part,) = w.proxy.parts
+            (part,) = w.proxy.components
             hops = await kept(w, part.counts()["traces:ordinary kept"] + part.counts()["traces:bad"])
             assert not spool.queue.lost["lost ordinary"]
             spread = 5.0 * (number * rate) ** 0.5
@@ -192,7 +192,7 @@
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: ot=rv:ffffffffffffff")
             assert await client.status() == 200
-            (part,) = w.proxy.parts
+            (part,) = w.proxy.components
             await until(lambda: part.counts()["traces:ordinary"] == 1)
             assert part.counts()["traces:ordinary kept"] == trusted
         await backend.stop()
@@ -215,7 +215,7 @@
             assert hops[0]["reason"] == "no server"  # that a request which may have run could go to
             assert hops[0]["honeywharf.why"]["usable"] == hops[0]["honeywharf.why"]["ready"] == 1
             assert "honeywharf.why" not in hops[1]
-            (part,) = w.proxy.parts
+            (part,) = w.proxy.components
             assert part.counts()["traces:ordinary"] == 1
         await backend.stop()
 
@@ -337,7 +337,7 @@
 
 
 def part_of(w: World) -> tuple[TracesPart, Line]:
-    (part,) = [p for p in w.proxy.parts if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     assert part.line is not None
     return part, part.line
 
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -29,7 +29,7 @@
 
 
 async def kept(w: World, number: int) -> list[dict[str, Any]]:
-    (part,) = [p for p in w.proxy.parts if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     await until(lambda: spool.written >= number)
@@ -108,7 +108,7 @@
     async def main() -> None:
         async with sharing(1, 2) as (_, (w,), backends):
             traced: list[HopTrace] = []
-            w.proxy.driver.seams.tracer = Recorder(
+            w.proxy.driver.hooks.tracer = Recorder(
                 Sampler(Sampling(1.0), {}, traced.append, trusts=False), random.Random(1)
             )
             for backend in backends:
@@ -136,7 +136,7 @@
         backend = await Backend().start()
         features = on(tmp_path / "t", coap=Coap(listen="127.0.0.1:0"))
         async with world([backend.row("b")], features) as w:
-            front = next(p for p in w.proxy.parts if isinstance(p, CoapPart)).front
+            front = next(p for p in w.proxy.components if isinstance(p, CoapPart)).front
             assert front is not None
             await until(lambda: front.transport is not None)
             assert front.transport is not None
@@ -155,7 +155,7 @@
             assert headers[b"tracestate"].endswith(b",other=1")
             await unit.ask([*told("read"), (options.TRACE_PARENT, b"too short")])
             await unit.ask([*told("read"), (options.TRACE_PARENT, parent), (options.TRACE_PARENT, parent)])
-            part = next(p for p in w.proxy.parts if isinstance(p, TracesPart))
+            part = next(p for p in w.proxy.components if isinstance(p, TracesPart))
             assert (part.recorder.damaged["parent"], part.recorder.damaged["twice"]) == (1, 1)
             await until(lambda: not w.proxy.driver.requests and not front.layer.open_of)
             front.close()
