--- a/honeywharf/coap/backend.py
+++ b/honeywharf/coap/backend.py
@@ -57,8 +57,8 @@
         else:
             left = max(0, int((call.until_ms - node.pool.clock.now()) * 1000.0))
             self.told = [*options.of_request(request), (options.TIME_LEFT, coap.uint_bytes(left))]
-            if call.lines:
-                self.told += options.of_lines(call.lines)
+            if call.header_lines:
+                self.told += options.of_lines(call.header_lines)
             if len(request.body) > 1 << (self.szx + 4):
                 self.told.append((coap.REQUEST_TAG, secrets.token_bytes(4)))
 
--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -187,8 +187,8 @@
         """A final answer, as a code."""
         if caller.exchange.message is None:
             return
-        if caller.request.answer_lines:
-            caller.told += options.of_lines(caller.request.answer_lines)
+        if caller.request.answer_header_lines:
+            caller.told += options.of_lines(caller.request.answer_header_lines)
         if status is not Status.SERVED:
             told = self._come_back(retry_after_ms) if status is Status.REFUSED else []
             self.layer.answer(caller.exchange, CODES[status], caller.told + told)
--- a/honeywharf/coap/options.py
+++ b/honeywharf/coap/options.py
@@ -104,11 +104,11 @@
         elif number == REPEAT:
             request.repeat = True
         elif number == WEIGHT:
-            request.hint_ms = coap.uint(value) / 1000.0 if len(value) <= 5 else None
+            request.work_hint_ms = coap.uint(value) / 1000.0 if len(value) <= 5 else None
         elif number == coap.CONTENT_FORMAT:
             request.kind = _kind(value)
         elif number == SID:
-            request.sid = value.decode("latin-1")
+            request.session_id = value.decode("latin-1")
         elif number == TRACE_PARENT:
             request.trace_parents = [*request.trace_parents, context_text(value)]
         elif number == TRACE_STATE:
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -164,8 +164,8 @@
     ):
         if value:
             lines.append(b"%b: %b\r\n" % (name, value))
-    if request.hint_ms is not None:
-        lines.append(b"X-Weight-Hint: %d\r\n" % int(request.hint_ms * 1000.0))
+    if request.work_hint_ms is not None:
+        lines.append(b"X-Weight-Hint: %d\r\n" % int(request.work_hint_ms * 1000.0))
     if request.body or request.method != b"GET":
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     return b"".join(lines)
@@ -193,7 +193,7 @@
 def _cookie(request: Request, value: bytes) -> None:
     match = _SID.search(value)
     if match is not None:
-        request.sid = match[1].decode("latin-1")
+        request.session_id = match[1].decode("latin-1")
 
 
 def _left(request: Request, value: bytes) -> None:
@@ -214,7 +214,7 @@
 
 def _hint(request: Request, value: bytes) -> None:
     hint = messages.parse_number(value)
-    request.hint_ms = None if hint is None else hint / 1000.0
+    request.work_hint_ms = None if hint is None else hint / 1000.0
 
 
 def _facts(request: Request, value: bytes) -> None:
--- a/honeywharf/core/exchange.py
+++ b/honeywharf/core/exchange.py
@@ -66,7 +66,7 @@
             if lines is None:
                 leaves = False
             else:
-                attempt.lines += lines
+                attempt.header_lines += lines
         return leaves
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now: float) -> None:
@@ -79,7 +79,7 @@
         for observer in self.observers:
             lines = observer.answered(how, reason, why, now)
             if lines:
-                self.request.answer_lines = lines
+                self.request.answer_header_lines = lines
 
     def settled(self, now: float) -> None:
         """Notifies observers that the request is answered and no attempt is in flight."""
--- a/honeywharf/core/hooks.py
+++ b/honeywharf/core/hooks.py
@@ -111,6 +111,6 @@
         trace = request.trace
         if trace is not None:
             request.trace = None
-            request.answer_lines = trace.answered(how, reason, None, now_ms)
+            request.answer_header_lines = trace.answered(how, reason, None, now_ms)
             trace.settled(now_ms)
         self.answered(request, how, now_ms - request.read_ms, now_ms, trace)
--- a/honeywharf/core/messages.py
+++ b/honeywharf/core/messages.py
@@ -80,11 +80,10 @@
 
     __slots__ = (
         "account",
-        "answer_lines",
+        "answer_header_lines",
         "body",
         "class_name",
         "facts",
-        "hint_ms",
         "id",
         "idempotency_key",
         "kind",
@@ -93,25 +92,26 @@
         "pipe",
         "read_ms",
         "repeat",
-        "sid",
+        "session_id",
         "target",
         "trace",
         "trace_parents",
         "trace_states",
         "waited_ms",
+        "work_hint_ms",
     )
 
     def __init__(self) -> None:
         self.method = self.target = self.body = b""
         self.kind = b""  # media type of the body; empty if unknown
-        self.id = self.class_name = self.account = self.sid = ""
+        self.id = self.class_name = self.account = self.session_id = ""
         self.idempotency_key = self.facts = b""
         self.left_ms: float | None = None
-        self.hint_ms: float | None = None
+        self.work_hint_ms: float | None = None
         self.repeat = False
         self.trace_parents: list[bytes] = NO_HEADERS  # headers of the trace context, as received
         self.trace_states: list[bytes] = NO_HEADERS
-        self.answer_lines = b""  # header lines for its answer
+        self.answer_header_lines = b""  # header lines for its answer
         self.read_ms = 0.0  # when it was read to its end, on the proxy's clock
         self.waited_ms = 0.0  # wait for the proxy to accept its connection, after `read_ms`
         self.trace: RequestTrace | None = None  # from its arrival, if traces are recorded
--- a/honeywharf/core/transport.py
+++ b/honeywharf/core/transport.py
@@ -103,7 +103,16 @@
     Without a client's request it is a health check; `report` asks for the backend's load report.
     """
 
-    __slots__ = ("connection", "endpoint", "lines", "opening", "report", "request", "streams", "until_ms")
+    __slots__ = (
+        "connection",
+        "endpoint",
+        "header_lines",
+        "opening",
+        "report",
+        "request",
+        "streams",
+        "until_ms",
+    )
 
     def __init__(
         self,
@@ -116,7 +125,7 @@
         self.endpoint, self.request, self.until_ms, self.report = endpoint, request, until_ms, report
         self.connection: object = None
         self.opening = False
-        self.lines = b""  # header lines of this attempt only
+        self.header_lines = b""  # header lines of this attempt only
         self.streams = False  # whether a long answer may be streamed
 
     def ended(self, outcome: api.Outcome, response: Response | None) -> None:
--- a/honeywharf/core/validation.py
+++ b/honeywharf/core/validation.py
@@ -17,10 +17,10 @@
     """
     if request.idempotency_key:
         return b"%b %b" % (request.account.encode("latin-1"), request.idempotency_key)
-    if request.sid:
+    if request.session_id:
         return b"%b %b %b" % (
             request.account.encode("latin-1"),
-            request.sid.encode("latin-1"),
+            request.session_id.encode("latin-1"),
             request.target,
         )
     return b""
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -165,7 +165,7 @@
             )
             self.reader.whole_most = MAX_BUFFERED_ANSWER if call.streams else 0
             self.transport.write(
-                b"%b%b%b\r\n%b" % (http1.head_of(request, host), left, call.lines, request.body)
+                b"%b%b%b\r\n%b" % (http1.head_of(request, host), left, call.header_lines, request.body)
             )
             if pipe is not None:
                 self.body, self.sink, self.unsent = pipe, Writing(self), True
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -262,7 +262,12 @@
         self.transport.set_write_buffer_limits(high=self.front.account.share())
         self.transport.write(
             http1.begun_answer(
-                200, pipe.length, keep=keep, chunked=self.chunked, kind=kind, lines=request.answer_lines
+                200,
+                pipe.length,
+                keep=keep,
+                chunked=self.chunked,
+                kind=kind,
+                lines=request.answer_header_lines,
             )
         )
         pipe.attach(Writing(self))
@@ -337,7 +342,12 @@
         keep = self._keeps(request) and not unread
         self.transport.write(
             http1.answer(
-                status, body, keep=keep, retry_after_ms=retry_after_ms, kind=kind, lines=request.answer_lines
+                status,
+                body,
+                keep=keep,
+                retry_after_ms=retry_after_ms,
+                kind=kind,
+                lines=request.answer_header_lines,
             )
         )
         if unread:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -55,13 +55,13 @@
     (piece,) = split
     for request in (whole, piece):
         assert (request.method, request.target, request.body) == (b"POST", b"/api?x=1", b"abc")
-        assert (request.id, request.class_name, request.account, request.sid) == (
+        assert (request.id, request.class_name, request.account, request.session_id) == (
             "9b1f",
             "checkout",
             "acme",
             "7f3a",
         )
-        assert (request.left_ms, request.hint_ms, request.repeat) == (480.0, 2.5, True)
+        assert (request.left_ms, request.work_hint_ms, request.repeat) == (480.0, 2.5, True)
         assert messages.parse_pairs(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
     assert whole.head() == piece.head()
@@ -241,7 +241,7 @@
     assert messages.parse_number(text) is None
     assert messages.parse_pairs(b"a=" + text + b",b=2") == {"b": 2.0}
     (request,) = reader().feed(GOOD.replace(b"2500", text))
-    assert request.hint_ms is None
+    assert request.work_hint_ms is None
 
 
 def test_an_idle_reader_keeps_nothing_of_the_last_request() -> None:
