--- a/honeywharf/core/components.py
+++ b/honeywharf/core/components.py
@@ -34,7 +34,7 @@
     driver: Driver
     balancer: Balancer
     transport: Transport  # to the backends; a feature may add others beside it
-    books: dict[str, AddressBook]  # by the scheme of endpoints: receives their addresses
+    address_books: dict[str, AddressBook]  # by the scheme of endpoints: receives their addresses
 
     @property
     def front(self) -> Listener:
--- a/honeywharf/core/driver.py
+++ b/honeywharf/core/driver.py
@@ -390,16 +390,16 @@
                 api.AttemptEnded(action.request, 0, api.Outcome.NOT_SENT, 0.0, True, None, action.endpoint)
             )
             return
-        until = exchange.deadline_ms
+        attempt_deadline_ms = exchange.deadline_ms
         if action.timeout_ms:
-            until = min(until, now + action.timeout_ms)
+            attempt_deadline_ms = min(attempt_deadline_ms, now + action.timeout_ms)
         pipe = exchange.request.pipe
-        gone = pipe is not None and (pipe.spent or pipe.failed or pipe.cancelled)
+        body_unavailable = pipe is not None and (pipe.spent or pipe.failed or pipe.cancelled)
         if (
-            gone
+            body_unavailable
             or exchange.answered
             or len(exchange.attempts) >= self.settings.limits.max_attempts
-            or until <= now + MIN_ATTEMPT_MS
+            or attempt_deadline_ms <= now + MIN_ATTEMPT_MS
             or not self.transport.known(action.endpoint)
         ):
             # Enforces the rules on answers, effects and drains whatever the decision module returns.
@@ -413,27 +413,31 @@
                     None,
                     action.endpoint,
                     0.0,
-                    gone,
+                    body_unavailable,
                 ),
                 exchange,
             )
             exchange.attempts.append(None)
             return
-        attempt = Attempt(self, exchange, action.endpoint, now, until)
+        attempt = Attempt(self, exchange, action.endpoint, now, attempt_deadline_ms)
         exchange.attempts.append(attempt)
         exchange.in_flight += 1
-        leaves = not exchange.observers or exchange.sending(attempt, action, now)
-        if until < exchange.deadline_ms - MIN_ATTEMPT_MS:  # otherwise the request's own timer ends it
-            attempt.timer = self.loop.call_later((until - now) / 1000.0, self._time_out, attempt)
-        if leaves:
+        send_now = not exchange.observers or exchange.sending(attempt, action, now)
+        if (
+            attempt_deadline_ms < exchange.deadline_ms - MIN_ATTEMPT_MS
+        ):  # otherwise the request's own timer ends it
+            attempt.timer = self.loop.call_later(
+                (attempt_deadline_ms - now) / 1000.0, self._time_out, attempt
+            )
+        if send_now:
             self.transport.start(attempt)
 
-    def release_attempt(self, request: str, number: int, sure: bool) -> None:
-        """Sends an attempt that an observer held back, or ends it as not sent if `sure` is False."""
+    def release_attempt(self, request: str, number: int, may_send: bool) -> None:
+        """Sends an attempt that an observer held back, or ends it as not sent if `may_send` is False."""
         attempt = self._attempt(request, number)
         if attempt is not None and attempt.live:
             if (
-                sure
+                may_send
                 and not attempt.exchange.answered
                 and attempt.until_ms > self.clock.now() + MIN_ATTEMPT_MS
             ):
--- a/honeywharf/core/exchange.py
+++ b/honeywharf/core/exchange.py
@@ -60,14 +60,14 @@
 
     def sending(self, attempt: Attempt, action: api.Send, now: float) -> bool:
         """Notifies observers before a send. Returns False if one holds the attempt back."""
-        leaves = True
+        send_now = True
         for observer in self.observers:
-            lines = observer.sending(attempt.number, action, now)
-            if lines is None:
-                leaves = False
+            header_lines = observer.sending(attempt.number, action, now)
+            if header_lines is None:
+                send_now = False
             else:
-                attempt.header_lines += lines
-        return leaves
+                attempt.header_lines += header_lines
+        return send_now
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now: float) -> None:
         """Notifies observers of an attempt's single outcome."""
@@ -77,9 +77,9 @@
     def finished(self, how: str, reason: str, why: api.Why | None, now: float) -> None:
         """Notifies observers before the final answer is written, or when nobody waits for it any more."""
         for observer in self.observers:
-            lines = observer.answered(how, reason, why, now)
-            if lines:
-                self.request.answer_header_lines = lines
+            header_lines = observer.answered(how, reason, why, now)
+            if header_lines:
+                self.request.answer_header_lines = header_lines
 
     def settled(self, now: float) -> None:
         """Notifies observers that the request is answered and no attempt is in flight."""
--- a/honeywharf/core/hooks.py
+++ b/honeywharf/core/hooks.py
@@ -55,8 +55,8 @@
 class RequestDeduplicator(Protocol):
     """Joins requests that have the same idempotency key before they reach the driver."""
 
-    def accept(self, request: Request, caller: Caller, left_ms: float) -> bool:
-        """Takes a valid request of a keyed class with `left_ms` left. Returns False if it can't be joined."""
+    def accept(self, request: Request, caller: Caller, remaining_ms: float) -> bool:
+        """Takes a valid request of a keyed class. Returns False if it can't be joined."""
 
     def client_disconnected(self, request: Request) -> None:
         """Drops a waiting request whose client has disconnected."""
--- a/honeywharf/core/validation.py
+++ b/honeywharf/core/validation.py
@@ -69,6 +69,8 @@
 
         Guards against a request that claims years: no client waits longer than the deadline of its class.
         """
-        left = request.left_ms or 0.0
+        remaining_ms = request.left_ms or 0.0
         cls = self.classes.get(request.class_name)
-        return max(0.0, (min(left, cls.deadline_ms) if cls is not None else left) - ANSWER_MARGIN_MS)
+        return max(
+            0.0, (min(remaining_ms, cls.deadline_ms) if cls is not None else remaining_ms) - ANSWER_MARGIN_MS
+        )
--- a/honeywharf/orderkeys/deduplicator.py
+++ b/honeywharf/orderkeys/deduplicator.py
@@ -196,13 +196,13 @@
                     f" got {found:g} ms"
                 )
 
-    def accept(self, request: Request, caller: Caller, left_ms: float) -> bool:
+    def accept(self, request: Request, caller: Caller, remaining_ms: float) -> bool:
         """Runs a request, joins it to another, or answers it. Returns False if it can't be joined."""
         name = key_name(request.account, request.class_name, request.idempotency_key)
         payload = payload_digest(request.method, request.target, request.body)
         if self.shared is None:
-            return self._claim_locally(name, payload, request, caller, left_ms)
-        waiting = WaitingRequest(self, name, payload, request, caller, self.driver.clock.now() + left_ms)
+            return self._claim_locally(name, payload, request, caller, remaining_ms)
+        waiting = WaitingRequest(self, name, payload, request, caller, self.driver.clock.now() + remaining_ms)
         self._claim_in_store(waiting, self.shared)
         return True
 
@@ -214,13 +214,13 @@
         payload: bytes,
         request: Request,
         caller: Caller,
-        left_ms: float,
+        remaining_ms: float,
     ) -> bool:
         now = self.driver.clock.now()
         claim = self.table.claim(name, request.account, payload, now)
         if claim.verdict is Verdict.RUN:
             run = LocalRun(self, name, payload, request, caller, claim, False)
-            if not self.driver.admit(request, run, left_ms, claim.earlier, run):
+            if not self.driver.admit(request, run, remaining_ms, claim.earlier, run):
                 # the id is already in the driver's table, so nothing was sent
                 self.table.settle(name, claim.fence, None, now)
                 return False
@@ -228,7 +228,7 @@
         elif claim.verdict is Verdict.JOIN:
             key_run = self.runs.get(name)
             return key_run is not None and self._join(
-                WaitingRequest(self, name, payload, request, caller, now + left_ms), key_run
+                WaitingRequest(self, name, payload, request, caller, now + remaining_ms), key_run
             )
         else:
             self._answer_by_verdict(claim, request, caller)
@@ -356,22 +356,22 @@
         Guards a key whose proxy dies: it may be sent again only to the cell that is noted, so no attempt goes
         to another cell before the store has the new note. A key without a note is not sent again.
         """
-        shared, known = self.shared, run.noted_place
+        shared, noted = self.shared, run.noted_place
         assert shared is not None
-        if known is not None and (known.zone, known.cell) == (place.zone, place.cell):
+        if noted is not None and (noted.zone, noted.cell) == (place.zone, place.cell):
             return True
-        if known is None:
+        if noted is None:
             run.noted_place = place
             shared.note(run.name, run.claim.fence, place)
             return True
 
-        since = self.driver.clock.now()
+        since_ms = self.driver.clock.now()
 
         def confirmed(claim_valid: bool) -> None:
             if claim_valid:
                 run.noted_place = place
             if run.request.trace is not None:
-                run.request.trace.waited("key note", since, self.driver.clock.now())
+                run.request.trace.waited("key note", since_ms, self.driver.clock.now())
             self.driver.release_attempt(run.request.id, number, claim_valid)
 
         if not shared.note(run.name, run.claim.fence, place, confirmed):
@@ -416,8 +416,8 @@
         return True
 
     def _start_waiting(self, waiting: WaitingRequest) -> None:
-        left_s = max(0.0, waiting.deadline_ms - self.driver.clock.now()) / 1000.0
-        waiting.timer = self.driver.loop.call_later(left_s, self._deadline_passed, waiting)
+        remaining_s = max(0.0, waiting.deadline_ms - self.driver.clock.now()) / 1000.0
+        waiting.timer = self.driver.loop.call_later(remaining_s, self._deadline_passed, waiting)
         waiting.since_ms = self.driver.clock.now()
         self.waiting[waiting.request] = waiting
         self.driver.open_requests += 1
@@ -486,8 +486,8 @@
         if run.uses_store:
             self._report_end(run, answer)
         else:
-            until = self.driver.clock.now() + self.keep_ms[run.request.class_name]
-            self.table.finish(run.name, run.claim.fence, answer, run.first_place(), until)
+            until_ms = self.driver.clock.now() + self.keep_ms[run.request.class_name]
+            self.table.finish(run.name, run.claim.fence, answer, run.first_place(), until_ms)
         for waiting in list(run.joined):
             self._stop_waiting(waiting)
             self._answer_by_verdict(Claim(Verdict.ANSWER, answer=answer), waiting.request, waiting.caller)
@@ -500,8 +500,8 @@
             if run.uses_store:
                 self._report_end(run, None)
             else:
-                until = self.driver.clock.now() + self.keep_ms[run.request.class_name]
-                self.table.settle(run.name, run.claim.fence, run.first_place(), until)
+                until_ms = self.driver.clock.now() + self.keep_ms[run.request.class_name]
+                self.table.settle(run.name, run.claim.fence, run.first_place(), until_ms)
         if run.joined:
             self.driver.loop.call_soon(self._retry_waiting, run)
 
--- a/honeywharf/orderkeys/operator_commands.py
+++ b/honeywharf/orderkeys/operator_commands.py
@@ -32,21 +32,21 @@
 
     def show(self, arguments: Mapping[str, str]) -> Any:
         """Shows one key, or counts of all; returns a future if the store has to be queried."""
-        name = self._name(arguments) if arguments else b""
+        name = self._key_name(arguments) if arguments else b""
         if self.deduplicator.shared is not None:
             return self._query_store("show", name, self._read_shown)
         return self._show_local(name) if name else self._overview()
 
     def forget(self, arguments: Mapping[str, str]) -> Any:
         """Removes a settled key."""
-        name = self._name(arguments)
+        name = self._key_name(arguments)
         if name in self.deduplicator.runs:
             raise OperatorCommandError("found that it runs, wanted a key whose request has ended")
         if self.deduplicator.shared is not None:
             return self._query_store("forget", name, self._read_forgotten)
         return self._read_forgotten([int(self.deduplicator.table.forget(name))])
 
-    def _name(self, arguments: Mapping[str, str]) -> bytes:
+    def _key_name(self, arguments: Mapping[str, str]) -> bytes:
         classes = [c.name for c in self.deduplicator.driver.settings.classes if c.effect is api.Effect.KEYED]
         cls = arguments.get("class") or (classes[0] if len(classes) == 1 else "")
         if cls not in classes:
@@ -116,14 +116,14 @@
         if kind == b"none":
             return {"state": "not known"}
         if kind == b"key":
-            _, _, state, left, tenant, zone, cell, size, answered = reply
+            _, _, state, remaining_ms, tenant, zone, cell, size, answered = reply
             place = {"zone": zone.decode(), "cell": int(cell)} if zone else {}
             return {
                 "state": STATE_NAMES.get(bytes(state), "?"),
                 "tenant": tenant.decode("utf-8", "replace"),
                 "bytes": int(size),
                 "answer_kept": bool(answered),
-                "for_ms": float(left),
+                "for_ms": float(remaining_ms),
                 **place,
             }
         done = {t.decode("utf-8", "replace"): int(float(n)) for t, n in _pairs(reply[5])}
--- a/honeywharf/orderkeys/redis.py
+++ b/honeywharf/orderkeys/redis.py
@@ -77,15 +77,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Authenticates, loads the scripts, opens the store and subscribes, in one write."""
-        self.transport = made = cast("asyncio.WriteTransport", transport)
+        self.transport = writer = cast("asyncio.WriteTransport", transport)
         store, shared = self.store, self.store.shared
         hello = ("HELLO", "3", *(("AUTH", store.user, store.password()) if store.password_file else ()))
-        first: list[tuple[Any, ...]] = [hello]
+        commands: list[tuple[Any, ...]] = [hello]
         if store.database:
-            first.append(("SELECT", str(store.database)))
-        first += [("SCRIPT", "LOAD", text) for text in SCRIPTS.values()]
+            commands.append(("SELECT", str(store.database)))
+        commands += [("SCRIPT", "LOAD", text) for text in SCRIPTS.values()]
         rules = shared.rules
-        first.append(
+        commands.append(
             (
                 "EVALSHA",
                 DIGESTS["open"],
@@ -95,21 +95,21 @@
                 "durable" if rules.durable else "",
             )
         )
-        self.pending_replies = len(first)
+        self.pending_replies = len(commands)
         subscribe = ("SUBSCRIBE", f"{store.prefix}:p:{shared.proxy}")  # confirmed by a push, not by a reply
-        made.write(b"".join(map(hiredis.pack_command, [*first, subscribe])))
+        writer.write(b"".join(map(hiredis.pack_command, [*commands, subscribe])))
 
     def data_received(self, data: bytes) -> None:
         """Parses replies and pushed messages."""
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
-                self._take(reply)
+                self._handle_reply(reply)
         except (hiredis.ProtocolError, ValueError, IndexError, TypeError, AssertionError) as fault:
             # Guards against a peer that is not Redis, or an incompatible version.
             self.store.lost(self, f"unexpected reply: {type(fault).__name__}: {fault}")
 
-    def _take(self, reply: Any) -> None:
+    def _handle_reply(self, reply: Any) -> None:
         store = self.store
         if store.connection is not self:
             return
--- a/honeywharf/orderkeys/shared_store.py
+++ b/honeywharf/orderkeys/shared_store.py
@@ -308,12 +308,12 @@
         The store may have granted pending claims: they are given back on the next connection, or their leases
         end.
         """
-        was, self.connected = self.connected, False
-        lost, self.pending = self.pending, deque()
+        was_connected, self.connected = self.connected, False
+        unanswered, self.pending = self.pending, deque()
         self._answer_all_unavailable()
-        if was:
+        if was_connected:
             self.count("keys:store lost")
-        for command in lost:
+        for command in unanswered:
             if command.requester is not None:
                 self._give_back(command)
             elif command.on_confirmed is not None:
@@ -360,9 +360,9 @@
         for (name, fence), arguments in self.unconfirmed_ends.items():
             self._write(Command(name, fence, self.last_reply_ms, arguments), "end", arguments)
 
-    def _store_time_ms(self, ours_ms: float) -> float:
+    def _store_time_ms(self, local_ms: float) -> float:
         """Returns the earliest time of the store's clock at a time of this proxy's clock."""
-        return self.store_time_ms + ours_ms - self.store_time_read_ms
+        return self.store_time_ms + local_ms - self.store_time_read_ms
 
     def _place(self, place: api.Earlier) -> tuple[object, ...]:
         """Encodes a place for the store; its time is rather too early than too late."""
--- a/honeywharf/orderkeys/table.py
+++ b/honeywharf/orderkeys/table.py
@@ -156,10 +156,10 @@
         if entry.answer is not None:
             return Claim(Verdict.ANSWER, answer=entry.answer)
         # The key is uncertain, or done with an answer too long to keep: only the cell that ran it may answer.
-        self._unlist(name, entry)
+        self._remove_from_lists(name, entry)
         self.fence += 1
         entry.state, entry.fence = State.RUNNING, self.fence
-        self._list(name, entry)
+        self._add_to_lists(name, entry)
         return Claim(Verdict.RUN, self.fence, entry.earlier, digest=entry.digest)
 
     def finish(
@@ -175,7 +175,7 @@
         if entry is None:
             return False
         is_short = len(answer.body) + len(answer.kind) <= self.max_answer_bytes
-        self._unlist(name, entry)
+        self._remove_from_lists(name, entry)
         entry.state, entry.expires_ms = State.DONE, until_ms
         entry.earlier = entry.earlier or earlier
         if is_short:
@@ -185,7 +185,7 @@
             self.held_bytes += size
         else:
             entry.digest = digest(answer.body)
-        self._list(name, entry)
+        self._add_to_lists(name, entry)
         while self.held_bytes > self.max_bytes and self._drop_done():
             pass
         return True
@@ -198,7 +198,7 @@
         entry = self._claimed_entry(name, fence)
         if entry is None:
             return False
-        self._unlist(name, entry)
+        self._remove_from_lists(name, entry)
         entry.earlier = entry.earlier or earlier
         if entry.digest:
             entry.state = State.DONE
@@ -210,13 +210,13 @@
             entry.state = State.UNCERTAIN
         if entry.state is State.UNCERTAIN:
             entry.expires_ms = max(entry.expires_ms, until_ms)
-        self._list(name, entry)
+        self._add_to_lists(name, entry)
         return True
 
-    def expire(self, now_ms: float, most: int = 256) -> int:
-        """Removes up to `most` settled keys that have expired. Returns how many were removed."""
+    def expire(self, now_ms: float, max_removed: int = 256) -> int:
+        """Removes up to `max_removed` settled keys that have expired. Returns how many were removed."""
         expired = 0
-        for name in list(islice(self.expiries, most)):
+        for name in list(islice(self.expiries, max_removed)):
             entry = self.entries[name]
             if entry.expires_ms <= now_ms:
                 self._remove(name, entry)
@@ -269,11 +269,11 @@
         return True
 
     def _remove(self, name: bytes, entry: Entry) -> None:
-        self._unlist(name, entry)
+        self._remove_from_lists(name, entry)
         self.held_bytes -= entry.bytes
         del self.entries[name]
 
-    def _list(self, name: bytes, entry: Entry) -> None:
+    def _add_to_lists(self, name: bytes, entry: Entry) -> None:
         """Adds a key to the lists of its state."""
         if entry.state is State.DONE:
             names = self.done.setdefault(entry.tenant, OrderedDict())
@@ -284,7 +284,7 @@
         if entry.state is not State.RUNNING:
             self.expiries[name] = None
 
-    def _unlist(self, name: bytes, entry: Entry) -> None:
+    def _remove_from_lists(self, name: bytes, entry: Entry) -> None:
         if entry.state is State.DONE:
             names = self.done[entry.tenant]
             del names[name]
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -59,9 +59,9 @@
         limiter = features.limits.limiter if features is not None else limits.DEFAULT
         self.balancer = Balancer(conf.settings, conf.seed, limiter)
         self.transport: Transport = self.pool
-        self.books: dict[str, AddressBook] = {"http": self.pool}
+        self.address_books: dict[str, AddressBook] = {"http": self.pool}
         self.driver = Driver(conf.settings, self.balancer, self.pool, loop, self.clock, conf.report_fields)
-        self.directory = Directory(self.books)
+        self.directory = Directory(self.address_books)
         self.watch = Watch(
             loop,
             self.clock,
@@ -94,7 +94,7 @@
         """Endpoints of that scheme are reached by another transport, beside those of before."""
         from honeywharf.core.transport_router import TransportRouter
 
-        self.books[scheme] = book
+        self.address_books[scheme] = book
         self.transport = self.driver.transport = TransportRouter(self.transport, transport)
 
     async def run(self) -> None:
--- a/tests/orderkeys/explorer.py
+++ b/tests/orderkeys/explorer.py
@@ -83,7 +83,7 @@
         while level:
             following = []
             for world in level:
-                for step, after in self.after(world):
+                for step, after in self.successors(world):
                     self.steps += 1
                     after = canonical(after)
                     if after in predecessors:
@@ -91,9 +91,9 @@
                     predecessors[after] = (world, step)
                     if len(predecessors) > most:
                         raise MemoryError(f"explorer: more than {most} states")
-                    wrong = self.wrong(after)
-                    if wrong:
-                        return [wrong, *self._steps_to(predecessors, after)]
+                    violation = self.violation(after)
+                    if violation:
+                        return [violation, *self._steps_to(predecessors, after)]
                     following.append(after)
                 self.phases.update(p.phase for p in world.proxies)
             level = following
@@ -107,7 +107,7 @@
             steps.append(step)
         return steps[::-1]
 
-    def wrong(self, w: World) -> str:
+    def violation(self, w: World) -> str:
         """Return which invariant the state violates; empty if none."""
         if len(w.charged) > 1:
             return "charged twice"
@@ -123,28 +123,28 @@
                 return "refused, and it may run"
         return ""
 
-    def after(self, w: World) -> Iterator[tuple[str, World]]:
+    def successors(self, w: World) -> Iterator[tuple[str, World]]:
         """Yield all states that are one step away."""
         for i, p in enumerate(w.proxies):
 
-            def put(new: Proxy, i: int = i, **more: Any) -> World:
+            def replace_proxy(new: Proxy, i: int = i, **more: Any) -> World:
                 return w._replace(proxies=(*w.proxies[:i], new, *w.proxies[i + 1 :]), **more)
 
             if p.to_store:
-                yield self._store_step(w, i, p, put)
+                yield self._store_step(w, i, p, replace_proxy)
                 if p.phase == "dead":
-                    yield f"{i}: what it had written is lost", put(p._replace(to_store=()))
+                    yield f"{i}: what it had written is lost", replace_proxy(p._replace(to_store=()))
             for n, cell in enumerate(p.attempts_in_flight):
-                yield from self._backend_step(w, i, p, n, cell, put)
+                yield from self._backend_step(w, i, p, n, cell, replace_proxy)
             if p.phase == "dead":
                 continue
             if w.crashes and p.phase not in END:
                 # Messages that were sent stay in transit; replies to it are lost.
                 yield (
                     f"{i}: killed",
-                    put(p._replace(phase="dead", from_store=(), answer=""), crashes=w.crashes - 1),
+                    replace_proxy(p._replace(phase="dead", from_store=(), answer=""), crashes=w.crashes - 1),
                 )
-            yield from self._proxy_step(w, i, p, put)
+            yield from self._proxy_step(w, i, p, replace_proxy)
         e = w.entry
         if w.expiries and e is not None and e.state == "R":
             yield "the lease ends", w._replace(now=e.until, expiries=w.expiries - 1)
@@ -154,7 +154,7 @@
         w: World,
         i: int,
         p: Proxy,
-        put: Callable[..., World],
+        replace_proxy: Callable[..., World],
     ) -> tuple[str, World]:
         """The oldest message of a proxy arrives at the store."""
         kind, *rest = p.to_store[0]
@@ -175,7 +175,7 @@
             if p.phase in END or kind == "end" or (kind == "note" and not rest[1])
             else (*p.from_store, reply)
         )
-        return f"{i}: {kind} arrives: {reply}", put(
+        return f"{i}: {kind} arrives: {reply}", replace_proxy(
             p._replace(to_store=p.to_store[1:], from_store=from_store), entry=entry
         )
 
@@ -186,7 +186,7 @@
         p: Proxy,
         n: int,
         cell: int,
-        put: Callable[..., World],
+        replace_proxy: Callable[..., World],
     ) -> Iterator[tuple[str, World]]:
         """An attempt arrives: it runs, or is rejected while its proxy still waits for it."""
         left = p.attempts_in_flight[:n] + p.attempts_in_flight[n + 1 :]
@@ -197,52 +197,56 @@
         waits = p.phase == "sent" and p.cell == cell and not p.answer
         yield (
             f"{i}: runs in {cell}",
-            put(p._replace(attempts_in_flight=left, answer=body if waits else p.answer), charged=charged),
+            replace_proxy(
+                p._replace(attempts_in_flight=left, answer=body if waits else p.answer), charged=charged
+            ),
         )
         if waits:
-            yield f"{i}: rejected in {cell}", put(p._replace(attempts_in_flight=left, answer="no"))
+            yield f"{i}: rejected in {cell}", replace_proxy(p._replace(attempts_in_flight=left, answer="no"))
 
     def _proxy_step(
         self,
         w: World,
         i: int,
         p: Proxy,
-        put: Callable[..., World],
+        replace_proxy: Callable[..., World],
     ) -> Iterator[tuple[str, World]]:
         """A proxy acts."""
         rules = self.rules
         if p.phase == "new":
             if not rules.use_claims:
                 for cell in CELLS:
-                    yield f"{i}: sends to {cell}", put(p._replace(phase="ready", cell=cell))
+                    yield f"{i}: sends to {cell}", replace_proxy(p._replace(phase="ready", cell=cell))
                 return
-            yield f"{i}: claims", put(p._replace(phase="asked", to_store=(*p.to_store, ("claim",))))
+            yield f"{i}: claims", replace_proxy(p._replace(phase="asked", to_store=(*p.to_store, ("claim",))))
         elif p.phase == "asked":
             if p.from_store:
-                yield self._receive_claim(i, p, put)
+                yield self._receive_claim(i, p, replace_proxy)
             # The proxy stops waiting, gives back what it may have been granted, and refuses.
             yield (
                 f"{i}: the store is late",
-                put(self._end(p._replace(from_store=()), "none", "", 0, "refused")),
+                replace_proxy(self._end(p._replace(from_store=()), "none", "", 0, "refused")),
             )
             if p.to_store:
                 yield (
                     f"{i}: the connection is cut",
-                    put(self._end(p._replace(from_store=(), to_store=()), "none", "", 0, "refused")),
+                    replace_proxy(
+                        self._end(p._replace(from_store=(), to_store=()), "none", "", 0, "refused")
+                    ),
                 )
         elif p.phase == "claimed":
             for cell in CELLS if not p.known else (p.known,):
-                yield from self._choose_cell(i, p, cell, put)
+                yield from self._choose_cell(i, p, cell, replace_proxy)
         elif p.phase == "noting" and p.from_store:
             fresh = p._replace(from_store=p.from_store[1:])
             if p.from_store[0] == 1:
-                yield f"{i}: the note is sure", put(fresh._replace(phase="ready", noted=p.cell))
+                yield f"{i}: the note is sure", replace_proxy(fresh._replace(phase="ready", noted=p.cell))
             else:
-                yield f"{i}: the claim is lost", put(self._end(fresh, "none", "", 0, "refused"))
+                yield f"{i}: the claim is lost", replace_proxy(self._end(fresh, "none", "", 0, "refused"))
         elif p.phase == "ready":
             yield (
                 f"{i}: its attempt is sent",
-                put(p._replace(phase="sent", attempts_in_flight=(*p.attempts_in_flight, p.cell))),
+                replace_proxy(p._replace(phase="sent", attempts_in_flight=(*p.attempts_in_flight, p.cell))),
             )
         elif p.phase == "sent":
             if p.answer == "no":
@@ -250,46 +254,49 @@
                 if not p.known and len(fresh.rejected) < len(CELLS):
                     for cell in CELLS:
                         if cell not in fresh.rejected:
-                            yield from self._choose_cell(i, fresh, cell, put)
+                            yield from self._choose_cell(i, fresh, cell, replace_proxy)
                 how = "failed" if p.known else "refused"
-                yield f"{i}: gives up", put(self._end(fresh, "none", "", 0, how))
+                yield f"{i}: gives up", replace_proxy(self._end(fresh, "none", "", 0, how))
             elif p.answer:
-                yield f"{i}: has the answer", put(self._end(p, "answer", p.answer, p.cell, "served"))
+                yield (
+                    f"{i}: has the answer",
+                    replace_proxy(self._end(p, "answer", p.answer, p.cell, "served")),
+                )
             else:
-                yield f"{i}: its deadline passes", put(self._end(p, "none", "", p.cell, "failed"))
+                yield f"{i}: its deadline passes", replace_proxy(self._end(p, "none", "", p.cell, "failed"))
 
-    def _receive_claim(self, i: int, p: Proxy, put: Callable[..., World]) -> tuple[str, World]:
+    def _receive_claim(self, i: int, p: Proxy, replace_proxy: Callable[..., World]) -> tuple[str, World]:
         reply, fresh = p.from_store[0], p._replace(from_store=p.from_store[1:])
         what = f"{i}: is told {reply}"
         if reply[0] == "run" and len(reply) == 1:
-            return what, put(fresh._replace(phase="claimed"))
+            return what, replace_proxy(fresh._replace(phase="claimed"))
         if reply[0] == "run" and reply[1] != "":
             if self.rules.first_cell_only:
                 fresh = fresh._replace(known=reply[1], noted=reply[1])
-            return what, put(fresh._replace(phase="claimed"))
+            return what, replace_proxy(fresh._replace(phase="claimed"))
         if reply[0] == "run" and not self.rules.unknown_place_fails:
-            return what, put(fresh._replace(phase="claimed"))
+            return what, replace_proxy(fresh._replace(phase="claimed"))
         if reply[0] == "run":
-            return what, put(self._end(fresh, "none", "", 0, "failed"))
+            return what, replace_proxy(self._end(fresh, "none", "", 0, "failed"))
         if reply[0] == "answer":
-            return what, put(fresh._replace(phase="served", answer=reply[1]))
-        return what, put(fresh._replace(phase="new"))  # it waits, and may claim again at any time
+            return what, replace_proxy(fresh._replace(phase="served", answer=reply[1]))
+        return what, replace_proxy(fresh._replace(phase="new"))  # it waits, and may claim again at any time
 
     def _choose_cell(
-        self, i: int, p: Proxy, cell: int, put: Callable[..., World]
+        self, i: int, p: Proxy, cell: int, replace_proxy: Callable[..., World]
     ) -> Iterator[tuple[str, World]]:
         chosen = p._replace(cell=cell)
         if p.noted == cell or not self.rules.use_claims:
-            yield f"{i}: chooses {cell}", put(chosen._replace(phase="ready"))
+            yield f"{i}: chooses {cell}", replace_proxy(chosen._replace(phase="ready"))
         elif p.noted and self.rules.wait_for_note:
             yield (
                 f"{i}: asks to note {cell}",
-                put(chosen._replace(phase="noting", to_store=(*p.to_store, ("note", cell, True)))),
+                replace_proxy(chosen._replace(phase="noting", to_store=(*p.to_store, ("note", cell, True)))),
             )
         else:
             yield (
                 f"{i}: chooses {cell} and notes it",
-                put(
+                replace_proxy(
                     chosen._replace(phase="ready", noted=cell, to_store=(*p.to_store, ("note", cell, False)))
                 ),
             )
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -19,7 +19,7 @@
 TOML = '[order_keys]\nstore = "redis"\n[order_keys.redis]\nurl = "redis://127.0.0.1:{}"\nempty = "trust"\n'
 
 
-class Scene:
+class KillScenario:
     """A proxy process that reaches Redis through a relay, and a proxy in the test, before two backends."""
 
     def __init__(
@@ -69,7 +69,7 @@
 
 
 @asynccontextmanager
-async def scene(path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Scene]:
+async def kill_scenario(path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[KillScenario]:
     redis, backends = await Redis().start(), [await Backend().start() for _ in range(2)]
     relay = await Relay(redis.port).start()
     rows = [b.row(f"b{i}", cell=i) for i, b in enumerate(backends)]
@@ -87,7 +87,7 @@
             assert lines[-1], "the process has ended"
         async with world(rows, features_on(redis)) as other:
             await until(lambda: store_available(other))
-            yield Scene(redis, relay, process, other, backends)
+            yield KillScenario(redis, relay, process, other, backends)
     finally:
         process.process.kill()
         process.process.wait()
@@ -102,7 +102,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with scene(tmp_path, monkeypatch) as s:
+        async with kill_scenario(tmp_path, monkeypatch) as s:
             s.relay.hold_back = True
             client = await s.order()
             await until(lambda: s.relay.held_back > 0)  # the claim is granted, but the proxy has no reply yet
@@ -121,7 +121,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with scene(tmp_path, monkeypatch) as s:
+        async with kill_scenario(tmp_path, monkeypatch) as s:
             client, used = await s.unanswered_order()
             s.kill_first()
             assert await s.states() == [[b"R", b"%d" % used]]
@@ -139,7 +139,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with scene(tmp_path, monkeypatch) as s:
+        async with kill_scenario(tmp_path, monkeypatch) as s:
             client, used = await s.unanswered_order()
             s.relay.hold_there = True
             for writer in list(s.backends[used].writers):
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -65,7 +65,7 @@
     run(main())
 
 
-def test_the_repeats_window_is_counted_on_one_clock_though_the_proxies_differ_by_two_seconds() -> None:
+def test_the_window_of_a_repeat_is_counted_on_the_stores_clock() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (_, worlds, (backend,)):
             worlds[1].proxy.clock._offset_ms += 2000.0
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -132,7 +132,7 @@
         self.answers.append((status, body, retry_after_ms))
 
 
-class DriverSetup:
+class DriverHarness:
     def __init__(self) -> None:
         self.clock = FakeClock()
         self.loop, self.transport, self.script = FakeLoop(self.clock), FakeTransport(), ScriptedModule()
@@ -176,8 +176,8 @@
 
 
 @pytest.fixture
-def setup() -> DriverSetup:
-    return DriverSetup()
+def harness() -> DriverHarness:
+    return DriverHarness()
 
 
 def test_the_clock_is_unix_time_and_follows_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -191,21 +191,21 @@
     assert clock.now() == pytest.approx(1_700_000_000_500.0)
 
 
-def test_a_200_is_passed_on_at_once_and_ends_the_request(setup: DriverSetup) -> None:
-    setup.script.on = send_to_b1
-    _, caller = setup.arrive()
-    setup.clock.ms += 40.0
-    setup.transport.started[0].ended(O.OK, ok())
+def test_a_200_is_passed_on_at_once_and_ends_the_request(harness: DriverHarness) -> None:
+    harness.script.on = send_to_b1
+    _, caller = harness.arrive()
+    harness.clock.ms += 40.0
+    harness.transport.started[0].ended(O.OK, ok())
     assert caller.answers == [(Status.SERVED, b"tile", 0.0)]
-    setup.loop.run_soon()
-    (event,) = setup.events(api.AttemptEnded)
+    harness.loop.run_soon()
+    (event,) = harness.events(api.AttemptEnded)
     assert event == api.AttemptEnded("r1", 0, O.OK, 40.0, True, None, "b1")
-    assert setup.driver.requests == {}
-    assert setup.driver.open_requests == 0
+    assert harness.driver.requests == {}
+    assert harness.driver.open_requests == 0
 
 
-def test_events_come_one_at_a_time_and_actions_do_not_re_enter(setup: DriverSetup) -> None:
-    setup.transport.known_endpoints = set()  # every send ends as NOT_SENT while actions are carried out
+def test_events_come_one_at_a_time_and_actions_do_not_re_enter(harness: DriverHarness) -> None:
+    harness.transport.known_endpoints = set()  # every send ends as NOT_SENT while actions are carried out
 
     def on(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
@@ -214,129 +214,131 @@
             return [api.Refuse(event.request)]
         return []
 
-    setup.script.on = on
-    _, caller = setup.arrive()
-    assert setup.outcomes() == [(0, O.NOT_SENT, False), (1, O.NOT_SENT, False)]
+    harness.script.on = on
+    _, caller = harness.arrive()
+    assert harness.outcomes() == [(0, O.NOT_SENT, False), (1, O.NOT_SENT, False)]
     assert caller.answers == [(Status.REFUSED, b"", 0.0)]
 
 
-def test_sends_that_are_not_allowed_end_as_not_sent(setup: DriverSetup) -> None:
-    setup.script.on = send_to_b1
-    request, _ = setup.arrive()
-    setup.script.on = on_timer(api.Send("r1", "b2", 0.0))
+def test_sends_that_are_not_allowed_end_as_not_sent(harness: DriverHarness) -> None:
+    harness.script.on = send_to_b1
+    request, _ = harness.arrive()
+    harness.script.on = on_timer(api.Send("r1", "b2", 0.0))
     for _ in range(3):  # the third exceeds the limit of three attempts
-        setup.driver._timer_due(0.0, "t")
-        setup.loop.run_soon()
-    assert len(setup.transport.started) == 3
-    assert setup.outcomes() == [(3, O.NOT_SENT, False)]
-    setup.driver.client_disconnected(request)
-    setup.loop.run_soon()
-    setup.driver._timer_due(0.0, "t")  # the request has ended
-    setup.loop.run_soon()
-    assert len(setup.transport.started) == 3
-    assert setup.outcomes()[-1] == (4, O.NOT_SENT, True)
-
-
-def test_a_send_for_an_unknown_request_ends_as_not_sent(setup: DriverSetup) -> None:
-    setup.script.on = on_timer(api.Send("nobody", "b1", 0.0))
-    setup.driver._timer_due(0.0, "t")
-    setup.loop.run_soon()
-    assert setup.transport.started == []
-    assert setup.outcomes() == [(0, O.NOT_SENT, True)]
+        harness.driver._timer_due(0.0, "t")
+        harness.loop.run_soon()
+    assert len(harness.transport.started) == 3
+    assert harness.outcomes() == [(3, O.NOT_SENT, False)]
+    harness.driver.client_disconnected(request)
+    harness.loop.run_soon()
+    harness.driver._timer_due(0.0, "t")  # the request has ended
+    harness.loop.run_soon()
+    assert len(harness.transport.started) == 3
+    assert harness.outcomes()[-1] == (4, O.NOT_SENT, True)
+
+
+def test_a_send_for_an_unknown_request_ends_as_not_sent(harness: DriverHarness) -> None:
+    harness.script.on = on_timer(api.Send("nobody", "b1", 0.0))
+    harness.driver._timer_due(0.0, "t")
+    harness.loop.run_soon()
+    assert harness.transport.started == []
+    assert harness.outcomes() == [(0, O.NOT_SENT, True)]
 
 
 def test_a_silent_backend_times_out_and_the_client_is_answered_before_its_deadline(
-    setup: DriverSetup,
+    harness: DriverHarness,
 ) -> None:
     def on(event: api.Event) -> list[api.Action]:
         return [api.Fail(event.request)] if isinstance(event, api.AttemptEnded) else send_to_b1(event)
 
-    setup.script.on = on
-    start = setup.clock.ms
-    _, caller = setup.arrive(1000.0)
-    setup.loop.advance(980.0)
+    harness.script.on = on
+    start = harness.clock.ms
+    _, caller = harness.arrive(1000.0)
+    harness.loop.advance(980.0)
     assert caller.answers == []
-    setup.loop.advance(15.0)
+    harness.loop.advance(15.0)
     assert caller.answers == [(Status.FAILED, b"", 0.0)]
-    assert setup.script.seen[-1][0] < start + 1000.0
-    assert setup.transport.aborted == setup.transport.started
-    assert setup.outcomes() == [(0, O.TIMEOUT, False)]
-    assert setup.driver.requests == {}
+    assert harness.script.seen[-1][0] < start + 1000.0
+    assert harness.transport.aborted == harness.transport.started
+    assert harness.outcomes() == [(0, O.TIMEOUT, False)]
+    assert harness.driver.requests == {}
 
 
-def test_the_time_since_the_request_was_read_counts(setup: DriverSetup) -> None:
+def test_the_time_since_the_request_was_read_counts(harness: DriverHarness) -> None:
     request, caller = http1.Request(), FakeCaller()
     request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
-    request.read_ms = setup.clock.ms - 300.0  # it waited behind another request on its connection
-    assert setup.driver.accept(request, caller)
-    setup.loop.run_soon()
-    (event,) = setup.events(api.RequestArrived)
+    request.read_ms = harness.clock.ms - 300.0  # it waited behind another request on its connection
+    assert harness.driver.accept(request, caller)
+    harness.loop.run_soon()
+    (event,) = harness.events(api.RequestArrived)
     assert isinstance(event, api.RequestArrived)
     assert event.remaining_ms == pytest.approx(700.0 - ANSWER_MARGIN_MS)
 
 
-def test_a_request_that_the_module_never_ends_fails_at_its_deadline(setup: DriverSetup) -> None:
-    _, caller = setup.arrive(500.0)
-    setup.loop.advance(499.0)
+def test_a_request_that_the_module_never_ends_fails_at_its_deadline(harness: DriverHarness) -> None:
+    _, caller = harness.arrive(500.0)
+    harness.loop.advance(499.0)
     assert caller.answers == [(Status.FAILED, b"", 0.0)]
-    assert setup.events(api.RequestExpired) == [api.RequestExpired("r1")]
-    assert setup.driver.requests == {}
+    assert harness.events(api.RequestExpired) == [api.RequestExpired("r1")]
+    assert harness.driver.requests == {}
 
 
-def test_a_timer_that_fires_early_leaves_no_attempt_in_flight(setup: DriverSetup) -> None:
+def test_a_timer_that_fires_early_leaves_no_attempt_in_flight(harness: DriverHarness) -> None:
     """Guards against a retry in the last fraction of a ms, which nothing would end at a silent backend."""
-    setup.script.on = lambda event: (
+    harness.script.on = lambda event: (
         [api.Send("r1", "b1", 0.0)]
         if isinstance(event, api.RequestArrived)
         or (isinstance(event, api.AttemptEnded) and event.outcome is O.TIMEOUT)
         else []
     )
-    _, caller = setup.arrive()
-    (timer,) = [t for t in setup.loop.timers if not t.cancelled]
-    setup.clock.ms = timer.at - 0.5
+    _, caller = harness.arrive()
+    (timer,) = [t for t in harness.loop.timers if not t.cancelled]
+    harness.clock.ms = timer.at - 0.5
     timer.cancelled = True
     timer.call()
-    setup.loop.run_soon()
+    harness.loop.run_soon()
     assert [a[0] for a in caller.answers] == [Status.FAILED]
-    assert [o for _, o, _ in setup.outcomes()] == [O.TIMEOUT, O.NOT_SENT]
-    assert not setup.driver.requests
+    assert [o for _, o, _ in harness.outcomes()] == [O.TIMEOUT, O.NOT_SENT]
+    assert not harness.driver.requests
 
 
-def test_an_attempt_with_a_shorter_time_out_ends_alone(setup: DriverSetup) -> None:
+def test_an_attempt_with_a_shorter_time_out_ends_alone(harness: DriverHarness) -> None:
     def on(event: api.Event) -> list[api.Action]:
         return [api.Send(event.id, "b1", 80.0)] if isinstance(event, api.RequestArrived) else []
 
-    setup.script.on = on
-    _, caller = setup.arrive(1000.0)
-    assert setup.transport.started[0].until_ms == setup.clock.ms + 80.0
-    setup.loop.advance(90.0)
-    assert setup.outcomes() == [(0, O.TIMEOUT, False)]
+    harness.script.on = on
+    _, caller = harness.arrive(1000.0)
+    assert harness.transport.started[0].until_ms == harness.clock.ms + 80.0
+    harness.loop.advance(90.0)
+    assert harness.outcomes() == [(0, O.TIMEOUT, False)]
     assert caller.answers == []
 
 
-def test_after_the_client_disconnects_an_attempt_still_gets_its_outcome(setup: DriverSetup) -> None:
-    setup.script.on = send_to_b1
-    request, caller = setup.arrive()
-    setup.driver.client_disconnected(request)
-    setup.loop.run_soon()
-    assert setup.transport.aborted == []
-    setup.transport.started[0].ended(O.OK, ok())
-    setup.loop.run_soon()
+def test_after_the_client_disconnects_an_attempt_still_gets_its_outcome(harness: DriverHarness) -> None:
+    harness.script.on = send_to_b1
+    request, caller = harness.arrive()
+    harness.driver.client_disconnected(request)
+    harness.loop.run_soon()
+    assert harness.transport.aborted == []
+    harness.transport.started[0].ended(O.OK, ok())
+    harness.loop.run_soon()
     assert caller.answers == []
-    assert setup.outcomes() == [(0, O.OK, True)]
-    assert setup.driver.requests == {}
+    assert harness.outcomes() == [(0, O.OK, True)]
+    assert harness.driver.requests == {}
 
 
-def test_after_the_client_disconnects_a_silent_attempt_times_out_at_the_deadline(setup: DriverSetup) -> None:
-    setup.script.on = send_to_b1
-    request, _ = setup.arrive(1000.0)
-    setup.driver.client_disconnected(request)
-    setup.loop.advance(1000.0)
-    assert setup.outcomes() == [(0, O.TIMEOUT, True)]
-    assert setup.driver.requests == {}
+def test_after_the_client_disconnects_a_silent_attempt_times_out_at_the_deadline(
+    harness: DriverHarness,
+) -> None:
+    harness.script.on = send_to_b1
+    request, _ = harness.arrive(1000.0)
+    harness.driver.client_disconnected(request)
+    harness.loop.advance(1000.0)
+    assert harness.outcomes() == [(0, O.TIMEOUT, True)]
+    assert harness.driver.requests == {}
 
 
-def test_a_second_copy_changes_nothing_for_the_client(setup: DriverSetup) -> None:
+def test_a_second_copy_changes_nothing_for_the_client(harness: DriverHarness) -> None:
     def on(event: api.Event) -> list[api.Action]:
         return (
             [*send_to_b1(event), api.Send(event.id, "b2", 0.0)]
@@ -344,37 +346,37 @@
             else []
         )
 
-    setup.script.on = on
-    _, caller = setup.arrive()
-    setup.transport.started[1].ended(O.OK, ok(b"second"))
-    setup.loop.run_soon()
-    setup.transport.started[0].ended(O.OK, ok(b"first"))
-    setup.loop.run_soon()
+    harness.script.on = on
+    _, caller = harness.arrive()
+    harness.transport.started[1].ended(O.OK, ok(b"second"))
+    harness.loop.run_soon()
+    harness.transport.started[0].ended(O.OK, ok(b"first"))
+    harness.loop.run_soon()
     assert caller.answers == [(Status.SERVED, b"second", 0.0)]
-    assert setup.outcomes() == [(1, O.OK, True), (0, O.OK, True)]
+    assert harness.outcomes() == [(1, O.OK, True), (0, O.OK, True)]
 
 
-def test_cancel_aborts_and_ends_the_attempt_once(setup: DriverSetup) -> None:
-    setup.script.on = send_to_b1
-    setup.arrive()
-    setup.script.on = on_timer(api.Cancel("r1", 0), api.Cancel("r1", 0), api.Cancel("r1", 7))
-    setup.driver._timer_due(0.0, "t")
-    setup.loop.run_soon()
-    assert setup.transport.aborted == setup.transport.started
-    assert setup.outcomes() == [(0, O.CANCELLED, False)]
+def test_cancel_aborts_and_ends_the_attempt_once(harness: DriverHarness) -> None:
+    harness.script.on = send_to_b1
+    harness.arrive()
+    harness.script.on = on_timer(api.Cancel("r1", 0), api.Cancel("r1", 0), api.Cancel("r1", 7))
+    harness.driver._timer_due(0.0, "t")
+    harness.loop.run_soon()
+    assert harness.transport.aborted == harness.transport.started
+    assert harness.outcomes() == [(0, O.CANCELLED, False)]
 
 
-def test_a_refusal_has_a_retry_delay_and_a_failure_never_becomes_a_refusal(setup: DriverSetup) -> None:
-    setup.script.on = lambda event: [api.Refuse("r1", 250.0)]
-    _, refused = setup.arrive()
-    setup.script.on = lambda event: [api.Fail("r2"), api.Refuse("r2")]
-    _, failed = setup.arrive()
+def test_a_refusal_has_a_retry_delay_and_a_failure_never_becomes_a_refusal(harness: DriverHarness) -> None:
+    harness.script.on = lambda event: [api.Refuse("r1", 250.0)]
+    _, refused = harness.arrive()
+    harness.script.on = lambda event: [api.Fail("r2"), api.Refuse("r2")]
+    _, failed = harness.arrive()
     assert refused.answers == [(Status.REFUSED, b"", 250.0)]
     assert failed.answers == [(Status.FAILED, b"", 0.0)]
 
 
 def test_a_module_that_raises_fails_only_one_request(
-    setup: DriverSetup,
+    harness: DriverHarness,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     def on(event: api.Event) -> list[api.Action]:
@@ -382,98 +384,100 @@
             raise KeyError("broken")
         return send_to_b1(event)
 
-    setup.script.on = on
-    _, first = setup.arrive()
-    _, second = setup.arrive()
+    harness.script.on = on
+    _, first = harness.arrive()
+    _, second = harness.arrive()
     assert first.answers == [(Status.FAILED, b"", 0.0)]
-    setup.transport.started[0].ended(O.OK, ok())
+    harness.transport.started[0].ended(O.OK, ok())
     assert second.answers == [(Status.SERVED, b"tile", 0.0)]
     assert "broken" in capsys.readouterr().err
 
 
-def test_a_module_that_raises_on_an_outcome_fails_that_request(setup: DriverSetup) -> None:
+def test_a_module_that_raises_on_an_outcome_fails_that_request(harness: DriverHarness) -> None:
     def on(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
         return send_to_b1(event)
 
-    setup.script.on = on
-    _, caller = setup.arrive()
-    setup.transport.started[0].ended(O.RESET, None)
-    setup.loop.run_soon()
+    harness.script.on = on
+    _, caller = harness.arrive()
+    harness.transport.started[0].ended(O.RESET, None)
+    harness.loop.run_soon()
     assert caller.answers == [(Status.FAILED, b"", 0.0)]
-    assert setup.driver.requests == {}
+    assert harness.driver.requests == {}
 
 
-def test_a_request_on_which_the_module_raised_is_removed_from_it(setup: DriverSetup) -> None:
+def test_a_request_on_which_the_module_raised_is_removed_from_it(harness: DriverHarness) -> None:
     def on(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
         return send_to_b1(event)
 
-    setup.script.on = on
-    _, caller = setup.arrive()
-    setup.transport.started[0].ended(O.OK, ok())  # answered before the module handles the outcome
-    setup.loop.run_soon()
+    harness.script.on = on
+    _, caller = harness.arrive()
+    harness.transport.started[0].ended(O.OK, ok())  # answered before the module handles the outcome
+    harness.loop.run_soon()
     assert caller.answers == [(Status.SERVED, b"tile", 0.0)]
-    assert setup.events(api.RequestExpired) == [api.RequestExpired("r1")]
-    assert setup.driver.requests == {}
+    assert harness.events(api.RequestExpired) == [api.RequestExpired("r1")]
+    assert harness.driver.requests == {}
 
 
 @pytest.mark.pure  # compiled attempts take no weak references
-def test_a_request_that_has_ended_leaves_no_reference_cycle(setup: DriverSetup) -> None:
+def test_a_request_that_has_ended_leaves_no_reference_cycle(harness: DriverHarness) -> None:
     """Memory is freed at once, not by the garbage collector."""
-    setup.script.on = send_to_b1
+    harness.script.on = send_to_b1
     gc.disable()
     try:
-        request, _ = setup.arrive()
-        held = weakref.ref(setup.driver.requests[request.id].attempts[0])
-        setup.transport.started.pop().ended(O.OK, ok())
-        setup.loop.run_soon()
-        setup.loop.timers.clear()
-        assert setup.driver.requests == {}
+        request, _ = harness.arrive()
+        held = weakref.ref(harness.driver.requests[request.id].attempts[0])
+        harness.transport.started.pop().ended(O.OK, ok())
+        harness.loop.run_soon()
+        harness.loop.timers.clear()
+        assert harness.driver.requests == {}
         assert held() is None
     finally:
         gc.enable()
 
 
-def test_a_list_from_discovery_is_handled_before_queued_events(setup: DriverSetup) -> None:
+def test_a_list_from_discovery_is_handled_before_queued_events(harness: DriverHarness) -> None:
     request, caller = http1.Request(), FakeCaller()
-    request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, setup.clock.ms
-    setup.driver.accept(request, caller)
-    setup.driver.endpoints_listed(api.EndpointsListed(api.ListKind.CHANGES))
-    setup.loop.run_soon()
-    assert [type(e) for _, e in setup.script.seen] == [api.EndpointsListed, api.RequestArrived]
+    request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, harness.clock.ms
+    harness.driver.accept(request, caller)
+    harness.driver.endpoints_listed(api.EndpointsListed(api.ListKind.CHANGES))
+    harness.loop.run_soon()
+    assert [type(e) for _, e in harness.script.seen] == [api.EndpointsListed, api.RequestArrived]
 
 
-def test_timers_never_fire_early(setup: DriverSetup) -> None:
-    setup.driver._perform(api.SetTimer(setup.clock.ms + 50.0, "t"))
-    (timer,) = setup.loop.timers
-    setup.clock.ms += 49.5
+def test_timers_never_fire_early(harness: DriverHarness) -> None:
+    harness.driver._perform(api.SetTimer(harness.clock.ms + 50.0, "t"))
+    (timer,) = harness.loop.timers
+    harness.clock.ms += 49.5
     timer.cancelled = True
     timer.call()
-    setup.loop.run_soon()
-    assert setup.events(api.TimerFired) == []
-    setup.loop.advance(1.0)
-    assert setup.events(api.TimerFired) == [api.TimerFired("t")]
+    harness.loop.run_soon()
+    assert harness.events(api.TimerFired) == []
+    harness.loop.advance(1.0)
+    assert harness.events(api.TimerFired) == [api.TimerFired("t")]
 
 
-def test_reports_follow_the_order_of_the_settings_and_either_name(setup: DriverSetup) -> None:
-    assert setup.driver._parse_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
-    assert setup.driver._parse_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
-    assert setup.driver._parse_report(b"pending=2") is None
-    assert setup.driver._parse_report(b"pending=x,busy_reqs=1") is None
-    assert setup.driver._parse_report(None) is None
+def test_reports_follow_the_order_of_the_settings_and_either_name(harness: DriverHarness) -> None:
+    assert harness.driver._parse_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
+    assert harness.driver._parse_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
+    assert harness.driver._parse_report(b"pending=2") is None
+    assert harness.driver._parse_report(b"pending=x,busy_reqs=1") is None
+    assert harness.driver._parse_report(None) is None
 
 
-def test_probes_end_once_with_their_result(setup: DriverSetup) -> None:
-    setup.script.on = on_timer(api.Probe("b1"), api.Probe("b2"), api.Probe("b9"))
-    setup.driver._timer_due(0.0, "t")
-    setup.loop.run_soon()
+def test_probes_end_once_with_their_result(harness: DriverHarness) -> None:
+    harness.script.on = on_timer(api.Probe("b1"), api.Probe("b2"), api.Probe("b9"))
+    harness.driver._timer_due(0.0, "t")
+    harness.loop.run_soon()
     response = ok(b"pending=1,busy_reqs=2")
-    setup.transport.started[0].ended(O.OK, response)
-    setup.loop.advance(1000.0)
-    found = [(e.endpoint, e.outcome, e.report) for _, e in setup.script.seen if isinstance(e, api.ProbeEnded)]
+    harness.transport.started[0].ended(O.OK, response)
+    harness.loop.advance(1000.0)
+    found = [
+        (e.endpoint, e.outcome, e.report) for _, e in harness.script.seen if isinstance(e, api.ProbeEnded)
+    ]
     assert sorted(found, key=lambda x: x[0]) == [
         ("b1", O.OK, (1.0, 2.0)),
         ("b2", O.TIMEOUT, None),
@@ -481,20 +485,20 @@
     ]
 
 
-def test_an_id_in_the_table_is_not_taken_twice(setup: DriverSetup) -> None:
-    request, _ = setup.arrive()
-    assert not setup.driver.accept(request, FakeCaller())
-    assert setup.driver.open_requests == 1
+def test_an_id_in_the_table_is_not_taken_twice(harness: DriverHarness) -> None:
+    request, _ = harness.arrive()
+    assert not harness.driver.accept(request, FakeCaller())
+    assert harness.driver.open_requests == 1
 
 
-def test_the_limit_on_open_requests(setup: DriverSetup) -> None:
-    setup.arrive()
-    assert not setup.driver.is_full()
-    setup.arrive()
-    assert setup.driver.is_full()
+def test_the_limit_on_open_requests(harness: DriverHarness) -> None:
+    harness.arrive()
+    assert not harness.driver.is_full()
+    harness.arrive()
+    assert harness.driver.is_full()
 
 
-def test_every_request_gets_at_most_one_answer_under_random_events(setup: DriverSetup) -> None:
+def test_every_request_gets_at_most_one_answer_under_random_events(harness: DriverHarness) -> None:
     """Random outcomes, cancels, disconnects and times: at most one answer each, and no request is left."""
     draw = random.Random(4)
 
@@ -508,21 +512,21 @@
             return draw.choice([again, [api.Refuse(event.request, 5.0)], [api.Fail(event.request)], []])
         return []
 
-    setup.script.on = on
+    harness.script.on = on
     callers, disconnected = [], set()
     for _ in range(400):
-        request, caller = setup.arrive(draw.uniform(0.0, 300.0))
+        request, caller = harness.arrive(draw.uniform(0.0, 300.0))
         callers.append((request.id, caller))
-        for call in draw.sample(setup.transport.started[-5:], k=min(2, len(setup.transport.started))):
+        for call in draw.sample(harness.transport.started[-5:], k=min(2, len(harness.transport.started))):
             call.ended(draw.choice([O.OK, O.RESET, O.ERROR, O.REJECTED, O.CONNECT_FAILED]), ok())
         if draw.random() < 0.1:
             if not caller.answers:
                 disconnected.add(request.id)
-            setup.driver.client_disconnected(request)
-        setup.loop.run_soon()
-        setup.loop.advance(draw.uniform(0.0, 20.0))
-    setup.loop.advance(1000.0)
-    assert setup.driver.requests == {}
-    assert setup.driver.open_requests == 0
+            harness.driver.client_disconnected(request)
+        harness.loop.run_soon()
+        harness.loop.advance(draw.uniform(0.0, 20.0))
+    harness.loop.advance(1000.0)
+    assert harness.driver.requests == {}
+    assert harness.driver.open_requests == 0
     for name, caller in callers:
         assert len(caller.answers) == (0 if name in disconnected else 1)
