--- a/honeywharf/terms/__init__.py
+++ b/honeywharf/terms/__init__.py
@@ -1,1 +1,1 @@
-"""The terms of a site: what a balancer is told of it, checked, and without a decision in it."""
+"""The settings of a site that a balancer works with, and their validation; no decision is made here."""
--- a/honeywharf/terms/site.py
+++ b/honeywharf/terms/site.py
@@ -1,7 +1,7 @@
-"""What a site tells a balancer: the settings, and what discovery says of an endpoint.
+"""The settings of a site, and the endpoints as discovery lists them.
 
-Values, and what of them contradicts itself: nothing here decides. All times are milliseconds. The decision
-module is built with them and knows them by its `interface`.
+These are values, with checks for contradictions; no decision is made here. All times are milliseconds. The
+decision module imports them through its `interface`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint's process."""
+    """The state of an endpoint's process, as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,7 +27,7 @@
 
 
 class DedupeScope(Enum):
-    """Which endpoints drop each other's repeats of a keyed request."""
+    """The group of endpoints that deduplicate a keyed request's repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class Sizes(Enum):
-    """What an endpoint's `size` is: nothing, as registered, about that, or divided by what it holds."""
+    """The meaning of an endpoint's `size`: none, as registered, approximate, or divided by its load."""
 
     NONE = "none"
     REGISTERED = "registered"
@@ -55,7 +55,7 @@
 class Endpoint:
     """One server as discovery lists it. `started_ms` is None where it started long ago.
 
-    `size` compares endpoints with each other as `Settings.sizes` says; `kind` is one of `Settings.kinds`.
+    `Settings.sizes` gives the meaning of `size`; `kind` is one of `Settings.kinds`.
     """
 
     id: str
@@ -69,9 +69,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What a class of requests is worth, when, and how often it may run.
+    """The worth of a class of requests, its latency target `aim_ms`, and how often a request may run.
 
-    `in_order`: requests of such classes that share a key run one at a time, in the order taken.
+    `in_order`: requests of such classes that share a key run one at a time, in order of arrival.
     `aim_stretch`: the aim grows by so many times the work of the request itself.
     `late_value`: the part of the worth that an answer after the aim still has.
     """
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's requests a second, over all balancers, that count in full."""
+    """A tenant, with its quota of requests per second over all balancers; requests above it lose worth."""
 
     name: str
     quota_per_s: float
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the site allows a balancer to do."""
+    """The actions that the site allows a balancer to take, and their bounds."""
 
     max_attempts: int = 3
     concurrent_attempts: bool = False
@@ -109,9 +109,9 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     peer_messages: bool = False
-    max_open: int = 0  # requests held at once, 0 where nothing is said
-    streams: int = 1  # attempts that one connection carries at once
-    idle_ms: float = 0.0  # a connection unused for so long is closed
+    max_open: int = 0  # the bound on requests held at once; 0 for none
+    streams: int = 1  # the attempts that one connection carries at once
+    idle_ms: float = 0.0  # a connection that is idle for so long is closed
     connect_timeout_ms: float = 0.0
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
@@ -119,9 +119,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the rules on answers, drains, cold starts, polled lists and order.
+    """The parameters of the rules on answers, draining, cold starts, polled discovery and order.
 
-    `turn_gap_ms`: how long a key rests after an attempt that may still run (0 where order asks nothing).
+    `turn_gap_ms`: how long a key is held after an attempt that may still run (0 where order is not kept).
     """
 
     answer_grace_ms: float = 0.0
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Points of the result that each unit costs."""
+    """The points that each unit costs in the score of a run."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """The weights of the parts of the result."""
+    """The weights of the parts of a run's score."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -163,11 +163,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a balancer is told when it starts.
+    """The settings of a balancer.
 
-    `balancers` counts the balancers of its tier and `me` is this one's number among them; `tier` is the place
-    in `tier_names` of the tier it sends to. `passes_deadline`: a call brings the time that its caller has
-    left, not the whole deadline of its class. `by_work`: worth is counted by work, not by request.
+    `balancers` is the number of balancers of its tier and `me` is this one's number among them; `tier` is the
+    index in `tier_names` of the tier it sends to. `passes_deadline`: a call carries the time that its caller
+    has left, not the full deadline of its class. `by_work`: worth is counted by work, not by request.
     """
 
     zone: str
@@ -183,7 +183,7 @@
     report_fields: tuple[str, ...] = ()
     reports: Reports = Reports.NONE
     me: int = 0
-    tick_ms: float = 0.0  # the least time between two rounds of events
+    tick_ms: float = 0.0  # the minimum time between two rounds of events
     domain: str = ""
     zone_names: tuple[str, ...] = ()
     tier_names: tuple[str, ...] = ()
@@ -198,34 +198,60 @@
     prices: Prices = field(default_factory=Prices)
 
     def __post_init__(self) -> None:
-        """Refuse settings that contradict themselves."""
+        """Raises ValueError for settings that contradict themselves."""
 
         def require(holds: bool, fault: str) -> None:
             if not holds:
                 raise ValueError(f"settings: {fault}")
 
         names = [c.name for c in self.classes]
-        require(bool(names), "no request class")
-        require(len(set(names)) == len(names), "a request class is named twice")
-        require(len({t.name for t in self.tenants}) == len(self.tenants), "a tenant is named twice")
+        require(bool(names), "classes: no request class, expected at least one")
+        require(len(set(names)) == len(names), "classes: expected different names, got one twice")
+        require(
+            len({t.name for t in self.tenants}) == len(self.tenants),
+            "tenants: expected different names, got one twice",
+        )
         for c in self.classes:
-            require(0 < c.aim_ms <= c.deadline_ms, f"class {c.name}: aim outside (0, deadline]")
-            require(c.worth >= 0 and c.late_value >= 0, f"class {c.name}: negative worth")
-            require(c.effect is not Effect.KEYED or c.window_ms >= 0, f"class {c.name}: negative window")
+            require(
+                0 < c.aim_ms <= c.deadline_ms,
+                f"class {c.name}: aim outside (0, deadline]",
+            )
+            require(
+                c.worth >= 0 and c.late_value >= 0,
+                f"class {c.name}: worth and late value: expected 0 or more, got a negative one",
+            )
+            require(
+                c.effect is not Effect.KEYED or c.window_ms >= 0,
+                f"class {c.name}: window: expected 0 or more, got a negative time",
+            )
             require(not (c.in_order and c.stream), f"class {c.name}: a stream cannot be in order")
-            require(c.aim_stretch >= 0, f"class {c.name}: negative aim stretch")
-        require(all(t.quota_per_s >= 0 for t in self.tenants), "a tenant's quota is negative")
-        require(self.limits.max_attempts >= 1, "no attempt allowed")
-        require(0 <= self.tier < self.tiers, "tier outside the tiers")
-        require(len(self.tier_names) in (0, self.tiers), "tier names do not match the tiers")
-        require(self.balancers >= 1 and self.zones >= 1, "no balancer or no zone")
-        require(self.me >= 0, "own number is negative")
-        require(not self.zone_names or self.zone in self.zone_names, "own zone is not among the zones")
-        require(0 < self.rules.cold_share <= 1, "cold share outside (0, 1]")
+            require(
+                c.aim_stretch >= 0, f"class {c.name}: aim stretch: expected 0 or more, got a negative one"
+            )
+        require(
+            all(t.quota_per_s >= 0 for t in self.tenants),
+            "tenants: expected quotas of 0 or more, got a negative one",
+        )
+        require(self.limits.max_attempts >= 1, "max attempts: no attempt allowed, expected 1 or more")
+        require(0 <= self.tier < self.tiers, "tier: tier outside the tiers, expected an index of one")
+        require(
+            len(self.tier_names) in (0, self.tiers),
+            "tier names: expected none or one for each tier, got another number",
+        )
+        require(self.balancers >= 1 and self.zones >= 1, "balancers and zones: expected 1 or more, got less")
+        require(self.me >= 0, "me: own number is negative, expected 0 or more")
+        require(
+            not self.zone_names or self.zone in self.zone_names,
+            "zone: own zone is not among the zones",
+        )
+        require(0 < self.rules.cold_share <= 1, "cold share: expected a part in (0, 1], got one outside")
         require(
             min(self.rules.warm_after_ms, self.rules.answer_grace_ms, self.rules.drain_grace_ms) >= 0,
-            "negative time",
+            "rules: expected times of 0 or more, got a negative one",
+        )
+        require(self.rules.turn_gap_ms >= 0, "turn gap: negative turn gap, expected 0 or more")
+        require(self.rules.cold_multiple > 0, "cold multiple: expected more than 0, got less")
+        require(
+            not self.polled_discovery or self.rules.ask_every_ms > 0,
+            "polled discovery: expected a period of more than 0, got none",
         )
-        require(self.rules.turn_gap_ms >= 0, "negative turn gap")
-        require(self.rules.cold_multiple > 0, "cold multiple is not positive")
-        require(not self.polled_discovery or self.rules.ask_every_ms > 0, "polled discovery without a period")
