--- a/tests/test_hurry.py
+++ b/tests/test_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Callers with little time left, over loopback sockets: what they bring about is not the servers' fault."""
+"""Callers with short deadlines, over loopback sockets: their time-outs are not the servers' fault."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from honeywharf.policy import interface as api
 from tests.loopback import Backend, Client, reply, run, world
 
-USUAL_S = 0.25  # in which the backends answer: far more than a caller in a hurry has left
-HURRY = "70m"
+ANSWER_S = 0.25  # the backends' answer time, which is far longer than the short deadline
+SHORT_DEADLINE = "70m"
 
 
-@pytest.mark.parametrize("fails", [False, True], ids=["time-outs", "errors of the tier behind"])
-def test_callers_in_a_hurry_take_no_server_out(fails: bool) -> None:
-    """Guards against ejecting sound servers, tier by tier, for calls that nobody could answer in time."""
+@pytest.mark.parametrize("fails", [False, True], ids=["time-outs", "errors of the next tier"])
+def test_callers_with_short_deadlines_eject_no_server(fails: bool) -> None:
+    """Guards against ejecting healthy servers, tier by tier, for calls that none could answer in time."""
 
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
@@ -21,23 +21,23 @@
             balancer = w.proxy.balancer
             client = await Client.to(w.port)
             for backend in backends:
-                backend.pause_s = USUAL_S
+                backend.pause_s = ANSWER_S
             for _ in range(4):
                 client.send()
                 assert await client.status() == 200
             for backend in backends:
-                backend.pause_s = 0.01 if fails else USUAL_S
+                backend.pause_s = 0.01 if fails else ANSWER_S
                 backend.then = reply(500)
             before = {name: zone.limiter.limit for name, zone in balancer.endpoints.zones.items()}
             for _ in range(12):
-                client.send("read", b"", HURRY)
+                client.send("read", b"", SHORT_DEADLINE)
                 assert await client.status() != 200
             outcomes = [e.outcome for e in w.ended()[4:]]
             assert len(outcomes) == 12
             assert set(outcomes) == {api.Outcome.ERROR if fails else api.Outcome.TIMEOUT}
             servers = balancer.endpoints.servers.values()
             assert [s.ejections for s in servers] == [0, 0, 0]
-            assert not any(s.silent or s.failures or s.suspicion for s in servers)
+            assert not any(s.unresponsive_until or s.failures or s.suspicion for s in servers)
             assert {name: zone.limiter.limit for name, zone in balancer.endpoints.zones.items()} == before
         for backend in backends:
             await backend.stop()
@@ -45,7 +45,7 @@
     run(main())
 
 
-def test_servers_that_fail_callers_with_time_are_still_taken_out() -> None:
+def test_servers_that_fail_callers_with_enough_time_are_ejected() -> None:
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
         backends[0].then = reply(500)
