--- a/honeywharf/admission/admission_queue.py
+++ b/honeywharf/admission/admission_queue.py
@@ -21,12 +21,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-QUEUE_SLOTS = 4  # the maximum number of waiting requests per slot
+MAX_WAITING_PER_SLOT = 4
 MEAN_SAMPLES = 16  # the number of requests in the running mean of service times
-FIRST_MEAN_S = 0.1
+INITIAL_MEAN_S = 0.1
 RESERVED_PART = 0.5  # a larger part of the slots that short requests used leaves too many idle
 SHORT_TARGET_PART = 0.5
-SLOTS_PER_NEXT = 4  # one waiting request per so many slots counts as next to run
+SLOTS_PER_NEXT = 4  # one waiting request per this many slots counts as next to run
 HELD_MEAN_S = 1.0  # the time over which the slots of short requests are averaged
 LONGEST_DECAY = 0.999  # the factor on the longest target at each request, as routes change
 MAX_REMOVED = 32  # removed entries that may stay in the heap until it is rebuilt
@@ -55,7 +55,7 @@
         self.extension_s = extension_s  # the further wait if it is among the next to run
 
 
-class AdmissionQueue:
+class Admission:
     """The slots of one backend, whose number its heartbeats announce, and its queue."""
 
     def __init__(self, slots: int) -> None:
@@ -64,7 +64,7 @@
         self.short_held = 0.0  # the mean number of slots that short requests have recently held
         self.averaged_at = 0.0
         self.longest_s = 0.0
-        self.mean_s = FIRST_MEAN_S
+        self.mean_s = INITIAL_MEAN_S
         self.queue: list[tuple[tuple[int, float], int, Waiter]] = []
         self.waiting = self.waiting_short = 0
         self.serial = 0
@@ -110,7 +110,7 @@
         refuse: Callable[[], None],
     ) -> Waiter | None:
         """Queues a request; returns None if the queue is full or the wait would be too long."""
-        if self.waiting >= QUEUE_SLOTS * self.slots or self.expected_wait_s(rank) > max_wait_s:
+        if self.waiting >= MAX_WAITING_PER_SLOT * self.slots or self.expected_wait_s(rank) > max_wait_s:
             return None
         waiter = Waiter(start, refuse, now + max_wait_s, self.is_short(rank[1]), max_wait_s)
         self.serial += 1
--- a/honeywharf/admission/body_intake.py
+++ b/honeywharf/admission/body_intake.py
@@ -30,7 +30,7 @@
 
 
 class PendingBody:
-    """A body that is being received. `request_bytes(size)` asks the sender for so many further bytes."""
+    """A body that is being received. `request_bytes(size)` asks the sender for `size` further bytes."""
 
     __slots__ = ("last_byte_at", "length_known", "received", "request_bytes", "requested", "size")
 
@@ -51,7 +51,7 @@
         return max(0, self.size - self.received)
 
 
-class BodyIntake:
+class Intake:
     """The bodies that are being sent to one machine."""
 
     def __init__(self, bytes_s: float = float("inf")) -> None:
@@ -111,7 +111,7 @@
             if body not in self.bodies:
                 continue  # requesting another body's bytes has removed it
             if body.requested > body.received and now - body.last_byte_at >= STALL_S:
-                continue  # its requested bytes have to arrive first
+                continue  # the requested bytes have to arrive first
             room = min(
                 self.max_in_transit - in_transit, self.max_in_transit_each - (body.requested - body.received)
             )
--- a/honeywharf/admission/retry_budget.py
+++ b/honeywharf/admission/retry_budget.py
@@ -45,7 +45,7 @@
         self.requests += 1.0
 
     def spend(self, now: float, proxies: int, arrivals: float = 1.0) -> bool:
-        """Whether the budget covers so many repeated arrivals; if so, they are counted."""
+        """Whether the budget covers `arrivals` repeated arrivals; if so, they are counted."""
         current = self._slice(now)
         share = self.slack / max(4, proxies)
         if self.spent + arrivals > BOUND_PART * (self.ratio * self.requests + share):
--- a/honeywharf/limits/key_order.py
+++ b/honeywharf/limits/key_order.py
@@ -41,9 +41,9 @@
 
     def join(self, now: float, request: OrderedRequest) -> bool:
         """Queues the request; returns whether it may run at once. Else it waits until its deadline."""
-        queue = self.queues.setdefault(request.key, KeyQueue())
-        queue.requests.append(request)
-        if queue.requests[0] is request and queue.held_until <= now:
+        key_queue = self.queues.setdefault(request.key, KeyQueue())
+        key_queue.requests.append(request)
+        if key_queue.requests[0] is request and key_queue.held_until <= now:
             return True
         heapq.heappush(self.waiting, (request.deadline, request.id))
         return False
@@ -55,13 +55,13 @@
 
     def next_ready(self, now: float, key: str) -> OrderedRequest | None:
         """Returns the request that may run and was not sent before; None while the key is held or idle."""
-        queue = self.queues.get(key)
-        if queue is None or queue.held_until > now:
-            return None  # the timer at the end of the hold asks again
-        if not queue.requests:
+        key_queue = self.queues.get(key)
+        if key_queue is None or key_queue.held_until > now:
+            return None  # the timer at the end of the hold tries again
+        if not key_queue.requests:
             del self.queues[key]
             return None
-        return None if queue.requests[0].attempts else queue.requests[0]
+        return None if key_queue.requests[0].attempts else key_queue.requests[0]
 
     def hold(self, now: float, key: str) -> float:
         """Holds the key, as the endpoint may still be at work on it; returns until when."""
--- a/honeywharf/limits/lateness.py
+++ b/honeywharf/limits/lateness.py
@@ -20,7 +20,7 @@
 
 from honeywharf.limits.base import Limiter
 
-ON_TIME_BASES = 1.35  # a mean beyond so many base times, over many answers, shows congestion
+ON_TIME_BASES = 1.35  # base times; a mean beyond them, over many answers, shows congestion
 MIN_ON_TIME_PART = 0.25  # no answer within this part of the target is late
 ADAPT_TIME_MS = 500.0
 ADAPT_BASE_TIMES = 1.5  # a limit that moves faster than its answers arrive oscillates
@@ -31,8 +31,8 @@
 MAX_LATENESS = 3.0  # the most that a single answer counts as
 MIN_ON_TIME_MS = 1e-3  # guards the division where no base time is known
 MAX_SPAN_MS = 250.0  # the longest time that one answer stands for
-OPEN_LIMIT = 64.0  # so few calls per unit of capacity do not overload servers before the first answer
-MAX_ON_TIME_TARGETS = 1.75  # unloaded servers slower than so many targets cannot meet the aim
+OPEN_LIMIT = 64.0  # calls per unit of capacity before the first answer, too few for lasting overload
+MAX_ON_TIME_TARGETS = 1.75  # targets; unloaded servers slower than that cannot meet the aim
 IN_FLIGHT_MEAN_MS = 1000.0  # the time constant of the mean of the calls that are needed in flight
 # The limit goes no lower than this part of that mean; a queue can drain, as it is below 1.
 MIN_IN_FLIGHT_PART = 0.9
@@ -76,7 +76,7 @@
         )
         self.last_answer_ms = 0.0
         self.lowered = False  # congestion has been seen, which ends slow start
-        self.lateness = 1.0  # running mean of answer times, in times that are on time
+        self.lateness = 1.0  # running mean of answer times over the longest time that is on time
         self.required_in_flight = 0.0
         self.overload_share = 0.0  # running mean of answers that were rejected or too late
         if use_littles_law and (proxy_share >= 1.0 or stays_open):
@@ -111,7 +111,7 @@
                 self.limit = max(self.first_limit, in_flight / MIN_UTILIZATION_TO_GROW)
         wait = now_ms - self.last_answer_ms
         if not dropped:
-            # By Little's law, the calls that the servers' actual rate needs in flight without a queue. Guards
+            # Little's law gives the calls that the servers' rate needs in flight without a queue. This guards
             # against lowering a limit of many calls per server far below what keeps the servers busy. A queue
             # can still drain, as its growth lowers the rate.
             needed = in_flight - per_call
--- a/honeywharf/limits/response_times.py
+++ b/honeywharf/limits/response_times.py
@@ -4,7 +4,7 @@
 
 SLOW_MULTIPLE = 1.7  # in typical times; an answer beyond it adds to suspicion, a faster one subtracts
 CONGESTED_MULTIPLE = 1.35  # in base times; a longer typical time means queues, whose lengths vary
-SLOW_MULTIPLE_CONGESTED = 2.5  # it takes the place of `SLOW_MULTIPLE` under congestion
+SLOW_MULTIPLE_CONGESTED = 2.5  # replaces `SLOW_MULTIPLE` under congestion
 TYPICAL_SAMPLES = 30  # answers in the running mean of the typical time
 BASE_SAMPLES = 500  # answers over which the base time rises towards a longer typical time
 
--- a/honeywharf/limits/zone.py
+++ b/honeywharf/limits/zone.py
@@ -10,7 +10,7 @@
 # Calls over the limits of all balancers together; more would keep overloaded servers full.
 MAX_OVERAGE_PER_SERVER = 0.5
 REMOTE_PART = 0.25  # the part of the calls per server that a balancer may have in flight in each other zone
-BURST_STD_DEVIATIONS = 1.0  # the calls in flight may exceed their mean by so many standard deviations
+BURST_STD_DEVIATIONS = 1.0  # the calls in flight may exceed their mean by this many standard deviations
 WORTH_POWER = 0.4  # a request may use a part of the limit: its worth over the mean worth, to this power
 
 
--- a/honeywharf/policy/endpoints.py
+++ b/honeywharf/policy/endpoints.py
@@ -108,7 +108,7 @@
         self.refresh(now)
 
     def discount_attempts(self, server: Server) -> None:
-        """Stops counting the server's calls: they take no room from others, and their ends teach nothing."""
+        """Stops counting the server's calls: they take no room from others, and their ends are ignored."""
         server.ejections += 1
         for call in server.calls:
             call.release()
--- a/honeywharf/policy/health.py
+++ b/honeywharf/policy/health.py
@@ -12,7 +12,7 @@
 FAILURES_TO_EJECT = 4  # in a row; a failed connection counts twice, as a dead process fails the next one too
 MAX_CALL_SUSPICION = 3.0  # a failed call adds no more either, so that no single call ejects a server
 SUSPICION_TO_EJECT = 6.0  # healthy servers reach it by chance about once in some hundred calls
-EARLY_RESET_MULTIPLE = 0.5  # typical times; an earlier reset is as likely the connection's fault
+EARLY_RESET_MULTIPLE = 0.5  # in typical times; an earlier reset is as likely the connection's fault
 EARLY_RESET_SUSPICION = 1.0
 SUSPICION_TO_EJECT_SMALL_ZONE = 12.0  # an ejection takes at least half of a zone of one or two servers
 EJECTION_MS = 2500.0  # long enough for an overloaded server to drain; repeated ones take up to 4 times that
--- a/honeywharf/policy/interface.py
+++ b/honeywharf/policy/interface.py
@@ -1,4 +1,4 @@
-"""The balancer's interface: settings and events in, actions (`actions`) out; all times in milliseconds.
+"""The balancer's interface: settings and events in, `actions` out; times in ms on the caller's clock.
 
 The embedding proxy, or a simulator's adapter (`simhost.py`), builds these values and carries the actions out.
 """
@@ -42,7 +42,7 @@
 
 
 class ListKind(Enum):
-    """How a list event relates to the list already held."""
+    """How a list event relates to the current list."""
 
     CHANGES = "changes"
     FULL = "full"
--- a/honeywharf/policy/levels.py
+++ b/honeywharf/policy/levels.py
@@ -42,7 +42,7 @@
 
     def __init__(self, key: str, zone: str) -> None:
         self.key, self.zone = key, zone
-        self.usable = True  # it is listed as ready, its sidecar is reachable and its zone not evacuated
+        self.usable = True  # listed as ready, with its sidecar reachable and its zone not evacuated
         self.failures = self.eject_streak = 0
         self.ejected_until = self.full_until = self.wait_s = 0.0
         self.trial_pending = False  # the one call that shows whether the backend has recovered
@@ -98,7 +98,7 @@
         for target in self.targets.values():
             full = target.usable and target.full_until > now and target.wait_s > 0
             if full and target.key not in excluded and self._available(now, target):
-                wait = target.wait_s * (0.5 + self.draw())  # other callers were told the same wait
+                wait = target.wait_s * (0.5 + self.draw())  # other callers got the same wait
                 if wait < least:
                     best, least = target, wait
         return None if best is None else self._picked(best)
--- a/honeywharf/policy/requests.py
+++ b/honeywharf/policy/requests.py
@@ -14,7 +14,7 @@
 
     id: str
     cls: api.RequestClass
-    key: str  # its order queue; empty where order does not matter
+    key: str  # the order key; empty where order does not matter
     deadline: float
     worth: float
     room: float = 1.0  # the part of a zone's limit that is open to it
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -16,7 +16,7 @@
 
 from __future__ import annotations
 
-from honeywharf.admission.admission_queue import AdmissionQueue
+from honeywharf.admission.admission_queue import Admission
 from honeywharf.admission.cold_start import ColdBound
 from honeywharf.verdict import COLD, DRAINING as IS_DRAINING, EVACUATED, NOBODY, OTHER_SERVICE, UNREADY
 
@@ -37,7 +37,7 @@
         self.instance = ""
         self.sequence = -1
         self.ended: dict[str, None] = {}  # lives that are over, the oldest first
-        self.admission = AdmissionQueue(FIRST_SLOTS)
+        self.admission = Admission(FIRST_SLOTS)
         self.cold = ColdBound(now, float("inf") if slack == float("inf") else 0.0, overage, slack, fresh=True)
         self.cold_start_s = float("inf")  # until a configuration tells how long backends are cold
         self.born = now
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -13,14 +13,14 @@
 
 A body over `SHORT_BYTES` and up to `HELD_BYTES` is received before a slot is asked for: over a thin link it
 takes longer than the work, and a slot held meanwhile is a slot that nobody uses. How much of it is asked for
-when is the `BodyIntake`'s word. A longer one takes its slot first and goes on as it comes.
+when is the `Intake`'s word. A longer one takes its slot first and goes on as it comes.
 
 Each `Job` tells its end once. `_over` is the only place that gives the slot and the connection back.
 """
 
 from __future__ import annotations
 
-from honeywharf.admission.body_intake import STALL_S, BodyIntake
+from honeywharf.admission.body_intake import STALL_S, Intake
 from honeywharf.codecs.heads import UNKNOWN, Answer
 from honeywharf.sidecar.backend import Taps
 from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
@@ -572,7 +572,7 @@
         self.end_at = float("inf")  # when this process ends: what may take longer is not begun
         self.thawing = 0  # requests that wait for a cold backend
         self.link_bytes_s = float("inf")  # of this machine's link
-        self.intake = BodyIntake()
+        self.intake = Intake()
         self.receiving = 0  # requests whose bodies come before they have a slot
         self.intake_due: Timer | None = None
         self.look: Timer | None = None
--- a/tests/admission/test_admission_queue.py
+++ b/tests/admission/test_admission_queue.py
@@ -4,14 +4,14 @@
 
 from random import Random
 
-from honeywharf.admission.admission_queue import QUEUE_SLOTS, AdmissionQueue, Waiter
+from honeywharf.admission.admission_queue import MAX_WAITING_PER_SLOT, Admission, Waiter
 
 
 class Harness:
     """An admission queue, with the names of the requests that it has started and refused."""
 
     def __init__(self, slots: int) -> None:
-        self.admission = AdmissionQueue(slots)
+        self.admission = Admission(slots)
         self.admission.mean_s = 0.001
         self.started: list[str] = []
         self.refused: list[str] = []
@@ -68,7 +68,7 @@
 def test_the_queue_length_is_bounded_per_slot() -> None:
     harness = Harness(3)
     taken = [harness.enqueue(str(n)) is not None for n in range(20)]
-    assert taken == [True] * (3 * QUEUE_SLOTS) + [False] * (20 - 3 * QUEUE_SLOTS)
+    assert taken == [True] * (3 * MAX_WAITING_PER_SLOT) + [False] * (20 - 3 * MAX_WAITING_PER_SLOT)
 
 
 def test_a_request_whose_expected_wait_is_too_long_is_not_queued() -> None:
@@ -107,7 +107,9 @@
         harness.start_ready(now)
         started_at.update((name, now) for name in harness.started[before:])
         assert harness.admission.running <= 3
-        assert harness.admission.waiting == sum(w.queued for w in waiters.values()) <= 3 * QUEUE_SLOTS
+        assert (
+            harness.admission.waiting == sum(w.queued for w in waiters.values()) <= 3 * MAX_WAITING_PER_SLOT
+        )
     assert len(started_at) > 300
     assert all(when < expires_at[name] for name, when in started_at.items())
     for later in (10.0, 20.0):  # the next to run wait once more
--- a/tests/admission/test_body_intake.py
+++ b/tests/admission/test_body_intake.py
@@ -14,7 +14,7 @@
     MIN_IN_TRANSIT,
     STALL_S,
     UNKNOWN_LENGTH,
-    BodyIntake,
+    Intake,
     PendingBody,
 )
 
@@ -24,7 +24,7 @@
 class Body:
     """A body whose sender sends the bytes that are requested."""
 
-    def __init__(self, intake: BodyIntake, now: float, length: int, length_known: bool = True) -> None:
+    def __init__(self, intake: Intake, now: float, length: int, length_known: bool = True) -> None:
         self.requested = self.sent = 0
         self.length = length
         body = intake.add(now, length if length_known else -1, self.request_bytes)
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_bounds_hold_and_every_body_completes(seed: int) -> None:
-    rng, intake, now = Random(seed), BodyIntake(SLOW_LINK), 0.0
+    rng, intake, now = Random(seed), Intake(SLOW_LINK), 0.0
     bodies: list[Body] = []
     done = 0
     while done < 200:
@@ -69,7 +69,7 @@
 
 
 def test_requests_are_bounded_by_the_link_and_serve_the_first_body_first() -> None:
-    intake = BodyIntake(SLOW_LINK)
+    intake = Intake(SLOW_LINK)
     one, two = Body(intake, 0.0, 100_000), Body(intake, 0.0, 100_000)
     assert not intake.request_more(0.0)
     assert (one.requested, two.requested) == (FIRST_PIECE, FIRST_PIECE)  # the first piece of each
@@ -81,7 +81,7 @@
 
 
 def test_a_stalled_body_delays_no_others() -> None:
-    intake = BodyIntake(SLOW_LINK)
+    intake = Intake(SLOW_LINK)
     slow, other = Body(intake, 0.0, 100_000), Body(intake, 0.0, 100_000)
     intake.request_more(0.0)
     for _ in range(100):
@@ -100,7 +100,7 @@
 
 
 def test_an_unbounded_link_requests_the_maximum_of_each_body() -> None:
-    intake = BodyIntake()
+    intake = Intake()
     bodies = [Body(intake, 0.0, 300_000) for _ in range(20)]
     intake.request_more(0.0)
     intake.request_more(0.0)
@@ -108,20 +108,20 @@
 
 
 def test_bodies_and_bytes_are_bounded_and_an_invalid_rate_is_rejected() -> None:
-    intake = BodyIntake()
+    intake = Intake()
     bodies = [intake.add(0.0, 1, lambda size: None) for _ in range(MAX_BODIES)]
     assert None not in bodies
     assert intake.add(0.0, 1, lambda size: None) is None
-    intake = BodyIntake()
+    intake = Intake()
     assert intake.add(0.0, MAX_PROMISED + 1, lambda size: None) is None
     many = [intake.add(0.0, 512 * 1024, lambda size: None) for _ in range(40)]
     assert sum(body is not None for body in many) == MAX_PROMISED // (512 * 1024)
     with pytest.raises(ValueError, match=r"link: expected more than 0 bytes per second, got 0\.0"):
-        BodyIntake(0.0)
+        Intake(0.0)
 
 
 def test_a_body_of_unknown_length_grows_as_it_arrives() -> None:
-    intake = BodyIntake(SLOW_LINK)
+    intake = Intake(SLOW_LINK)
     body = Body(intake, 0.0, 300_000, length_known=False)
     while body.sent < body.length:
         intake.request_more(0.0)
@@ -135,4 +135,4 @@
 
 
 def test_the_minimum_in_transit_covers_a_round_trip_of_the_slowest_link() -> None:
-    assert BodyIntake(1.0).max_in_transit == MIN_IN_TRANSIT
+    assert Intake(1.0).max_in_transit == MIN_IN_TRANSIT
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -12,7 +12,7 @@
 from dataclasses import replace as replaced
 from typing import Any
 
-from honeywharf.admission.admission_queue import AdmissionQueue
+from honeywharf.admission.admission_queue import Admission
 from honeywharf.admission.cold_start import ColdBound
 from honeywharf.control import mesh_state
 from honeywharf.control.acceptor import Acceptor
@@ -538,7 +538,7 @@
 
 
 def slots_never_given_back(put: Put) -> None:
-    put(AdmissionQueue, "finish", lambda self, now, short, took: None)
+    put(Admission, "finish", lambda self, now, short, took: None)
 
 
 def close_is_a_half_close(put: Put) -> None:
