--- a/honeywharf/policy/balancer.py
+++ b/honeywharf/policy/balancer.py
@@ -255,7 +255,7 @@
         attempt = request.attempts[event.attempt]
         if not attempt.pending:
             return
-        attempt.pending, attempt.may_have_run = False, event.outcome not in api.NEVER_RAN
+        attempt.pending, attempt.possibly_ran = False, event.outcome not in api.NEVER_RAN
         attempt.server.calls.pop(attempt, None)
         attempt.release()
         cls = request.cls
--- a/honeywharf/policy/endpoints.py
+++ b/honeywharf/policy/endpoints.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request. `may_have_run` is False once it is proven never to have run."""
+    """One attempt of a request. `possibly_ran` is False once it is proven never to have run."""
 
     request: str
     server: Server
@@ -49,7 +49,7 @@
     sent_ms: float
     ejections: int  # the server's ejections when the attempt was sent
     pending: bool = True
-    may_have_run: bool = True
+    possibly_ran: bool = True
     counted: bool = True  # whether it is among the calls in flight of its zone
     hung: bool = False
 
--- a/honeywharf/policy/requests.py
+++ b/honeywharf/policy/requests.py
@@ -30,7 +30,7 @@
         if self.earlier is not None:
             return self.earlier
         for a in self.attempts:
-            if a.may_have_run:
+            if a.possibly_ran:
                 return api.Earlier(a.server.endpoint.zone, a.server.endpoint.cell, a.sent_ms)
         return None
 
