--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -27,11 +27,11 @@
     Drain,
     rest_first,
 )
-from honeywharf.sessions.kinds import BULK, OPEN, SHORT, STATE
-from honeywharf.sessions.line import TO_LANDING, TO_SOURCES, Caught, Line
-from honeywharf.sessions.passage import Passages, Row
-from honeywharf.sessions.places import Place
-from honeywharf.sessions.spillway import LINK_MBPS, Spillway
+from honeywharf.sessions.frames import BULK, OPEN, SHORT, STATE
+from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.link import TO_LANDING, TO_SOURCES, Caught, Line
+from honeywharf.sessions.relay import Passages, Row
+from honeywharf.sessions.send_scheduler import LINK_MBPS, Spillway
 from honeywharf.transport.http_server import HttpRequest, HttpServer
 
 TYPE_CHECKING = False
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -112,7 +112,7 @@
         source.proxies, source.helper = self._count_sidecars, self.choose_delegate
         if self.settings.gateways:
             # Imported here, so that a mesh of one region does not load it.
-            from honeywharf.sessions.abroad import joined
+            from honeywharf.sessions.remote_regions import joined
 
             source.abroad = joined(self.host, self.settings, self.inbound.begin, draw)
         return source
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/destination.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.line import TO_LANDING, Caught
-from honeywharf.sessions.outlet import OVER, Outlet, Outlets
-from honeywharf.sessions.spillway import LINK_MBPS, Spillway
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.link import TO_LANDING, Caught
+from honeywharf.sessions.receiver import OVER, Outlet, Outlets
+from honeywharf.sessions.send_scheduler import LINK_MBPS, Spillway
 from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import GARBLED, NOT_RUN, Verdict
 
--- a/honeywharf/sessions/line.py
+++ b/honeywharf/sessions/link.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.kinds import PING, PONG
+from honeywharf.sessions.frames import PING, PONG
 from honeywharf.transport.framing import FrameReader, encode_frame
 
 TYPE_CHECKING = False
--- a/honeywharf/sessions/outlet.py
+++ b/honeywharf/sessions/receiver.py
@@ -22,8 +22,8 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.kinds import (
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.frames import (
     ACK,
     CLOSE,
     DATA,
--- a/honeywharf/sessions/passage.py
+++ b/honeywharf/sessions/relay.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.kinds import (
+from honeywharf.sessions.frames import (
     ACK,
     ANSWER_FIRST,
     ANSWER_WINDOW,
--- a/honeywharf/sessions/abroad.py
+++ b/honeywharf/sessions/remote_regions.py
@@ -5,18 +5,18 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.conveyor import Conveyor
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.landing import Landing
-from honeywharf.sessions.places import Place
-from honeywharf.sessions.spillway import LINK_MBPS
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.destination import Landing
+from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.send_scheduler import LINK_MBPS
+from honeywharf.sessions.session_client import Conveyor
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any, Protocol
 
-    from honeywharf.sessions.conveyor import Carriage
+    from honeywharf.sessions.session_client import Carriage
     from honeywharf.transport.host import Address, Host
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler, ResponseHandler
 
--- a/honeywharf/sessions/spillway.py
+++ b/honeywharf/sessions/send_scheduler.py
@@ -15,7 +15,7 @@
 
 from collections import deque
 
-from honeywharf.sessions.kinds import CLOSE, DATA, DROP, END, HEAD, OPEN, PART, PIECE, WHOLE
+from honeywharf.sessions.frames import CLOSE, DATA, DROP, END, HEAD, OPEN, PART, PIECE, WHOLE
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
--- a/honeywharf/sessions/inlet.py
+++ b/honeywharf/sessions/sender.py
@@ -18,7 +18,7 @@
 
 from __future__ import annotations
 
-from honeywharf.sessions.kinds import (
+from honeywharf.sessions.frames import (
     ACK,
     ANSWER_WINDOW,
     BULK,
--- a/honeywharf/sessions/conveyor.py
+++ b/honeywharf/sessions/session_client.py
@@ -11,8 +11,7 @@
 from __future__ import annotations
 
 from honeywharf.sessions.choice import DOUBT_S, MAX_GATEWAYS, Gateway, choose
-from honeywharf.sessions.inlet import FLOWING, IDLE, LEAVING, OVER, QUIET_S, Inlet, Request
-from honeywharf.sessions.kinds import (
+from honeywharf.sessions.frames import (
     BRIEF,
     BULK,
     GONE,
@@ -23,9 +22,10 @@
     STATE,
     WINDOW,
 )
-from honeywharf.sessions.line import TO_SOURCES, Line
-from honeywharf.sessions.outlet import APART_S
-from honeywharf.sessions.spillway import LINK_MBPS, Spillway
+from honeywharf.sessions.link import TO_SOURCES, Line
+from honeywharf.sessions.receiver import APART_S
+from honeywharf.sessions.send_scheduler import LINK_MBPS, Spillway
+from honeywharf.sessions.sender import FLOWING, IDLE, LEAVING, OVER, QUIET_S, Inlet, Request
 from honeywharf.transport.stream import WINDOW_SIZE, ForwardedRequest
 from honeywharf.verdict import DRAINING, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
@@ -34,7 +34,7 @@
     from collections.abc import Callable, Iterable
     from typing import Any
 
-    from honeywharf.sessions.places import Place
+    from honeywharf.sessions.gateway_location import Place
     from honeywharf.transport.host import Host, Timer
     from honeywharf.transport.stream import ResponseHandler
 
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -15,7 +15,7 @@
     from honeywharf.drift.requests import DriftMonitor
     from honeywharf.mesh_config.routes import Route
     from honeywharf.mesh_config.settings import Settings
-    from honeywharf.sessions.abroad import Abroad
+    from honeywharf.sessions.remote_regions import Abroad
     from honeywharf.sidecar.bypass import Passing
     from honeywharf.sidecar.course import Channel, Course
     from honeywharf.sidecar.inbound import Inbound
--- a/honeywharf/simulation/regions.py
+++ b/honeywharf/simulation/regions.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from honeywharf.programs.gateway import GatewayNode, GatewayOptions
-from honeywharf.sessions.conveyor import Conveyor
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.destination import Landing
 from honeywharf.sessions.drain import rest_first
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.landing import Landing
-from honeywharf.sessions.places import Place
+from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.session_client import Conveyor
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.stream import ForwardedRequest
--- a/honeywharf/simulation/shift.py
+++ b/honeywharf/simulation/shift.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from honeywharf.programs.gateway import GatewayNode, granted_bytes
-from honeywharf.sessions.spillway import Spillway
+from honeywharf.sessions.send_scheduler import Spillway
 from honeywharf.simulation.machine import Process
 from honeywharf.simulation.regions import READ, UPLOAD, Client, Day, Source
 
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 from typing import Any
 
-from honeywharf.sessions.conveyor import Conveyor
-from honeywharf.sessions.kinds import BULK
-from honeywharf.sessions.landing import Landing
-from honeywharf.sessions.places import Place
+from honeywharf.sessions.destination import Landing
+from honeywharf.sessions.frames import BULK
+from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.session_client import Conveyor
 from honeywharf.simulation import field
 from honeywharf.standins import meshdemo
 from honeywharf.transport.event_loop import EventLoop
--- a/tests/sessions/every_frame.py
+++ b/tests/sessions/every_frame.py
@@ -8,6 +8,7 @@
 import sys
 from collections import Counter
 
+from tests.sessions.network import Town
 from tests.sessions.test_sessions import (
     TROUBLES,
     AcknowledgingGateway,
@@ -17,7 +18,6 @@
     broken,
     towns,
 )
-from tests.sessions.town import Town
 
 HEALED = (12, 45)  # steps after which a cut is whole again
 
--- a/tests/sessions/town.py
+++ b/tests/sessions/network.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.inlet import IDLE, OVER, QUIET_S, Inlet, Request
-from honeywharf.sessions.kinds import OPEN
-from honeywharf.sessions.outlet import Outlet, Outlets
-from honeywharf.sessions.passage import Passages
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.frames import OPEN
+from honeywharf.sessions.receiver import Outlet, Outlets
+from honeywharf.sessions.relay import Passages
+from honeywharf.sessions.sender import IDLE, OVER, QUIET_S, Inlet, Request
 from honeywharf.verdict import MAY_HAVE_RUN, NOT_RUN, Verdict
 
 STEP_S, SILENT_S, STALL_S, DEADLINE_S = 0.01, 0.3, 1.0, 20.0
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -9,7 +9,7 @@
 from honeywharf.mesh_config.settings import Settings, SettingsError, parse
 from honeywharf.programs.gateway import GatewayNode, granted_bytes
 from honeywharf.sessions.drain import EMPTY
-from honeywharf.sessions.places import Place
+from honeywharf.sessions.gateway_location import Place
 from honeywharf.simulation import field
 from honeywharf.simulation.regions import READ, TROUBLES, UPLOAD, Client, Day, Source
 from honeywharf.simulation.world import World
--- a/tests/sessions/test_ledger.py
+++ b/tests/sessions/test_idempotency.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from honeywharf.sessions.hold import Hold
-from honeywharf.sessions.inlet import OVER, Request
-from honeywharf.sessions.kinds import OPEN, WINDOW
-from honeywharf.sessions.outlet import APART_S, LEDGER_S, MAX_JOINED, RUNNING, Outlet, Outlets
+from honeywharf.sessions.body_quota import Hold
+from honeywharf.sessions.frames import OPEN, WINDOW
+from honeywharf.sessions.receiver import APART_S, LEDGER_S, MAX_JOINED, RUNNING, Outlet, Outlets
+from honeywharf.sessions.sender import OVER, Request
 from honeywharf.verdict import BROKEN_OFF, FULL, MAY_HAVE_RUN, NAMES, NOT_RUN, Verdict
-from tests.sessions.town import Town
+from tests.sessions.network import Town
 
 NOTE = Path(__file__).parents[2] / "docs" / "design" / "gateway.md"
 BODY, LONG = b"one print order", bytes(400_000)
--- a/tests/sessions/test_passage.py
+++ b/tests/sessions/test_relay.py
@@ -7,8 +7,8 @@
 from typing import Any, cast
 
 from honeywharf.programs.gateway import GatewayNode
-from honeywharf.sessions.kinds import ACK, DATA, END, GONE, HAVE, OPEN, PIECE, WINDOW
-from honeywharf.sessions.passage import Passages
+from honeywharf.sessions.frames import ACK, DATA, END, GONE, HAVE, OPEN, PIECE, WINDOW
+from honeywharf.sessions.relay import Passages
 from honeywharf.simulation.regions import Day
 from honeywharf.verdict import DRAINING, FULL, OTHER_SERVICE
 
--- a/tests/sessions/test_spillway.py
+++ b/tests/sessions/test_send_scheduler.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from honeywharf.sessions import spillway
-from honeywharf.sessions.kinds import DATA, END, HAVE, HEAD, LEAVE, PART, PIECE, WHOLE
-from honeywharf.sessions.spillway import AHEAD, SHARE, Spillway
+from honeywharf.sessions import send_scheduler
+from honeywharf.sessions.frames import DATA, END, HAVE, HEAD, LEAVE, PART, PIECE, WHOLE
+from honeywharf.sessions.send_scheduler import AHEAD, SHARE, Spillway
 
 RATE = 1_000_000.0
 
@@ -136,7 +136,7 @@
 
 
 def test_what_waits_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(spillway, "MAX_WAITING", 10 * PIECE)
+    monkeypatch.setattr(send_scheduler, "MAX_WAITING", 10 * PIECE)
     one, _ = made()
     link = Link()
     link.unsent = 1
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from honeywharf.sessions.inlet import Inlet
-from honeywharf.sessions.kinds import HAVE, OPEN
-from honeywharf.sessions.outlet import Outlet, Outlets
-from honeywharf.sessions.passage import Passages, Row
+from honeywharf.sessions.frames import HAVE, OPEN
+from honeywharf.sessions.receiver import Outlet, Outlets
+from honeywharf.sessions.relay import Passages, Row
+from honeywharf.sessions.sender import Inlet
 from honeywharf.verdict import FULL, NOT_RUN, Verdict
-from tests.sessions.town import PLACES, Town
+from tests.sessions.network import PLACES, Town
 
 UPLOAD = bytes(range(256)) * 520  # 133,120 bytes: nine pieces
 ORDER = b"one print order"
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -10,7 +10,7 @@
 from honeywharf.mesh_config.settings import parse
 from honeywharf.programs.gateway import GatewayNode, GatewayOptions
 from honeywharf.programs.sidecar import Sidecar
-from honeywharf.sessions.places import Place
+from honeywharf.sessions.gateway_location import Place
 from honeywharf.simulation import days, field
 from honeywharf.simulation.field import SMALL, TERM, Field
 from honeywharf.simulation.machine import Machine, Process
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -223,7 +223,7 @@
     "lease/grantor.py": (),
     "lease/lease.py": ("lease",),
     "mesh_config": ("mesh_config",),
-    **{f"sessions/{name}.py": ("sessions", "verdict") for name in ("inlet", "outlet", "passage")},
+    **{f"sessions/{name}.py": ("sessions", "verdict") for name in ("sender", "receiver", "relay")},
 }
 #: What a sidecar must not load: each of many processes pays for it in memory.
 HEAVY = {
