--- a/honeywharf/sessions/session_client.py
+++ b/honeywharf/sessions/session_client.py
@@ -1,31 +1,40 @@
-"""The source's side on its host: links to the gateways, which session goes by which, and when it moves.
-
-Theory of operation. To each gateway there are three lanes, links of their own: one for inner calls (reads
-with a short aim), one for other short requests, and one for the rest. The lane of inner calls is always up
-and tells whether the gateway lives and takes sessions. Bodies go out in turns (`spillway`). Each session is a
-`Carriage`: for a course it is the channel, for its `Inlet` who is told. A tick every `TICK_S` while there are
-sessions leaves ways that are quiet, or on which nothing moves any more, and finds ways for those that have
-none. `sessions=False` is for comparison only: what loses its way fails.
+"""The source's sessions on its host: links to the gateways, the path of each session, and when it moves.
+
+Theory of operation. There are three links to each gateway, one for each priority class: interactive reads
+(those with a short latency target), other short requests, and long ones. The interactive link is always kept
+up, and its STATE frames say whether the gateway is alive and accepts sessions. Bodies are sent in turns by
+`send_scheduler`. Each session is a `ClientSession`, the channel of its request; its `Sender` reports to the
+request's `ResponseHandler`. While there are sessions, a tick every `TICK_INTERVAL_S` leaves paths that are
+drained or stalled, and chooses paths for sessions that have none. `resume=False` is for comparison only: a
+session that loses its path fails.
 """
 
 from __future__ import annotations
 
-from honeywharf.sessions.choice import DOUBT_S, MAX_GATEWAYS, Gateway, choose
+from honeywharf.sessions.choice import MAX_GATEWAYS, SUSPECT_S, Gateway, choose
 from honeywharf.sessions.frames import (
-    BRIEF,
     BULK,
     GONE,
+    INTERACTIVE,
+    INTERACTIVE_LATENCY_TARGET_S,
     LEAVE,
-    QUICK,
-    QUICK_AIM_S,
-    SHORT,
+    SHORT_BODY_BYTES,
+    SHORT_REQUESTS,
     STATE,
-    WINDOW,
+    WINDOW_BYTES,
+)
+from honeywharf.sessions.link import GATEWAY_GREETING, OutgoingLink
+from honeywharf.sessions.receiver import DETACHED_TIMEOUT_S
+from honeywharf.sessions.send_scheduler import LINK_MBPS, SendScheduler
+from honeywharf.sessions.sender import (
+    FINISHED,
+    IDLE,
+    LEAVE_TIMEOUT_S,
+    LEAVING,
+    STREAMING,
+    Request,
+    Sender,
 )
-from honeywharf.sessions.link import TO_SOURCES, Line
-from honeywharf.sessions.receiver import APART_S
-from honeywharf.sessions.send_scheduler import LINK_MBPS, Spillway
-from honeywharf.sessions.sender import FLOWING, IDLE, LEAVING, OVER, QUIET_S, Inlet, Request
 from honeywharf.transport.stream import WINDOW_SIZE, ForwardedRequest
 from honeywharf.verdict import DRAINING, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
@@ -34,165 +43,195 @@
     from collections.abc import Callable, Iterable
     from typing import Any
 
-    from honeywharf.sessions.gateway_location import Place
+    from honeywharf.sessions.gateway_location import GatewayLocation
     from honeywharf.transport.host import Host, Timer
     from honeywharf.transport.stream import ResponseHandler
 
-TICK_S = 0.02
-STALL_S = 2.5  # nothing came on a way that owes a word; a full gateway says little for a second and more
-PAUSES_S = (0.0, 0.0, 0.05, 0.1, 0.2, 0.4)  # before the first, second, ... way that is tried without success
-AGAIN_S = 0.4  # before a lost link to a gateway is asked for again
-MIN_UNREACHED = 3
+TICK_INTERVAL_S = 0.02
+# A path that owes an acknowledgement for this long is left. A full gateway can be silent for over a second.
+STALL_TIMEOUT_S = 2.5
+# Before the first, second, ... path in a row without an answer.
+RETRY_BACKOFF_S = (0.0, 0.0, 0.05, 0.1, 0.2, 0.4)
+RECONNECT_S = 0.4  # Before a lost link to a gateway is opened again.
+MIN_UNREACHED_GATEWAYS = 3
 MAX_SESSIONS = 4096
-MAX_LIVES = 1024  # destinations whose life is remembered
+MAX_INCARNATIONS = 1024  # Destinations whose incarnation is remembered.
 
 
-def head_of(ask: ForwardedRequest) -> list[object]:
-    """What a session carries of a request: first what is asked for, then what may differ from try to try."""
+def request_head(forwarded: ForwardedRequest) -> list[object]:
+    """The head of a session in two parts: the operation, and what may differ between attempts of it."""
     return [
-        [ask.service, ask.kind, ask.caller, ask.method, ask.target, ask.fields],
         [
-            int(ask.max_queue_wait_s * 1000.0),
-            ask.priority,
-            int(ask.latency_target_s * 1000.0),
-            ask.revision,
-            ask.rule,
+            forwarded.service,
+            forwarded.kind,
+            forwarded.caller,
+            forwarded.method,
+            forwarded.target,
+            forwarded.fields,
+        ],
+        [
+            int(forwarded.max_queue_wait_s * 1000.0),
+            forwarded.priority,
+            int(forwarded.latency_target_s * 1000.0),
+            forwarded.revision,
+            forwarded.rule,
         ],
     ]
 
 
-def lane_of(ask: ForwardedRequest) -> int:
-    """The lane of a request: by its body, its kind and its aim, which is the operator's word of its haste."""
-    if not 0 <= ask.length <= SHORT:
+def priority_class_of(forwarded: ForwardedRequest) -> int:
+    """The priority class of a request, by its body length, its kind and its latency target."""
+    if not 0 <= forwarded.length <= SHORT_BODY_BYTES:
         return BULK
-    return QUICK if ask.kind == 0 and ask.latency_target_s <= QUICK_AIM_S else BRIEF
+    return (
+        INTERACTIVE
+        if forwarded.kind == 0 and forwarded.latency_target_s <= INTERACTIVE_LATENCY_TARGET_S
+        else SHORT_REQUESTS
+    )
 
 
-class Carriage:
-    """One session of a course."""
+class ClientSession:
+    """One session: the channel of a request to another region."""
 
     __slots__ = (
-        "apart_since",
-        "conveyor",
-        "inlet",
-        "lane",
-        "left_at",
-        "moved_at",
-        "next_at",
-        "read",
-        "replies",
-        "seen",
-        "tries",
-        "unreached",
-        "way",
+        "attempts_without_reply",
+        "client",
+        "destination_heard_at",
+        "frames_seen",
+        "is_read",
+        "leaving_since",
+        "next_attempt_at",
+        "path",
+        "priority_class",
+        "progress_at",
+        "response_handler",
+        "sender",
+        "unreached_gateways",
     )
 
-    def __init__(self, conveyor: Conveyor, replies: ResponseHandler, lane: int, read: bool) -> None:
-        self.conveyor, self.replies, self.lane, self.read = conveyor, replies, lane, read
-        self.inlet: Inlet
-        self.way: Way | None = None
-        self.left_at = self.moved_at = self.next_at = 0.0
-        self.seen = -1  # frames of the inlet that were counted when it last moved
-        self.tries = 0  # ways without a word, one after the other
-        self.unreached = 0  # of these, gateways that did not reach the destination
-        self.apart_since = conveyor.host.now()  # when the destination was last heard
+    def __init__(
+        self, client: SessionClient, response_handler: ResponseHandler, priority_class: int, is_read: bool
+    ) -> None:
+        self.client, self.response_handler, self.priority_class, self.is_read = (
+            client,
+            response_handler,
+            priority_class,
+            is_read,
+        )
+        self.sender: Sender
+        self.path: GatewayPath | None = None
+        self.leaving_since = self.progress_at = self.next_attempt_at = 0.0
+        self.frames_seen = -1  # The sender's `frames_received` at `progress_at`.
+        self.attempts_without_reply = 0  # Paths in a row on which the destination has not answered.
+        self.unreached_gateways = 0  # Gateways among these that could not reach the destination.
+        self.destination_heard_at = client.host.now()
 
-    # For the course: the channel.
+    # The channel, as the request uses it.
 
     def data(self, data: bytes) -> None:
-        """A part of the body."""
-        self.inlet.data(data)
-        self.conveyor.flush(self)
+        """Sends a part of the body."""
+        self.sender.data(data)
+        self.client.flush(self)
 
     def end(self) -> None:
-        """The body is whole."""
-        self.inlet.end()
-        self.conveyor.flush(self)
+        """The body is complete."""
+        self.sender.end()
+        self.client.flush(self)
 
     def window(self, size: int) -> None:
-        """So many bytes of the answer have gone on."""
-        self.inlet.window(size)
-        self.conveyor.flush(self)
+        """The client has taken `size` bytes of the answer."""
+        self.sender.window(size)
+        self.client.flush(self)
 
     def cancel(self) -> None:
-        """Nobody waits any more."""
-        self.inlet.cancel()
-        self.conveyor.flush(self)
-
-
-class _Teller:
-    """The replies of a course, as an inlet tells them."""
-
-    __slots__ = ("answered", "data", "failed", "replies", "whole", "window")
-
-    def __init__(self, replies: ResponseHandler) -> None:
-        self.replies = replies
-        self.answered, self.data, self.failed = replies.answered, replies.data, replies.failed
-        self.whole, self.window = replies.completed, replies.window
-
-    def went(self) -> None:
-        """The body is wanted: a course begins with less than a window."""
-        self.replies.admitted()
-        self.replies.window(WINDOW - WINDOW_SIZE)
-
-
-class Way:
-    """A gateway as a source has it: its lanes, and what it told of itself."""
-
-    def __init__(self, conveyor: Conveyor, place: Place) -> None:
-        self.conveyor, self.place = conveyor, place
-        self.gateway = Gateway(place.node, place.region, place.zone)
-        self.lines: dict[int, Line] = {}  # by lane
-        self.riders: dict[bytes, Carriage] = {}
-
-    def line(self, lane: int) -> Line:
-        """The link of a lane, asked for where there is none."""
-        line = self.lines.get(lane)
-        if line is None:
-            line = self.lines[lane] = Line(
-                self.conveyor.host,
-                self.place.address,
-                TO_SOURCES,
-                self._took,
-                self._gone,
-                lane == QUICK,
-                lane != BULK,
+        """Cancels the request."""
+        self.sender.cancel()
+        self.client.flush(self)
+
+
+class _ResponseAdapter:
+    """Adapts a `ResponseHandler` to a `SenderListener`."""
+
+    __slots__ = ("answer_completed", "answered", "data", "failed", "response_handler", "window")
+
+    def __init__(self, response_handler: ResponseHandler) -> None:
+        self.response_handler = response_handler
+        self.answered, self.data, self.failed = (
+            response_handler.answered,
+            response_handler.data,
+            response_handler.failed,
+        )
+        self.answer_completed, self.window = response_handler.completed, response_handler.window
+
+    def body_requested(self) -> None:
+        """Grants the body; a handler begins with a smaller window than a session has."""
+        self.response_handler.admitted()
+        self.response_handler.window(WINDOW_BYTES - WINDOW_SIZE)
+
+
+class GatewayPath:
+    """The links of a source to one gateway, and the state that the gateway has reported."""
+
+    def __init__(self, client: SessionClient, location: GatewayLocation) -> None:
+        self.client, self.location = client, location
+        self.gateway = Gateway(location.node, location.region, location.zone)
+        self.links: dict[int, OutgoingLink] = {}  # Keyed by priority class.
+        self.sessions: dict[bytes, ClientSession] = {}
+
+    def link(self, priority_class: int) -> OutgoingLink:
+        """The link of a priority class, opened where there is none."""
+        link = self.links.get(priority_class)
+        if link is None:
+            link = self.links[priority_class] = OutgoingLink(
+                self.client.host,
+                self.location.address,
+                GATEWAY_GREETING,
+                self._on_frame,
+                self._on_link_lost,
+                priority_class == INTERACTIVE,
+                priority_class != BULK,
             )
-        return line
+        return link
 
-    def _took(self, line: Line, frame: list[Any]) -> None:
+    def _on_frame(self, link: OutgoingLink, frame: list[Any]) -> None:
         if frame[0] == STATE:
-            _, region, _, load, offered, _ = frame
-            if region != self.place.region:
-                raise ValueError(f"found a gateway of {region!r}, wanted {self.place.region!r}")
-            self.gateway.load, self.gateway.offered, self.gateway.up = load, bool(offered), True
+            _, region, _, load, is_advertised, _ = frame
+            if region != self.location.region:
+                raise ValueError(f"region of gateway: expected {self.location.region!r}, got {region!r}")
+            self.gateway.load, self.gateway.is_advertised, self.gateway.is_connected = (
+                load,
+                bool(is_advertised),
+                True,
+            )
             return
-        rider = self.riders.get(frame[1])
-        if rider is not None:
-            self.conveyor.took(rider, frame)
-
-    def _gone(self, line: Line) -> None:
-        now = self.conveyor.host.now()
-        lane = next((lane for lane, each in self.lines.items() if each is line), -1)
-        self.lines.pop(lane, None)
-        if lane == QUICK:
-            self.gateway.up = False
-            self.conveyor.host.after(AGAIN_S, self.look)
-        self.gateway.doubted_until = now + DOUBT_S
-        for rider in list(self.riders.values()):
-            if rider.lane == lane:
-                self.conveyor.lost(rider)
-
-    def look(self) -> None:
-        """Keep the lane of inner calls up."""
-        if not self.conveyor.closed:
-            self.line(QUICK)
-
-
-class Conveyor:
+        session = self.sessions.get(frame[1])
+        if session is not None:
+            self.client.handle_frame(session, frame)
+
+    def _on_link_lost(self, link: OutgoingLink) -> None:
+        now = self.client.host.now()
+        priority_class = next(
+            (priority_class for priority_class, each in self.links.items() if each is link), -1
+        )
+        self.links.pop(priority_class, None)
+        if priority_class == INTERACTIVE:
+            self.gateway.is_connected = False
+            self.client.host.after(RECONNECT_S, self.keep_connected)
+        self.gateway.suspect_until = now + SUSPECT_S
+        for session in list(self.sessions.values()):
+            if session.priority_class == priority_class:
+                self.client.path_lost(session)
+
+    def keep_connected(self) -> None:
+        """Keeps the interactive link up."""
+        if not self.client.closed:
+            self.link(INTERACTIVE)
+
+
+class SessionClient:
     """All sessions of one source, and its gateways.
 
-    `draw()`: even random numbers in [0, 1). `link_mbps`: of this machine, in Mbit/s.
+    `draw()`: uniform random numbers in [0, 1). `link_mbps`: the rate of this machine's link, in Mbit/s.
     """
 
     def __init__(
@@ -200,206 +239,217 @@
         host: Host,
         region: str,
         zone: str,
-        places: Iterable[Place],
+        locations: Iterable[GatewayLocation],
         draw: Callable[[], float],
-        sessions: bool = True,
+        resume: bool = True,
         link_mbps: float = LINK_MBPS,
     ) -> None:
-        self.send_scheduler = Spillway(host.now, host.after, link_mbps * 125_000.0)
-        self.host, self.region, self.zone, self.draw, self.sessions = host, region, zone, draw, sessions
-        self.ways = {place.node: Way(self, place) for place in list(places)[:MAX_GATEWAYS]}
-        self.riders: dict[Carriage, None] = {}
-        self.lives: dict[str, bytes] = {}
+        self.send_scheduler = SendScheduler(host.now, host.after, link_mbps * 125_000.0)
+        self.host, self.region, self.zone, self.draw, self.resumes_sessions = host, region, zone, draw, resume
+        self.paths = {
+            location.node: GatewayPath(self, location) for location in list(locations)[:MAX_GATEWAYS]
+        }
+        self.sessions: dict[ClientSession, None] = {}
+        self.incarnations: dict[str, bytes] = {}
         self.timer: Timer | None = None
         self.closed = False
-        self.moves = self.lost_ways = self.twice = self.opened = 0
-        for way in self.ways.values():
-            way.look()
+        self.moves = self.lost_paths = self.retransmitted_bytes = self.opened = 0
+        for path in self.paths.values():
+            path.keep_connected()
 
     def open(
         self,
         to: str,
-        ask: ForwardedRequest,
-        replies: ResponseHandler,
+        forwarded: ForwardedRequest,
+        response_handler: ResponseHandler,
         tenant: str = "",
-        homes: tuple[str, ...] = (),
-    ) -> Carriage | None:
-        """Carry a request to the sidecar at an IP address; None where there is no room for one more."""
-        if self.closed or len(self.riders) >= MAX_SESSIONS:
+        allowed_regions: tuple[str, ...] = (),
+    ) -> ClientSession | None:
+        """Opens a session for a request to the sidecar at an IP address; None where there are too many."""
+        if self.closed or len(self.sessions) >= MAX_SESSIONS:
             return None
         host = self.host
-        deadline = host.now() + ask.remaining_s
+        deadline = host.now() + forwarded.remaining_s
         request = Request(
             to,
-            ask.attempt_id,
-            ask.length,
+            forwarded.attempt_id,
+            forwarded.length,
             deadline,
-            int((host.wall() + ask.remaining_s) * 1000.0),
+            int((host.wall() + forwarded.remaining_s) * 1000.0),
             tenant,
             self.region,
-            homes,
-            head_of(ask),
-            lane_of(ask),
+            allowed_regions,
+            request_head(forwarded),
+            priority_class_of(forwarded),
+        )
+        session = ClientSession(self, response_handler, request.priority_class, forwarded.kind == 0)
+        session.sender = Sender(
+            host.random(16), request, _ResponseAdapter(response_handler), self.incarnations.get(to, b"")
         )
-        rider = Carriage(self, replies, request.lane, ask.kind == 0)
-        rider.inlet = Inlet(host.random(16), request, _Teller(replies), self.lives.get(to, b""))
-        self.riders[rider] = None
+        self.sessions[session] = None
         self.opened += 1
-        host.after(0.0, lambda: self._find(rider))
-        self._tick_soon()
-        return rider
+        host.after(0.0, lambda: self._choose_path(session))
+        self._schedule_tick()
+        return session
 
-    # Ways.
+    # Paths.
 
-    def _find(self, rider: Carriage) -> None:
-        """The next way for a session that has none."""
-        now, inlet = self.host.now(), rider.inlet
-        if inlet.state != IDLE or now < rider.next_at:
+    def _choose_path(self, session: ClientSession) -> None:
+        """Chooses the next path for a session that has none."""
+        now, sender = self.host.now(), session.sender
+        if sender.state != IDLE or now < session.next_attempt_at:
             return
-        last = rider.way.gateway.node if rider.way is not None else ""
-        self._leave(rider)
-        if self._hopeless(rider, now):
-            inlet.late(LOST)
-            self._over(rider)
+        last = session.path.gateway.node if session.path is not None else ""
+        self._release_path(session)
+        if self._should_give_up(session, now):
+            sender.give_up(LOST)
+            self._finish(session)
             return
         gateway = choose(
-            [way.gateway for way in self.ways.values()],
+            [path.gateway for path in self.paths.values()],
             now,
             self.zone,
             self.region,
-            inlet.request.homes,
+            sender.request.allowed_regions,
             last,
             self.draw,
         )
-        rider.next_at = now + PAUSES_S[min(rider.tries, len(PAUSES_S) - 1)]
-        rider.tries += 1
+        session.next_attempt_at = (
+            now + RETRY_BACKOFF_S[min(session.attempts_without_reply, len(RETRY_BACKOFF_S) - 1)]
+        )
+        session.attempts_without_reply += 1
         if gateway is None:
             return
-        way = rider.way = self.ways[gateway.node]
-        way.riders[inlet.sid] = rider
+        path = session.path = self.paths[gateway.node]
+        path.sessions[sender.session_id] = session
         gateway.load += 1
-        if inlet.epoch:
+        if sender.epoch:
             self.moves += 1
-        rider.moved_at, rider.seen = now, inlet.taken
-        inlet.attach(now)
-        self.flush(rider)
+        session.progress_at, session.frames_seen = now, sender.frames_received
+        sender.attach(now)
+        self.flush(session)
 
-    def _hopeless(self, rider: Carriage, now: float) -> bool:
-        """Whether the destination is given up, so that a course may ask another.
+    def _should_give_up(self, session: ClientSession, now: float) -> bool:
+        """Whether to fail the session with a lost destination, so that another destination may be tried.
 
-        What may be sent again is given up when as many gateways as there are have not reached it. What is
-        half way is tried as long as the destination would hold it; what may have run, until its deadline.
+        A request that may be repeated is given up once as many gateways as there are could not reach the
+        destination. One whose body has arrived in part is tried for as long as the destination keeps that
+        part, and one that may have run until its deadline.
         """
-        inlet = rider.inlet
-        if rider.read or not (inlet.finished or inlet.acked):
-            return rider.unreached >= max(MIN_UNREACHED, len(self.ways))
-        return not inlet.finished and rider.unreached > 0 and now - rider.apart_since > APART_S + 1.0
-
-    def _leave(self, rider: Carriage) -> None:
-        way, rider.way = rider.way, None
-        if way is not None:
-            way.riders.pop(rider.inlet.sid, None)
-
-    def lost(self, rider: Carriage) -> None:
-        """A session's way is lost."""
-        self.lost_ways += 1
-        inlet = rider.inlet
-        if inlet.state == OVER:
+        sender = session.sender
+        if session.is_read or not (sender.end_sent or sender.body_acked):
+            return session.unreached_gateways >= max(MIN_UNREACHED_GATEWAYS, len(self.paths))
+        return (
+            not sender.end_sent
+            and session.unreached_gateways > 0
+            and now - session.destination_heard_at > DETACHED_TIMEOUT_S + 1.0
+        )
+
+    def _release_path(self, session: ClientSession) -> None:
+        path, session.path = session.path, None
+        if path is not None:
+            path.sessions.pop(session.sender.session_id, None)
+
+    def path_lost(self, session: ClientSession) -> None:
+        """The path of a session is lost."""
+        self.lost_paths += 1
+        sender = session.sender
+        if sender.state == FINISHED:
             return
-        if not self.sessions and inlet.epoch:
-            ran = MAY_HAVE_RUN if inlet.finished else NOT_RUN
-            inlet.cancel()
-            self._over(rider)
-            rider.replies.failed(Verdict(ran, LOST, inlet.finished))
+        if not self.resumes_sessions and sender.epoch:
+            ran = MAY_HAVE_RUN if sender.end_sent else NOT_RUN
+            sender.cancel()
+            self._finish(session)
+            session.response_handler.failed(Verdict(ran, LOST, sender.end_sent))
             return
-        inlet.detach()
-        self.host.after(0.0, lambda: self._find(rider))
+        sender.detach()
+        self.host.after(0.0, lambda: self._choose_path(session))
 
-    def took(self, rider: Carriage, frame: list[Any]) -> None:
-        """A frame for a session."""
-        inlet, kind = rider.inlet, frame[0]
-        if kind == GONE and frame[2] == inlet.epoch and rider.way is not None:
+    def handle_frame(self, session: ClientSession, frame: list[Any]) -> None:
+        """Handles a frame of a session."""
+        sender, kind = session.sender, frame[0]
+        if kind == GONE and frame[2] == sender.epoch and session.path is not None:
             if frame[3] == LOST:
-                rider.unreached += 1
+                session.unreached_gateways += 1
             if frame[3] != DRAINING:
-                rider.way.gateway.doubted_until = self.host.now() + DOUBT_S
-            self.lost(rider)
+                session.path.gateway.suspect_until = self.host.now() + SUSPECT_S
+            self.path_lost(session)
             return
-        if kind == LEAVE and not self.sessions:
+        if kind == LEAVE and not self.resumes_sessions:
             return
-        before = inlet.state
-        inlet.take(frame)
-        rider.apart_since = self.host.now()
-        if inlet.state == FLOWING and before != FLOWING:
-            rider.tries = rider.unreached = 0
-            self._remember(inlet)
-        if inlet.state == LEAVING and before != LEAVING:
-            rider.left_at = self.host.now()
-        self.flush(rider)
-        self._see(rider, self.host.now())
-
-    def _remember(self, inlet: Inlet) -> None:
-        if inlet.request.to not in self.lives and len(self.lives) >= MAX_LIVES:
-            self.lives.clear()
-        self.lives[inlet.request.to] = inlet.life
-
-    def flush(self, rider: Carriage) -> None:
-        """Send what a session has to send; forget one that is over."""
-        inlet = rider.inlet
-        frames, inlet.out = inlet.out, []
-        if rider.way is not None and frames:
-            line = rider.way.line(rider.lane)
+        before = sender.state
+        sender.receive(frame)
+        session.destination_heard_at = self.host.now()
+        if sender.state == STREAMING and before != STREAMING:
+            session.attempts_without_reply = session.unreached_gateways = 0
+            self._remember_incarnation(sender)
+        if sender.state == LEAVING and before != LEAVING:
+            session.leaving_since = self.host.now()
+        self.flush(session)
+        self._check(session, self.host.now())
+
+    def _remember_incarnation(self, sender: Sender) -> None:
+        if sender.request.to not in self.incarnations and len(self.incarnations) >= MAX_INCARNATIONS:
+            self.incarnations.clear()
+        self.incarnations[sender.request.to] = sender.incarnation
+
+    def flush(self, session: ClientSession) -> None:
+        """Sends the frames of a session, and removes it if it is finished."""
+        sender = session.sender
+        frames, sender.outgoing = sender.outgoing, []
+        if session.path is not None and frames:
+            link = session.path.link(session.priority_class)
             for frame in frames:
-                self.send_scheduler.send(line, frame)
-        if inlet.state == OVER:
-            self._over(rider)
-
-    def _over(self, rider: Carriage) -> None:
-        if rider in self.riders:
-            del self.riders[rider]
-            self.twice += rider.inlet.twice
-            self._leave(rider)
-            to = rider.inlet.request.to
-            if rider.inlet.life and not rider.inlet.complete:
-                self.lives.pop(to, None)  # it may have another life by now: ask first
+                self.send_scheduler.send(link, frame)
+        if sender.state == FINISHED:
+            self._finish(session)
+
+    def _finish(self, session: ClientSession) -> None:
+        if session in self.sessions:
+            del self.sessions[session]
+            self.retransmitted_bytes += session.sender.retransmitted_bytes
+            self._release_path(session)
+            to = session.sender.request.to
+            if session.sender.incarnation and not session.sender.destination_done:
+                self.incarnations.pop(to, None)  # The destination may have restarted.
 
     # Time.
 
-    def _tick_soon(self) -> None:
-        if self.timer is None and self.riders:
-            self.timer = self.host.after(TICK_S, self._tick)
+    def _schedule_tick(self) -> None:
+        if self.timer is None and self.sessions:
+            self.timer = self.host.after(TICK_INTERVAL_S, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
         now = self.host.now()
-        for rider in list(self.riders):
-            self._see(rider, now)
-        self._tick_soon()
-
-    def _see(self, rider: Carriage, now: float) -> None:
-        """Leave a way that is quiet or bad; find one; give up in time."""
-        inlet = rider.inlet
-        if inlet.state == OVER:
+        for session in list(self.sessions):
+            self._check(session, now)
+        self._schedule_tick()
+
+    def _check(self, session: ClientSession, now: float) -> None:
+        """Fails a session at its deadline, leaves a drained or stalled path, or chooses a new one."""
+        sender = session.sender
+        if sender.state == FINISHED:
             return
-        if now >= inlet.request.deadline:
-            inlet.late()
-            self.flush(rider)
-        elif inlet.state == LEAVING:
-            if inlet.quiet() or now - rider.left_at >= QUIET_S:
-                inlet.detach()
-                self._find(rider)
-        elif inlet.state == IDLE:
-            self._find(rider)
-        elif rider.seen != inlet.taken:
-            rider.seen, rider.moved_at = inlet.taken, now
-        elif inlet.owed and now - rider.moved_at >= STALL_S:
-            if rider.way is not None:
-                rider.way.gateway.doubted_until = now + DOUBT_S
-            self.lost(rider)
+        if now >= sender.request.deadline:
+            sender.give_up()
+            self.flush(session)
+        elif sender.state == LEAVING:
+            if sender.has_nothing_in_flight() or now - session.leaving_since >= LEAVE_TIMEOUT_S:
+                sender.detach()
+                self._choose_path(session)
+        elif sender.state == IDLE:
+            self._choose_path(session)
+        elif session.frames_seen != sender.frames_received:
+            session.frames_seen, session.progress_at = sender.frames_received, now
+        elif sender.awaits_destination and now - session.progress_at >= STALL_TIMEOUT_S:
+            if session.path is not None:
+                session.path.gateway.suspect_until = now + SUSPECT_S
+            self.path_lost(session)
 
     def close(self) -> None:
-        """Give all links up."""
+        """Closes all links."""
         self.closed = True
-        for way in self.ways.values():
-            for line in list(way.lines.values()):
-                line.lose()
+        for path in self.paths.values():
+            for link in list(path.links.values()):
+                link.drop()
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -15,7 +15,7 @@
     from honeywharf.drift.requests import DriftMonitor
     from honeywharf.mesh_config.routes import Route
     from honeywharf.mesh_config.settings import Settings
-    from honeywharf.sessions.remote_regions import Abroad
+    from honeywharf.sessions.remote_regions import RemoteRegions
     from honeywharf.sidecar.bypass import Passing
     from honeywharf.sidecar.course import Channel, Course
     from honeywharf.sidecar.inbound import Inbound
@@ -107,7 +107,7 @@
         draw: Callable[[], float],
     ) -> None:
         self.host, self.word, self.inbound, self.draw = host, word, inbound, draw
-        self.abroad: Abroad | None = None  # where settings name gateways to other regions
+        self.remote_regions: RemoteRegions | None = None  # where settings name gateways to other regions
         self.me, self.zone, self.service = settings.ip, settings.zone, settings.service or ""
         self.ratio = settings.bound("retry-budget-ratio", 0.1)
         self.slack = settings.bound("retry-budget-slack", 10.0)
@@ -228,8 +228,12 @@
         """The way to a gate; its word may come from within this call where it is in this process."""
         if key == self.me:
             return self.inbound.begin(ask, Local(course))
-        if self.abroad is not None and key in self.list and self.abroad.far(self.list[key].zone):
-            return self.abroad.open(key, ask, _Remote(course), course.route.allowed_regions)
+        if (
+            self.remote_regions is not None
+            and key in self.list
+            and self.remote_regions.is_remote(self.list[key].zone)
+        ):
+            return self.remote_regions.open(key, ask, _Remote(course), course.route.allowed_regions)
         return self.links.link_to(key).open(ask, _Remote(course))
 
     def served(self, service: str, key: str, status: int) -> None:
--- a/honeywharf/simulation/regions.py
+++ b/honeywharf/simulation/regions.py
@@ -1,8 +1,8 @@
 """Seeded days of regions: sources, gateways and destinations on simulated machines, and what went wrong.
 
-The programs are the real ones (`Conveyor`, `GatewayNode`, `Landing`) on `simulation` hosts; 35 ms and a bound
-of bandwidth between regions. A day has uploads, print orders, deletions and reads, and its troubles: drains
-by order, some taken back, SIGTERM, kills, cuts, restarts of destinations.
+The programs are the real ones (`SessionClient`, `GatewayNode`, `Destination`) on `simulation` hosts; 35 ms
+and a bound of bandwidth between regions. A day has uploads, print orders, deletions and reads, and its
+troubles: drains by order, some taken back, SIGTERM, kills, cuts, restarts of destinations.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from typing import Any
 
 from honeywharf.programs.gateway import GatewayNode, GatewayOptions
-from honeywharf.sessions.body_quota import Hold
-from honeywharf.sessions.destination import Landing
-from honeywharf.sessions.drain import rest_first
-from honeywharf.sessions.gateway_location import Place
-from honeywharf.sessions.session_client import Conveyor
+from honeywharf.sessions.body_quota import BodyQuota
+from honeywharf.sessions.destination import Destination
+from honeywharf.sessions.drain import smallest_remainder_first
+from honeywharf.sessions.gateway_location import GatewayLocation
+from honeywharf.sessions.session_client import SessionClient
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.stream import ForwardedRequest
@@ -46,7 +46,7 @@
     def __init__(self, host: Process, day: Day) -> None:
         self.host, self.day, self.refused = host, day, 0
         region = host.machine.zone.split("-")[0]
-        self.landing = Landing(host, (host.machine.ip, LAND), region, self.begin, Hold())
+        self.destination = Destination(host, (host.machine.ip, LAND), region, self.begin, BodyQuota())
 
     def begin(self, ask: ForwardedRequest, answers: Any) -> Job | None:
         """As `Inbound.begin`."""
@@ -148,7 +148,9 @@
         self.body = day.world.random.randbytes(self.size) if self.kind != READ else b""
         self.at, self.credit, self.got = 0, 0, 0
         to = day.world.random.choice(day.others(self.source.region))
-        self.channel = self.source.conveyor.open(to, ask, self, homes=day.homes(self.source.region))
+        self.channel = self.source.session_client.open(
+            to, ask, self, allowed_regions=day.homes(self.source.region)
+        )
         if self.channel is None:
             self.failed(Verdict(NOT_RUN, FULL))
 
@@ -213,7 +215,7 @@
 
     def __init__(self, host: Process, day: Day) -> None:
         self.host, self.region = host, host.machine.zone.split("-")[0]
-        self.conveyor = Conveyor(
+        self.session_client = SessionClient(
             host, self.region, host.machine.zone, day.places, day.world.random.random, day.sessions
         )
 
@@ -229,7 +231,7 @@
         troubles: str = TROUBLES,
         mbps: float = 80.0,
         seconds: float = 6.0,
-        order: Any = rest_first,
+        order: Any = smallest_remainder_first,
         uploads: int = 3,
         most_bytes: int = 1 << 20,
         sources: int = 1,
@@ -248,7 +250,7 @@
         self.faults: list[str] = []
         self.restarts = self.cuts = 0
         self.places = [
-            Place((f"10.{n}.1.{k}", GATE), region, f"{region}-{k}")
+            GatewayLocation((f"10.{n}.1.{k}", GATE), region, f"{region}-{k}")
             for n, region in enumerate(self.regions)
             for k in (1, 2)
         ]
@@ -284,7 +286,7 @@
     def _process(self, ip: str, zone: str, name: str, make: Any, mbps: float = 1000.0) -> Process:
         return Process(Machine(self.network, ip, zone, mbps=mbps), f"{name}-{ip}", make)
 
-    def _keeper(self, place: Place) -> Any:
+    def _keeper(self, place: GatewayLocation) -> Any:
         def make(host: Process) -> GatewayNode:
             keeper = GatewayNode(
                 host,
@@ -375,15 +377,20 @@
         for process in self.keepers:
             if isinstance(process.program, GatewayNode):
                 one = process.program.relay
-                if one.rows or one.granted:
-                    self.faults.append(f"{process.name} holds {len(one.rows)} rows, {one.granted} bytes")
+                if one.relayed_sessions or one.in_flight_bytes:
+                    self.faults.append(
+                        f"{process.name} holds {len(one.relayed_sessions)} rows, {one.in_flight_bytes} bytes"
+                    )
                 if one.forbidden:
                     self.faults.append(f"{process.name} was asked against the homes")
         for process in self.sources:
-            if isinstance(process.program, Source) and process.program.conveyor.riders:
+            if isinstance(process.program, Source) and process.program.session_client.sessions:
                 self.faults.append("a session that is over is held")
         for process in self.quarries:
-            if isinstance(process.program, Quarry) and process.program.landing.outlets.hold.bytes:
+            if (
+                isinstance(process.program, Quarry)
+                and process.program.destination.receivers.body_quota.reserved_bytes
+            ):
                 self.faults.append("room of a body that is over is held")
 
     @property
@@ -404,8 +411,8 @@
         ends += day.ends
         for process in day.sources:
             assert isinstance(process.program, Source)
-            moves += process.program.conveyor.moves
-            twice += process.program.conveyor.twice
+            moves += process.program.session_client.moves
+            twice += process.program.session_client.retransmitted_bytes
         if day.faults:
             broken += 1
             print(seed, day.faults[:3])
--- a/honeywharf/simulation/shift.py
+++ b/honeywharf/simulation/shift.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from honeywharf.programs.gateway import GatewayNode, granted_bytes
-from honeywharf.sessions.send_scheduler import Spillway
+from honeywharf.sessions.send_scheduler import SendScheduler
 from honeywharf.simulation.machine import Process
 from honeywharf.simulation.regions import READ, UPLOAD, Client, Day, Source
 
@@ -132,7 +132,7 @@
     @staticmethod
     def _open_lanes(program: Any) -> None:
         """Let everything out at once, as without a spillway."""
-        part = getattr(program, "conveyor", None) or getattr(program, "landing", None) or program
+        part = getattr(program, "session_client", None) or getattr(program, "destination", None) or program
         part.send_scheduler.__class__ = Flood
 
     # Traffic.
@@ -174,7 +174,9 @@
             (
                 self.world.now,
                 [
-                    sum(not 0 <= row.length <= 32768 for row in keeper.program.relay.rows.values())
+                    sum(
+                        not 0 <= row.length <= 32768 for row in keeper.program.relay.relayed_sessions.values()
+                    )
                     if isinstance(keeper.program, GatewayNode)
                     else 0
                     for keeper in self.keepers
@@ -195,7 +197,7 @@
             for keeper in self.keepers
             if isinstance(keeper.program, GatewayNode) and keeper.machine.zone[0] == "a"
         ]
-        keeper = max(mine, key=lambda each: len(each.program.relay.rows))  # type: ignore[attr-defined]
+        keeper = max(mine, key=lambda each: len(each.program.relay.relayed_sessions))  # type: ignore[attr-defined]
         if self.trouble == "kill":
             keeper.kill()
         else:
@@ -204,7 +206,7 @@
             self.world.at(self.world.now + BACK_S, self._back, keeper)
 
     def _look(self, keeper: Process, since: float) -> None:
-        if isinstance(keeper.program, GatewayNode) and keeper.program.relay.rows:
+        if isinstance(keeper.program, GatewayNode) and keeper.program.relay.relayed_sessions:
             self.world.at(self.world.now + 0.01, self._look, keeper, since)
         else:
             self.empty_s.append(self.world.now - since)
@@ -226,7 +228,7 @@
         }
 
 
-class Flood(Spillway):
+class Flood(SendScheduler):
     """Without turns: everything goes out as it comes."""
 
     __slots__ = ()
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 from typing import Any
 
-from honeywharf.sessions.destination import Landing
+from honeywharf.sessions.destination import Destination
 from honeywharf.sessions.frames import BULK
-from honeywharf.sessions.gateway_location import Place
-from honeywharf.sessions.session_client import Conveyor
+from honeywharf.sessions.gateway_location import GatewayLocation
+from honeywharf.sessions.session_client import SessionClient
 from honeywharf.simulation import field
 from honeywharf.standins import meshdemo
 from honeywharf.transport.event_loop import EventLoop
@@ -94,7 +94,7 @@
         self.loop, self.file, self.chance = loop, file, random.Random(ip)
         self.runs: Counter[str] = Counter()
         self.sizes: dict[str, int] = {}
-        self.landing = Landing(loop, (ip, port), region, self._begin)
+        self.destination = Destination(loop, (ip, port), region, self._begin)
 
     def _begin(self, ask: ForwardedRequest, answers: Any) -> _Job:
         return _Job(self, ask, answers)
@@ -169,7 +169,9 @@
             length=self.size,
             revision=1,
         )
-        self.channel = day.conveyor.open(day.chance.choice(day.destinations), ask, self, homes=("b",))
+        self.channel = day.session_client.open(
+            day.chance.choice(day.destinations), ask, self, allowed_regions=("b",)
+        )
 
     def admitted(self) -> None:
         """The body is wanted."""
@@ -238,7 +240,7 @@
         self.gate, self.door = field.INTERNAL + shift, field.CONTROL + shift
         self.loop = EventLoop(None)
         self.places = [
-            Place((f"{self.subnet}.{10 * n + k}", self.gate), region, f"{region}-{k}")
+            GatewayLocation((f"{self.subnet}.{10 * n + k}", self.gate), region, f"{region}-{k}")
             for n, region in enumerate("ab", 1)
             for k in (1, 2)
         ]
@@ -260,9 +262,9 @@
         self.warned = 0  # orders that a gateway took for the last one's
         for child in (*self.keepers.values(), *self.quarries):
             child.start()
-        self.conveyor = Conveyor(self.loop, "a", "a-1", self.places, self.chance.random, sessions)
+        self.session_client = SessionClient(self.loop, "a", "a-1", self.places, self.chance.random, sessions)
 
-    def _keeper(self, place: Place) -> Child:
+    def _keeper(self, place: GatewayLocation) -> Child:
         ip = place.address[0]
         settings = json.loads(field.settings(ip, place.zone, [ip], True))
         settings.update(
@@ -305,7 +307,10 @@
 
     def up(self) -> bool:
         """Whether all gateways are heard."""
-        return all(way.gateway.up and way.gateway.offered for way in self.conveyor.ways.values())
+        return all(
+            path.gateway.is_connected and path.gateway.is_advertised
+            for path in self.session_client.paths.values()
+        )
 
     # Traffic.
 
@@ -338,8 +343,8 @@
                 (
                     self.loop.now(),
                     [
-                        sum(rider.lane == BULK for rider in way.riders.values())
-                        for way in self.conveyor.ways.values()
+                        sum(session.priority_class == BULK for session in path.sessions.values())
+                        for path in self.session_client.paths.values()
                     ],
                 )
             )
@@ -349,7 +354,7 @@
 
     def busiest(self) -> str:
         """The gateway with the most sessions of this source."""
-        return max(self.conveyor.ways, key=lambda node: len(self.conveyor.ways[node].riders))
+        return max(self.session_client.paths, key=lambda node: len(self.session_client.paths[node].sessions))
 
     def order(self, node: str, what: str) -> str:
         """An operator's call at a gateway; the last line of the answer, or nothing within two seconds."""
@@ -370,12 +375,12 @@
     def drain(self) -> tuple[str, int, float]:
         """Drain the busiest gateway and take the order back: which, uploads there, seconds until none was."""
         node = self.busiest()
-        riders = self.conveyor.ways[node].riders
-        held = sum(rider.lane == BULK for rider in riders.values())
+        sessions = self.session_client.paths[node].sessions
+        held = sum(session.priority_class == BULK for session in sessions.values())
         self.phases.append((self.loop.now(), "drain"))
         begun = self.loop.now()
         self.order_drain(node)
-        self.until(lambda: not self.conveyor.ways[node].gateway.offered and not riders, 8.0)
+        self.until(lambda: not self.session_client.paths[node].gateway.is_advertised and not sessions, 8.0)
         took = self.loop.now() - begun
         self.drains_s.append(took)
         self.rest(max(0.0, 1.5 - took))
@@ -386,7 +391,9 @@
     def kill(self) -> tuple[str, int]:
         """Kill the busiest gateway and start it again: which, and uploads there."""
         node = self.busiest()
-        held = sum(rider.lane == BULK for rider in self.conveyor.ways[node].riders.values())
+        held = sum(
+            session.priority_class == BULK for session in self.session_client.paths[node].sessions.values()
+        )
         self.phases.append((self.loop.now(), "kill"))
         child = self.keepers[node]
         child.send(signal.SIGKILL)
@@ -401,8 +408,8 @@
     def close(self) -> dict[str, Any]:
         """End traffic and processes; the figures."""
         self.stopping = True
-        self.until(lambda: not self.conveyor.riders, PATIENCE_S + 20.0)
-        self.conveyor.close()
+        self.until(lambda: not self.session_client.sessions, PATIENCE_S + 20.0)
+        self.session_client.close()
         self.rest(0.1)
         for child in (*self.keepers.values(), *self.quarries):
             child.send(signal.SIGTERM if child in self.quarries else signal.SIGKILL)
@@ -435,8 +442,8 @@
             elif client.end != "done" or client.took > AIM_S[client.name]:
                 found["reads over their aim"] += 1
         sent = sum(client.size * (len(client.attempts) - 1) for client in self.clients)
-        found["told twice"], found["moves"] = self.twice_told, self.conveyor.moves
-        found["bytes sent twice"] = self.conveyor.twice + sent
+        found["told twice"], found["moves"] = self.twice_told, self.session_client.moves
+        found["bytes sent twice"] = self.session_client.retransmitted_bytes + sent
         found["orders taken for the last gateway's"] = self.warned
         return dict(found)
 
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -9,7 +9,7 @@
 from honeywharf.mesh_config.settings import Settings, SettingsError, parse
 from honeywharf.programs.gateway import GatewayNode, granted_bytes
 from honeywharf.sessions.drain import EMPTY
-from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.gateway_location import GatewayLocation
 from honeywharf.simulation import field
 from honeywharf.simulation.regions import READ, TROUBLES, UPLOAD, Client, Day, Source
 from honeywharf.simulation.world import World
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("sessions", [True, False])
 def test_a_killed_gateway_costs_a_way_and_without_sessions_the_upload(sessions: bool) -> None:
     day, source, _ = busy(20, 400_000, 30.0)
-    source.conveyor.sessions = sessions
+    source.session_client.resumes_sessions = sessions
     day.world.run(1.3)
     day.keepers[0].kill()
     day.world.run(30.0)
@@ -49,15 +49,15 @@
 def test_five_hundred_uploads_at_once_move_within_the_grace_period() -> None:
     day, source, keeper = busy(500, 40_000, 60.0)
     day.world.run(1.2)
-    assert len(keeper.relay.rows) >= 200
-    assert keeper.relay.granted <= keeper.relay.most_bytes
+    assert len(keeper.relay.relayed_sessions) >= 200
+    assert keeper.relay.in_flight_bytes <= keeper.relay.max_bytes
     keeper.order_drain()
     day.world.run(6.0)
     assert keeper.drain.state == EMPTY
     day.world.run(30.0)
     uploads = [client for client in day.clients if client.kind == UPLOAD]
     assert sum(client.end == "done" for client in uploads) == 500
-    assert source.conveyor.moves > 0
+    assert source.session_client.moves > 0
 
 
 def test_a_destination_that_is_gone_is_given_up_with_a_proof_long_before_the_deadline() -> None:
@@ -66,7 +66,7 @@
     gone.power_off()
     day.others = lambda region: [gone.ip]  # type: ignore[method-assign]
     day.proofs.clear()
-    source.conveyor.lives.clear()  # else the read's end goes with its head, and it may have run
+    source.session_client.incarnations.clear()  # else the read's end goes with its head, and it may have run
     clients = [Client(day, source, READ, 10, 30.0), Client(day, source, UPLOAD, 400_000, 30.0)]
     day.world.run(7.0)
     assert all(client.tries > 1 and client.attempts[0] in day.proofs for client in clients)
@@ -92,7 +92,7 @@
     assert keeper.is_last
     keeper.order_drain()
     day.world.run(4.0)
-    assert keeper.drain.taking
+    assert keeper.drain.accepts_sessions
     keeper.order_drain()
     day.world.run(8.0)
     assert keeper.drain.state == EMPTY
@@ -128,7 +128,7 @@
 def test_gateways_of_settings() -> None:
     read = settings([{"address": "10.0.0.1:7640", "region": "a", "zone": "a-1"}])
     assert read.gateways == [(("10.0.0.1", 7640), "a", "a-1")]
-    assert Place(*read.gateways[0]).node == "10.0.0.1:7640"
+    assert GatewayLocation(*read.gateways[0]).node == "10.0.0.1:7640"
     assert settings([]).gateways == []
 
 
--- a/tests/sessions/test_demo.py
+++ b/tests/sessions/test_demo.py
@@ -33,8 +33,8 @@
         client(b"never", ORDER, "done"),
         client(b"read", READ, "done"),
     ]
-    conveyor = SimpleNamespace(twice=5, moves=1)
-    day = cast(Any, SimpleNamespace(clients=clients, twice_told=0, warned=0, conveyor=conveyor))
+    session_client = SimpleNamespace(retransmitted_bytes=5, moves=1)
+    day = cast(Any, SimpleNamespace(clients=clients, twice_told=0, warned=0, session_client=session_client))
     cut = b"ran again".hex()
     found = Day._counted(day, Counter({b"twice".hex(): 2, cut: 1}), {cut: 9})
     assert found["orders recorded twice"] == 1
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -1,4 +1,4 @@
-"""What a gateway lets pass: its bounds, homes, and the operator's door."""
+"""The relay of a gateway: its bounds, allowed regions, and the operator's API."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from typing import Any, cast
 
 from honeywharf.programs.gateway import GatewayNode
-from honeywharf.sessions.frames import ACK, DATA, END, GONE, HAVE, OPEN, PIECE, WINDOW
-from honeywharf.sessions.relay import Passages
+from honeywharf.sessions.frames import ACK, CHUNK_BYTES, DATA, END, GONE, HAVE, OPEN, WINDOW_BYTES
+from honeywharf.sessions.relay import Relay
 from honeywharf.simulation.regions import Day
 from honeywharf.verdict import DRAINING, FULL, OTHER_SERVICE
 
 Sent = list[tuple[Any, list[Any]]]
 
 
-def gateway(most_bytes: int = 1 << 20, most_sessions: int = 64) -> tuple[Passages, Sent]:
+def gateway(max_bytes: int = 1 << 20, max_sessions: int = 64) -> tuple[Relay, Sent]:
     sent: Sent = []
-    return Passages("b", lambda path, frame: sent.append((path, frame)), most_bytes, most_sessions), sent
+    return Relay("b", lambda link, frame: sent.append((link, frame)), max_bytes, max_sessions), sent
 
 
-def opens(
-    one: Passages,
+def open_session(
+    one: Relay,
     number: int,
     epoch: int = 1,
     length: int = -1,
-    life: bytes = b"",
+    incarnation: bytes = b"",
     origin: str = "a",
-    homes: tuple[str, ...] = (),
+    allowed_regions: tuple[str, ...] = (),
 ) -> bytes:
-    sid = number.to_bytes(16, "big")
+    session_id = number.to_bytes(16, "big")
     frame = [
         OPEN,
-        sid,
+        session_id,
         epoch,
         "d",
-        life,
+        incarnation,
         0,
         0,
         b"x",
@@ -44,96 +44,111 @@
         1000,
         "t",
         origin,
-        list(homes),
+        list(allowed_regions),
         None,
         1 << 17,
         2,
     ]
-    one.opens(0.0, "source", frame, lambda to, lane: "there")
-    return sid
+    one.open_session(0.0, "source", frame, lambda to, priority_class: "there")
+    return session_id
 
 
-def test_what_may_be_on_its_way_is_bounded_and_counted_exactly() -> None:
+def test_bytes_in_flight_are_bounded_and_counted_exactly() -> None:
     for seed in range(40):
         draw = random.Random(seed)
         one, sent = gateway(200_000, 24)
         have: dict[bytes, int] = {}
         for step in range(400):
-            sid = draw.choice([*have, b""])
-            row = one.rows.get(sid)
-            if row is None:
-                have.pop(sid, None)
-                length, life = draw.choice((-1, 0, 500, 300_000)), draw.choice((b"", b"l"))
-                sid = opens(one, step + 1, length=length, life=life)
-                if sid in one.rows:
-                    have[sid] = 0
+            session_id = draw.choice([*have, b""])
+            session = one.relayed_sessions.get(session_id)
+            if session is None:
+                have.pop(session_id, None)
+                length, incarnation = draw.choice((-1, 0, 500, 300_000)), draw.choice((b"", b"l"))
+                session_id = open_session(one, step + 1, length=length, incarnation=incarnation)
+                if session_id in one.relayed_sessions:
+                    have[session_id] = 0
             elif draw.random() < 0.1:
-                one.lose(row, FULL)
+                one.fail(session, FULL)
             elif draw.random() < 0.2:
-                one.from_source("source", [ACK, sid, row.epoch, 100, 100 + (1 << 17), 0])
+                one.from_source("source", [ACK, session_id, session.epoch, 100, 100 + (1 << 17), 0])
             elif draw.random() < 0.1:
-                one.from_source("source", [END, sid, row.epoch, row.body.given])
+                one.from_source("source", [END, session_id, session.epoch, session.body.granted])
             else:
-                have[sid] = min(row.body.given, have[sid] + draw.randrange(40_000))
-                one.from_destination("there", [HAVE, sid, row.epoch, b"l", have[sid], have[sid] + WINDOW, 0])
-            assert one.granted == sum(each.body.out + each.answer.out for each in one.rows.values())
-            assert one.granted <= one.most_bytes
-            assert len(one.rows) <= 24
+                have[session_id] = min(session.body.granted, have[session_id] + draw.randrange(40_000))
+                one.from_destination(
+                    "there",
+                    [
+                        HAVE,
+                        session_id,
+                        session.epoch,
+                        b"l",
+                        have[session_id],
+                        have[session_id] + WINDOW_BYTES,
+                        0,
+                    ],
+                )
+            assert one.in_flight_bytes == sum(
+                each.body.in_flight + each.answer.in_flight for each in one.relayed_sessions.values()
+            )
+            assert one.in_flight_bytes <= one.max_bytes
+            assert len(one.relayed_sessions) <= 24
         assert any(frame[0] == GONE and frame[3] == FULL for _, frame in sent)
-        for row in list(one.rows.values()):
-            one.lose(row, FULL)
-        assert (one.granted, one.starved) == (0, {})
+        for session in list(one.relayed_sessions.values()):
+            one.fail(session, FULL)
+        assert (one.in_flight_bytes, one.waiting_for_grant) == (0, {})
 
 
-def test_who_waits_for_room_gets_it_when_others_are_done() -> None:
+def test_a_session_that_waits_for_capacity_gets_it_when_another_ends() -> None:
     one, sent = gateway(400_000)
-    first, second = opens(one, 1), opens(one, 2)
-    one.from_destination("there", [HAVE, first, 1, b"l", 0, WINDOW, 0])
-    one.from_destination("there", [HAVE, second, 1, b"l", 0, WINDOW, 0])
-    third = opens(one, 3)
-    one.from_destination("there", [HAVE, third, 1, b"l", 0, WINDOW, 0])
-    assert one.rows[third].body.given < PIECE
+    first, second = open_session(one, 1), open_session(one, 2)
+    one.from_destination("there", [HAVE, first, 1, b"l", 0, WINDOW_BYTES, 0])
+    one.from_destination("there", [HAVE, second, 1, b"l", 0, WINDOW_BYTES, 0])
+    third = open_session(one, 3)
+    one.from_destination("there", [HAVE, third, 1, b"l", 0, WINDOW_BYTES, 0])
+    assert one.relayed_sessions[third].body.granted < CHUNK_BYTES
     sent.clear()
-    one.path_lost("nobody")
-    one.lose(one.rows[first], FULL)
-    assert one.rows[third].body.given >= PIECE
-    assert ("source", [HAVE, third, 1, b"l", 0, one.rows[third].body.given, 0]) in sent
+    one.link_lost("nobody")
+    one.fail(one.relayed_sessions[first], FULL)
+    assert one.relayed_sessions[third].body.granted >= CHUNK_BYTES
+    assert ("source", [HAVE, third, 1, b"l", 0, one.relayed_sessions[third].body.granted, 0]) in sent
 
 
-def test_a_source_that_sends_more_than_it_was_let_loses_its_way() -> None:
+def test_a_source_that_sends_more_than_granted_loses_its_path() -> None:
     one, sent = gateway()
-    sid = opens(one, 1)
-    one.from_source("source", [DATA, sid, 1, 0, b"x"])
-    assert not one.rows
-    assert sent[-2:] == [("source", [GONE, sid, 1, FULL]), ("there", [GONE, sid, 1, FULL])]
+    session_id = open_session(one, 1)
+    one.from_source("source", [DATA, session_id, 1, 0, b"x"])
+    assert not one.relayed_sessions
+    assert sent[-2:] == [("source", [GONE, session_id, 1, FULL]), ("there", [GONE, session_id, 1, FULL])]
 
 
-def test_homes_drains_and_other_peoples_links() -> None:
+def test_allowed_regions_drains_and_frames_of_other_links() -> None:
     one, sent = gateway()
-    sid = opens(one, 1, homes=("c",))
-    assert sent.pop() == ("source", [GONE, sid, 1, OTHER_SERVICE])
-    assert (one.forbidden, one.rows) == (1, {})
-    opens(one, 2, homes=("c",), origin="b")  # the client's own region may hold it
-    sid = opens(one, 3, homes=("b", "c"))
-    assert len(one.rows) == 2
-    one.from_source("another source", [END, sid, 1, 0])
-    one.from_destination("elsewhere", [HAVE, sid, 1, b"l", 0, 5, 0])
-    assert one.rows[sid].body.given == 0
-    one.taking = False
-    sid = opens(one, 4)
-    assert sent[-1] == ("source", [GONE, sid, 1, DRAINING])
-
-
-def test_a_link_that_is_lost_is_told_at_the_other_end_of_each_session() -> None:
+    session_id = open_session(one, 1, allowed_regions=("c",))
+    assert sent.pop() == ("source", [GONE, session_id, 1, OTHER_SERVICE])
+    assert (one.forbidden, one.relayed_sessions) == (1, {})
+    open_session(one, 2, allowed_regions=("c",), origin="b")  # The client's own region may hold it.
+    session_id = open_session(one, 3, allowed_regions=("b", "c"))
+    assert len(one.relayed_sessions) == 2
+    one.from_source("another source", [END, session_id, 1, 0])
+    one.from_destination("elsewhere", [HAVE, session_id, 1, b"l", 0, 5, 0])
+    assert one.relayed_sessions[session_id].body.granted == 0
+    one.accepts_sessions = False
+    session_id = open_session(one, 4)
+    assert sent[-1] == ("source", [GONE, session_id, 1, DRAINING])
+
+
+def test_a_lost_link_is_reported_to_the_other_end_of_each_session() -> None:
     one, sent = gateway()
-    sids = [opens(one, number) for number in (1, 2)]
+    sids = [open_session(one, number) for number in (1, 2)]
     sent.clear()
-    one.path_lost("there")
-    assert [(path, frame[0], frame[1]) for path, frame in sent] == [("source", GONE, sid) for sid in sids]
-    assert not one.rows
+    one.link_lost("there")
+    assert [(link, frame[0], frame[1]) for link, frame in sent] == [
+        ("source", GONE, session_id) for session_id in sids
+    ]
+    assert not one.relayed_sessions
 
 
-def test_the_operators_door() -> None:
+def test_the_operators_api() -> None:
     day = Day(1, troubles="", uploads=0)
     day.world.run(2.0)
     keeper = cast(GatewayNode, day.keepers[0].program)
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions under drains, kills and cuts at every frame, for one upload and one order."""
+"""Sessions under drains, kills and cuts at every frame, for requests of each kind."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 import pytest
 
 from honeywharf.sessions.frames import HAVE, OPEN
-from honeywharf.sessions.receiver import Outlet, Outlets
-from honeywharf.sessions.relay import Passages, Row
-from honeywharf.sessions.sender import Inlet
+from honeywharf.sessions.receiver import Receiver, Receivers
+from honeywharf.sessions.relay import Relay, RelayedSession
+from honeywharf.sessions.sender import Sender
 from honeywharf.verdict import FULL, NOT_RUN, Verdict
-from tests.sessions.network import PLACES, Town
+from tests.sessions.network import GATEWAYS, SessionNetwork
 
-UPLOAD = bytes(range(256)) * 520  # 133,120 bytes: nine pieces
+UPLOAD = bytes(range(256)) * 520  # 133,120 bytes: nine chunks.
 ORDER = b"one print order"
-Trouble = Callable[[Town], None]
+Fault = Callable[[SessionNetwork], None]
 
 
-def troubles() -> dict[str, Trouble]:
-    found: dict[str, Trouble] = {}
-    for place in PLACES:
-        found[f"kill {place}"] = lambda town, place=place: town.kill(place)  # type: ignore[misc]
-        found[f"drain {place}"] = lambda town, place=place: town.drain(place)  # type: ignore[misc]
+def faults() -> dict[str, Fault]:
+    found: dict[str, Fault] = {}
+    for name in GATEWAYS:
+        found[f"kill {name}"] = lambda network, name=name: network.kill(name)  # type: ignore[misc]
+        found[f"drain {name}"] = lambda network, name=name: network.drain(name)  # type: ignore[misc]
         for side in ("source", "destination"):
-            found[f"cut {place} {side}"] = lambda town, place=place, side=side: town.sever(place, side)  # type: ignore[misc]
+            found[f"cut {name} {side}"] = lambda network, name=name, side=side: network.cut(name, side)  # type: ignore[misc]
     return found
 
 
-TROUBLES = troubles()
+FAULTS = faults()
 
 
-def towns(make: type[Town] = Town) -> list[tuple[str, Callable[[], Town]]]:
+def networks(make: type[SessionNetwork] = SessionNetwork) -> list[tuple[str, Callable[[], SessionNetwork]]]:
     return [
         ("upload", lambda: make(UPLOAD)),
         ("chunked", lambda: make(UPLOAD, length=-1)),
@@ -43,58 +43,62 @@
     ]
 
 
-def once(make: Callable[[], Town], name: str, at: int, healed: int | None = None) -> list[str]:
-    plan: dict[int, Trouble] = {at: TROUBLES[name]}
+def violations_with(
+    make: Callable[[], SessionNetwork], name: str, at: int, healed: int | None = None
+) -> list[str]:
+    plan: dict[int, Fault] = {at: FAULTS[name]}
     if healed is not None:
-        plan[healed] = Town.join
-    return make().play(plan).faults()
+        plan[healed] = SessionNetwork.heal
+    return make().run(plan).violations()
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_one_trouble_at_every_frame(name: str) -> None:
-    for what, make in towns():
-        for at in range(make().play().steps + 1):
+@pytest.mark.parametrize("name", FAULTS)
+def test_one_fault_at_every_frame(name: str) -> None:
+    for what, make in networks():
+        for at in range(make().run().steps + 1):
             for healed in (None, at + 12, at + 45) if "cut" in name else (None,):
-                assert once(make, name, at, healed) == [], (what, name, at, healed)
+                assert violations_with(make, name, at, healed) == [], (what, name, at, healed)
 
 
-def test_two_troubles_at_any_two_frames() -> None:
-    """A gateway dies in its own drain, the target of a move drains, dies or is cut off: any two steps."""
-    for what, make in towns():
+def test_two_faults_at_any_two_frames() -> None:
+    """A gateway is killed during its drain, or the target of a move is drained, killed or cut off."""
+    for what, make in networks():
         if what not in ("upload", "order"):
             continue
-        steps = make().play().steps
+        steps = make().run().steps
         for first in ("drain a", "kill a", "cut a source", "cut a destination"):
             for second in ("kill a", "kill b", "cut b source", "cut b destination"):
                 for at in range(0, steps + 1, 1 if what == "order" else 3):
                     for later in range(at + 1, steps + 12, 1 if what == "order" else 5):
-                        plan: dict[int, Trouble] = {
-                            at: TROUBLES[first],
-                            later: TROUBLES[second],
-                            later + 40: Town.join,
+                        plan: dict[int, Fault] = {
+                            at: FAULTS[first],
+                            later: FAULTS[second],
+                            later + 40: SessionNetwork.heal,
                         }
-                        assert make().play(plan).faults() == [], (what, first, at, second, later)
+                        assert make().run(plan).violations() == [], (what, first, at, second, later)
 
 
-def test_a_destination_that_restarts_at_every_frame_is_never_said_not_to_have_run_when_it_did() -> None:
-    for what, make in towns():
-        for at in range(make().play().steps + 1):
+def test_a_request_that_ran_is_never_reported_as_not_run_when_the_destination_restarts_at_any_frame() -> None:
+    for what, make in networks():
+        for at in range(make().run().steps + 1):
             for also in (None, "kill a", "drain a", "cut a source"):
-                plan: dict[int, Trouble] = {at: Town.restart}
+                plan: dict[int, Fault] = {at: SessionNetwork.restart}
                 if also is not None:
-                    plan[max(0, at - 3)] = TROUBLES[also]
-                    plan[at + 40] = Town.join
-                assert make().play(plan).faults(must_finish=False) == [], (what, at, also)
+                    plan[max(0, at - 3)] = FAULTS[also]
+                    plan[at + 40] = SessionNetwork.heal
+                assert make().run(plan).violations(must_finish=False) == [], (what, at, also)
 
 
 def test_repeated_and_swapped_frames_change_nothing() -> None:
-    def disorder(seed: int) -> Trouble:
-        def do(town: Town) -> None:
+    def disorder(seed: int) -> Fault:
+        def do(network: SessionNetwork) -> None:
             draw = random.Random(seed)
-            way = draw.choice([way for way, queue in town.queues.items() if queue] or [None])
-            if way is None:
+            direction = draw.choice(
+                [direction for direction, queue in network.queues.items() if queue] or [None]
+            )
+            if direction is None:
                 return
-            queue = town.queues[way]
+            queue = network.queues[direction]
             if draw.random() < 0.5:
                 queue.insert(draw.randrange(len(queue) + 1), queue[0])
             elif len(queue) > 1:
@@ -104,166 +108,176 @@
 
     for seed in range(600):
         draw = random.Random(seed)
-        what, make = draw.choice(towns())
-        plan = {draw.randrange(make().play().steps): disorder(seed + k) for k in range(3)}
-        assert make().play(plan).faults() == [], (what, seed)
+        what, make = draw.choice(networks())
+        plan = {draw.randrange(make().run().steps): disorder(seed + k) for k in range(3)}
+        assert make().run(plan).violations() == [], (what, seed)
 
 
 def test_the_same_attempt_by_another_session_joins_the_first_at_every_frame() -> None:
-    for what, make in towns():
-        for at in range(make().play().steps + 8):
+    for what, make in networks():
+        for at in range(make().run().steps + 8):
 
-            def again(town: Town) -> None:
-                first = town.sources[0][0].request
-                town.ways[b"\x02" * 16] = "a"
-                town.add(town.sources[0][1].body, first.attempt, town.outlets.life, first.length)
+            def again(network: SessionNetwork) -> None:
+                first = network.sources[0][0].request
+                network.gateway_of[b"\x02" * 16] = "a"
+                network.add(
+                    network.sources[0][1].body, first.attempt, network.receivers.incarnation, first.length
+                )
 
-            town = make().play({at: again})
-            assert town.faults() == [], (what, at)
-            assert len(town.runs) == 1
+            network = make().run({at: again})
+            assert network.violations() == [], (what, at)
+            assert len(network.executions) == 1
 
 
-def test_a_drain_repeats_no_byte_and_a_kill_at_most_a_window() -> None:
-    steps = Town(UPLOAD).play().steps
+def test_a_drain_retransmits_nothing_and_a_kill_at_most_a_window() -> None:
+    steps = SessionNetwork(UPLOAD).run().steps
     for at in range(steps):
-        drained = Town(UPLOAD).play({at: TROUBLES["drain a"]})
-        assert drained.sources[0][0].twice == 0, at
-        killed = Town(UPLOAD).play({at: TROUBLES["kill a"]})
-        assert killed.sources[0][0].twice <= 256 * 1024
-    assert any(Town(UPLOAD).play({at: TROUBLES["kill a"]}).sources[0][0].twice for at in range(steps))
-
-
-def test_what_a_client_sends_while_a_way_is_sought_waits_for_the_destinations_word() -> None:
-    """A first version sent it at once, past what the new gateway had granted: a window was sent twice."""
-    town = Town(UPLOAD)
-    inlet = town.sources[0][0]
-    while inlet.acked < 40_000:
-        town.step()
-    inlet.detach()
-    inlet.attach(town.now)
-    inlet.data(b"more of it")
-    assert [frame[0] for frame in inlet.out] == [OPEN]
-
-
-def test_a_destination_that_has_all_or_has_refused_is_known_to_live_whatever_way_the_word_came_by() -> None:
-    """A first version took the word of a second way for less, and the next short request cost more."""
-    for what, make in towns():
-        for at in range(make().play().steps):
-            inlet = make().play({at: TROUBLES["kill a"]}).sources[0][0]
-            assert inlet.complete, (what, at)
-    town = Town(ORDER, known=True)
-    while not town.working:
-        town.step()
-    town.outlets.failed(town.working.pop(), Verdict(NOT_RUN, FULL))
-    assert town.play().sources[0][0].complete
-
-
-# Wrong ones: each must be found.
-
-
-class NoEpochOutlets(Outlets):
-    def _fenced(self, outlet: Outlet, epoch: int) -> bool:
+        drained = SessionNetwork(UPLOAD).run({at: FAULTS["drain a"]})
+        assert drained.sources[0][0].retransmitted_bytes == 0, at
+        killed = SessionNetwork(UPLOAD).run({at: FAULTS["kill a"]})
+        assert killed.sources[0][0].retransmitted_bytes <= 256 * 1024
+    assert any(
+        SessionNetwork(UPLOAD).run({at: FAULTS["kill a"]}).sources[0][0].retransmitted_bytes
+        for at in range(steps)
+    )
+
+
+def test_data_sent_while_a_path_is_opened_waits_for_have() -> None:
+    """Guards against sending more than the new gateway has granted, which retransmits a window."""
+    network = SessionNetwork(UPLOAD)
+    sender = network.sources[0][0]
+    while sender.body_acked < 40_000:
+        network.step()
+    sender.detach()
+    sender.attach(network.now)
+    sender.data(b"more of it")
+    assert [frame[0] for frame in sender.outgoing] == [OPEN]
+
+
+def test_the_senders_destination_done_is_set_by_have_or_a_verdict_on_any_path() -> None:
+    """Guards against ignoring HAVE or a verdict of a second path, which delays the next short request."""
+    for what, make in networks():
+        for at in range(make().run().steps):
+            sender = make().run({at: FAULTS["kill a"]}).sources[0][0]
+            assert sender.destination_done, (what, at)
+    network = SessionNetwork(ORDER, known=True)
+    while not network.running:
+        network.step()
+    network.receivers.failed(network.running.pop(), Verdict(NOT_RUN, FULL))
+    assert network.run().sources[0][0].destination_done
+
+
+# Faulty implementations: each must be detected.
+
+
+class UnfencedReceivers(Receivers):
+    def _is_fenced(self, receiver: Receiver, epoch: int) -> bool:
         return False
 
-    def _newer(self, outlet: Outlet, epoch: int) -> bool:
+    def _is_newer(self, receiver: Receiver, epoch: int) -> bool:
         return True
 
 
-class NoEpochInlet(Inlet):
-    def _fenced(self, epoch: int) -> bool:
+class UnfencedSender(Sender):
+    def _is_fenced(self, epoch: int) -> bool:
         return False
 
 
-class LedgerAfterSend(Outlets):
-    """What runs is entered when its answer comes."""
+class LateIdempotencyRecord(Receivers):
+    """Records an attempt only once its answer begins."""
 
-    def _start(self, outlet: Outlet) -> None:
-        self.sessions.pop(outlet.sid, None)
-        self.ledger.pop(outlet.attempt, None)
-        super()._start(outlet)
+    def _start(self, receiver: Receiver) -> None:
+        self.sessions.pop(receiver.session_id, None)
+        self.idempotency_table.pop(receiver.attempt, None)
+        super()._start(receiver)
 
-    def answered(self, outlet: Outlet, status: int, fields: bytes, length: int) -> None:
-        self._enter(outlet)
-        super().answered(outlet, status, fields, length)
+    def answer_started(self, receiver: Receiver, status: int, fields: bytes, length: int) -> None:
+        self._register(receiver)
+        super().answer_started(receiver, status, fields, length)
 
 
-class ToldBeforeRun(Outlets):
-    """It says done as soon as the body is whole, before the backend has had it."""
+class AnswerBeforeExecution(Receivers):
+    """Answers as soon as the body is complete, before the backend has run the request."""
 
-    def _start(self, outlet: Outlet) -> None:
-        self.answered(outlet, 200, b"", 4)
-        outlet.state, outlet.answer = 2, (200, b"", 4)
-        self.answer_data(outlet, b"done")
-        self.answer_whole(outlet)
-        self.pending: list[Outlet] = [*getattr(self, "pending", []), outlet]
+    def _start(self, receiver: Receiver) -> None:
+        self.answer_started(receiver, 200, b"", 4)
+        receiver.state, receiver.answer_head = 2, (200, b"", 4)
+        self.answer_data(receiver, b"done")
+        self.answer_completed(receiver)
+        self.pending: list[Receiver] = [*getattr(self, "pending", []), receiver]
 
-    def due(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         waiting, self.pending = getattr(self, "pending", []), []
-        for outlet in waiting:
-            self.run(outlet)
-        super().due(now)
+        for receiver in waiting:
+            self.run(receiver)
+        super().expire(now)
 
 
-class AcknowledgingGateway(Passages):
-    """It acknowledges what it has passed on, before the destination has it."""
+class AcknowledgingGateway(Relay):
+    """Acknowledges what it has relayed, before the destination has received it."""
 
     def from_source(self, source: object, frame: list[Any]) -> None:
         super().from_source(source, frame)
-        row: Row | None = self.rows.get(frame[1])
-        if frame[0] == 1 and row is not None and row.life:
+        session: RelayedSession | None = self.relayed_sessions.get(frame[1])
+        if frame[0] == 1 and session is not None and session.incarnation:
             have = frame[3] + len(frame[4])
-            self.send(row.source, [HAVE, row.sid, row.epoch, row.life, have, have + 65536, 0])
+            self.send(
+                session.source,
+                [HAVE, session.session_id, session.epoch, session.incarnation, have, have + 65536, 0],
+            )
 
 
-def broken(make: type[Town]) -> bool:
-    """Whether one or two troubles at some frame show a fault."""
-    for _, each in towns(make):
-        steps = each().play(most=1500).steps
+def finds_violation(make: type[SessionNetwork]) -> bool:
+    """Whether a fault at some frame violates an invariant."""
+    for _, each in networks(make):
+        steps = each().run(max_steps=1500).steps
         for at in range(min(steps, 80)):
             for name in ("kill a", "drain a", "cut a source", "cut a destination"):
                 for healed in (at + 12, at + 45):
-                    plan: dict[int, Trouble] = {at: TROUBLES[name], healed: Town.join}
-                    if each().play(plan, most=3500).faults():
+                    plan: dict[int, Fault] = {at: FAULTS[name], healed: SessionNetwork.heal}
+                    if each().run(plan, max_steps=3500).violations():
                         return True
-            plan = {at: Town.restart}
-            if each().play(plan, most=3500).faults(must_finish=False):
+            plan = {at: SessionNetwork.restart}
+            if each().run(plan, max_steps=3500).violations(must_finish=False):
                 return True
     return False
 
 
-@pytest.mark.parametrize("part", ["outlets", "ledger", "told", "gateway"])
-def test_wrong_rules_are_found(part: str) -> None:
-    class Wrong(Town):
-        outlets_class = {"outlets": NoEpochOutlets, "ledger": LedgerAfterSend, "told": ToldBeforeRun}.get(
-            part, Outlets
-        )
-        passages_class = AcknowledgingGateway if part == "gateway" else Passages
+@pytest.mark.parametrize("part", ["receivers", "idempotency", "answer", "gateway"])
+def test_faulty_implementations_are_detected(part: str) -> None:
+    class Wrong(SessionNetwork):
+        receivers_class = {
+            "receivers": UnfencedReceivers,
+            "idempotency": LateIdempotencyRecord,
+            "answer": AnswerBeforeExecution,
+        }.get(part, Receivers)
+        relay_class = AcknowledgingGateway if part == "gateway" else Relay
 
-    assert broken(Wrong)
+    assert finds_violation(Wrong)
 
 
-def ways_taken(make: Callable[[], Town]) -> int:
-    """The most ways that the upload takes where the first is cut off, drains, and is whole again later."""
+def paths_taken(make: Callable[[], SessionNetwork]) -> int:
+    """The most paths that an upload takes if its first gateway is cut off, drained, and healed later."""
     found = 0
-    for at in range(make().play().steps):
+    for at in range(make().run().steps):
         for healed in (at + 32, at + 40, at + 60):
-            plan: dict[int, Trouble] = {
-                at: TROUBLES["cut a source"],
-                at + 5: TROUBLES["drain a"],
-                healed: Town.join,
+            plan: dict[int, Fault] = {
+                at: FAULTS["cut a source"],
+                at + 5: FAULTS["drain a"],
+                healed: SessionNetwork.heal,
             }
-            found = max(found, make().play(plan).sources[0][0].epoch)
+            found = max(found, make().run(plan).sources[0][0].epoch)
     return found
 
 
-def test_a_word_of_an_old_way_moves_no_session() -> None:
-    """The source's fence breaks nothing where it is missing: it saves moves, and this is what shows it."""
+def test_a_frame_of_an_old_path_moves_no_session() -> None:
+    """A sender that does not fence loses nothing, but its sessions move more often."""
 
-    class Wrong(Town):
-        inlet_class = NoEpochInlet
+    class Wrong(SessionNetwork):
+        sender_class = UnfencedSender
 
-    def slow(make: type[Town]) -> Callable[[], Town]:
+    def slow(make: type[SessionNetwork]) -> Callable[[], SessionNetwork]:
         return lambda: make(UPLOAD * 4)
 
-    assert ways_taken(slow(Town)) == 2
-    assert ways_taken(slow(Wrong)) > 2
+    assert paths_taken(slow(SessionNetwork)) == 2
+    assert paths_taken(slow(Wrong)) > 2
--- a/tests/sessions/test_shift.py
+++ b/tests/sessions/test_shift.py
@@ -1,4 +1,4 @@
-"""A short working day in virtual time: inner calls stay quick in a drain, uploads finish, a chart tells."""
+"""A short working day in virtual time: latency during a drain, uploads that finish, and the chart."""
 
 from __future__ import annotations
 
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -10,7 +10,7 @@
 from honeywharf.mesh_config.settings import parse
 from honeywharf.programs.gateway import GatewayNode, GatewayOptions
 from honeywharf.programs.sidecar import Sidecar
-from honeywharf.sessions.gateway_location import Place
+from honeywharf.sessions.gateway_location import GatewayLocation
 from honeywharf.simulation import days, field
 from honeywharf.simulation.field import SMALL, TERM, Field
 from honeywharf.simulation.machine import Machine, Process
@@ -19,7 +19,7 @@
 ZONES = {"tartu-saal": "a", "voru-saal": "b", "polva-saal": "b"}
 GATE = 7700
 PLACES = [
-    Place((f"10.8.{n}.{k}", GATE), region, zone)
+    GatewayLocation((f"10.8.{n}.{k}", GATE), region, zone)
     for n, (region, zone) in enumerate((("a", "tartu-saal"), ("b", "voru-saal")))
     for k in (1, 2)
 ]
@@ -39,7 +39,7 @@
     return sidecar
 
 
-def keeper(place: Place) -> Any:
+def keeper(place: GatewayLocation) -> Any:
     def make(host: Process) -> GatewayNode:
         one = GatewayNode(host, place, PLACES, field.INTERNAL + 1, GatewayOptions(grace_s=5.0))
         host.on_signal(TERM, one.terminate)
@@ -116,7 +116,7 @@
     served = sum(200 <= ask.status < 300 for ask in asks)
     assert served > share * len(asks) > 400, (served, len(asks))
     opened = sum(
-        side.proxy.program.source.abroad.conveyor.opened  # type: ignore[attr-defined]
+        side.proxy.program.source.remote_regions.session_client.opened  # type: ignore[attr-defined]
         for side in made.sides
         if side.proxy.program is not None
     )
