--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -18,7 +18,7 @@
     too_long,
 )
 from honeywharf.core import messages
-from honeywharf.flow.account import Account
+from honeywharf.flow.buffer_budget import BufferBudget
 from honeywharf.flow.pipe import Pipe
 
 MAX_INTERIM = 8  # 1xx answers ahead of one answer
@@ -261,16 +261,16 @@
     """Turns what one caller sends into requests.
 
     One whose body is longer than may be held whole is given as soon as that is known, with the rest of its
-    body on the way in its pipe; where the account has no place for it, its pipe has none either (`place`).
+    body on the way in its pipe; where the account has no place for it, its pipe has none either (`has_slot`).
 
     An offer of another protocol (RFC 9110, 7.8) is ignored. The parser ends such a message at its head and
     takes its body for the other protocol, so it is given a head of the same framing once more, of which
     nothing is noted: what it then finds is the body.
     """
 
-    def __init__(self, account: Account | None = None) -> None:
+    def __init__(self, buffer_budget: BufferBudget | None = None) -> None:
         super().__init__(messages.MAX_BODY)
-        self.account = account or Account(ALONE)
+        self.buffer_budget = buffer_budget or BufferBudget(ALONE)
         self.pipe: Pipe | None = None  # of the request that is being read
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
         self.request = NONE
@@ -372,7 +372,7 @@
 
     def _begin(self, length: int | None) -> None:
         """The body is too long to be held whole: its request is given, and the rest follows."""
-        pipe = self.pipe = Pipe(self.account, length, place=self.account.enter())
+        pipe = self.pipe = Pipe(self.buffer_budget, length, has_slot=self.buffer_budget.acquire())
         parts, self.parts = self.parts, []
         for part in parts:
             pipe.push(part)
@@ -419,9 +419,11 @@
     rest of its body on the way in its pipe; `pipe` is None again once all of it has come.
     """
 
-    def __init__(self, max_body: int = messages.MAX_ANSWER, account: Account | None = None) -> None:
+    def __init__(
+        self, max_body: int = messages.MAX_ANSWER, buffer_budget: BufferBudget | None = None
+    ) -> None:
         super().__init__(max_body)
-        self.account = account
+        self.buffer_budget = buffer_budget
         self.whole_most = 0  # bytes of a body that is held whole, where longer ones are passed on; 0: none is
         self.pipe: Pipe | None = None
         self.length = -1
@@ -512,12 +514,12 @@
 
     def _begin(self, length: int | None) -> None:
         """The body is too long to be held whole; only one that answers the request is passed on."""
-        if self.account is None or self.parser.get_status_code() != 200:
+        if self.buffer_budget is None or self.parser.get_status_code() != 200:
             if self.body_bytes > self.max_body or self.length > self.max_body:
                 raise MalformedError(413, "the body is too long")
             return
         response = self.response
-        pipe = self.pipe = response.pipe = Pipe(self.account, length, place=False)
+        pipe = self.pipe = response.pipe = Pipe(self.buffer_budget, length, has_slot=False)
         parts, self.parts = self.parts, []
         for part in parts:
             pipe.push(part)
--- a/honeywharf/core/driver.py
+++ b/honeywharf/core/driver.py
@@ -131,7 +131,7 @@
         self.requests[request.id] = exchange
         self.open += 1
         if arriving and request.pipe is not None:
-            request.pipe.on_whole = lambda: self.whole(exchange)  # its time runs from its last byte
+            request.pipe.on_complete = lambda: self.whole(exchange)  # its time runs from its last byte
         else:
             exchange.timer = self.loop.call_later(max(0.0, left) / 1000.0, self._overdue, exchange)
         if self.seams.connected:
@@ -241,7 +241,7 @@
                 self._report(response.load) if response is not None else None,
                 attempt.endpoint,
                 max(0.0, own),
-                pipe is not None and pipe.spent,
+                pipe is not None and pipe.replay_lost,
             ),
             exchange,
         )
@@ -385,7 +385,7 @@
         if action.timeout_ms:
             until = min(until, now + action.timeout_ms)
         pipe = exchange.request.pipe
-        gone = pipe is not None and (pipe.spent or pipe.failed or pipe.cancelled)
+        gone = pipe is not None and (pipe.replay_lost or pipe.failed or pipe.cancelled)
         if (
             gone
             or exchange.answered
--- a/honeywharf/flow/__init__.py
+++ b/honeywharf/flow/__init__.py
@@ -1,5 +1,5 @@
-"""Bodies on their way: how many bytes may wait where, and who is too slow. Without I/O.
+"""Flow control of long bodies: how many bytes may be buffered, and which peers are too slow. Without I/O.
 
-`account` bounds what all bodies together hold, `pipe` is one body between two connections, `pace` tells a
-slow peer by its rate.
+`buffer_budget` bounds what all bodies buffer together, `pipe` is one body between two connections, and
+`transfer_rate` detects slow peers.
 """
--- a/honeywharf/flow/pipe.py
+++ b/honeywharf/flow/pipe.py
@@ -1,13 +1,12 @@
 """One body between the connection that reads it and the one that writes it.
 
-Theory of operation. The source pushes what it has read; the sink, once there is one, takes it at once and
-says when it has more than it may hold, upon which the source stops reading. While there is no sink the pipe
-itself holds what comes, up to `KEEP` bytes. A request's pipe can be written once more to another sink as
-long as all of it is still in hand: that is, until more than `KEEP` bytes have come and begun to leave
-(`spent`).
-
-A pipe ends once: whole (`finish`), broken by its source (`fail`), or given up by its sink's side
-(`cancel`).
+Theory of operation. The source pushes what it has read. The sink, once there is one, writes it at once and
+reports when it buffers too much, upon which the source stops reading. While there is no sink the pipe itself
+buffers up to `REPLAY_BYTES`. A request's pipe can be replayed to another sink while all of it is still
+buffered, which is until more than `REPLAY_BYTES` have arrived and some have been forwarded (`replay_lost`).
+
+A pipe ends once: completed by its source (`finish`), aborted by its source (`fail`), or cancelled by the side
+of its sink (`cancel`).
 """
 
 from __future__ import annotations
@@ -16,159 +15,161 @@
 
 from mypy_extensions import mypyc_attr
 
-from honeywharf.flow.account import Account
+from honeywharf.flow.buffer_budget import BufferBudget
 
-KEEP = 64 * 1024  # bytes of a body that are held whole: so much may be sent again
+REPLAY_BYTES = 64 * 1024  # A body of up to this length is kept for a retry.
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class Source:
-    """Who reads a body."""
+    """The side that reads a body."""
 
-    def hold(self, held: bool) -> None:
-        """Stop reading, or go on."""
+    def set_paused(self, paused: bool) -> None:
+        """Stops or resumes reading."""
         raise NotImplementedError
 
-    def unwanted(self) -> None:
-        """Nobody takes the rest."""
+    def body_cancelled(self) -> None:
+        """The rest of the body is not wanted."""
         raise NotImplementedError
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class Sink:
-    """Who writes a body."""
+    """The side that writes a body."""
 
     def take(self, data: bytes) -> None:
-        """Some more of it; `Pipe.full` is told while too much waits."""
+        """Writes a part of the body; calls `Pipe.set_full` while it buffers too much."""
         raise NotImplementedError
 
-    def whole(self) -> None:
-        """That was all."""
+    def completed(self) -> None:
+        """The body is complete."""
         raise NotImplementedError
 
-    def broken(self) -> None:
-        """The rest will not come."""
+    def aborted(self) -> None:
+        """The rest of the body will not arrive."""
         raise NotImplementedError
 
 
 class Pipe:
-    """A body of `length` bytes, or of as many as come where that is None."""
+    """A body of `length` bytes, or of unknown length where that is None."""
 
     __slots__ = (
-        "account",
+        "buffer_budget",
+        "buffered",
         "cancelled",
         "ended",
         "failed",
-        "held",
+        "has_slot",
         "length",
-        "on_whole",
-        "place",
-        "queue",
+        "on_complete",
+        "received_bytes",
+        "replay_lost",
         "sink",
+        "slot_ticket",
         "source",
-        "spent",
-        "total",
     )
 
-    def __init__(self, account: Account, length: int | None, *, place: bool) -> None:
-        self.account, self.length = account, length
-        self.place = place  # in the account
-        self.queue = 0  # number in the account's queue, where it waits for a place
+    def __init__(self, buffer_budget: BufferBudget, length: int | None, *, has_slot: bool) -> None:
+        self.buffer_budget, self.length = buffer_budget, length
+        self.has_slot = has_slot  # In the buffer budget.
+        self.slot_ticket = 0  # While it waits for a slot.
         self.source: Source | None = None
         self.sink: Sink | None = None
-        self.held: list[bytes] = []
-        self.total = 0  # bytes that have come
-        self.spent = self.ended = self.failed = self.cancelled = False
-        self.on_whole: Callable[[], None] | None = None
+        self.buffered: list[bytes] = []
+        self.received_bytes = 0
+        self.replay_lost = self.ended = self.failed = self.cancelled = False
+        self.on_complete: Callable[[], None] | None = None
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more comes, or is wanted."""
+    def is_finished(self) -> bool:
+        """Whether the body is completed, aborted or cancelled."""
         return self.ended or self.failed or self.cancelled
 
     # The source's side.
 
     def push(self, data: bytes) -> None:
-        """So much more has come."""
-        if self.over:
+        """Forwards or buffers a part of the body."""
+        if self.is_finished:
             return
-        self.total += len(data)
-        self.account.bytes += len(data)
-        if not self.spent:
-            self.held.append(data)
-            if self.total > KEEP and self.sink is not None:
-                self.spent, self.held = True, []
+        self.received_bytes += len(data)
+        self.buffer_budget.transferred_bytes += len(data)
+        if not self.replay_lost:
+            self.buffered.append(data)
+            if self.received_bytes > REPLAY_BYTES and self.sink is not None:
+                self.replay_lost, self.buffered = True, []
         if self.sink is not None:
             self.sink.take(data)
-        elif self.total >= KEEP and self.source is not None:
-            self.source.hold(True)
+        elif self.received_bytes >= REPLAY_BYTES and self.source is not None:
+            self.source.set_paused(True)
 
     def finish(self) -> None:
-        """All has come."""
-        if self.over:
+        """Ends the pipe: the body is complete."""
+        if self.is_finished:
             return
         self.ended = True
-        if self.on_whole is not None:
-            self.on_whole()
+        if self.on_complete is not None:
+            self.on_complete()
         if self.sink is not None:
-            self.sink.whole()
+            self.sink.completed()
         self._leave()
 
     def fail(self) -> None:
-        """The rest will not come."""
-        if self.over:
+        """Ends the pipe: the rest of the body will not arrive."""
+        if self.is_finished:
             return
         self.failed = True
         if self.sink is not None:
-            self.sink.broken()
+            self.sink.aborted()
         self._leave()
 
     # The sink's side.
 
     def attach(self, sink: Sink) -> None:
-        """Give all that is held, and what comes from now on, to a sink."""
-        if self.spent or self.cancelled:
-            raise ValueError("found a body of which part has gone, wanted one that is whole in hand")
+        """Gives a sink all that is buffered, and what arrives from now on."""
+        if self.replay_lost or self.cancelled:
+            raise ValueError(
+                "body: expected one that is still buffered completely, got one partly forwarded or cancelled"
+            )
         self.sink = sink
-        for data in list(self.held):
+        for data in list(self.buffered):
             sink.take(data)
-        if self.total > KEEP:
-            self.spent, self.held = True, []
+        if self.received_bytes > REPLAY_BYTES:
+            self.replay_lost, self.buffered = True, []
         if self.ended:
-            sink.whole()
+            sink.completed()
         elif self.failed:
-            sink.broken()
+            sink.aborted()
         elif self.source is not None:
-            self.source.hold(False)
+            self.source.set_paused(False)
 
     def detach(self, sink: Sink) -> None:
-        """The sink is of no more use; another one may come where nothing is spent."""
+        """Removes a failed sink; another may be attached unless `replay_lost`."""
         if self.sink is not sink:
             return
         self.sink = None
-        if self.total >= KEEP and not self.over and self.source is not None:
-            self.source.hold(True)
+        if self.received_bytes >= REPLAY_BYTES and not self.is_finished and self.source is not None:
+            self.source.set_paused(True)
 
-    def full(self, is_full: bool) -> None:
-        """The sink has more than it may hold, or room again."""
-        if self.source is not None and not self.over:
-            self.source.hold(is_full)
+    def set_full(self, is_full: bool) -> None:
+        """The sink buffers too much, or has room again."""
+        if self.source is not None and not self.is_finished:
+            self.source.set_paused(is_full)
 
     def cancel(self) -> None:
-        """Nobody takes the rest."""
-        if self.over:
-            self.cancelled, self.held = True, []
+        """Ends the pipe: the rest of the body is not wanted."""
+        if self.is_finished:
+            self.cancelled, self.buffered = True, []
             return
         self.cancelled = True
-        self.sink, self.held = None, []
+        self.sink, self.buffered = None, []
         if self.source is not None:
-            self.source.unwanted()
+            self.source.body_cancelled()
         self._leave()
 
     def _leave(self) -> None:
-        if self.queue:
-            self.account.forget(self.queue)
-            self.queue = 0
-        if self.place:
-            self.place = False
-            self.account.leave()
+        if self.slot_ticket:
+            self.buffer_budget.cancel_wait(self.slot_ticket)
+            self.slot_ticket = 0
+        if self.has_slot:
+            self.has_slot = False
+            self.buffer_budget.release()
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -13,7 +13,7 @@
 from honeywharf.codecs import http1
 from honeywharf.core.messages import WHOLE_ANSWER
 from honeywharf.core.transport import Address, Clock, UpstreamRequest
-from honeywharf.flow.account import Account
+from honeywharf.flow.buffer_budget import BufferBudget
 from honeywharf.flow.pipe import Pipe
 from honeywharf.http.pieces import Reading, Writing, read_in_pieces
 from honeywharf.policy import interface as api
@@ -89,7 +89,7 @@
     def __init__(self, pool: Pool, backend: Backend) -> None:
         self.pool, self.backend = pool, backend
         self.call: UpstreamRequest | None = None
-        self.reader = http1.ResponseReader(account=pool.account)
+        self.reader = http1.ResponseReader(buffer_budget=pool.buffer_budget)
         self.body: Pipe | None = None  # of the call, while part of it is still to come
         self.sink: Writing | None = None
         self.stream: Pipe | None = None  # an answer that is passed on as it arrives
@@ -112,22 +112,22 @@
     def pause_writing(self) -> None:
         """Some of the request has not left yet: a break now proves that it never ran."""
         self.unsent = True
-        if self.body is not None and self.transport.get_write_buffer_size() > self.pool.account.share():
-            self.body.full(True)
+        if self.body is not None and self.transport.get_write_buffer_size() > self.pool.buffer_budget.share():
+            self.body.set_full(True)
 
     def resume_writing(self) -> None:
         """All that was written has left."""
         self.unsent = self.body is not None
         if self.body is not None:
-            self.body.full(False)
+            self.body.set_full(False)
 
     def take(self, data: bytes) -> None:
         """Some more of the call's body."""
         body = self.body
         if body is not None:
             self.transport.write(http1.chunk(data) if body.length is None else data)
-            if self.transport.get_write_buffer_size() > self.pool.account.share():
-                body.full(True)
+            if self.transport.get_write_buffer_size() > self.pool.buffer_budget.share():
+                body.set_full(True)
 
     def sent(self) -> None:
         """All of the call's body has been written."""
@@ -141,7 +141,7 @@
         if not self.closed:
             self._end(O.CONNECT_FAILED, None)
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, held: bool) -> None:
         """Read no more of an answer, or go on."""
         self.held = held
         if not self.closed and not self.transport.is_closing():
@@ -207,7 +207,7 @@
         if self.body is not None and response.status != 200:
             # Before the request's last byte has left: the backend has not begun it, whatever the answer says.
             self._end(O.REJECTED, response)
-        elif response.pipe is None or response.pipe.over:
+        elif response.pipe is None or response.pipe.is_finished:
             reusable = response.keep and reader.idle and not reader.surplus and not self.unsent
             self._end(outcome_of(response), response, reusable=reusable)
         else:
@@ -222,9 +222,9 @@
         self.timer = self.pool.loop.call_later(STREAM_S, self._dried_up)
         self.pool.streams += 1
         read_in_pieces(self.transport, self)
-        if self.pool.account.open >= self.pool.account.places:
-            self.hold(True)  # until a place is free
-        pipe.queue = self.pool.account.wait(self._placed)
+        if self.pool.buffer_budget.open_pipes >= self.pool.buffer_budget.max_pipes:
+            self.set_paused(True)  # until a place is free
+        pipe.slot_ticket = self.pool.buffer_budget.wait_for_slot(self._placed)
         if call is not None:
             call.connection = None
             call.ended(O.OK, response)
@@ -232,10 +232,10 @@
     def _placed(self) -> None:
         """The answer has its place in the account."""
         if self.stream is None:
-            self.pool.account.leave()
+            self.pool.buffer_budget.release()
             return
-        self.stream.place, self.stream.queue = True, 0
-        self.hold(False)
+        self.stream.has_slot, self.stream.slot_ticket = True, 0
+        self.set_paused(False)
 
     def _streamed(self, data: bytes) -> None:
         """Read on; where the answer ends, the connection is free again."""
@@ -247,7 +247,7 @@
             stream.fail()
         if stream.ended:
             self._stream_over(reusable=reader.idle and not reader.surplus and not self.unsent)
-        elif stream.over:
+        elif stream.is_finished:
             self._broke()
 
     def _stream_over(self, *, reusable: bool) -> None:
@@ -267,7 +267,7 @@
         self.pool.broken(self.backend)
         self.drop()
 
-    def unwanted(self) -> None:
+    def body_cancelled(self) -> None:
         """Nobody takes the rest of the answer."""
         self.stream = None
         self._disarm()
@@ -374,9 +374,9 @@
         clock: Clock,
         limits: api.Limits,
         most: int,
-        account: Account | None = None,
+        buffer_budget: BufferBudget | None = None,
     ) -> None:
-        self.account = account or Account(http1.ALONE)
+        self.buffer_budget = buffer_budget or BufferBudget(http1.ALONE)
         self.streams = 0  # answers that were passed on as they arrived
         self.broke = 0  # of them, those that broke off
         self.on_broken: Callable[[str], None] | None = None  # told of the endpoint
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -12,9 +12,9 @@
 from honeywharf.core.driver import Driver
 from honeywharf.core.messages import MAX_BUFFERED_BODY, Status, is_call
 from honeywharf.core.transport import Address, Clock
-from honeywharf.flow.account import Account
-from honeywharf.flow.pace import HEAD_MS, MIN_PER_S, STALL_MS, Pace
+from honeywharf.flow.buffer_budget import BufferBudget
 from honeywharf.flow.pipe import Pipe
+from honeywharf.flow.transfer_rate import HEADER_TIMEOUT_MS, MIN_BYTES_PER_S, STALL_TIMEOUT_MS, TransferRate
 from honeywharf.http.pieces import Reading, Writing, read_in_pieces
 
 if TYPE_CHECKING:
@@ -88,9 +88,9 @@
         self.front = front
         self.waited_ms = waited_ms  # before it was accepted, what came first has waited so long
         self.doubtful = doubtful  # its caller had ended its side by then, and may be gone
-        self.reader = http1.RequestReader(front.account)
+        self.reader = http1.RequestReader(front.buffer_budget)
         self.coming: Pipe | None = None  # a long body of its caller's, on the way
-        self.pace: Pace | None = None  # of a body that is coming
+        self.pace: TransferRate | None = None  # of a body that is coming
         self.stream: Pipe | None = None  # an answer's body, on the way to its caller
         self.chunked = self.closes = False  # that answer's form, and whether its end is the connection's
         self.moved_ms = 0.0  # when its caller took something of it last
@@ -125,14 +125,14 @@
         if self.pace is not None:
             self.pace.bytes += len(data)
         if self.coming is not None:
-            if self.coming.over:
+            if self.coming.is_finished:
                 self._arrived()
             elif self.fault is not None:
                 self._break_off()
         if requests:
             now = self.front.clock.now() - self.waited_ms
             for request in requests:
-                if request.pipe is not None and not request.pipe.over:
+                if request.pipe is not None and not request.pipe.is_finished:
                     self._arrives(request.pipe, now)
                 request.read_ms, request.waited_ms = now, self.waited_ms
                 self.waiting.append(request)
@@ -152,17 +152,17 @@
 
     def _arrives(self, pipe: Pipe, now: float) -> None:
         """A long body comes in pieces from now on."""
-        self.coming, self.pace, pipe.source = pipe, Pace(now), Reading(self)
+        self.coming, self.pace, pipe.source = pipe, TransferRate(now), Reading(self)
         self.front.uploads[self] = None
         read_in_pieces(self.transport, self)
         if self.current is not None or self.stream is not None or len(self.waiting) > 0:
             self.transport.pause_reading()  # until its turn comes
-            self.pace.hold(now, True)
+            self.pace.set_paused(now, True)
 
     def _arrived(self) -> None:
         """No long body is coming any more: what comes next is read as before."""
         if self.coming is not None:
-            self.hold(False)
+            self.set_paused(False)
         self.coming = self.pace = None
         self.front.uploads.pop(self, None)
 
@@ -176,10 +176,10 @@
             self._arrived()
             pipe.fail()
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, held: bool) -> None:
         """Read no more of a body, or go on: whoever writes it has its hands full."""
         if self.pace is not None:
-            self.pace.hold(self.front.clock.now(), held)
+            self.pace.set_paused(self.front.clock.now(), held)
         if not self.ended and not self.transport.is_closing():
             if held:
                 self.transport.pause_reading()
@@ -220,7 +220,7 @@
             self.front.move(self, None)
             request = self.current
             if request.pipe is not None and request.pipe is self.coming:
-                self.hold(False)
+                self.set_paused(False)
             self.front.serve(request, self)
             if self.current is request and request.expects and request.pipe is not None:
                 request.expects = False
@@ -259,7 +259,7 @@
         self.chunked = pipe.length is None and request.interim  # HTTP/1.0 knows no chunks
         self.moved_ms = self.front.clock.now()
         self.front.downloads[self] = None
-        self.transport.set_write_buffer_limits(high=self.front.account.share())
+        self.transport.set_write_buffer_limits(high=self.front.buffer_budget.share())
         self.transport.write(
             http1.begun_answer(
                 200, pipe.length, keep=keep, chunked=self.chunked, kind=kind, lines=request.answer_lines
@@ -296,9 +296,9 @@
         self.front.downloads.pop(self, None)
         self.transport.set_write_buffer_limits()
 
-    def unwanted(self) -> None:
+    def body_cancelled(self) -> None:
         """Read the rest of a body, and throw it away: the answer says the rest."""
-        self.hold(False)
+        self.set_paused(False)
 
     def cut(self) -> None:
         """The rest of an answer will not come: its caller sees that, by the connection's end."""
@@ -320,13 +320,13 @@
     def pause_writing(self) -> None:
         """The caller takes an answer more slowly than it comes."""
         if self.stream is not None:
-            self.stream.full(True)
+            self.stream.set_full(True)
 
     def resume_writing(self) -> None:
         """The caller has taken most of what was written."""
         self.moved_ms = self.front.clock.now()
         if self.stream is not None:
-            self.stream.full(False)
+            self.stream.set_full(False)
 
     def reply(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0, kind: bytes = b"") -> None:
         """Write an answer to the current request, then turn to the next."""
@@ -484,9 +484,9 @@
         driver: Driver,
         most: int,
         watch_is_up: Callable[[], bool],
-        account: Account,
+        buffer_budget: BufferBudget,
     ) -> None:
-        self.account = account
+        self.buffer_budget = buffer_budget
         self.uploads: dict[Connection, None] = {}  # long bodies that come, and answers that go
         self.downloads: dict[Connection, None] = {}
         self.loop, self.clock, self.driver, self.most = loop, clock, driver, most
@@ -593,7 +593,9 @@
             connection.reply(200 if self.ready() else REFUSED)
         elif not is_call(request.target):
             connection.reply(404)
-        elif self.refusing or (request.pipe is not None and not request.pipe.place and not request.pipe.over):
+        elif self.refusing or (
+            request.pipe is not None and not request.pipe.has_slot and not request.pipe.is_finished
+        ):
             connection.reply(REFUSED)  # nothing has run; of a long body there is no place for, too
         elif self.driver.offer(request, connection) is not None:
             connection.reject(400)
@@ -622,7 +624,7 @@
     def room(self, part: float) -> None:
         """Hold so much of the connections that this process may hold alone; those beyond close by and by."""
         self.most = max(1, int(self.whole_most * part))
-        self.account.room(part)
+        self.buffer_budget.scale(part)
 
     def give_all(self, giver: Callable[[int], bool] | None) -> None:
         """Give connections away from now on, each as soon as it is between two requests; None: no longer."""
@@ -681,16 +683,16 @@
         self._close_older(self.idle, now - (CROWDED_IDLE_MS if crowded else IDLE_MS))
         # Bodies that fit are held whole, and may be as slow as long ones.
         for connection in list(self.partial):
-            spent = now - connection.since_ms - HEAD_MS
+            spent = now - connection.since_ms - HEADER_TIMEOUT_MS
             if spent > 0 and (
-                connection.reader.in_head or spent * MIN_PER_S / 1000.0 > connection.reader.body_bytes
+                connection.reader.in_head or spent * MIN_BYTES_PER_S / 1000.0 > connection.reader.body_bytes
             ):
                 connection.reject(408)
         for connection in list(self.uploads):
-            if connection.pace is not None and connection.pace.late(now):
+            if connection.pace is not None and connection.pace.is_too_slow(now):
                 connection.too_slow()
         for connection in list(self.downloads):
-            if connection.moved_ms < now - STALL_MS and connection.transport.get_write_buffer_size():
+            if connection.moved_ms < now - STALL_TIMEOUT_MS and connection.transport.get_write_buffer_size():
                 connection.cut_off()
         self.loop.call_later(SWEEP_S, self._sweep)
 
--- a/honeywharf/http/pieces.py
+++ b/honeywharf/http/pieces.py
@@ -10,15 +10,15 @@
 import asyncio
 from typing import Protocol
 
-from honeywharf.flow.account import READ
+from honeywharf.flow.buffer_budget import MAX_READ
 from honeywharf.flow.pipe import Sink, Source
 
-_BUFFER = bytearray(READ)  # shared by all: the loop reads into it and hands it on in the same turn
+_BUFFER = bytearray(MAX_READ)  # shared by all: the loop reads into it and hands it on in the same turn
 _VIEW = memoryview(_BUFFER)
 
 
 class InPieces(asyncio.BufferedProtocol):
-    """Stands before a connection's protocol, and hands on what comes in pieces of `READ` bytes at most."""
+    """Stands before a connection's protocol, and hands on what comes in pieces of `MAX_READ` bytes."""
 
     __slots__ = ("inner",)
 
@@ -78,10 +78,10 @@
 class Reads(Protocol):
     """A connection that a body is read from."""
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, held: bool) -> None:
         """Stop reading, or go on."""
 
-    def unwanted(self) -> None:
+    def body_cancelled(self) -> None:
         """Nobody takes the rest."""
 
 
@@ -97,11 +97,11 @@
         """Some more of it."""
         self.connection.take(data)
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """That was all."""
         self.connection.sent()
 
-    def broken(self) -> None:
+    def aborted(self) -> None:
         """The rest will not come."""
         self.connection.cut()
 
@@ -114,10 +114,10 @@
     def __init__(self, connection: Reads) -> None:
         self.connection = connection
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, held: bool) -> None:
         """Stop reading, or go on."""
-        self.connection.hold(held)
+        self.connection.set_paused(held)
 
-    def unwanted(self) -> None:
+    def body_cancelled(self) -> None:
         """Nobody takes the rest."""
-        self.connection.unwanted()
+        self.connection.body_cancelled()
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -21,7 +21,7 @@
 from honeywharf.core.parts import Ask, Part
 from honeywharf.core.transport import AddressBook, Clock, Transport, log
 from honeywharf.discovery.watch import Directory, Watch
-from honeywharf.flow.account import PART, Account
+from honeywharf.flow.buffer_budget import MEMORY_SHARE, BufferBudget
 from honeywharf.http.backend import Pool
 from honeywharf.http.front import Front
 from honeywharf.policy import interface as api
@@ -54,8 +54,8 @@
         sockets = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         room = sockets - min(max(OWN_LEAST, int(sockets * OWN_SHARE)), sockets // 2)
         upstream = min(int(sockets * UPSTREAM_SHARE), room // 2)
-        self.account = Account(int(conf.memory_mb * 1024 * 1024 * PART))
-        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream, self.account)
+        self.buffer_budget = BufferBudget(int(conf.memory_mb * 1024 * 1024 * MEMORY_SHARE))
+        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream, self.buffer_budget)
         limiter = features.limits.limiter if features is not None else limits.DEFAULT
         self.balancer = Balancer(conf.settings, conf.seed, limiter)
         self.transport: Transport = self.pool
@@ -73,7 +73,7 @@
         self.driver.registry = self.watch
         self.pool.on_broken = self.driver.broken
         self.front = Front(
-            loop, self.clock, self.driver, room - upstream, lambda: self.watch.up, self.account
+            loop, self.clock, self.driver, room - upstream, lambda: self.watch.up, self.buffer_budget
         )
         self.keeper = Keeper(
             loop, self.clock, self.front, self, max(c.deadline_ms for c in conf.settings.classes)
@@ -247,11 +247,11 @@
     def counts(self) -> dict[str, int]:
         """What was done since the start, with what its parts count."""
         counts = dict(self.driver.counts, handshakes=self.pool.handshakes)
-        if self.account.bytes:
+        if self.buffer_budget.transferred_bytes:
             counts.update(
                 {
-                    "bodies:mb": self.account.bytes >> 20,
-                    "bodies:refused": self.account.refused,
+                    "bodies:mb": self.buffer_budget.transferred_bytes >> 20,
+                    "bodies:refused": self.buffer_budget.rejected,
                     "bodies:answers": self.pool.streams,
                 }
             )
--- a/tests/flow/test_rules.py
+++ b/tests/flow/test_rules.py
@@ -1,27 +1,27 @@
-"""The byte account, pipes and paces, without sockets."""
+"""The buffer budget, pipes and transfer rates, without sockets."""
 
 from __future__ import annotations
 
 import pytest
 from hypothesis import given, strategies as st
 
-from honeywharf.flow import account, pace, pipe
-from honeywharf.flow.account import LEAST, READ, Account
-from honeywharf.flow.pipe import KEEP, Pipe, Sink, Source
+from honeywharf.flow import buffer_budget, pipe, transfer_rate
+from honeywharf.flow.buffer_budget import MAX_READ, MIN_SHARE_BYTES, BufferBudget
+from honeywharf.flow.pipe import REPLAY_BYTES, Pipe, Sink, Source
 
 
-class Reader(Source):
+class RecordingSource(Source):
     def __init__(self) -> None:
-        self.held, self.dropped = False, False
+        self.paused, self.is_cancelled = False, False
 
-    def hold(self, held: bool) -> None:
-        self.held = held
+    def set_paused(self, paused: bool) -> None:
+        self.paused = paused
 
-    def unwanted(self) -> None:
-        self.dropped = True
+    def body_cancelled(self) -> None:
+        self.is_cancelled = True
 
 
-class Writer(Sink):
+class RecordingSink(Sink):
     def __init__(self) -> None:
         self.got, self.end = b"", ""
 
@@ -29,18 +29,18 @@
         assert not self.end
         self.got += data
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         assert not self.end
         self.end = "whole"
 
-    def broken(self) -> None:
+    def aborted(self) -> None:
         assert not self.end
         self.end = "broken"
 
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("push"), st.integers(1, KEEP)),
+        st.tuples(st.just("push"), st.integers(1, REPLAY_BYTES)),
         st.tuples(st.just("attach"), st.just(0)),
         st.tuples(st.just("detach"), st.just(0)),
         st.tuples(st.sampled_from(("finish", "fail", "cancel")), st.just(0)),
@@ -51,27 +51,27 @@
 
 @given(STEPS)
 def test_a_pipe_gives_each_sink_all_or_nothing_and_ends_once(steps: list[tuple[str, int]]) -> None:
-    """Against a list of what was pushed: the model of a body that is held for ever."""
-    kept = Account(1 << 22)
-    made, reader = Pipe(kept, None, place=kept.enter()), Reader()
+    """Compares the pipe with a model that keeps all that was pushed."""
+    kept = BufferBudget(1 << 22)
+    made, reader = Pipe(kept, None, has_slot=kept.acquire()), RecordingSource()
     made.source = reader
-    pushed, writer, end = b"", Writer(), ""
+    pushed, writer, end = b"", RecordingSink(), ""
     attached = False
     for number, (step, size) in enumerate(steps):
-        if step == "push" and not reader.held:
+        if step == "push" and not reader.paused:
             data = bytes([number]) * size
             pushed += b"" if end else data
             made.push(data)
-            assert end or attached or len(pushed) < KEEP or reader.held
+            assert end or attached or len(pushed) < REPLAY_BYTES or reader.paused
         elif step == "attach" and not attached:
-            writer = Writer()
-            if made.spent or made.cancelled:
-                with pytest.raises(ValueError, match="whole in hand"):
+            writer = RecordingSink()
+            if made.replay_lost or made.cancelled:
+                with pytest.raises(ValueError, match="still buffered completely"):
                     made.attach(writer)
             else:
                 made.attach(writer)
                 attached = True
-                assert writer.got == pushed  # all from the first byte on, however often it was tried
+                assert writer.got == pushed  # All from the first byte on, however often it is replayed.
         elif step == "detach":
             made.detach(writer)
             attached = False
@@ -82,47 +82,53 @@
         if attached:
             assert writer.got == pushed
             assert writer.end == {"": "", "finish": "whole", "fail": "broken"}[end]
-        assert sum(map(len, made.held)) <= 2 * KEEP  # what one push may bring beyond what is kept
-        assert kept.open == (0 if end else 1)
-        assert reader.dropped == (end == "cancel")
+        assert sum(map(len, made.buffered)) <= 2 * REPLAY_BYTES  # One push may exceed what is kept.
+        assert kept.open_pipes == (0 if end else 1)
+        assert reader.is_cancelled == (end == "cancel")
 
 
 @given(st.lists(st.sampled_from(("enter", "wait", "leave", "forget")), max_size=60))
-def test_an_account_never_gives_more_places_than_it_has(steps: list[str]) -> None:
-    made = Account(5 * (LEAST + READ))
+def test_a_budget_never_grants_more_slots_than_it_has(steps: list[str]) -> None:
+    made = BufferBudget(5 * (MIN_SHARE_BYTES + MAX_READ))
     held, queued = 0, []
     gone: list[int] = []
     for step in steps:
         if step == "enter":
-            held += made.enter()
+            held += made.acquire()
         elif step == "wait":
-            queued.append(made.wait(lambda: gone.append(1)))
+            queued.append(made.wait_for_slot(lambda: gone.append(1)))
         elif step == "leave" and held + len(gone) > 0:
             if held:
                 held -= 1
             else:
                 gone.pop()
-            made.leave()
+            made.release()
         elif step == "forget" and queued:
-            made.forget(queued.pop())
-        assert made.open == held + len(gone) <= made.places == 5
-        assert not made.waiting or made.open == made.places  # nobody waits while there is a place
-        assert LEAST <= made.share() <= account.EACH
-        assert made.open * (made.share() + READ) <= max(made.most, made.open * (LEAST + READ))
-    with pytest.raises(ValueError, match="for bodies, wanted"):
-        Account(LEAST)
-
-
-def test_a_body_of_64_kb_a_second_is_in_time_and_a_trickle_is_not() -> None:
-    fast, trickle, held = pace.Pace(0.0), pace.Pace(0.0), pace.Pace(0.0)
+            made.cancel_wait(queued.pop())
+        assert made.open_pipes == held + len(gone) <= made.max_pipes == 5
+        assert not made.waiting or made.open_pipes == made.max_pipes  # Nobody waits while a slot is free.
+        assert MIN_SHARE_BYTES <= made.share() <= buffer_budget.MAX_SHARE_BYTES
+        assert made.open_pipes * (made.share() + MAX_READ) <= max(
+            made.max_bytes, made.open_pipes * (MIN_SHARE_BYTES + MAX_READ)
+        )
+    with pytest.raises(ValueError, match="max_bytes: expected at least"):
+        BufferBudget(MIN_SHARE_BYTES)
+
+
+def test_a_body_of_64_kb_per_second_is_fast_enough_and_a_trickle_is_too_slow() -> None:
+    fast, trickle, held = (
+        transfer_rate.TransferRate(0.0),
+        transfer_rate.TransferRate(0.0),
+        transfer_rate.TransferRate(0.0),
+    )
     for second in range(1, 60):
         fast.bytes += 64_000
         trickle.bytes += 1_000
-        assert not fast.late(second * 1000.0)
-        assert trickle.late(second * 1000.0) == (second > 2)
-    held.hold(1000.0, True)
-    assert not held.late(60_000.0)  # this side has not let it send
-    held.hold(60_000.0, False)
-    assert not held.late(61_000.0)
-    assert held.late(63_000.0)
-    assert pipe.KEEP <= account.READ
+        assert not fast.is_too_slow(second * 1000.0)
+        assert trickle.is_too_slow(second * 1000.0) == (second > 2)
+    held.set_paused(1000.0, True)
+    assert not held.is_too_slow(60_000.0)  # This side has paused the peer.
+    held.set_paused(60_000.0, False)
+    assert not held.is_too_slow(61_000.0)
+    assert held.is_too_slow(63_000.0)
+    assert pipe.REPLAY_BYTES <= buffer_budget.MAX_READ
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways on loopback: in pieces, at unlike speeds, broken, early, in all forms of HTTP/1.1."""
+"""Long bodies both ways on loopback: split, slow, aborted, answered early, in all forms of HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from honeywharf.flow import account
+from honeywharf.flow import buffer_budget
 from honeywharf.http import backend as upstream, front as downstream
 from honeywharf.policy import interface as api
 from tests.loopback import Backend, Client, reply, run, soon, until, world
@@ -18,7 +18,7 @@
 
 
 async def raw(answer: Callable[[asyncio.StreamReader, asyncio.StreamWriter], object]) -> asyncio.Server:
-    """A server that is handed each connection."""
+    """A server that calls `answer` with each connection."""
     return await asyncio.start_server(answer, "127.0.0.1", 0)  # type: ignore[arg-type]
 
 
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("version", ["HTTP/1.1", "HTTP/1.0"])
-def test_a_long_answer_is_passed_on_as_it_arrives_in_each_form(form: str, version: str) -> None:
+def test_a_long_answer_is_forwarded_as_it_arrives_in_each_form(form: str, version: str) -> None:
     async def main() -> None:
         first_half = asyncio.Event()
 
@@ -77,45 +77,45 @@
                 f"GET /api {version}\r\nHost: x\r\nX-Correlation-Id: i1\r\nX-Service-Class: read\r\n"
                 "X-Time-Left: 4000m\r\n\r\n".encode()
             )
-            told = await head(client.reader)  # before the backend has given all
-            assert told.startswith(b"HTTP/1.1 200 ")
-            if b"chunked" in told:
+            response_head = await head(client.reader)  # Before the backend has sent all of it.
+            assert response_head.startswith(b"HTTP/1.1 200 ")
+            if b"chunked" in response_head:
                 assert version == "HTTP/1.1"
                 assert form != "length"
                 size = int(await soon(client.reader.readline()), 16)
-                early = (await soon(client.reader.readexactly(size + 2)))[:-2]
+                first_part = (await soon(client.reader.readexactly(size + 2)))[:-2]
             else:
-                early = await soon(client.reader.readexactly(10_000))
+                first_part = await soon(client.reader.readexactly(10_000))
             first_half.set()
-            if b"chunked" in told:
-                body = early + await unchunked(client.reader)
-            elif b"Content-Length" in told:
-                body = early + await soon(client.reader.readexactly(len(LONG) - len(early)))
+            if b"chunked" in response_head:
+                body = first_part + await unchunked(client.reader)
+            elif b"Content-Length" in response_head:
+                body = first_part + await soon(client.reader.readexactly(len(LONG) - len(first_part)))
             else:
-                assert (version, b"Connection: close" in told) == ("HTTP/1.0", True)
-                body = early + await soon(client.reader.read(-1))
+                assert (version, b"Connection: close" in response_head) == ("HTTP/1.0", True)
+                body = first_part + await soon(client.reader.read(-1))
             assert body == LONG
-            if version == "HTTP/1.1":  # the connection is as good as before
+            if version == "HTTP/1.1":  # The connection can be reused.
                 client.send()
                 assert (await head(client.reader)).startswith(b"HTTP/1.1 200 ")
             (ended, *_) = w.ended()
             assert ended.outcome is api.Outcome.OK
-            assert w.proxy.account.open <= 1
+            assert w.proxy.buffer_budget.open_pipes <= 1
         server.close()
 
     run(main())
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_body_is_passed_on_as_it_arrives(chunked: bool) -> None:
+def test_a_long_body_is_forwarded_as_it_arrives(chunked: bool) -> None:
     async def main() -> None:
         got = hashlib.sha256()
         began = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            told = await head(reader)
+            response_head = await head(reader)
             began.set()
-            whole = unchunked(reader) if b"chunked" in told else soon(reader.readexactly(4 * MB))
+            whole = unchunked(reader) if b"chunked" in response_head else soon(reader.readexactly(4 * MB))
             got.update(await whole)
             writer.write(reply(200, b"mosaic"))
 
@@ -134,18 +134,18 @@
                 piece = LONG
                 client.writer.write(b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece)
                 if i == 1:
-                    await soon(began.wait())  # the backend has it before the client has sent all
+                    await soon(began.wait())  # The backend has begun before the client has sent all.
             if chunked:
                 client.writer.write(b"0\r\n\r\n")
             assert (await client.answer())[2] == b"mosaic"
             assert got.digest() == hashlib.sha256(LONG * 4).digest()
-            assert (w.proxy.account.open, w.proxy.front.uploads) == (0, {})
+            assert (w.proxy.buffer_budget.open_pipes, w.proxy.front.uploads) == (0, {})
         server.close()
 
     run(main())
 
 
-def test_a_message_cut_at_every_byte_is_the_same_message() -> None:
+def test_a_message_split_at_any_byte_is_read_the_same() -> None:
     async def main() -> None:
         body = b"z" * 300
         answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x;x=y\r\n%b\r\n0\r\nT: t\r\n\r\n" % (
@@ -182,7 +182,7 @@
     run(main())
 
 
-def test_an_answer_broken_in_the_middle_is_visibly_broken_and_told() -> None:
+def test_an_aborted_answer_is_visibly_incomplete_and_reported() -> None:
     async def main() -> None:
         for form in ("length", "chunked"):
             backend = await Backend().start()
@@ -199,30 +199,30 @@
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await soon(client.reader.readexactly(len(body)))
                 await until(lambda w=w: any(isinstance(e, api.AnswerBroken) for e in w.events))  # type: ignore[misc]
-                assert len(backend.requests) == 1  # its one final answer had begun: nothing more is sent
-                assert w.proxy.account.open == 0
+                assert len(backend.requests) == 1  # Its answer had begun, so that it is not retried.
+                assert w.proxy.buffer_budget.open_pipes == 0
             await backend.stop()
 
     run(main())
 
 
-def test_a_caller_that_does_not_read_holds_a_bounded_part_and_is_cut_in_the_end(
+def test_a_caller_that_does_not_read_buffers_a_bounded_part_and_is_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(downstream, "STALL_MS", 400.0)
+    monkeypatch.setattr(downstream, "STALL_TIMEOUT_MS", 400.0)
 
     async def main() -> None:
-        given = 0
+        written = 0
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal given
+            nonlocal written
             await head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (64 * MB))
             try:
-                while given < 64 * MB:
+                while written < 64 * MB:
                     writer.write(LONG)
                     await writer.drain()
-                    given += MB
+                    written += MB
             except ConnectionError:
                 pass
             finally:
@@ -239,27 +239,27 @@
             (connection,) = w.proxy.front.downloads
             await until(lambda: connection.transport.get_write_buffer_size() > 0)
             held = connection.transport.get_write_buffer_size()
-            assert held <= w.proxy.account.share() + account.READ
-            await until(lambda: not w.proxy.front.downloads)  # cut, and its backend's connection with it
+            assert held <= w.proxy.buffer_budget.share() + buffer_budget.MAX_READ
+            await until(lambda: not w.proxy.front.downloads)  # Closed, and its backend's connection with it.
             await until(lambda: w.proxy.pool.count == 0)
-            assert given < 32 * MB
-            assert w.proxy.account.open == 0
+            assert written < 32 * MB
+            assert w.proxy.buffer_budget.open_pipes == 0
         server.close()
 
     run(main())
 
 
-def test_an_upload_that_stops_halfway_was_never_run_and_holds_nothing(
+def test_an_upload_that_stops_halfway_never_runs_and_releases_its_slot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("honeywharf.flow.pace.HEAD_MS", 100.0)
+    monkeypatch.setattr("honeywharf.flow.transfer_rate.HEADER_TIMEOUT_MS", 100.0)
 
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
             for leaves in (True, False):
                 client = await Client.to(w.port)
-                client.send("pay", b"")  # an ordinary one first
+                client.send("pay", b"")  # An ordinary request first.
                 assert await client.status() == 200
                 client.writer.write(
                     b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: u%d\r\nX-Service-Class: pay\r\n"
@@ -271,15 +271,15 @@
                 else:
                     assert await client.status() == 408
                 await until(lambda: w.proxy.driver.open == 0 and not w.proxy.driver.requests)
-                await until(lambda: w.proxy.account.open == 0)
-            assert len(backend.requests) == 2  # neither upload became a request there
+                await until(lambda: w.proxy.buffer_budget.open_pipes == 0)
+            assert len(backend.requests) == 2  # Neither upload became a request there.
         await backend.stop()
 
     run(main())
 
 
-def test_an_early_refusal_is_passed_on_while_the_body_still_comes() -> None:
-    """The backend answers before it has all: it has not begun the request, and the caller may try again."""
+def test_an_early_rejection_is_forwarded_while_the_body_still_arrives() -> None:
+    """A backend that answers before it has all of the body has not run the request: callers may retry."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -297,23 +297,23 @@
                 b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: e1\r\nX-Service-Class: pay\r\n"
                 b"X-Time-Left: 3000m\r\nContent-Length: %d\r\n\r\n" % (8 * MB)
             )
-            for _ in range(8):  # it reads nothing before it has written all
+            for _ in range(8):  # The client reads nothing before it has written all.
                 client.writer.write(LONG)
                 await soon(client.writer.drain())
             assert await client.status() == 503
             assert next(e.outcome for e in w.ended()) is api.Outcome.REJECTED
             assert w.ended()[0].last
-            await until(lambda: w.proxy.account.open == 0)
+            await until(lambda: w.proxy.buffer_budget.open_pipes == 0)
         server.close()
 
     run(main())
 
 
-def test_a_body_in_hand_is_sent_again_and_one_that_has_gone_is_not() -> None:
-    """What was refused before more than is kept had come goes to another backend, whole."""
+def test_a_buffered_body_is_retried_and_a_forwarded_one_is_not() -> None:
+    """A body rejected before more than is kept has arrived goes to another backend, complete."""
 
     async def main() -> None:
-        async def turn_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def close_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await head(reader)
             writer.close()
 
@@ -326,12 +326,12 @@
                 body = await soon(reader.readexactly(200_000))
                 writer.write(reply(200, hashlib.sha256(body).hexdigest().encode()))
 
-        bad, good = await raw(turn_away), await raw(serve)
+        bad, good = await raw(close_connection), await raw(serve)
         one, two = Backend(), Backend()
         one.port, two.port = port_of(bad), port_of(good)
         async with world([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
-            for i in range(12):  # until the bad one has had its turn
+            for i in range(12):  # Until the bad backend has been tried.
                 client.writer.write(
                     b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a%d\r\nX-Service-Class: pay\r\n"
                     b"X-Time-Left: 3000m\r\nContent-Length: 200000\r\n\r\n" % i + b"w" * 30_000
@@ -347,36 +347,38 @@
     run(main())
 
 
-def test_bodies_beyond_the_places_wait_or_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bodies_beyond_the_slots_wait_or_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], memory_mb=16.0) as w:
-            w.proxy.account.places = 1
+            w.proxy.buffer_budget.max_pipes = 1
             first, second = await Client.to(w.port), await Client.to(w.port)
             upload = (
                 b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %b\r\nX-Service-Class: pay\r\n"
                 b"X-Time-Left: 3000m\r\nContent-Length: 100000\r\n\r\n"
             )
             first.writer.write(upload % b"p1" + b"x" * 90_000)
-            await until(lambda: w.proxy.account.open == 1)
+            await until(lambda: w.proxy.buffer_budget.open_pipes == 1)
             second.writer.write(upload % b"p2" + b"x" * 90_000)
             assert await second.status() == 503
-            asks = await Client.to(w.port)
+            reading_client = await Client.to(w.port)
             backend.then = reply(200, LONG)
-            asks.send()
-            told = await head(asks.reader)  # its first bytes come, the rest waits for a place
-            assert b"200" in told
+            reading_client.send()
+            response_head = await head(
+                reading_client.reader
+            )  # The first bytes arrive, the rest waits for a slot.
+            assert b"200" in response_head
             first.writer.write(b"x" * 10_000)
             assert len((await first.answer())[2]) == len(LONG)
-            assert len(await soon(asks.reader.readexactly(len(LONG)))) == len(LONG)
-            await until(lambda: w.proxy.account.open == 0)
-            assert w.proxy.account.refused == 1
+            assert len(await soon(reading_client.reader.readexactly(len(LONG)))) == len(LONG)
+            await until(lambda: w.proxy.buffer_budget.open_pipes == 0)
+            assert w.proxy.buffer_budget.rejected == 1
         await backend.stop()
 
     run(main())
 
 
-def test_a_long_answer_that_dries_up_is_broken_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_answer_that_stalls_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STREAM_S", 0.1)
 
     async def main() -> None:
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
 def test_who_asks_nothing_is_closed_after_a_while(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("SILENT_MS", "IDLE_MS", "HEAD_MS"):
+    for name in ("SILENT_MS", "IDLE_MS", "HEADER_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
@@ -293,7 +293,7 @@
 
 
 def test_part_of_a_request_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "HEAD_MS", 50.0)
+    monkeypatch.setattr(downstream, "HEADER_TIMEOUT_MS", 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
     async def main() -> None:
