--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -78,7 +78,7 @@
     for name in ("on", "off"):
         if chosen.sessions not in (name, "both"):
             continue
-        days: list[gatewaydemo.Day] = []
+        days: list[gatewaydemo.GatewayDemo] = []
         figures = gatewaydemo.run(
             chosen.drains,
             chosen.kills,
@@ -86,14 +86,14 @@
             chosen.seed,
             name == "on",
             lambda line: None,
-            drew=days.append,
+            before_close=days.append,
         )
         load = os.getloadavg()[0]
         print(f"sessions {name}: {chosen.drains} drains, {chosen.kills} kills, load {load:.1f}")
         for key, value in sorted(figures.items()):
             print(f"  {key}: {value}")
         for day in days:
-            told = ([*day.session_client.paths], day.samples, [at for at, _ in day.phases])
+            told = ([*day.session_client.paths], day.samples, [at for at, _ in day.fault_times])
             print("\n".join(chart(*told)))
             plot(chosen.plot, f"loopback, sessions {name}", *told)
 
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -1,9 +1,10 @@
-"""`honeywharf demo --gateway`: two regions on loopback, drains and kills of gateways under uploads; counted.
+"""`honeywharf demo --gateway`: drains and kills gateways between two regions on loopback during uploads.
 
 Theory of operation. Gateways and destinations are processes of their own; the source of region a, its clients
-and the operator are on one loop of this process. A destination's backend notes each run of an attempt and
-writes the notes down when it is ended; they are compared with what clients were told. No delay is added
-between the regions: what is seen is what processes and kernels cost (`simulation` has the delay).
+and the operator share one event loop in this process. The backend of a destination counts the runs of each
+attempt and writes the counts to a file at its end, where they are compared with what the clients were told.
+No delay is added between the regions: the figures show what processes and kernels cost (`simulation` has
+delays).
 """
 
 from __future__ import annotations
@@ -34,23 +35,23 @@
 from honeywharf.verdict import NOT_RUN, Verdict
 
 READ, ORDER, UPLOAD = 0, 1, 2
-#: name, kind, share of the requests, bytes of the body, bytes of the answer
-SHAPES = (
+#: Name, kind, share of the requests, bytes of the body, bytes of the answer.
+REQUEST_SHAPES = (
     ("tile", READ, 0.35, 0, 20_000),
     ("manifest", READ, 0.2, 0, 400),
     ("inner", READ, 0.25, 0, 50),
     ("print order", ORDER, 0.15, 2_000, 20),
     ("tag deletion", ORDER, 0.05, 0, 20),
 )
-AIM_S = {"tile": 0.4, "manifest": 0.4, "inner": 0.15}
-PATIENCE_S, UPLOAD_S = 5.0, 60.0
-UPLOADS = 6  # at a time
-PIECE, PACE_S = 48 * 1024, 0.06  # of an upload's client
-UP_S = 15.0
-SAMPLE_S = 0.1
-MAX_WARNED = 8
-MAX_TRIES = 6
-LOAD = (1, 0, 8)
+LATENCY_TARGET_S = {"tile": 0.4, "manifest": 0.4, "inner": 0.15}
+REQUEST_TIMEOUT_S, UPLOAD_TIMEOUT_S = 5.0, 60.0
+CONCURRENT_UPLOADS = 6
+CHUNK_BYTES, CHUNK_INTERVAL_S = 48 * 1024, 0.06  # The rate of an upload's client.
+START_TIMEOUT_S = 15.0
+SAMPLE_INTERVAL_S = 0.1
+MAX_WARNINGS = 8
+MAX_ATTEMPTS = 6
+REPORTED_LOAD = (1, 0, 8)
 
 
 class Child:
@@ -61,7 +62,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Begin a life."""
+        """Starts the process."""
         more = {} if self.settings is None else {"HONEYWHARF_SETTINGS": str(self.settings)}
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
@@ -73,12 +74,12 @@
             )
 
     def send(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Sends a signal if the process runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def wait(self) -> None:
-        """Until it has ended; killed where that takes too long."""
+        """Waits until the process has ended; kills it if that takes too long."""
         if self.process is not None:
             try:
                 self.process.wait(5.0)
@@ -87,30 +88,30 @@
                 self.process.wait()
 
 
-class Quarry:
-    """A destination and its backend, in a process of its own. At SIGTERM it writes the runs to `file`."""
+class DestinationProcess:
+    """A destination and its backend in a process of its own. At SIGTERM it writes the runs to `file`."""
 
     def __init__(self, loop: EventLoop, ip: str, port: int, region: str, file: Path) -> None:
-        self.loop, self.file, self.chance = loop, file, random.Random(ip)
+        self.loop, self.file, self.rng = loop, file, random.Random(ip)
         self.runs: Counter[str] = Counter()
         self.sizes: dict[str, int] = {}
         self.destination = Destination(loop, (ip, port), region, self._begin)
 
-    def _begin(self, ask: ForwardedRequest, answers: Any) -> _Job:
-        return _Job(self, ask, answers)
+    def _begin(self, request: ForwardedRequest, answers: Any) -> _BackendRequest:
+        return _BackendRequest(self, request, answers)
 
     def end(self) -> None:
-        """Write down what ran, and go."""
+        """Writes the runs to the file and exits."""
         self.file.write_text(json.dumps({"runs": self.runs, "sizes": self.sizes}))
         self.loop.exit(0)
 
 
-class _Job:
+class _BackendRequest:
     """One request at the backend."""
 
-    def __init__(self, quarry: Quarry, ask: ForwardedRequest, answers: Any) -> None:
-        self.quarry, self.ask, self.answers, self.size = quarry, ask, answers, 0
-        if not ask.length:
+    def __init__(self, backend: DestinationProcess, request: ForwardedRequest, answers: Any) -> None:
+        self.backend, self.request, self.answers, self.size = backend, request, answers, 0
+        if not request.length:
             self.end()
 
     def data(self, data: bytes) -> None:
@@ -118,50 +119,50 @@
         self.size += len(data)
 
     def end(self) -> None:
-        """It is whole: it runs."""
-        attempt = self.ask.attempt_id.hex()
-        self.quarry.runs[attempt] += 1
-        self.quarry.sizes[attempt] = self.size
-        self.quarry.loop.after(self.quarry.chance.uniform(0.002, 0.02), self._answer)
+        """The body is complete: the request runs."""
+        attempt = self.request.attempt_id.hex()
+        self.backend.runs[attempt] += 1
+        self.backend.sizes[attempt] = self.size
+        self.backend.loop.after(self.backend.rng.uniform(0.002, 0.02), self._answer)
 
     def _answer(self) -> None:
-        size = int(self.ask.target)
-        self.answers.answer(200, b"", size, LOAD, bytes(size))
+        size = int(self.request.target)
+        self.answers.answer(200, b"", size, REPORTED_LOAD, bytes(size))
 
     def window(self, size: int) -> None:
-        """All answers are whole."""
+        """Not used: answers are sent in one piece."""
 
     def cancel(self) -> None:
-        """It has run, and its answer is of no use."""
+        """Not used: the request has run already."""
 
 
 class Client:
-    """One request, tried again where that is allowed."""
+    """One request, retried where that is allowed."""
 
-    def __init__(self, day: Day, shape: tuple[str, int, float, int, int], patience_s: float) -> None:
-        self.day, self.shape = day, shape
+    def __init__(self, demo: GatewayDemo, shape: tuple[str, int, float, int, int], timeout_s: float) -> None:
+        self.demo, self.shape = demo, shape
         self.name, self.kind, self.size = shape[0], shape[1], shape[3]
-        self.began = day.loop.now()
-        self.until = self.began + patience_s
+        self.started_at = demo.loop.now()
+        self.deadline = self.started_at + timeout_s
         self.attempts: list[bytes] = []
-        self.end, self.took = "", 0.0
+        self.outcome, self.duration_s = "", 0.0
         self.channel: Any = None
-        day.clients.append(self)
+        demo.clients.append(self)
         self._try()
 
     def _try(self) -> None:
-        day, now = self.day, self.day.loop.now()
-        attempt = day.loop.random(8)
+        demo, now = self.demo, self.demo.loop.now()
+        attempt = demo.loop.random(8)
         self.attempts.append(attempt)
-        self.at, self.credit, self.resting = 0, 0, False
-        ask = ForwardedRequest(
+        self.body_sent, self.credit, self.is_pacing = 0, 0, False
+        request = ForwardedRequest(
             service="quarry",
             attempt_id=attempt,
             kind=self.kind,
-            remaining_s=self.until - now,
+            remaining_s=self.deadline - now,
             max_queue_wait_s=0.0,
             priority=1,
-            latency_target_s=AIM_S.get(self.name, 0.5),
+            latency_target_s=LATENCY_TARGET_S.get(self.name, 0.5),
             caller="tiles",
             method=b"POST",
             target=b"%d" % self.shape[4],
@@ -169,37 +170,37 @@
             length=self.size,
             revision=1,
         )
-        self.channel = day.session_client.open(
-            day.chance.choice(day.destinations), ask, self, allowed_regions=("b",)
+        self.channel = demo.session_client.open(
+            demo.rng.choice(demo.destinations), request, self, allowed_regions=("b",)
         )
 
     def admitted(self) -> None:
-        """The body is wanted."""
+        """The body may be sent."""
         self.window(64 * 1024)
 
     def window(self, size: int) -> None:
-        """So much more of it."""
+        """`size` further bytes of the body may be sent."""
         self.credit += size
-        if not self.resting:
+        if not self.is_pacing:
             self._send()
 
     def _send(self) -> None:
-        self.resting = False
-        if self.end or self.channel is None or self.at >= self.size:
+        self.is_pacing = False
+        if self.outcome or self.channel is None or self.body_sent >= self.size:
             return
-        size = min(PIECE, self.credit, self.size - self.at)
+        size = min(CHUNK_BYTES, self.credit, self.size - self.body_sent)
         if size > 0:
-            self.at += size
+            self.body_sent += size
             self.credit -= size
-            self.resting = True
-            self.day.loop.after(PACE_S if self.kind == UPLOAD else 0.0, self._send)
+            self.is_pacing = True
+            self.demo.loop.after(CHUNK_INTERVAL_S if self.kind == UPLOAD else 0.0, self._send)
             self.channel.data(bytes(size))
-            if self.at == self.size:
+            if self.body_sent == self.size:
                 self.channel.end()
 
     def answered(self, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-        """The answer; all are short."""
-        self._over("done")
+        """The answer, which is short and complete."""
+        self._finish("done")
 
     def data(self, data: bytes) -> None:
         """Not used."""
@@ -211,71 +212,72 @@
         """Not used."""
 
     def failed(self, verdict: Verdict) -> None:
-        """No answer: tried again after a proof, and reads after anything."""
-        now = self.day.loop.now()
+        """The request failed: retries it if it has not run, and reads in any case."""
+        now = self.demo.loop.now()
         if (
             (verdict.ran == NOT_RUN or self.kind == READ)
-            and len(self.attempts) < MAX_TRIES
-            and (self.until - now > 0.05)
+            and len(self.attempts) < MAX_ATTEMPTS
+            and (self.deadline - now > 0.05)
         ):
             self.channel = None
-            self.day.loop.after(0.01, self._try)
+            self.demo.loop.after(0.01, self._try)
         else:
-            self._over("not run" if verdict.ran == NOT_RUN else "may have run")
+            self._finish("not run" if verdict.ran == NOT_RUN else "may have run")
 
-    def _over(self, end: str) -> None:
-        if self.end:
-            self.day.twice_told += 1
-        self.end, self.took = end, self.day.loop.now() - self.began
+    def _finish(self, end: str) -> None:
+        if self.outcome:
+            self.demo.repeated_outcomes += 1
+        self.outcome, self.duration_s = end, self.demo.loop.now() - self.started_at
         if self.kind == UPLOAD:
-            self.day.upload()
+            self.demo.upload()
 
 
-class Day:
-    """Two regions, clients of both users, and an operator who drains and kills."""
+class GatewayDemo:
+    """Two regions, their clients, and an operator who drains and kills gateways."""
 
     def __init__(self, folder: Path, seed: int, rate: float, sessions: bool) -> None:
-        self.folder, self.rate, self.chance = folder, rate, random.Random(seed)
+        self.folder, self.rate, self.rng = folder, rate, random.Random(seed)
         self.subnet, shift = meshdemo.place()
-        self.gate, self.door = field.INTERNAL + shift, field.CONTROL + shift
+        self.gateway_port, self.operator_port = field.INTERNAL + shift, field.CONTROL + shift
         self.loop = EventLoop(None)
-        self.places = [
-            GatewayLocation((f"{self.subnet}.{10 * n + k}", self.gate), region, f"{region}-{k}")
+        self.locations = [
+            GatewayLocation((f"{self.subnet}.{10 * n + k}", self.gateway_port), region, f"{region}-{k}")
             for n, region in enumerate("ab", 1)
             for k in (1, 2)
         ]
-        self.keepers = {place.node: self._keeper(place) for place in self.places}
+        self.gateways = {location.node: self._gateway_process(location) for location in self.locations}
         self.destinations = [f"{self.subnet}.{30 + k}" for k in (1, 2)]
-        self.quarries = [
+        self.destination_processes = [
             Child(
-                ["honeywharf.standins.gatewaydemo", ip, str(self.gate + 1), "b", str(folder / ip)],
+                ["honeywharf.standins.gatewaydemo", ip, str(self.gateway_port + 1), "b", str(folder / ip)],
                 folder / "quarry.log",
             )
             for ip in self.destinations
         ]
         self.clients: list[Client] = []
         self.windows: dict[str, list[tuple[str, float]]] = {"drain": [], "kill": []}
-        self.phases: list[tuple[float, str]] = []  # of troubles: when, what
-        self.drains_s: list[float] = []
-        self.samples: list[tuple[float, list[int]]] = []  # when; uploads by gateway
-        self.twice_told, self.stopping = 0, False
-        self.warned = 0  # orders that a gateway took for the last one's
-        for child in (*self.keepers.values(), *self.quarries):
+        self.fault_times: list[tuple[float, str]] = []  # Time and kind of each drain and kill.
+        self.drain_durations_s: list[float] = []
+        self.samples: list[tuple[float, list[int]]] = []  # Time, and uploads by gateway.
+        self.repeated_outcomes, self.stopping = 0, False
+        self.warnings = 0  # Drain orders rejected by a gateway that considered itself the last of its region.
+        for child in (*self.gateways.values(), *self.destination_processes):
             child.start()
-        self.session_client = SessionClient(self.loop, "a", "a-1", self.places, self.chance.random, sessions)
+        self.session_client = SessionClient(self.loop, "a", "a-1", self.locations, self.rng.random, sessions)
 
-    def _keeper(self, place: GatewayLocation) -> Child:
-        ip = place.address[0]
-        settings = json.loads(field.settings(ip, place.zone, [ip], True))
+    def _gateway_process(self, location: GatewayLocation) -> Child:
+        ip = location.address[0]
+        settings = json.loads(field.settings(ip, location.zone, [ip], True))
         settings.update(
             {
                 "role": "gateway",
-                "region": place.region,
-                "internal-port-range": [self.gate, self.gate + 8],
-                "zones": {each.zone: each.region for each in self.places},
-                "listen-addresses": {"control-plane": f"{ip}:{self.door}"},
+                "region": location.region,
+                "internal-port-range": [self.gateway_port, self.gateway_port + 8],
+                "zones": {each.zone: each.region for each in self.locations},
+                "listen-addresses": {"control-plane": f"{ip}:{self.operator_port}"},
                 "gateways": [
-                    {"address": each.node, "region": each.region, "zone": each.zone} for each in self.places
+                    {"address": each.node, "region": each.region, "zone": each.zone}
+                    for each in self.locations
                 ],
             }
         )
@@ -285,8 +287,8 @@
 
     # The loop.
 
-    def until(self, reached: Callable[[], bool], within_s: float) -> bool:
-        """Run until something holds; whether it did in time."""
+    def run_until(self, reached: Callable[[], bool], within_s: float) -> bool:
+        """Runs the loop until a condition holds; returns whether it did in time."""
         end = self.loop.now() + within_s
 
         def look() -> None:
@@ -300,13 +302,13 @@
         self.loop.run()
         return reached()
 
-    def rest(self, seconds: float) -> None:
-        """Let the day go on for so long."""
+    def run_for(self, seconds: float) -> None:
+        """Runs the loop for some seconds."""
         end = self.loop.now() + seconds
-        self.until(lambda: self.loop.now() >= end, seconds + 1.0)
+        self.run_until(lambda: self.loop.now() >= end, seconds + 1.0)
 
-    def up(self) -> bool:
-        """Whether all gateways are heard."""
+    def gateways_are_up(self) -> bool:
+        """Whether all gateways are connected and advertised."""
         return all(
             path.gateway.is_connected and path.gateway.is_advertised
             for path in self.session_client.paths.values()
@@ -314,30 +316,30 @@
 
     # Traffic.
 
-    def drive(self) -> None:
-        """Begin the traffic."""
-        for _ in range(UPLOADS):
+    def start_traffic(self) -> None:
+        """Starts the traffic."""
+        for _ in range(CONCURRENT_UPLOADS):
             self.upload()
-        self._ask()
+        self._send_request()
         self._sample()
 
     def upload(self) -> None:
-        """One more upload."""
+        """Starts one more upload."""
         if not self.stopping:
-            size = self.chance.randint(1 << 20, 3 << 20)
-            self.loop.after(0.05, partial(self._begin, ("upload", UPLOAD, 0.0, size, 20), UPLOAD_S))
+            size = self.rng.randint(1 << 20, 3 << 20)
+            self.loop.after(0.05, partial(self._begin, ("upload", UPLOAD, 0.0, size, 20), UPLOAD_TIMEOUT_S))
 
-    def _begin(self, shape: tuple[str, int, float, int, int], patience_s: float) -> None:
-        Client(self, shape, patience_s)
+    def _begin(self, shape: tuple[str, int, float, int, int], timeout_s: float) -> None:
+        Client(self, shape, timeout_s)
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         if not self.stopping:
-            shape = self.chance.choices(SHAPES, [each[2] for each in SHAPES])[0]
-            self._begin(shape, PATIENCE_S)
-            self.loop.after(self.chance.expovariate(self.rate), self._ask)
+            shape = self.rng.choices(REQUEST_SHAPES, [each[2] for each in REQUEST_SHAPES])[0]
+            self._begin(shape, REQUEST_TIMEOUT_S)
+            self.loop.after(self.rng.expovariate(self.rate), self._send_request)
 
     def _sample(self) -> None:
-        """Note how many uploads each gateway carries."""
+        """Records how many uploads each gateway carries."""
         if not self.stopping:
             self.samples.append(
                 (
@@ -348,79 +350,81 @@
                     ],
                 )
             )
-            self.loop.after(SAMPLE_S, self._sample)
+            self.loop.after(SAMPLE_INTERVAL_S, self._sample)
 
-    # Troubles.
+    # Faults.
 
     def busiest(self) -> str:
         """The gateway with the most sessions of this source."""
         return max(self.session_client.paths, key=lambda node: len(self.session_client.paths[node].sessions))
 
-    def order(self, node: str, what: str) -> str:
-        """An operator's call at a gateway; the last line of the answer, or nothing within two seconds."""
+    def call_operator(self, node: str, what: str) -> str:
+        """Calls a gateway's operator API; returns the last line of the answer, "" after two seconds."""
         path = f"POST /api/gateway/{what} HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n".encode()
-        call = _Call(self.loop, (node.rpartition(":")[0], self.door), path)
-        self.until(lambda: bool(call.answer), 2.0)
+        call = _Call(self.loop, (node.rpartition(":")[0], self.operator_port), path)
+        self.run_until(lambda: bool(call.answer), 2.0)
         return call.answer.rpartition(b"\n")[2].decode("latin-1")
 
     def order_drain(self, node: str) -> None:
-        """Order it; one that takes itself for the last of its region is not forced, and asked again later."""
-        for _ in range(MAX_WARNED):
-            if self.order(node, "drain") != "warned":
+        """Orders a drain; cancels and repeats it if the gateway warns that it is the last one."""
+        for _ in range(MAX_WARNINGS):
+            if self.call_operator(node, "drain") != "warned":
                 return
-            self.warned += 1
-            self.order(node, "back")
-            self.rest(0.5)
+            self.warnings += 1
+            self.call_operator(node, "back")
+            self.run_for(0.5)
 
     def drain(self) -> tuple[str, int, float]:
-        """Drain the busiest gateway and take the order back: which, uploads there, seconds until none was."""
+        """Drains the busiest gateway for a while; returns its node, its uploads, and seconds until empty."""
         node = self.busiest()
         sessions = self.session_client.paths[node].sessions
-        held = sum(session.priority_class == BULK for session in sessions.values())
-        self.phases.append((self.loop.now(), "drain"))
-        begun = self.loop.now()
+        uploads = sum(session.priority_class == BULK for session in sessions.values())
+        self.fault_times.append((self.loop.now(), "drain"))
+        started_at = self.loop.now()
         self.order_drain(node)
-        self.until(lambda: not self.session_client.paths[node].gateway.is_advertised and not sessions, 8.0)
-        took = self.loop.now() - begun
-        self.drains_s.append(took)
-        self.rest(max(0.0, 1.5 - took))
-        self.order(node, "back")
-        self.until(self.up, 5.0)
-        return node, held, took
+        self.run_until(
+            lambda: not self.session_client.paths[node].gateway.is_advertised and not sessions, 8.0
+        )
+        duration_s = self.loop.now() - started_at
+        self.drain_durations_s.append(duration_s)
+        self.run_for(max(0.0, 1.5 - duration_s))
+        self.call_operator(node, "back")
+        self.run_until(self.gateways_are_up, 5.0)
+        return node, uploads, duration_s
 
     def kill(self) -> tuple[str, int]:
-        """Kill the busiest gateway and start it again: which, and uploads there."""
+        """Kills and restarts the busiest gateway: returns its node and its uploads."""
         node = self.busiest()
-        held = sum(
+        uploads = sum(
             session.priority_class == BULK for session in self.session_client.paths[node].sessions.values()
         )
-        self.phases.append((self.loop.now(), "kill"))
-        child = self.keepers[node]
+        self.fault_times.append((self.loop.now(), "kill"))
+        child = self.gateways[node]
         child.send(signal.SIGKILL)
         child.wait()
-        self.rest(1.0)
+        self.run_for(1.0)
         child.start()
-        self.until(self.up, UP_S)
-        return node, held
+        self.run_until(self.gateways_are_up, START_TIMEOUT_S)
+        return node, uploads
 
     # The end.
 
     def close(self) -> dict[str, Any]:
-        """End traffic and processes; the figures."""
+        """Ends traffic and processes; returns the figures."""
         self.stopping = True
-        self.until(lambda: not self.session_client.sessions, PATIENCE_S + 20.0)
+        self.run_until(lambda: not self.session_client.sessions, REQUEST_TIMEOUT_S + 20.0)
         self.session_client.close()
-        self.rest(0.1)
-        for child in (*self.keepers.values(), *self.quarries):
-            child.send(signal.SIGTERM if child in self.quarries else signal.SIGKILL)
-        for child in (*self.keepers.values(), *self.quarries):
+        self.run_for(0.1)
+        for child in (*self.gateways.values(), *self.destination_processes):
+            child.send(signal.SIGTERM if child in self.destination_processes else signal.SIGKILL)
+        for child in (*self.gateways.values(), *self.destination_processes):
             child.wait()
         runs: Counter[str] = Counter()
         sizes: dict[str, int] = {}
         for ip in self.destinations:
-            said = json.loads((self.folder / ip).read_text())
-            runs.update(said["runs"])
-            sizes.update(said["sizes"])
+            recorded = json.loads((self.folder / ip).read_text())
+            runs.update(recorded["runs"])
+            sizes.update(recorded["sizes"])
         self.loop.epoll.close()
         return {**self._counted(runs, sizes), **self._latencies()}
 
@@ -430,49 +434,51 @@
             ran = sum(runs[attempt.hex()] for attempt in client.attempts)
             group = ("reads", "orders", "uploads")[client.kind]
             found[f"{group} begun"] += 1
-            found[f"{group} {'finished' if client.end == 'done' else f'told {client.end or None}'}"] += 1
+            found[
+                f"{group} {'finished' if client.outcome == 'done' else f'told {client.outcome or None}'}"
+            ] += 1
             if client.kind != READ:
                 found[f"{group} recorded twice"] += ran > 1
-                found[f"{group} told done and never recorded"] += client.end == "done" and ran == 0
-                found[f"{group} told not run and recorded"] += client.end == "not run" and ran > 0
+                found[f"{group} told done and never recorded"] += client.outcome == "done" and ran == 0
+                found[f"{group} told not run and recorded"] += client.outcome == "not run" and ran > 0
                 found[f"{group} sent again whole"] += len(client.attempts) > 1
                 found["bodies cut short"] += any(
                     sizes.get(attempt.hex(), client.size) != client.size for attempt in client.attempts
                 )
-            elif client.end != "done" or client.took > AIM_S[client.name]:
+            elif client.outcome != "done" or client.duration_s > LATENCY_TARGET_S[client.name]:
                 found["reads over their aim"] += 1
         sent = sum(client.size * (len(client.attempts) - 1) for client in self.clients)
-        found["told twice"], found["moves"] = self.twice_told, self.session_client.moves
+        found["told twice"], found["moves"] = self.repeated_outcomes, self.session_client.moves
         found["bytes sent twice"] = self.session_client.retransmitted_bytes + sent
-        found["orders taken for the last gateway's"] = self.warned
+        found["orders taken for the last gateway's"] = self.warnings
         return dict(found)
 
     def _latencies(self) -> dict[str, Any]:
-        """p50 and p99 of inner calls in ms: in the second before, the second from, the second after 1.5 s."""
+        """p50 and p99 of inner calls in ms, in a second before a fault, from it, and from 1.5 s after it."""
         found: dict[str, Any] = {}
         for what in ("drain", "kill"):
-            at = [when for when, kind in self.phases if kind == what]
+            at = [when for when, kind in self.fault_times if kind == what]
             for name, low, high in (("before", -1.0, 0.0), ("during", 0.0, 1.0), ("after", 1.5, 2.5)):
-                took = sorted(
-                    client.took
+                duration_s = sorted(
+                    client.duration_s
                     for client in self.clients
                     if client.name == "inner"
-                    and client.end
-                    and any(low <= client.began - when < high for when in at)
+                    and client.outcome
+                    and any(low <= client.started_at - when < high for when in at)
                 )
-                if took:
-                    p50, p99 = (took[int(len(took) * part)] * 1000.0 for part in (0.5, 0.99))
-                    found[f"inner {what} {name}"] = f"p50 {p50:.1f} p99 {p99:.1f} ms of {len(took)}"
-        if self.drains_s:
+                if duration_s:
+                    p50, p99 = (duration_s[int(len(duration_s) * part)] * 1000.0 for part in (0.5, 0.99))
+                    found[f"inner {what} {name}"] = f"p50 {p50:.1f} p99 {p99:.1f} ms of {len(duration_s)}"
+        if self.drain_durations_s:
             found["drains"] = (
-                f"median {sorted(self.drains_s)[len(self.drains_s) // 2]:.2f} s, "
-                f"longest {max(self.drains_s):.2f} s"
+                f"median {sorted(self.drain_durations_s)[len(self.drain_durations_s) // 2]:.2f} s, "
+                f"longest {max(self.drain_durations_s):.2f} s"
             )
         return found
 
 
 class _Call:
-    """One HTTP call; `answer`: the bytes that came first."""
+    """One HTTP call; `answer`: the bytes received."""
 
     def __init__(self, loop: EventLoop, to: tuple[str, int], text: bytes) -> None:
         self.text, self.answer = text, b""
@@ -483,27 +489,27 @@
         return self
 
     def opened(self) -> None:
-        """It is up."""
+        """The connection is established."""
         self.connection.send(self.text)
 
     def received(self, data: bytes) -> None:
-        """The answer; it is short."""
+        """The answer, which is short."""
         self.answer += data
         self.connection.close()
 
     def ended(self) -> None:
-        """The far side has closed."""
+        """The peer has closed its side."""
         self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Not used."""
 
     def closed(self, why: str) -> None:
-        """It is gone."""
+        """Not used."""
 
 
-#: Figures that must be 0, with what a newcomer is told of them.
-ZEROS = (
+#: Figures that must be 0.
+MUST_BE_ZERO = (
     "orders recorded twice",
     "orders told done and never recorded",
     "orders told not run and recorded",
@@ -520,51 +526,54 @@
     rate: float,
     seed: int,
     sessions: bool,
-    say: Callable[[str], None],
+    report: Callable[[str], None],
     between_s: float = 1.5,
-    drew: Callable[[Day], None] = lambda day: None,
+    before_close: Callable[[GatewayDemo], None] = lambda demo: None,
 ) -> dict[str, Any]:
-    """A day; its figures; `drew(day)` is told before its end. RuntimeError where no gateway comes up."""
+    """Runs the demo; returns its figures. RuntimeError if the gateways do not start.
+
+    `before_close(demo)` is called before its end.
+    """
     with tempfile.TemporaryDirectory() as name:
-        day = Day(Path(name), seed, rate, sessions)
+        demo = GatewayDemo(Path(name), seed, rate, sessions)
         try:
-            if not day.until(day.up, UP_S):
-                raise RuntimeError(f"the gateways were not up in {UP_S:g} s")
-            day.drive()
-            day.rest(2.0)
-            begun = time.monotonic()
+            if not demo.run_until(demo.gateways_are_up, START_TIMEOUT_S):
+                raise RuntimeError(f"gateways: expected all to be up within {START_TIMEOUT_S:g} s")
+            demo.start_traffic()
+            demo.run_for(2.0)
+            started = time.monotonic()
             for number in range(max(drains, kills)):
                 if number < drains:
-                    node, held, took = day.drain()
-                    say(
-                        f"{time.monotonic() - begun:6.1f} s  gateway {node} drained with {held} uploads:"
-                        f" empty after {took:.2f} s, taken back"
+                    node, uploads, duration_s = demo.drain()
+                    report(
+                        f"{time.monotonic() - started:6.1f} s  gateway {node} drained with {uploads} uploads:"
+                        f" empty after {duration_s:.2f} s, taken back"
                     )
-                    day.rest(between_s)
+                    demo.run_for(between_s)
                 if number < kills:
-                    node, held = day.kill()
-                    say(
-                        f"{time.monotonic() - begun:6.1f} s  gateway {node} killed with {held} uploads,"
+                    node, uploads = demo.kill()
+                    report(
+                        f"{time.monotonic() - started:6.1f} s  gateway {node} killed with {uploads} uploads,"
                         " started again"
                     )
-                    day.rest(between_s)
-            drew(day)
-            return day.close()
+                    demo.run_for(between_s)
+            before_close(demo)
+            return demo.close()
         finally:
-            for child in (*day.keepers.values(), *day.quarries):
+            for child in (*demo.gateways.values(), *demo.destination_processes):
                 child.send(signal.SIGKILL)
                 child.wait()
 
 
-def play(seed: int, say: Callable[[str], None], rate: float = 80.0, sessions: bool = True) -> int:
-    """Three drains and two kills; 0 where every upload finished and every order was recorded once."""
-    say("two regions on loopback, two gateways each; uploads, orders, deletions, tiles, inner calls")
-    figures = run(3, 2, rate, seed, sessions, say)
+def play(seed: int, report: Callable[[str], None], rate: float = 80.0, sessions: bool = True) -> int:
+    """Three drains and two kills; returns 0 if every upload finished and every order was recorded once."""
+    report("two regions on loopback, two gateways each; uploads, orders, deletions, tiles, inner calls")
+    figures = run(3, 2, rate, seed, sessions, report)
     for name, value in sorted(figures.items()):
-        say(f"{'BROKEN ' if name in ZEROS and value else ''}{name}: {value}")
-    broken = any(figures.get(name) for name in ZEROS)
+        report(f"{'BROKEN ' if name in MUST_BE_ZERO and value else ''}{name}: {value}")
+    broken = any(figures.get(name) for name in MUST_BE_ZERO)
     lost = figures.get("uploads finished") != figures.get("uploads begun")
-    say(
+    report(
         "broken"
         if broken
         else "some uploads did not finish"
@@ -575,11 +584,11 @@
 
 
 def main() -> int:
-    """A destination's process: `python -m honeywharf.standins.gatewaydemo IP PORT REGION FILE`."""
+    """Runs a destination: `python -m honeywharf.standins.gatewaydemo IP PORT REGION FILE`."""
     ip, port, region, file = sys.argv[1:5]
     loop = EventLoop(None)
-    quarry = Quarry(loop, ip, int(port), region, Path(file))
-    loop.on_signal(signal.SIGTERM, partial(quarry.end))
+    destination = DestinationProcess(loop, ip, int(port), region, Path(file))
+    loop.on_signal(signal.SIGTERM, partial(destination.end))
     return loop.run()
 
 
