--- a/tests/flow/test_rules.py
+++ b/tests/flow/test_rules.py
@@ -52,60 +52,61 @@
 @given(STEPS)
 def test_a_pipe_gives_each_sink_all_or_nothing_and_ends_once(steps: list[tuple[str, int]]) -> None:
     """Compares the pipe with a model that keeps all that was pushed."""
-    kept = BufferBudget(1 << 22)
-    made, reader = Pipe(kept, None, has_slot=kept.acquire()), RecordingSource()
-    made.source = reader
-    pushed, writer, end = b"", RecordingSink(), ""
+    budget = BufferBudget(1 << 22)
+    made, recording_source = Pipe(budget, None, has_slot=budget.acquire()), RecordingSource()
+    made.source = recording_source
+    pushed, recording_sink, end = b"", RecordingSink(), ""
     attached = False
     for number, (step, size) in enumerate(steps):
-        if step == "push" and not reader.paused:
+        if step == "push" and not recording_source.paused:
             data = bytes([number]) * size
             pushed += b"" if end else data
             made.push(data)
-            assert end or attached or len(pushed) < REPLAY_BYTES or reader.paused
+            assert end or attached or len(pushed) < REPLAY_BYTES or recording_source.paused
         elif step == "attach" and not attached:
-            writer = RecordingSink()
+            recording_sink = RecordingSink()
             if made.replay_lost or made.cancelled:
                 with pytest.raises(ValueError, match="still buffered completely"):
-                    made.attach(writer)
+                    made.attach(recording_sink)
             else:
-                made.attach(writer)
+                made.attach(recording_sink)
                 attached = True
-                assert writer.got == pushed  # All from the first byte on, however often it is replayed.
+                # A sink gets all from the first byte on, however often the body is replayed.
+                assert recording_sink.got == pushed
         elif step == "detach":
-            made.detach(writer)
+            made.detach(recording_sink)
             attached = False
         elif step in ("finish", "fail", "cancel"):
             getattr(made, step)()
             end = end or step
             attached = attached and step != "cancel"
         if attached:
-            assert writer.got == pushed
-            assert writer.end == {"": "", "finish": "whole", "fail": "broken"}[end]
+            assert recording_sink.got == pushed
+            assert recording_sink.end == {"": "", "finish": "whole", "fail": "broken"}[end]
         assert sum(map(len, made.buffered)) <= 2 * REPLAY_BYTES  # One push may exceed what is kept.
-        assert kept.open_pipes == (0 if end else 1)
-        assert reader.is_cancelled == (end == "cancel")
+        assert budget.open_pipes == (0 if end else 1)
+        assert recording_source.is_cancelled == (end == "cancel")
 
 
 @given(st.lists(st.sampled_from(("enter", "wait", "leave", "forget")), max_size=60))
 def test_a_budget_never_grants_more_slots_than_it_has(steps: list[str]) -> None:
     made = BufferBudget(5 * (MIN_SHARE_BYTES + MAX_READ))
-    held, queued = 0, []
+    slots, queued = 0, []
     gone: list[int] = []
     for step in steps:
         if step == "enter":
-            held += made.acquire()
+            slots += made.acquire()
         elif step == "wait":
             queued.append(made.wait_for_slot(lambda: gone.append(1)))
-        elif step == "leave" and held + len(gone) > 0:
-            if held:
-                held -= 1
+        elif step == "leave" and slots + len(gone) > 0:
+            if slots:
+                slots -= 1
             else:
                 gone.pop()
             made.release()
         elif step == "forget" and queued:
             made.cancel_wait(queued.pop())
-        assert made.open_pipes == held + len(gone) <= made.max_pipes == 5
+        assert made.open_pipes == slots + len(gone) <= made.max_pipes == 5
         assert not made.waiting or made.open_pipes == made.max_pipes  # Nobody waits while a slot is free.
         assert MIN_SHARE_BYTES <= made.share() <= buffer_budget.MAX_SHARE_BYTES
         assert made.open_pipes * (made.share() + MAX_READ) <= max(
@@ -116,7 +117,7 @@
 
 
 def test_a_body_of_64_kb_per_second_is_fast_enough_and_a_trickle_is_too_slow() -> None:
-    fast, trickle, held = (
+    fast, trickle, paused = (
         transfer_rate.TransferRate(0.0),
         transfer_rate.TransferRate(0.0),
         transfer_rate.TransferRate(0.0),
@@ -126,9 +127,9 @@
         trickle.bytes += 1_000
         assert not fast.is_too_slow(second * 1000.0)
         assert trickle.is_too_slow(second * 1000.0) == (second > 2)
-    held.set_paused(1000.0, True)
-    assert not held.is_too_slow(60_000.0)  # This side has paused the peer.
-    held.set_paused(60_000.0, False)
-    assert not held.is_too_slow(61_000.0)
-    assert held.is_too_slow(63_000.0)
+    paused.set_paused(1000.0, True)
+    assert not paused.is_too_slow(60_000.0)  # This side has paused the peer.
+    paused.set_paused(60_000.0, False)
+    assert not paused.is_too_slow(61_000.0)
+    assert paused.is_too_slow(63_000.0)
     assert pipe.REPLAY_BYTES <= buffer_budget.MAX_READ
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -1,4 +1,4 @@
-"""A few seeded days of two and three regions, and that wrong programs break them."""
+"""Seeded days of two and three regions, and the gateways of settings."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     assert Day(seed, 2 + seed % 2).play().faults == []
 
 
-def busy(count: int, size: int, patience_s: float) -> tuple[Day, Source, GatewayNode]:
-    """A day without troubles in whose first second many uploads begin, by one gateway."""
+def day_with_uploads(count: int, size: int, timeout_s: float) -> tuple[Day, Source, GatewayNode]:
+    """A day without faults that begins with many uploads through one gateway."""
     day = Day(5, 2, troubles="", seconds=1.5, uploads=0)
     day.world.run(1.0)
-    source, keeper = day.sources[0].program, day.keepers[0].program
+    source, gateway = day.sources[0].program, day.keepers[0].program
     assert isinstance(source, Source)
-    assert isinstance(keeper, GatewayNode)
+    assert isinstance(gateway, GatewayNode)
     for _ in range(count):
-        Client(day, source, UPLOAD, size, patience_s)
-    return day, source, keeper
+        Client(day, source, UPLOAD, size, timeout_s)
+    return day, source, gateway
 
 
 @pytest.mark.parametrize("sessions", [True, False])
-def test_a_killed_gateway_costs_a_way_and_without_sessions_the_upload(sessions: bool) -> None:
-    day, source, _ = busy(20, 400_000, 30.0)
+def test_a_killed_gateway_costs_a_path_and_without_resuming_the_upload(sessions: bool) -> None:
+    day, source, _ = day_with_uploads(20, 400_000, 30.0)
     source.session_client.resumes_sessions = sessions
     day.world.run(1.3)
     day.keepers[0].kill()
@@ -47,55 +47,56 @@
 
 
 def test_five_hundred_uploads_at_once_move_within_the_grace_period() -> None:
-    day, source, keeper = busy(500, 40_000, 60.0)
+    day, source, gateway = day_with_uploads(500, 40_000, 60.0)
     day.world.run(1.2)
-    assert len(keeper.relay.relayed_sessions) >= 200
-    assert keeper.relay.in_flight_bytes <= keeper.relay.max_bytes
-    keeper.order_drain()
+    assert len(gateway.relay.relayed_sessions) >= 200
+    assert gateway.relay.in_flight_bytes <= gateway.relay.max_bytes
+    gateway.order_drain()
     day.world.run(6.0)
-    assert keeper.drain.state == EMPTY
+    assert gateway.drain.state == EMPTY
     day.world.run(30.0)
     uploads = [client for client in day.clients if client.kind == UPLOAD]
     assert sum(client.end == "done" for client in uploads) == 500
     assert source.session_client.moves > 0
 
 
-def test_a_destination_that_is_gone_is_given_up_with_a_proof_long_before_the_deadline() -> None:
-    day, source, _ = busy(0, 0, 0.0)
-    gone = day.quarries[-1].machine
-    gone.power_off()
-    day.others = lambda region: [gone.ip]  # type: ignore[method-assign]
+def test_a_lost_destination_is_given_up_with_a_proof_long_before_the_deadline() -> None:
+    day, source, _ = day_with_uploads(0, 0, 0.0)
+    lost = day.quarries[-1].machine
+    lost.power_off()
+    day.others = lambda region: [lost.ip]  # type: ignore[method-assign]
     day.proofs.clear()
-    source.session_client.incarnations.clear()  # else the read's end goes with its head, and it may have run
+    # Otherwise END would follow OPEN at once, and the read may have run.
+    source.session_client.incarnations.clear()
     clients = [Client(day, source, READ, 10, 30.0), Client(day, source, UPLOAD, 400_000, 30.0)]
     day.world.run(7.0)
     assert all(client.tries > 1 and client.attempts[0] in day.proofs for client in clients)
 
 
-def test_a_slow_client_with_little_time_is_told_the_truth() -> None:
-    day, _, keeper = busy(1, 60_000_000, 6.0)
+def test_a_slow_client_whose_deadline_passes_gets_the_correct_verdict() -> None:
+    day, _, gateway = day_with_uploads(1, 60_000_000, 6.0)
     day.slow_s = 0.05
     day.world.run(2.0)
-    keeper.order_drain()
+    gateway.order_drain()
     day.play()
     uploads = [client for client in day.clients if client.kind == UPLOAD]
     assert [client.end for client in uploads] == ["not run"]
     assert day.faults == []
 
 
-def test_the_last_gateway_of_a_region_stays_until_it_is_told_twice() -> None:
-    day, _, keeper = busy(4, 400_000, 20.0)
+def test_the_last_gateway_of_a_region_drains_only_after_a_second_order() -> None:
+    day, _, gateway = day_with_uploads(4, 400_000, 20.0)
     other = day.keepers[1].program
     assert isinstance(other, GatewayNode)
     other.order_drain()
     day.world.run(3.0)
-    assert keeper.is_last
-    keeper.order_drain()
+    assert gateway.is_last
+    gateway.order_drain()
     day.world.run(4.0)
-    assert keeper.drain.accepts_sessions
-    keeper.order_drain()
+    assert gateway.drain.accepts_sessions
+    gateway.order_drain()
     day.world.run(8.0)
-    assert keeper.drain.state == EMPTY
+    assert gateway.drain.state == EMPTY
     assert day.play().faults == []
 
 
@@ -120,7 +121,7 @@
         [{"address": "10.0.0.1:7640", "region": "", "zone": "a-1"}],
     ],
 )
-def test_gateways_that_cannot_be_used_are_refused_by_name(wrong: object) -> None:
+def test_invalid_gateways_in_settings_are_rejected_by_name(wrong: object) -> None:
     with pytest.raises(SettingsError, match=r"gateways: found .*, wanted a list of .address"):
         settings(wrong)
 
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars of two regions, joined by gateways, under the rules that judge every day of the mesh."""
+"""Real sidecars of two regions connected by gateways, checked by the rules for all simulated days."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 from honeywharf.simulation.run import real_control_node
 
 ZONES = {"tartu-saal": "a", "voru-saal": "b", "polva-saal": "b"}
-GATE = 7700
-PLACES = [
-    GatewayLocation((f"10.8.{n}.{k}", GATE), region, zone)
+GATEWAY_PORT = 7700
+LOCATIONS = [
+    GatewayLocation((f"10.8.{n}.{k}", GATEWAY_PORT), region, zone)
     for n, (region, zone) in enumerate((("a", "tartu-saal"), ("b", "voru-saal")))
     for k in (1, 2)
 ]
-UNTIL = 24.0
+END_S = 24.0
 Plan = list[tuple[float, str, int]]
 
 
-def joined(host: Process, text: str) -> Sidecar:
-    """A sidecar of one of two regions: its settings name the gateways."""
-    gateways = [{"address": place.node, "region": place.region, "zone": place.zone} for place in PLACES]
+def sidecar_with_gateways(host: Process, text: str) -> Sidecar:
+    """A sidecar of one of the regions, whose settings name the gateways."""
+    gateways = [
+        {"address": location.node, "region": location.region, "zone": location.zone} for location in LOCATIONS
+    ]
     zone = json.loads(text)["zone"]
     sidecar = Sidecar(
         host,
@@ -39,9 +41,9 @@
     return sidecar
 
 
-def keeper(place: GatewayLocation) -> Any:
+def gateway_program(location: GatewayLocation) -> Any:
     def make(host: Process) -> GatewayNode:
-        one = GatewayNode(host, place, PLACES, field.INTERNAL + 1, GatewayOptions(grace_s=5.0))
+        one = GatewayNode(host, location, LOCATIONS, field.INTERNAL + 1, GatewayOptions(grace_s=5.0))
         host.on_signal(TERM, one.terminate)
         return one
 
@@ -49,23 +51,27 @@
 
 
 def day(seed: int, plan: Plan, faults: list[days.Fault]) -> Field:
-    """A day of the mesh; `plan`: when, "drain", "back", "term" or "kill", and which gateway."""
-    made = Field(seed, joined, real_control_node, SMALL, 5.0, UNTIL)
-    keepers = [
-        Process(Machine(made.network, place.address[0], place.zone), f"keeper-{n}", keeper(place))
-        for n, place in enumerate(PLACES)
+    """A simulated day; `plan`: time, "drain", "back", "term" or "kill", and the index of the gateway."""
+    made = Field(seed, sidecar_with_gateways, real_control_node, SMALL, 5.0, END_S)
+    gateways = [
+        Process(
+            Machine(made.network, location.address[0], location.zone),
+            f"keeper-{n}",
+            gateway_program(location),
+        )
+        for n, location in enumerate(LOCATIONS)
     ]
-    for process in keepers:
+    for process in gateways:
         made.world.at(0.1, process.start)
     days.Day(made, faults)
     for at, what, which in plan:
-        made.world.at(at, act, keepers[which], what)
+        made.world.at(at, inject, gateways[which], what)
     made.world.strict = True
-    made.world.run(UNTIL + 2.0)
+    made.world.run(END_S + 2.0)
     return made
 
 
-def act(process: Process, what: str) -> None:
+def inject(process: Process, what: str) -> None:
     one = process.program
     if what == "kill":
         process.kill()
@@ -108,7 +114,7 @@
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_no_rule_is_broken_where_regions_are_joined_by_gateways(name: str) -> None:
+def test_no_rule_is_broken_where_gateways_connect_regions(name: str) -> None:
     plan, faults, share = PLANS[name]
     made = day(31, plan, faults)
     assert [*made.book.found, *made.world.crashes] == []
