--- a/honeywharf/flow/pipe.py
+++ b/honeywharf/flow/pipe.py
@@ -111,7 +111,7 @@
             self.on_complete()
         if self.sink is not None:
             self.sink.completed()
-        self._leave()
+        self._release_slot()
 
     def fail(self) -> None:
         """Ends the pipe: the rest of the body will not arrive."""
@@ -120,7 +120,7 @@
         self.failed = True
         if self.sink is not None:
             self.sink.aborted()
-        self._leave()
+        self._release_slot()
 
     # The sink's side.
 
@@ -164,9 +164,9 @@
         self.sink, self.buffered = None, []
         if self.source is not None:
             self.source.body_cancelled()
-        self._leave()
+        self._release_slot()
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         if self.slot_ticket:
             self.buffer_budget.cancel_wait(self.slot_ticket)
             self.slot_ticket = 0
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -18,10 +18,10 @@
     GONE,
     MOVES_PER_TICK,
     MOVING,
-    NAMES,
     ORDER,
     REPEAT_LEAVE_S,
     SERVING,
+    STATE_NAMES,
     TERM,
     TICK_INTERVAL_S,
     Drain,
@@ -224,7 +224,9 @@
     def _changed(self, before: int) -> None:
         if self.drain.state == before:
             return
-        self.host.log(f"gateway is {NAMES[self.drain.state]}, sessions {len(self.relay.relayed_sessions)}")
+        self.host.log(
+            f"gateway is {STATE_NAMES[self.drain.state]}, sessions {len(self.relay.relayed_sessions)}"
+        )
         self.relay.accepts_sessions = self.drain.accepts_sessions
         if self.drain.state == SERVING:
             self.asked_to_leave_at.clear()
@@ -271,9 +273,9 @@
     def _answer_operator(self, call: HttpRequest) -> None:
         """The operator's API: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
         if call.method == b"POST" and call.path == b"/api/gateway/drain":
-            call.answer(200, NAMES[self.order_drain()].encode())
+            call.answer(200, STATE_NAMES[self.order_drain()].encode())
         elif call.method == b"POST" and call.path == b"/api/gateway/back":
-            call.answer(200, NAMES[self.cancel_drain()].encode())
+            call.answer(200, STATE_NAMES[self.cancel_drain()].encode())
         elif call.method == b"GET" and call.path == b"/api/gateway":
             call.answer(200, self.summary().encode())
         else:
@@ -285,7 +287,7 @@
         """One line with the state and the counters."""
         one = self.relay
         return (
-            f"state={NAMES[self.drain.state].replace(' ', '-')} sessions={len(one.relayed_sessions)} "
+            f"state={STATE_NAMES[self.drain.state].replace(' ', '-')} sessions={len(one.relayed_sessions)} "
             f"passed={one.passed} refused={one.rejected} forbidden={one.forbidden} "
             f"granted={one.in_flight_bytes} waiting={self.send_scheduler.queued_bytes} up={one.bytes_up} "
             f"down={one.bytes_down} sources={len(self.source_links)} landings={len(self.destination_links)} "
--- a/honeywharf/sessions/drain.py
+++ b/honeywharf/sessions/drain.py
@@ -26,7 +26,7 @@
 from __future__ import annotations
 
 SERVING, WARNED, ANNOUNCED, CLOSED, MOVING, FINISHING, EMPTY, GONE = range(8)
-NAMES = ("serving", "warned", "announced", "closed", "moving", "last ones", "empty", "gone")
+STATE_NAMES = ("serving", "warned", "announced", "closed", "moving", "last ones", "empty", "gone")
 ORDER, TERM, CANCEL = range(3)
 CONFIRMATION_S = 30.0  # A second order confirms the first within this time.
 ANNOUNCEMENT_S = 0.1  # Longer than the latency between regions, so that sources have heard of the drain.
@@ -91,8 +91,8 @@
         self._enter(now, after)
         return self.state
 
-    def tick(self, now: float, not_asked: int, remaining: int) -> int:
-        """Advances the state. `not_asked`: sessions still to be asked to move; `remaining`: all sessions."""
+    def tick(self, now: float, pending_moves: int, remaining: int) -> int:
+        """Advances the state. `pending_moves`: sessions still to be asked to move; `remaining`: all."""
         state, age = self.state, now - self.state_since
         if self.exits_when_empty and now >= self.deadline and state != GONE:
             self._enter(now, GONE)
@@ -105,7 +105,7 @@
             self._enter(now, CLOSED)
         elif state == CLOSED:
             self._enter(now, MOVING)
-        elif state == MOVING and not not_asked:
+        elif state == MOVING and not pending_moves:
             self._enter(now, FINISHING)
         elif state == FINISHING and not remaining:
             self._enter(now, EMPTY)
--- a/honeywharf/sessions/receiver.py
+++ b/honeywharf/sessions/receiver.py
@@ -204,7 +204,7 @@
             _,
             incarnation,
             heard,
-            got,
+            received,
             attempt,
             length,
             remaining,
@@ -222,7 +222,7 @@
         receiver = self.sessions.get(session_id)
         if receiver is not None:
             if receiver.attempt == attempt and self._is_newer(receiver, epoch):
-                self._attach(now, receiver, epoch, link, got, window_end)
+                self._attach(now, receiver, epoch, link, received, window_end)
             elif (
                 epoch != receiver.epoch or link is not receiver.link
             ):  # Otherwise it is a duplicate of the OPEN in use.
@@ -231,12 +231,12 @@
         if (incarnation and incarnation != self.incarnation) or heard:
             self.send(link, [UNKNOWN, session_id, epoch, self.incarnation])
             return
-        refusal = self._rejection_reason(wall_ms, expires, allowed_regions)
-        if refusal is not None:
-            self._reject(link, session_id, epoch, refusal)
+        reason = self._rejection_reason(wall_ms, expires, allowed_regions)
+        if reason is not None:
+            self._reject(link, session_id, epoch, reason)
             return
-        fresh = Receiver(session_id, attempt, length, tenant, head, now + remaining / 1000.0)
-        self._begin(now, link, fresh, epoch, window_end)
+        new_receiver = Receiver(session_id, attempt, length, tenant, head, now + remaining / 1000.0)
+        self._begin(now, link, new_receiver, epoch, window_end)
 
     def _rejection_reason(self, wall_ms: int, expires: int, allowed_regions: list[str]) -> int | None:
         """Why a new session is rejected, or None."""
@@ -313,7 +313,7 @@
     # Paths.
 
     def _attach(
-        self, now: float, receiver: Receiver, epoch: int, link: Link, got: int, window_end: int
+        self, now: float, receiver: Receiver, epoch: int, link: Link, received: int, window_end: int
     ) -> None:
         """Moves a session to a new path: fences the old one, and sends what the source lacks on this one."""
         if receiver.link is not None and receiver.link is not link:
@@ -325,7 +325,7 @@
             return
         self._send_have(receiver, 0)
         if receiver.answer_head is not None:
-            self._resume_answer(receiver, got)
+            self._resume_answer(receiver, received)
 
     def link_lost(self, now: float, link: Link) -> None:
         """A link is lost: its sessions wait for a new path."""
@@ -359,9 +359,9 @@
 
     def _reserve_more(self, receiver: Receiver) -> None:
         """Reserves a further window for a body of unknown length; without room its source waits."""
-        wanted = receiver.body_received + WINDOW_BYTES - receiver.reserved_bytes
-        if wanted > 0 and self.body_quota.extend(receiver.tenant, wanted):
-            receiver.reserved_bytes += wanted
+        additional = receiver.body_received + WINDOW_BYTES - receiver.reserved_bytes
+        if additional > 0 and self.body_quota.extend(receiver.tenant, additional):
+            receiver.reserved_bytes += additional
 
     def _on_data(self, now: float, receiver: Receiver, offset: int, data: bytes) -> None:
         if receiver.state != RECEIVING:
@@ -369,13 +369,13 @@
         if offset > receiver.body_received:
             self._send_have(receiver, 1)
             return
-        fresh = data[receiver.body_received - offset :]
-        if receiver.body_received + len(fresh) > receiver.reserved_bytes:
+        new_data = data[receiver.body_received - offset :]
+        if receiver.body_received + len(new_data) > receiver.reserved_bytes:
             self._finish(receiver, Verdict(NOT_RUN, FULL))  # The source sent more than was granted.
             return
-        if fresh:
-            receiver.body_parts.append(fresh)
-            receiver.body_received += len(fresh)
+        if new_data:
+            receiver.body_parts.append(new_data)
+            receiver.body_received += len(new_data)
             receiver.last_progress_at = now
         self._send_have(receiver, 0)
 
@@ -435,10 +435,10 @@
         receiver.answer_sent = at
         self._send_answer_data(receiver)
 
-    def _resume_answer(self, receiver: Receiver, got: int) -> None:
-        if receiver.answer_start <= got <= receiver.answer_received:
-            self._release_acked(receiver, got)
-            self._send_answer(receiver, got)
+    def _resume_answer(self, receiver: Receiver, received: int) -> None:
+        if receiver.answer_start <= received <= receiver.answer_received:
+            self._release_acked(receiver, received)
+            self._send_answer(receiver, received)
         elif receiver.link is not None:  # The bytes that it lacks have been discarded.
             self._send_verdict(receiver, Verdict(MAY_HAVE_RUN, LOST, True))
 
@@ -456,30 +456,30 @@
         if receiver.answer_complete and receiver.answer_sent == receiver.answer_received:
             self.send(link, [WHOLE, receiver.session_id, receiver.epoch, receiver.answer_received])
 
-    def _on_ack(self, receiver: Receiver, got: int, window_end: int, missing: int) -> None:
-        if receiver.answer_head is None or not receiver.answer_start <= got <= receiver.answer_received:
+    def _on_ack(self, receiver: Receiver, received: int, window_end: int, missing: int) -> None:
+        if receiver.answer_head is None or not receiver.answer_start <= received <= receiver.answer_received:
             return
         receiver.answer_limit = max(receiver.answer_limit, window_end)
-        self._release_acked(receiver, got)
+        self._release_acked(receiver, received)
         if missing:
-            self._send_answer(receiver, got)
+            self._send_answer(receiver, received)
         elif receiver.answer_sent < receiver.answer_received:
             self._send_answer_data(receiver)
 
-    def _release_acked(self, receiver: Receiver, got: int) -> None:
+    def _release_acked(self, receiver: Receiver, received: int) -> None:
         """Releases acknowledged bytes; an answer of at most a window is kept for a repeated attempt."""
-        moved = got - max(receiver.answer_start, receiver.answer_consumed)
-        if moved > 0:
-            receiver.answer_consumed = got
-            self.consumed(receiver, moved)
+        newly_acked = received - max(receiver.answer_start, receiver.answer_consumed)
+        if newly_acked > 0:
+            receiver.answer_consumed = received
+            self.consumed(receiver, newly_acked)
         if receiver.answer_received > WINDOW_BYTES or not receiver.answer_complete:
-            self._discard_acked(receiver, got)
+            self._discard_acked(receiver, received)
 
     @staticmethod
-    def _discard_acked(receiver: Receiver, got: int) -> None:
-        if got > receiver.answer_start and got > CHUNK_BYTES:
-            del receiver.kept_answer[: got - receiver.answer_start]
-            receiver.answer_start = got
+    def _discard_acked(receiver: Receiver, received: int) -> None:
+        if received > receiver.answer_start and received > CHUNK_BYTES:
+            del receiver.kept_answer[: received - receiver.answer_start]
+            receiver.answer_start = received
 
     def _on_close(self, receiver: Receiver) -> None:
         """The source has the complete answer: it is kept only for a repeated attempt."""
--- a/honeywharf/sessions/send_scheduler.py
+++ b/honeywharf/sessions/send_scheduler.py
@@ -22,7 +22,7 @@
     from collections.abc import Callable
     from typing import Any
 
-LINK_MBPS = 1000.0  # The default.
+LINK_MBPS = 1000.0  # The default rate of the link, in Mbit/s.
 BODY_SHARE = 0.9  # The part of the link's rate that bodies may use.
 # Bodies sent ahead of a short frame: the larger of this many bytes and seconds of the link.
 BURST_BYTES, BURST_S = 2 * CHUNK_BYTES, 0.002
@@ -97,9 +97,8 @@
         self._refilled_at = now
 
     def _charge(self, size: int) -> None:
-        self.credit = max(
-            -4.0 * self.burst, self.credit - size
-        )  # The bound guards bodies against starvation.
+        # The bound guards bodies against starvation by other frames.
+        self.credit = max(-4.0 * self.burst, self.credit - size)
 
     # Queued frames.
 
--- a/honeywharf/sessions/sender.py
+++ b/honeywharf/sessions/sender.py
@@ -139,7 +139,7 @@
         "body_sent",
         "collected_answer",
         "destination_done",
-        "destination_heard",
+        "destination_replied",
         "end_sent",
         "end_sent_before",
         "end_sent_on_path",
@@ -173,7 +173,7 @@
         self.end_sent_on_path = False  # END was sent on the present path.
         self.sends_early = False  # The body follows OPEN without waiting for HAVE.
         self.end_sent_before = False  # END was sent on an earlier path.
-        self.destination_heard = self.body_requested = False
+        self.destination_replied = self.body_requested = False
         self.destination_done = False  # The destination has acknowledged END or sent a verdict.
         self.frames_received = 0  # Frames of the present epoch; the caller detects a stalled path by it.
         self.answer_head: tuple[int, bytes, int] | None = None  # status, fields, length
@@ -198,7 +198,7 @@
                 self.epoch,
                 request.to,
                 self.incarnation,
-                int(self.destination_heard),
+                int(self.destination_replied),
                 self.answer_received,
                 request.attempt,
                 request.length,
@@ -213,7 +213,9 @@
             ]
         ]
         self.sends_early = (
-            bool(self.incarnation) and not self.destination_heard and 0 <= request.length <= SHORT_BODY_BYTES
+            bool(self.incarnation)
+            and not self.destination_replied
+            and 0 <= request.length <= SHORT_BODY_BYTES
         )
         if self.sends_early:
             self.retransmitted_bytes += self.body_sent
@@ -325,12 +327,12 @@
             return  # Another incarnation does not have this session, and answers with UNKNOWN.
         if not self.body_acked <= offset <= self.body_bytes:
             return  # Guards against offsets that were never sent, or below what is acknowledged.
-        fresh, self.incarnation = not self.destination_heard, incarnation
+        is_first, self.incarnation = not self.destination_replied, incarnation
         if self.state == OPENING:
             self.state = STREAMING
-            if self.destination_heard and missing != 2:
+            if self.destination_replied and missing != 2:
                 missing = 1
-        self.destination_heard = True
+        self.destination_replied = True
         if missing == 2:
             self.destination_done, missing = True, 0
         if not self.body_requested:
@@ -339,12 +341,12 @@
         if offset > self.body_sent or (missing and not self.destination_done):
             self.retransmitted_bytes += max(0, self.body_sent - offset)
             self.body_sent, self.end_sent_on_path = offset, False
-        moved, self.body_acked = offset - self.body_acked, offset
-        del self.unacked_body[:moved]
-        self.body_limit = max(self.body_limit, window_end) if not missing and not fresh else window_end
+        newly_acked, self.body_acked = offset - self.body_acked, offset
+        del self.unacked_body[:newly_acked]
+        self.body_limit = max(self.body_limit, window_end) if not missing and not is_first else window_end
         self._send_body()
-        if moved and self.state != FINISHED:
-            self.listener.window(moved)
+        if newly_acked and self.state != FINISHED:
+            self.listener.window(newly_acked)
 
     def _on_head(self, status: int, fields: bytes, length: int) -> None:
         if self.answer_head is None:
@@ -358,15 +360,15 @@
         if self.answer_head is None or offset > self.answer_received:
             self._acknowledge(1)
             return
-        fresh = data[self.answer_received - offset :]
-        if not fresh:
+        new_data = data[self.answer_received - offset :]
+        if not new_data:
             return
-        self.answer_received += len(fresh)
+        self.answer_received += len(new_data)
         if self.collected_answer is not None:
-            self.collected_answer += fresh
-            self.window(len(fresh))
+            self.collected_answer += new_data
+            self.window(len(new_data))
         else:
-            self.listener.data(fresh)
+            self.listener.data(new_data)
 
     def _on_whole(self, total: int) -> None:
         if self.answer_head is None or self.answer_received != total:
--- a/honeywharf/sessions/session_client.py
+++ b/honeywharf/sessions/session_client.py
@@ -96,9 +96,9 @@
     __slots__ = (
         "attempts_without_reply",
         "client",
-        "destination_heard_at",
         "frames_seen",
         "is_read",
+        "last_reply_at",
         "leaving_since",
         "next_attempt_at",
         "path",
@@ -124,7 +124,7 @@
         self.frames_seen = -1  # The sender's `frames_received` at `progress_at`.
         self.attempts_without_reply = 0  # Paths in a row on which the destination has not answered.
         self.unreached_gateways = 0  # Gateways among these that could not reach the destination.
-        self.destination_heard_at = client.host.now()
+        self.last_reply_at = client.host.now()
 
     # The channel, as the request uses it.
 
@@ -342,7 +342,7 @@
         return (
             not sender.end_sent
             and session.unreached_gateways > 0
-            and now - session.destination_heard_at > DETACHED_TIMEOUT_S + 1.0
+            and now - session.last_reply_at > DETACHED_TIMEOUT_S + 1.0
         )
 
     def _release_path(self, session: ClientSession) -> None:
@@ -379,7 +379,7 @@
             return
         before = sender.state
         sender.receive(frame)
-        session.destination_heard_at = self.host.now()
+        session.last_reply_at = self.host.now()
         if sender.state == STREAMING and before != STREAMING:
             session.attempts_without_reply = session.unreached_gateways = 0
             self._remember_incarnation(sender)
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -18,9 +18,9 @@
     FINISHING,
     GONE,
     MOVING,
-    NAMES,
     ORDER,
     SERVING,
+    STATE_NAMES,
     TERM,
     WARNED,
     Drain,
@@ -28,7 +28,7 @@
 
 
 def test_every_state_handles_every_event_as_the_documented_table_says() -> None:
-    assert set(drain.TRANSITIONS) == set(itertools.product(range(len(NAMES)), (ORDER, TERM, CANCEL)))
+    assert set(drain.TRANSITIONS) == set(itertools.product(range(len(STATE_NAMES)), (ORDER, TERM, CANCEL)))
     names = {
         name: getattr(drain, name)
         for name in ("SERVING", "WARNED", "ANNOUNCED", "CLOSED", "MOVING", "FINISHING", "EMPTY", "GONE")
@@ -50,7 +50,7 @@
     seen: list[int] = []
     left = 5
     for k in range(40):
-        state = one.tick(k * 0.02, not_asked=max(0, left - 2), remaining=left)
+        state = one.tick(k * 0.02, pending_moves=max(0, left - 2), remaining=left)
         left -= state in (MOVING, FINISHING) and left > 0
         if not seen or seen[-1] != state:
             seen.append(state)
