--- a/honeywharf/core/driver.py
+++ b/honeywharf/core/driver.py
@@ -135,7 +135,7 @@
         self.open_requests += 1
         if arriving and request.pipe is not None:
             # the time limit starts with the last byte
-            request.pipe.on_whole = lambda: self.body_completed(exchange)
+            request.pipe.on_complete = lambda: self.body_completed(exchange)
         else:
             exchange.timer = self.loop.call_later(
                 max(0.0, remaining_ms) / 1000.0, self._deadline_passed, exchange
@@ -250,7 +250,7 @@
                 self._parse_report(response.load) if response is not None else None,
                 attempt.endpoint,
                 max(0.0, own_ms),
-                pipe is not None and pipe.spent,
+                pipe is not None and pipe.replay_lost,
             ),
             exchange,
         )
@@ -394,7 +394,7 @@
         if action.timeout_ms:
             attempt_deadline_ms = min(attempt_deadline_ms, now + action.timeout_ms)
         pipe = exchange.request.pipe
-        body_unavailable = pipe is not None and (pipe.spent or pipe.failed or pipe.cancelled)
+        body_unavailable = pipe is not None and (pipe.replay_lost or pipe.failed or pipe.cancelled)
         if (
             body_unavailable
             or exchange.answered
