--- a/honeywharf/orderkeys/deduplicator.py
+++ b/honeywharf/orderkeys/deduplicator.py
@@ -314,9 +314,8 @@
                 return
             self._report_end(run, None)  # nothing was sent
             if still_waiting:
-                self._fail(
-                    request, caller, "conflict", Status.CONFLICT
-                )  # the id is already in the driver's table
+                # The id is already in the driver's table.
+                self._fail(request, caller, "conflict", Status.CONFLICT)
         elif not still_waiting:
             return
         elif claim.verdict is Verdict.JOIN:
--- a/honeywharf/orderkeys/operator_commands.py
+++ b/honeywharf/orderkeys/operator_commands.py
@@ -52,7 +52,7 @@
         if cls not in classes:
             raise OperatorCommandError(f"found class {cls!r}, wanted one of {', '.join(classes)}")
         if not arguments.get("key"):
-            raise OperatorCommandError("found no key, wanted the value of Idempotency-Key")
+            raise OperatorCommandError("key: expected the value of Idempotency-Key, got none")
         return key_name(arguments.get("tenant", ""), cls, arguments["key"].encode("latin-1", "replace"))
 
     # Keys of this proxy only.
@@ -99,7 +99,7 @@
             if future.done():  # the operator has disconnected
                 return
             if isinstance(reply, str):
-                future.set_exception(OperatorCommandError(f"the shared store gave no answer: {reply}"))
+                future.set_exception(OperatorCommandError(f"the shared store did not answer: {reply}"))
                 return
             try:
                 future.set_result(read(reply))
@@ -140,7 +140,7 @@
     def _read_forgotten(self, reply: Any) -> dict[str, Any]:
         if reply[0] != 1:
             raise OperatorCommandError(
-                "found no such key that has ended, wanted one that `keys show` tells of"
+                "key: expected a settled key that `keys show` shows, got an unknown or running key"
             )
         return {"forgotten": True}
 
--- a/tests/orderkeys/explorer.py
+++ b/tests/orderkeys/explorer.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """What the proxies and the store do; a test breaks one rule at a time."""
+    """The rules of the proxies and the store; a test breaks one rule at a time."""
 
     claim: Callable[..., tuple[model.Entry | None, tuple[object, ...]]] = model.claim
     note: Callable[..., tuple[model.Entry | None, int]] = model.note
--- a/tests/orderkeys/test_deduplicator.py
+++ b/tests/orderkeys/test_deduplicator.py
@@ -300,9 +300,8 @@
             first, second = await clients(w, 2)
             first.send("order", b"x", "4000m", "X-Account: a", key="k")
             await until(lambda: backend.came.is_set())
-            second.send(
-                "order", b"x", "4000m", "X-Account: a", key="other"
-            )  # a tenant gets half of the entries at most
+            # A tenant gets half of the entries at most.
+            second.send("order", b"x", "4000m", "X-Account: a", key="other")
             status, headers, _ = await second.answer()
             assert status.split()[1] == b"503"
             assert float(headers[b"retry-after"]) > 0
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -214,9 +214,8 @@
             assert await first.status() == 502  # known to have run, so never refused
             await redis.start()
             await until(lambda: all(store_available(w) for w in worlds) and not shared.unconfirmed_ends)
-            (repeat,) = await clients(
-                worlds[1]
-            )  # connect late, because a silent client is disconnected after 2 s
+            # The client connects late, because a silent one is disconnected after 2 s.
+            (repeat,) = await clients(worlds[1])
             repeat.send("order", b"x", key="k")
             assert (await repeat.answer())[2] == b"tile"
             assert len(backend.requests) == 1
--- a/tests/orderkeys/test_shared_store.py
+++ b/tests/orderkeys/test_shared_store.py
@@ -93,9 +93,8 @@
     assert [g[0].verdict for g in got] == [V.RUN, V.RUN, V.RUN, V.JOIN, V.ANSWER]
     assert got[0][0].earlier is None
     earlier = got[1][0].earlier
-    assert earlier == api.Earlier(
-        "b", 7, 960.0
-    )  # counted back from the send of the claim, not from the reply
+    # The time is counted back from the send of the claim, not from the reply.
+    assert earlier == api.Earlier("b", 7, 960.0)
     assert got[2][0].earlier == UNKNOWN_PLACE
     assert got[3][0].wait_ms == 300.0
     answer = got[4][0].answer
--- a/tests/orderkeys/test_table.py
+++ b/tests/orderkeys/test_table.py
@@ -184,9 +184,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.table, self.now = Table(4, 4 * ENTRY_BYTES + 200, 10), 0.0
-        self.claims: dict[
-            bytes, tuple[int, api.Earlier | None]
-        ] = {}  # fencing token and earlier place of running keys
+        # The fencing token and earlier place of each running key.
+        self.claims: dict[bytes, tuple[int, api.Earlier | None]] = {}
         self.ended_claims: list[tuple[bytes, int]] = []
         self.uncertain: dict[bytes, api.Earlier] = {}  # the place of each uncertain key, kept until `until`
         self.until: dict[bytes, float] = {}
