--- a/honeywharf/control/backup.py
+++ b/honeywharf/control/backup.py
@@ -111,12 +111,12 @@
         raise BackupError(f"{REGISTER}: expected an accepted state, got none")
     digest, text = state.value.digest, b""
     if digest:
-        found = read_text(disk, TEXT_PREFIX + digest)
-        if found is None or digest_of(found) != digest:
+        stored = read_text(disk, TEXT_PREFIX + digest)
+        if stored is None or digest_of(stored) != digest:
             raise BackupError(
                 f"{TEXT_PREFIX}{digest}: expected the text that the register names, got none or a damaged one"
             )
-        text = found
+        text = stored
     return Backup(state.epoch, state.accepted.counter, state.value, text).pack()
 
 
@@ -126,7 +126,7 @@
     `members` are all members, in the same order on every machine; `local_address` is this machine's. Raises
     BackupError if the disk is in use, or `local_address` is not a member.
     """
-    found = Backup.unpack(packed)
+    source = Backup.unpack(packed)
     in_use = [name for name in disk.names() if not name.endswith(DAMAGED_SUFFIX)]
     if in_use:
         raise BackupError(f"data directory: expected an empty one, got {in_use[0]}")
@@ -136,11 +136,11 @@
         raise BackupError(
             f"members: expected {local_address} among them, each once, got {' '.join(addresses)}"
         )
-    state = _restored_state(found, members, f"r{zlib.crc32(packed):08x}")
+    state = _restored_state(source, members, f"r{zlib.crc32(packed):08x}")
     value = state.value
     assert value is not None
     if value.digest:
-        compressed = zlib.compress(found.text, COMPRESSION_LEVEL)
+        compressed = zlib.compress(source.text, COMPRESSION_LEVEL)
         disk.write(TEXT_PREFIX + value.digest, encode_file(compressed))
     disk.write(REGISTER_NEW, encode_register(state))
     disk.rename(REGISTER_NEW, REGISTER)
@@ -150,16 +150,16 @@
     )
 
 
-def _restored_state(found: Backup, restored: Sequence[RestoredMember], disk: str) -> AcceptorState:
+def _restored_state(source: Backup, restored: Sequence[RestoredMember], disk: str) -> AcceptorState:
     """Returns the register of each restored member. `disk` is one name for all, derived from the backup."""
     members = tuple(Member(member.address, disk, member.zone, True) for member in restored)
-    epoch = max(found.epoch, found.value.epoch) + RESTORE_MARGIN
+    epoch = max(source.epoch, source.value.epoch) + RESTORE_MARGIN
     value = replace(
-        found.value,
-        revision=found.value.revision + RESTORE_MARGIN,
+        source.value,
+        revision=source.value.revision + RESTORE_MARGIN,
         members=members,
         epoch=epoch,
         target_size=len(members),
     )
-    number = ProposalNumber(found.counter + RESTORE_MARGIN, RESTORE_PROPOSER, 0)
+    number = ProposalNumber(source.counter + RESTORE_MARGIN, RESTORE_PROPOSER, 0)
     return AcceptorState(disk, epoch, members, number, number, value)
--- a/honeywharf/control/contacts.py
+++ b/honeywharf/control/contacts.py
@@ -13,9 +13,9 @@
     from honeywharf.transport.host import Host
 
 # The times without contact after which something happens.
-UNREACHABLE_S = 1.0  # Another machine may replace the member.
-SUSPECT_S = 0.45  # A joiner is told to retry, because the member may be about to become unreachable.
-REMOVE_S = 2.0  # The member is removed from a membership that is larger than its target size.
+UNREACHABLE_AFTER_S = 1.0  # Another machine may replace the member.
+SUSPECT_AFTER_S = 0.45  # A joiner has to retry, because the member may be about to become unreachable.
+REMOVE_AFTER_S = 2.0  # The member is removed from a membership that is larger than its target size.
 MAX_CONTACTS = 256  # The number of machines whose last contact is stored.
 
 
@@ -37,7 +37,7 @@
 
         Above `MAX_CONTACTS` the machine with the oldest contact is forgotten, members last.
         """
-        is_restored = member in self.unreachable(UNREACHABLE_S)
+        is_restored = member in self.unreachable(UNREACHABLE_AFTER_S)
         if member not in self.last_contact_at and len(self.last_contact_at) >= MAX_CONTACTS:
             self._forget_oldest()
         self.last_contact_at[member] = self.host.now()
@@ -68,11 +68,11 @@
         ]
 
     def reaches_majority(self) -> bool:
-        """Returns whether a majority was in contact within `UNREACHABLE_S`; else no request succeeds in time.
+        """Returns whether a majority was in contact within `UNREACHABLE_AFTER_S`.
 
-        The result only saves waiting and is no proof: every result of the register rests on answers of a
-        majority.
+        Without one no request succeeds in time. This check only saves waiting and is no proof: every result
+        of the register rests on answers of a majority.
         """
         members = member_ids(self.voter.state.members)
-        unreachable = self.unreachable(UNREACHABLE_S)
+        unreachable = self.unreachable(UNREACHABLE_AFTER_S)
         return 2 * (len(members) - len(unreachable)) > len(members)
--- a/honeywharf/control/joining.py
+++ b/honeywharf/control/joining.py
@@ -9,7 +9,7 @@
 
 from honeywharf import rpc_methods
 from honeywharf.control import mesh_state
-from honeywharf.control.contacts import SUSPECT_S, UNREACHABLE_S
+from honeywharf.control.contacts import SUSPECT_AFTER_S, UNREACHABLE_AFTER_S
 from honeywharf.control.member_removal import CHANGE_TIMEOUT_S
 from honeywharf.control.mesh_state import Member, MemberId, member_ids
 from honeywharf.control.messages import DecidedMembership
@@ -133,7 +133,7 @@
         ):
             answer()
             return
-        unreachable = self.contacts.unreachable(UNREACHABLE_S)
+        unreachable = self.contacts.unreachable(UNREACHABLE_AFTER_S)
         change = mesh_state.require_text(mesh_state.admit(joiner, unreachable), request.digest)
         replaces_disk = joiner.address in [member.address for member in members]
         if joiner.is_initial or replaces_disk:
@@ -149,6 +149,6 @@
         members = [member.address for member in self.voter.state.members]
         return (
             address not in members
-            and not self.contacts.unreachable(UNREACHABLE_S)
-            and bool(self.contacts.unreachable(SUSPECT_S))
+            and not self.contacts.unreachable(UNREACHABLE_AFTER_S)
+            and bool(self.contacts.unreachable(SUSPECT_AFTER_S))
         )
--- a/honeywharf/control/member_removal.py
+++ b/honeywharf/control/member_removal.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from honeywharf.control import mesh_state
-from honeywharf.control.contacts import REMOVE_S
+from honeywharf.control.contacts import REMOVE_AFTER_S
 from honeywharf.control.mesh_state import Change, MemberId
 from honeywharf.control.quorum_client import CALL_TIMEOUT_S
 
@@ -62,7 +62,7 @@
 
         Only the first reachable member submits the change.
         """
-        unreachable = self.contacts.unreachable(REMOVE_S)
+        unreachable = self.contacts.unreachable(REMOVE_AFTER_S)
         value = self.voter.state.value
         target_size = value.target_size if value is not None else len(members)
         if len(members) <= target_size or not unreachable or self.changes.current is not None:
--- a/honeywharf/control/members_view.py
+++ b/honeywharf/control/members_view.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from honeywharf.control.contacts import UNREACHABLE_S
+from honeywharf.control.contacts import UNREACHABLE_AFTER_S
 from honeywharf.control.mesh_state import member_ids
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
     """Returns why a member is not current; empty if it is. The text is shown to operators."""
     if member.id == replica.member_id:
         return _lag(replica, replica.membership.own_heartbeat())
-    if member.id in replica.unreachable_members(UNREACHABLE_S):
+    if member.id in replica.unreachable_members(UNREACHABLE_AFTER_S):
         return "silent"
     heartbeat = replica.membership.contacts.heartbeats.get(member.id)
     return "not heard yet" if heartbeat is None else _lag(replica, heartbeat)
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -1,10 +1,11 @@
 """Keeps the membership of the register up to date, by heartbeats.
 
-Theory of operation. Members send heartbeats to one another every `HEARTBEAT_S`, which show who is unreachable
-(`contacts`), who knows a newer decided membership or state, and who has not accepted the newest state: such a
-member makes a write that changes nothing, and so brings itself up to date. A machine that is not a member
-sends heartbeats to the members too, and requests its admission (`joining`); while no place is free it is a
-standby (`standby`). An unreachable member is replaced or removed only under a lease (`member_removal`).
+Theory of operation. Members send heartbeats to one another every `HEARTBEAT_INTERVAL_S`, which show who is
+unreachable (`contacts`), who knows a newer decided membership or state, and who has not accepted the newest
+state: such a member makes a write that changes nothing, and so brings itself up to date. A machine that is
+not a member sends heartbeats to the members too, and requests its admission (`joining`); while no place is
+free it is a standby (`standby`). An unreachable member is replaced or removed only under a lease
+(`member_removal`).
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
     from honeywharf.transport.rpc_client import RpcClient
     from honeywharf.transport.rpc_server import Method, Reply
 
-HEARTBEAT_S = 0.3  # The mean interval of heartbeats.
+HEARTBEAT_INTERVAL_S = 0.3  # The mean interval of heartbeats.
 HEARTBEAT_JITTER = (0.9, 0.2)  # The lowest factor of the interval, and the width of its range.
-STALL_S = 0.5  # A local heartbeat that is later than this shows a stall, and resets the contacts.
+STALL_THRESHOLD_S = 0.5  # A local heartbeat that is later than this shows a stall, and resets the contacts.
 CATCH_UP_HEARTBEATS = 3  # A member that is behind waits for one to two times as many heartbeats.
 
 
@@ -105,7 +106,7 @@
         """Sends the heartbeats, and maintains the membership."""
         now = self.host.now()
         least, width = HEARTBEAT_JITTER
-        self.host.after(HEARTBEAT_S * (least + width * self.rng.random()), self._send_heartbeats)
+        self.host.after(HEARTBEAT_INTERVAL_S * (least + width * self.rng.random()), self._send_heartbeats)
         self._detect_stall(now)
         members = member_ids(self.voter.state.members)
         is_member = self.voter.is_member()
@@ -122,7 +123,7 @@
 
     def _detect_stall(self, now: float) -> None:
         stall = now - self.last_heartbeat_at
-        if stall > HEARTBEAT_S + STALL_S:
+        if stall > HEARTBEAT_INTERVAL_S + STALL_THRESHOLD_S:
             self.contacts.reset_after_stall(now)
             self.host.log(f"replica: this process stood still for {stall:.1f} s")
         self.last_heartbeat_at = now
--- a/honeywharf/control/operator_api.py
+++ b/honeywharf/control/operator_api.py
@@ -103,14 +103,14 @@
             return
         self.pending_calls += 1
         try:
-            found = self.routes.find(call.method, call.path)
+            match = self.routes.find(call.method, call.path)
         except MethodNotAllowedError as other_methods:
             self.answer(call, 405, b"", b"Allow: " + b", ".join(other_methods.args[0]) + b"\r\n")
             return
-        if found is None:
+        if match is None:
             self.answer(call, 404, b"no such path")
             return
-        target, parameters = found
+        target, parameters = match
         if target in self.majority_calls and not self.replica.reaches_majority():
             # An immediate answer lets the caller try another node.
             self._answer_unavailable(call, QuorumResult.UNREACHABLE)
--- a/honeywharf/control/register.py
+++ b/honeywharf/control/register.py
@@ -41,9 +41,9 @@
 )
 from honeywharf.control.quorum import Quorums
 
-RESEND_S = 0.06  # The mean time from the loss of a message to its resend.
-STRAGGLERS_S = 0.02  # A read waits this long for more answers before it is inconclusive.
-BACKOFF_S = 0.02  # The mean of the first backoff after a rejection.
+MEAN_RESEND_DELAY_S = 0.06  # The mean time from the loss of a message to its resend.
+STRAGGLER_WAIT_S = 0.02  # A read waits this long for more answers before it is inconclusive.
+MEAN_FIRST_BACKOFF_S = 0.02  # The mean of the first backoff after a rejection.
 MAX_BACKOFF_DOUBLINGS = 4
 
 
@@ -143,7 +143,7 @@
     def message_lost(self, now: float, member: MemberId) -> None:
         """Schedules a resend for a message that was not answered in time or could not be sent."""
         if member in self.contacted:
-            self.resend_at[member] = now + RESEND_S * (0.5 + self.rng.random())
+            self.resend_at[member] = now + MEAN_RESEND_DELAY_S * (0.5 + self.rng.random())
 
     def resend_due(self, now: float) -> OutgoingRequests:
         """Returns the requests whose resend is due."""
@@ -263,7 +263,7 @@
         remaining = set(self.quorums.members()) - set(self.rejections)
         if self.phase is not Phase.BACKOFF and not self.quorums.covered(remaining):
             doublings = min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS)
-            backoff = BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
+            backoff = MEAN_FIRST_BACKOFF_S * (1 << doublings) * (0.5 + self.rng.random())
             self.phase, self.wake_at, self.resend_at = Phase.BACKOFF, now + backoff, {}
         return []
 
@@ -271,8 +271,8 @@
         """Applies the change and starts the accept phase once there are promises from a quorum."""
         requests: OutgoingRequests = []
         while self.quorums.covered(self.promises):
-            found = max(self.promises.values(), key=lambda promise: promise.number).state
-            base = found or initial_state(self.decided.members)
+            newest = max(self.promises.values(), key=lambda promise: promise.number).state
+            base = newest or initial_state(self.decided.members)
             if self.quorums.add(base.members):
                 requests += self.contact(self.quorums.members())
                 continue
@@ -339,8 +339,8 @@
 
     def _evaluate(self, now: float) -> OutgoingRequests:
         """Checks whether a quorum has accepted the value with the highest number."""
-        highest, found = max(self.answers.values(), key=lambda answer: answer.number)
-        value = found or initial_state(self.decided.members)
+        highest, newest = max(self.answers.values(), key=lambda answer: answer.number)
+        value = newest or initial_state(self.decided.members)
         requests = self.contact(self.quorums.members()) if self.quorums.add(value.members) else []
         if self.quorums.covered(
             member for member, answer in self.answers.items() if answer.number == highest
@@ -348,7 +348,7 @@
             self.result, self.value = QuorumResult.OK, value
             self.adopt(DecidedMembership(value.epoch, value.members))
         elif self.quorums.covered(self.answers) and self.wake_at >= self.deadline:
-            self.wake_at = min(now + STRAGGLERS_S, self.deadline)
+            self.wake_at = min(now + STRAGGLER_WAIT_S, self.deadline)
             if len(self.answers) == len(self.quorums.members()):
                 self.result = QuorumResult.INCONCLUSIVE
         return requests
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -15,7 +15,7 @@
 
 from honeywharf import rpc_methods
 from honeywharf.control import mesh_state
-from honeywharf.control.contacts import UNREACHABLE_S
+from honeywharf.control.contacts import UNREACHABLE_AFTER_S
 from honeywharf.control.quorum_client import CALL_TIMEOUT_S
 from honeywharf.failure_detector.ring import Ring
 from honeywharf.hinted_handoff.hints import HintStore
@@ -59,7 +59,7 @@
         now = self.host.now()
         self.host.after(LOOK_S, self._look)
         self.hints.sweep(now)
-        unreachable = [member.address for member in self.replica.unreachable_members(UNREACHABLE_S)]
+        unreachable = [member.address for member in self.replica.unreachable_members(UNREACHABLE_AFTER_S)]
         for address in [one for one in self.hints.by_machine if one not in unreachable]:
             self.hints.drop(address)  # it is no member any more
         for address in unreachable:
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -52,7 +52,7 @@
     for number in range(contacts.MAX_CONTACTS + 20):
         replica.membership.contacts.record(MemberId(f"10.1.0.{number}:1", "x"))
     assert len(replica.membership.contacts.last_contact_at) == contacts.MAX_CONTACTS
-    assert replica.unreachable_members(contacts.UNREACHABLE_S) == []
+    assert replica.unreachable_members(contacts.UNREACHABLE_AFTER_S) == []
 
 
 def test_a_stalled_member_treats_nobody_as_unreachable() -> None:
@@ -62,13 +62,13 @@
     cluster.run(3.0)
     assert [
         member.address
-        for member in cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_S)
+        for member in cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_AFTER_S)
     ] == ["10.0.0.4:7620"]
     cluster.network.machines["10.0.0.4"].unfreeze()
     cluster.run(0.001)
     cluster.run(0.2)
-    assert cluster.programs["10.0.0.4"].replica.unreachable_members(contacts.UNREACHABLE_S) == []
+    assert cluster.programs["10.0.0.4"].replica.unreachable_members(contacts.UNREACHABLE_AFTER_S) == []
     assert sum("stood still for 3." in line for line in cluster.network.machines["10.0.0.4"].lines) == 1
     cluster.run(2.0)
-    assert cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_S) == []
+    assert cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_AFTER_S) == []
     assert len(cluster.programs["10.0.0.1"].replica.state.members) == 5
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -47,11 +47,11 @@
     cluster.network.cuts = set(pairs["in"] + pairs["out"] if way == "both" else pairs[way])
     for second in range(20):
         calls = every_call(cluster, A)
-        told: list[object] = []
-        cluster.programs[A].replica.methods["word.read"](None, told.append, (B, 1))
+        values: list[object] = []
+        cluster.programs[A].replica.methods["word.read"](None, values.append, (B, 1))
         cluster.run(1.0)
         assert {call.status for call in calls} == {503}, f"after {second} s"
-        assert told == [None]
+        assert values == [None]
         if second % 5 == 2:
             confirmed(cluster, B, 10 + second)
     late = every_call(cluster, A)
@@ -63,7 +63,7 @@
     confirmed(cluster, A, 50)
 
 
-def test_what_was_under_way_when_the_cut_began_is_clear_or_unclear_and_never_wrong() -> None:
+def test_calls_in_flight_at_the_start_of_a_partition_are_never_answered_wrongly() -> None:
     for at in range(0, 60, 2):
         cluster = ControlCluster(at)
         cluster.run(1.0)
@@ -76,9 +76,9 @@
         cluster.run(1.0)
         cluster.network.cuts.clear()
         cluster.run(3.0)
-        told = cluster.describe(A)
+        read = cluster.describe(A)
         cluster.run(0.5)
-        status, text, _ = told.answers[0]
+        status, text, _ = read.answers[0]
         assert status == 200
         assert text in (b"r6 one", b"r6 another")
         statuses = {f"r6 {content}".encode(): call.status for content, call in calls.items()}
@@ -87,7 +87,7 @@
         assert other.status == (200 if text == b"r6 another" else 409)
 
 
-def test_a_read_that_a_freeze_held_up_is_not_told_when_its_time_is_over() -> None:
+def test_a_read_that_a_freeze_delayed_past_its_deadline_is_not_answered() -> None:
     for at in range(0, 12):
         cluster = ControlCluster(at)
         cluster.run(1.0)
@@ -104,7 +104,7 @@
 
 
 def test_the_time_of_day_decides_nothing() -> None:
-    told = []
+    outcomes = []
     for step in (0.0, 7200.0, -7200.0):
         cluster = ControlCluster(12)
         cluster.run(1.0)
@@ -120,5 +120,5 @@
         cluster.run(1.5)
         read = cluster.describe(A)
         cluster.run(0.5)
-        told.append([alone.status, other.status, read.answers])
-    assert told == [[503, 200, [(200, b"r6 six", b"")]]] * 3
+        outcomes.append([alone.status, other.status, read.answers])
+    assert outcomes == [[503, 200, [(200, b"r6 six", b"")]]] * 3
--- a/tests/control/test_explored.py
+++ b/tests/control/test_explored.py
@@ -23,9 +23,9 @@
 @pytest.mark.parametrize("name", [case.name for case in CASES])
 def test_no_order_breaks_a_rule(name: str) -> None:
     case = next(case for case in CASES if case.name == name)
-    count, whole, broken = played(case, 700, 1)
+    count, is_complete, broken = played(case, 700, 1)
     assert broken == ""
-    assert whole or count == 700
+    assert is_complete or count == 700
 
 
 @pytest.mark.parametrize("name", [f"3: {name}" for name in QUICK])
--- a/tests/control/test_mechanisms.py
+++ b/tests/control/test_mechanisms.py
@@ -172,7 +172,7 @@
     (waits_without_majority, scenario(test_cut_off.test_twenty_seconds_cut_off, "out")),
     (
         completes_late_reads,
-        scenario(test_cut_off.test_a_read_that_a_freeze_held_up_is_not_told_when_its_time_is_over),
+        scenario(test_cut_off.test_a_read_that_a_freeze_delayed_past_its_deadline_is_not_answered),
     ),
     (
         starts_without_majority,
--- a/tests/control/test_register.py
+++ b/tests/control/test_register.py
@@ -56,8 +56,8 @@
 
 
 def test_two_proposers_in_all_orders() -> None:
-    count, whole = explore(World(), two(), MAX_STATES, seed=1)
-    assert whole or count == MAX_STATES
+    count, is_complete = explore(World(), two(), MAX_STATES, seed=1)
+    assert is_complete or count == MAX_STATES
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -117,8 +117,8 @@
 
 
 def test_a_proposer_with_an_older_membership_overwrites_nothing() -> None:
-    count, whole = explore(World(), outdated_proposer(), MAX_STATES, seed=5)
-    assert whole or count == MAX_STATES
+    count, is_complete = explore(World(), outdated_proposer(), MAX_STATES, seed=5)
+    assert is_complete or count == MAX_STATES
     random_runs(World(tries=3), outdated_proposer, 300)
 
 
@@ -190,7 +190,9 @@
     def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
             return []
-        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial_state(self.decided.members)
+        base = max(self.promises.values(), key=lambda promise: promise[0])[1] or initial_state(
+            self.decided.members
+        )
         made, self.answer = self.change(base)
         self.proposal = made or base
         self.quorums.add(base.members)
@@ -205,7 +207,9 @@
     def _propose_when_promised(self) -> OutgoingRequests:
         if not self.quorums.covered(self.promises):
             return []
-        base = max(self.promises.values(), key=lambda told: told[0])[1] or initial_state(self.decided.members)
+        base = max(self.promises.values(), key=lambda promise: promise[0])[1] or initial_state(
+            self.decided.members
+        )
         made, self.answer = self.change(base)
         self.proposal = made or base
         self.phase, self.contacted, self.resend_at = Phase.ACCEPT, set(), {}
--- a/tests/control/test_store_repair.py
+++ b/tests/control/test_store_repair.py
@@ -70,12 +70,12 @@
     assert cluster.known("10.0.0.1").version == 6, "the other two continue"
 
 
-def test_every_wrong_head_is_damage() -> None:
-    whole = encode_file(b"body")
-    assert decode_file(whole) == b"body"
-    rest = whole[4:]
-    for wrong in (b"", whole[:7], b"hwr0" + rest, b"hwrx" + rest, b"HWR1" + rest, whole + b"x"):
-        assert decode_file(wrong) is None
+def test_every_invalid_header_is_damage() -> None:
+    valid = encode_file(b"body")
+    assert decode_file(valid) == b"body"
+    tail = valid[4:]
+    for invalid in (b"", valid[:7], b"hwr0" + tail, b"hwrx" + tail, b"HWR1" + tail, valid + b"x"):
+        assert decode_file(invalid) is None
 
 
 def test_check_reports_the_contents_and_each_fault() -> None:
