--- a/bench/lease.py
+++ b/bench/lease.py
@@ -32,7 +32,7 @@
         for cluster in runs
         for early, late in zip(cluster.granted, cluster.granted[1:], strict=False)
     ]
-    two = sum(bool(cluster.found) for cluster in runs)
+    two = sum(bool(cluster.violations) for cluster in runs)
     print(
         f"{args.seeds} runs of {args.seconds:.0f} s: two held it in {two}; "
         f"{sum(len(cluster.granted) for cluster in runs)} leases, between two grants "
@@ -43,7 +43,7 @@
             right = getattr(where, what)
             setattr(where, what, wrong)
             seeds = range(1, args.seeds + 1)
-            needed = next((seed for seed in seeds if Cluster(seed).run(args.seconds).found), 0)
+            needed = next((seed for seed in seeds if Cluster(seed).run(args.seconds).violations), 0)
             setattr(where, what, right)
             print(f"{name:44} {needed or 'not found'}", flush=True)
     return 1 if two else 0
--- a/tests/lease/cluster.py
+++ b/tests/lease/cluster.py
@@ -146,7 +146,7 @@
 
 
 class Cluster:
-    """Five machines, three of them members. `found` has the violations: the time, and the holders at once."""
+    """Five machines, three of them members. `violations` has the times and names of several holders."""
 
     def __init__(self, seed: int, steps: bool = True) -> None:
         self.rng, self.time, self.order = random.Random(seed), 0.0, 0
@@ -154,7 +154,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.cuts: set[tuple[str, str]] = set()
         self.granted: list[tuple[float, str, int]] = []
-        self.found: list[tuple[float, list[str]]] = []
+        self.violations: list[tuple[float, list[str]]] = []
         self.nodes: dict[str, Node] = {}
         for name in [f"10.0.0.{at}" for at in range(1, 6)]:
             self.nodes[name] = Node(self, name)
@@ -225,10 +225,10 @@
 
     def run(self, until: float) -> Cluster:
         """Lets time pass; after each step at most one machine may hold the role."""
-        while self.events and self.events[0][0] <= until and not self.found:
+        while self.events and self.events[0][0] <= until and not self.violations:
             self.time, _, call = heapq.heappop(self.events)
             call()
             holders = [node.name for node in self.nodes.values() if node.holds()]
             if len(holders) > 1:
-                self.found.append((self.time, holders))
+                self.violations.append((self.time, holders))
         return self
--- a/tests/lease/test_seeded_runs.py
+++ b/tests/lease/test_seeded_runs.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_no_two_hold_one_role_at_once(seed: int) -> None:
     cluster = Cluster(seed).run(SECONDS)
-    assert cluster.found == []
+    assert cluster.violations == []
     assert len(cluster.granted) >= 5, "the role was granted often enough for the check to count"
 
 
@@ -80,7 +80,7 @@
 def test_a_faulty_lease_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     target, attribute, replacement = MUTANTS[name]
     monkeypatch.setattr(target, attribute, replacement)
-    assert any(Cluster(seed).run(SECONDS).found for seed in range(1, MAX_SEEDS + 1))
+    assert any(Cluster(seed).run(SECONDS).violations for seed in range(1, MAX_SEEDS + 1))
 
 
 REMOVAL, TERM = Role(MEMBER_REMOVAL, "", 0), TERMS[MEMBER_REMOVAL]
