--- a/honeywharf/mesh_config/settings.py
+++ b/honeywharf/mesh_config/settings.py
@@ -188,7 +188,7 @@
     if not isinstance(value, list) or not all(isinstance(each, dict) for each in value):
         raise ValueError
     rows = [[each.get(name) for name in ("address", "region", "zone")] for each in value]
-    return [(address(listen), _text(region), _text(zone)) for listen, region, zone in rows]
+    return [(address(location), _text(region), _text(zone)) for location, region, zone in rows]
 
 
 def _addresses(value: object) -> list[tuple[str, int]]:
