--- a/tests/compiled.sh
+++ b/tests/compiled.sh
@@ -12,14 +12,14 @@
 python - <<'EOF'
 from honeywharf import limits, policy
 from honeywharf.codecs import http1, mesh
-from honeywharf.core import driver, exchange, forms, messages, probes, transport
-from honeywharf.orderkeys import edge, table
+from honeywharf.core import driver, exchange, messages, probes, transport, validation
+from honeywharf.orderkeys import deduplicator, table
 from honeywharf.limits import zone
 from honeywharf.policy import balancer, choice, endpoints, health, interface
 from honeywharf.terms import site
 for module in (
         policy, balancer, choice, endpoints, health, interface, limits, zone, site, http1, mesh, driver, messages,
-        transport, edge, table, exchange, forms, probes):
+        transport, deduplicator, table, exchange, validation, probes):
     assert module.__file__.endswith(".so"), f"{module.__name__} is not compiled"
 EOF
 # Of the mesh only what passes through its compiled readers: the rest runs as it does from the sources.
