--- a/honeywharf/mesh_config/settings.py
+++ b/honeywharf/mesh_config/settings.py
@@ -30,7 +30,7 @@
 
     def __init__(self, file: str, key: str, got: str, expected: str) -> None:
         """The parts are texts for the operator; `key` is a path such as `limits.memory-mb`."""
-        super().__init__(f"{file}: {key}: found {got}, wanted {expected}")
+        super().__init__(f"{file}: {key}: expected {expected}, got {got}")
         self.file = file
         self.key = key
 
--- a/tests/mesh_config/test_command.py
+++ b/tests/mesh_config/test_command.py
@@ -107,7 +107,7 @@
     ):
         assert line in lines
     assert mesh.main(["settings", str(files / "good.json")]) == 1
-    assert "node-name: found nothing, wanted a name" in capsys.readouterr().out
+    assert "node-name: expected a name, got nothing" in capsys.readouterr().out
 
 
 def test_route_prints_the_route_of_a_path_without_its_query(files: Path, capsys: Capture) -> None:
--- a/tests/mesh_config/test_settings.py
+++ b/tests/mesh_config/test_settings.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("key", REQUIRED)
 def test_a_missing_required_field_is_named(key: str) -> None:
-    with pytest.raises(SettingsError, match=rf"^boot\.yaml: {key}: found nothing, wanted "):
+    with pytest.raises(SettingsError, match=rf"^boot\.yaml: {key}: expected .*, got nothing$"):
         parse(without(key), "boot.yaml")
 
 
@@ -90,29 +90,41 @@
 @pytest.mark.parametrize(
     ("old", "new", "error"),
     [
-        ("8304", "83040", "listen-addresses.outbound: found '10.1.0.8:83040', wanted an address"),
+        (
+            "8304",
+            "83040",
+            "listen-addresses.outbound: expected an address such as '10.1.0.8:8300', got '10.1.0.8:83040'",
+        ),
         (
             '"10.2.0.9:8306"',
             '"core-2:8306"',
-            "seed-nodes: found ['10.1.0.12:8306', 'core-2:8306'], wanted a list of",
+            "seed-nodes: expected a list of addresses, got ['10.1.0.12:8306', 'core-2:8306']",
+        ),
+        (
+            "- 7635",
+            "- 7619",
+            "internal-port-range: expected two ports, the first not above the second, got [7620, 7619]",
+        ),
+        (
+            "- 7635",
+            "- 7635\n  - 7640",
+            "internal-port-range: expected two ports, the first not above the second, got [7620, 7635, 7640]",
         ),
-        ("- 7635", "- 7619", "internal-port-range: found [7620, 7619], wanted two ports"),
-        ("- 7635", "- 7635\n  - 7640", "internal-port-range: found [7620, 7635, 7640], wanted two ports"),
-        ("initial-start: true", "initial-start: 1", "initial-start: found 1, wanted true or false"),
-        ("memory-mb: 300", "memory-mb: -1", "limits.memory-mb: found -1, wanted megabytes"),
-        ("memory-mb: 300", "memory-mb: .nan", "limits.memory-mb: found nan, wanted megabytes"),
+        ("initial-start: true", "initial-start: 1", "initial-start: expected true or false, got 1"),
+        ("memory-mb: 300", "memory-mb: -1", "limits.memory-mb: expected megabytes, got -1"),
+        ("memory-mb: 300", "memory-mb: .nan", "limits.memory-mb: expected megabytes, got nan"),
         (
             "descriptors: 4100",
             "descriptors: many",
-            "limits.max-file-descriptors: found 'many', wanted a whole number",
+            "limits.max-file-descriptors: expected a whole number, got 'many'",
         ),
-        ('"1300ms"', '"1300"', "heartbeat-interval: found '1300', wanted a time"),
+        ('"1300ms"', '"1300"', "heartbeat-interval: expected a time such as '1300ms', got '1300'"),
         (
             "machine-failures: 1",
             "machine-failures: true",
-            "fault-tolerance.machine-failures: found True, wanted",
+            "fault-tolerance.machine-failures: expected a whole number, got True",
         ),
-        ("zones:\n  tartu", "zones: none\nother:\n  tartu", "zones: found 'none', wanted a mapping"),
+        ("zones:\n  tartu", "zones: none\nother:\n  tartu", "zones: expected a mapping, got 'none'"),
     ],
 )
 def test_an_invalid_field_is_rejected_with_its_value(old: str, new: str, error: str) -> None:
@@ -146,7 +158,9 @@
 def test_a_missing_bound_has_the_default_or_is_rejected_by_name() -> None:
     read = parse(SETTINGS, "boot.yaml")
     assert read.bound("recovery", 15.0) == 15.0
-    with pytest.raises(SettingsError, match=r"boot\.yaml: bounds\.recovery: found nothing"):
+    with pytest.raises(
+        SettingsError, match=r"boot\.yaml: bounds\.recovery: expected a time or a number, got nothing"
+    ):
         read.bound("recovery")
 
 
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -122,7 +122,7 @@
     ],
 )
 def test_invalid_gateways_in_settings_are_rejected_by_name(wrong: object) -> None:
-    with pytest.raises(SettingsError, match=r"gateways: found .*, wanted a list of .address"):
+    with pytest.raises(SettingsError, match=r"gateways: expected a list of .address.*, got "):
         settings(wrong)
 
 
