--- a/honeywharf/drift/requests.py
+++ b/honeywharf/drift/requests.py
@@ -22,8 +22,8 @@
 
     from honeywharf.mesh_config.routes import Route
     from honeywharf.programs.sidecar import Sidecar
-    from honeywharf.sidecar.course import Course
-    from honeywharf.sidecar.inbound import Job
+    from honeywharf.sidecar.inbound import InboundRequest
+    from honeywharf.sidecar.outbound_request import OutboundRequest
     from honeywharf.transport.host import Address
 
 FETCH_S = 0.03  # between fetches in vain that requests ask for
@@ -43,8 +43,8 @@
         self.turn = self.sampled = 0
         self.renewing = False
         self.renewals, self.renewed = 0, self.host.now()  # the last one's number, and when it began
-        self.courses: list[Course] = []  # that wait for a renewal, to decide again
-        self.jobs: list[Job] = []  # that wait for news of the word
+        self.courses: list[OutboundRequest] = []  # that wait for a renewal, to decide again
+        self.jobs: list[InboundRequest] = []  # that wait for news of the word
         self.accused: dict[str, tuple[bytes, float]] = {}  # gates that hold a rule otherwise, which, when
 
     # At the source.
@@ -98,11 +98,11 @@
         """What travels with a request: the digest of the rule that decided."""
         return self.rules.of(route)
 
-    def stale(self, course: Course, key: str) -> None:
+    def stale(self, course: OutboundRequest, key: str) -> None:
         """A gate refused by its word: renew ours from there, then the course decides again."""
         by = course.revision
         if len(self.courses) >= MAX_HELD or key == self.sidecar.settings.ip or by < self.word.revision:
-            self.host.after(0.0, course.decide)
+            self.host.after(0.0, course.reroute)
             return
         self.courses.append(course)
         if not self.renewing:
@@ -152,20 +152,20 @@
         self.renewing = False
         courses, self.courses = self.courses, []
         for course in courses:
-            course.decide()
+            course.reroute()
         jobs, self.jobs = self.jobs, []
         for job in jobs:
-            if not job.over and self._judged(job, True):
-                job.judge()
+            if not job.is_over and self._judged(job, True):
+                job.admit_or_reject()
 
     # At the destination.
 
-    def passes(self, job: Job) -> bool:
+    def passes(self, job: InboundRequest) -> bool:
         """Whether a request may go on to the gate; else it was refused, or waits for news of the word."""
         return self._judged(job, False)
 
-    def _judged(self, job: Job, asked: bool) -> bool:
-        ask, now = job.ask, self.host.now()
+    def _judged(self, job: InboundRequest, asked: bool) -> bool:
+        ask, now = job.forwarded, self.host.now()
         host, path = judge.host_of(ask.fields), ask.target.partition(b"?")[0]
         route = self.word.find(host, path)
         strict = ask.kind != 0 or (route is not None and not route.is_idempotent)
@@ -190,9 +190,9 @@
             return self._hold(job, (ask.peer, self.sidecar.settings.internal_ports[0]))
         return self._refuse_job(job, 0.0 if verdict != judge.ASK else 0.05)
 
-    def still(self, job: Job) -> bool:
+    def still(self, job: InboundRequest) -> bool:
         """Whether a request that has waited may go on; else it was refused, and its source decides again."""
-        ask = job.ask
+        ask = job.forwarded
         if not ask.kind or not self.judging:
             return True
         if self.host.now() - self.ticked > GAP_S:
@@ -206,14 +206,14 @@
         self.turn += 1
         return bool(self.turn % judge.EACH)
 
-    def _verdict(self, job: Job, route: Route | None) -> int:
-        ask = job.ask
+    def _verdict(self, job: InboundRequest, route: Route | None) -> int:
+        ask = job.forwarded
         mine = b"" if route is None else self.rules.of(route)
         return judge.judge((ask.revision, ask.rule, ask.kind, ask.service), self.word.revision, route, mine)
 
-    def _home(self, job: Job, host: bytes, path: bytes) -> bool:
+    def _home(self, job: InboundRequest, host: bytes, path: bytes) -> bool:
         """A request of this machine's own: there is no other judge than the second reading."""
-        told, ask = self.told, job.ask
+        told, ask = self.told, job.forwarded
         if not self.reading or told is None:
             return True
         made, kind = told.decide(host, path)
@@ -229,12 +229,12 @@
             self.slip("reading", f"{_shown(host, path)} would run by another rule")
         return self._refuse_job(job, 0.0)
 
-    def _refuse_job(self, job: Job, again_s: float) -> bool:
+    def _refuse_job(self, job: InboundRequest, again_s: float) -> bool:
         self.refused += 1
-        job.refuse(DRIFT, again_s)
+        job.reject(DRIFT, again_s)
         return False
 
-    def _hold(self, job: Job, holder: Address | None) -> bool:
+    def _hold(self, job: InboundRequest, holder: Address | None) -> bool:
         """Ask before it runs; without room for that it is refused."""
         if len(self.jobs) >= MAX_HELD:
             return self._refuse_job(job, 0.05)
--- a/honeywharf/drift/rounds.py
+++ b/honeywharf/drift/rounds.py
@@ -111,7 +111,7 @@
 
         def known(value: Any) -> None:
             if isinstance(value, dict) and value.get("digest"):
-                self.word.take(holder, value)
+                self.word.offer(holder, value)
             done(value if self.host.now() - asked < GAP_S else None)  # else it is as old as our standstill
 
         self.sidecar.caller.call(holder, rpc_methods.KNOWN_STATE, None, HOLD_S, known)
--- a/honeywharf/drift/scan.py
+++ b/honeywharf/drift/scan.py
@@ -95,13 +95,13 @@
     for node in nodes:
         if node != sidecar.settings.ip and not _as_told(sidecar, node, entries.get(node)):
             return f"the list holds {node} otherwise than told"
-    extra = next((node for node in source.list if node not in entries), None)
+    extra = next((node for node in source.backends if node not in entries), None)
     return "" if extra is None else f"the list holds {extra}, of which nothing is told"
 
 
 def _as_told(sidecar: Sidecar, node: str, entry: Entry | None) -> bool:
     source = sidecar.source
-    found, say = source.list.get(node), entry.attributes if entry is not None else None
+    found, say = source.backends.get(node), entry.attributes if entry is not None else None
     if entry is None or say is None or not say.get("s"):
         return found is None
     if found is None or (found.service, found.instance, found.state, found.zone) != (
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -241,15 +241,15 @@
     def _relist(self) -> None:
         sidecar = self.sidecar
         entries = sidecar.membership.entries()
-        sidecar.source.doubted = {
+        sidecar.source.suspected = {
             node for node in entries if node in sidecar.membership.failure_detector.down
         }
-        for node in list(sidecar.source.list):
+        for node in list(sidecar.source.backends):
             if node != sidecar.settings.ip:
-                sidecar.source.told(node, None, "")
+                sidecar.source.update_backend(node, None, "")
         for node, entry in entries.items():
             if node != sidecar.settings.ip:
-                sidecar.source.told(node, entry.attributes, entry.zone)
+                sidecar.source.update_backend(node, entry.attributes, entry.zone)
 
     def renew(self) -> None:
         """Ask a control node's majority for the word."""
@@ -345,7 +345,7 @@
             "branches": {name: live[name].hex() for name in live},
             "caught": dict(self.caught),
             "refused": self.refused,
-            "handed": self.sidecar.source.handed,
+            "handed": self.sidecar.source.delegated,
             "changes": state.changes,
             "slips": self.slips,
             "standing": self.standing,
@@ -363,5 +363,5 @@
     def counters(self) -> str:
         """For a log line."""
         caught = " ".join(f"{by}={many}" for by, many in sorted(self.caught.items()))
-        state, handed = states.NAMES[self.state.at], self.sidecar.source.handed
+        state, handed = states.NAMES[self.state.at], self.sidecar.source.delegated
         return f"drift monitor {state} refused={self.refused} handed={handed} caught {caught or 'none'}"
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -13,11 +13,11 @@
 from honeywharf.drift.watch import is_named
 from honeywharf.gossip.membership import Membership, XorShift
 from honeywharf.programs.start import load_settings
-from honeywharf.sidecar.backend import Taps
-from honeywharf.sidecar.beats import Beats
+from honeywharf.sidecar.backend import BackendConnectionPool
 from honeywharf.sidecar.gate import DRAINING, READY, STATES, UNKNOWN, Gate
+from honeywharf.sidecar.heartbeat_api import HeartbeatApi
 from honeywharf.sidecar.inbound import Inbound
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.probe import Probe
 from honeywharf.sidecar.shutdown import Shutdown
@@ -64,24 +64,24 @@
         )
         application = settings.application or NO_APPLICATION
         self.handshakes = 0
-        self.backend_connections = Taps(host, application, self._count_handshake)
+        self.backend_connections = BackendConnectionPool(host, application, self._count_handshake)
         self.inbound = Inbound(host, self.gate, self.backend_connections)
-        self.inbound.linked(settings.link_mbps)
+        self.inbound.set_link_rate(settings.link_mbps)
         self.caller = RpcClient(host)
-        self.mesh_state = Word(host, self.caller, self.control_nodes, self._mesh_state_changed)
-        self.mesh_state.named = is_named
+        self.mesh_state = MeshStateReplica(host, self.caller, self.control_nodes, self._mesh_state_changed)
+        self.mesh_state.has_digest = is_named
         self.membership = self._start_gossip()
         self.source = self._make_source()
         self.membership.on_change = self._entry_changed
         self.membership.on_newer_revision = self._newer_revision
-        self.membership.on_down = lambda node: self.source.doubt(node, True)
-        self.membership.on_up = lambda node: self.source.doubt(node, False)
+        self.membership.on_down = lambda node: self.source.set_suspected(node, True)
+        self.membership.on_up = lambda node: self.source.set_suspected(node, False)
         self.probe = Probe(host, application, self.gate, self._gate_changed)
         self.drift_monitor = self.source.drift_monitor = self.inbound.drift_monitor = DriftMonitor(self)
         self._listen_for_peers()
         self.announced_changes = 0  # of the gate
         self.logged_state = UNKNOWN
-        self.heartbeats = Beats(host, self.gate, self._gate_changed)
+        self.heartbeats = HeartbeatApi(host, self.gate, self._gate_changed)
         self.http_servers = self._start_http_servers()
         outbound_address = settings.listen_addresses["outbound"]
         self.outbound = Outbound(host, outbound_address, self.mesh_state, self.source)
@@ -94,13 +94,13 @@
             gate_closed=self._gate_changed,
             ended=self._shut_down,
         )
-        self.source.told(settings.ip, self.gate.say(), settings.zone)
+        self.source.update_backend(settings.ip, self.gate.gossip_attributes(), settings.zone)
         self.mesh_state.start()
         host.after(COUNTERS_S, self._log_counters_periodically)
 
     def _start_gossip(self) -> Membership:
         settings, host = self.settings, self.host
-        attributes = {**self.gate.say(), "rev": 0}
+        attributes = {**self.gate.gossip_attributes(), "rev": 0}
         seeds = [ip for ip, _ in settings.seeds]
         port = settings.internal_ports[0]
         incarnation = int(host.wall() * 1000.0)
@@ -109,7 +109,7 @@
     def _make_source(self) -> Source:
         draw = XorShift(self.host.random(SEED_BYTES)).random
         source = Source(self.host, self.settings, self.mesh_state, self.inbound, draw)
-        source.proxies, source.helper = self._count_sidecars, self.choose_delegate
+        source.count_sidecars, source.pick_delegate = self._count_sidecars, self.choose_delegate
         if self.settings.gateways:
             # Imported here, so that a mesh of one region does not load it.
             from honeywharf.sessions.abroad import joined
@@ -127,14 +127,14 @@
         """The backend's heartbeats, and the platform's readiness probe."""
         addresses = self.settings.listen_addresses
         return [
-            HttpServer(self.host, addresses["control-plane"], self.heartbeats.take, MAX_HEARTBEAT_BODY),
+            HttpServer(self.host, addresses["control-plane"], self.heartbeats.handle, MAX_HEARTBEAT_BODY),
             HttpServer(self.host, addresses["readiness"], self._readiness, MAX_READINESS_BODY),
         ]
 
     # Other nodes.
 
     def _count_sidecars(self) -> int:
-        return max(1, len(self.source.list))
+        return max(1, len(self.source.backends))
 
     def control_nodes(self) -> list[Address]:
         """Control nodes' internal addresses, those of the own zone first.
@@ -155,10 +155,10 @@
     def _entry_changed(self, node: str, entry: Entry | None, old: Entry | None) -> None:
         if node != self.settings.ip:
             say = None if entry is None else entry.attributes
-            self.source.told(node, say, entry.zone if entry is not None else "")
+            self.source.update_backend(node, say, entry.zone if entry is not None else "")
 
     def _newer_revision(self, revision: int, node: str) -> None:
-        self.mesh_state.heard(revision, (node, self.settings.internal_ports[0]))
+        self.mesh_state.revision_announced(revision, (node, self.settings.internal_ports[0]))
 
     def _mesh_state_changed(self) -> None:
         self.apply()
@@ -169,14 +169,14 @@
     def apply(self) -> None:
         """Have every part decide by the mesh state in force."""
         now, state = self.host.now(), self.mesh_state
-        self.gate.evacuate(now, self.settings.zone in state.evacuated)
+        self.gate.set_evacuated(now, self.settings.zone in state.evacuated)
         if state.table is not None:
             service = state.table.services.get(self.gate.service)
             if service is not None:
-                self.gate.bound(service.slow_start_requests_per_s, service.slow_start_s)
+                self.gate.set_slow_start(service.slow_start_requests_per_s, service.slow_start_s)
                 self.backend_connections.most = max(1, service.max_connections - 2)
                 self.probe.path = service.health_check_path.encode()
-        self.source.relist()
+        self.source.update_usable()
 
     # The gate of the backend beside this sidecar.
 
@@ -186,17 +186,17 @@
     def _gate_changed(self) -> None:
         """The gate's state may have changed: tell other nodes where it matters to them."""
         gate = self.gate
-        self.probe.look()
-        if gate.changes == self.announced_changes and not self.inbound.leaving:
+        self.probe.schedule()
+        if gate.changes == self.announced_changes and not self.inbound.shutting_down:
             return
         self.announced_changes = gate.changes
-        attributes = gate.say()
-        if self.inbound.leaving and gate.state == READY:
+        attributes = gate.gossip_attributes()
+        if self.inbound.shutting_down and gate.state == READY:
             attributes["st"] = DRAINING
         if gate.state != self.logged_state:
             self.logged_state = gate.state
             self.host.log(f"backend {gate.instance or '-'} is {STATES[gate.state]}")
-        self.source.told(self.settings.ip, attributes, self.settings.zone)
+        self.source.update_backend(self.settings.ip, attributes, self.settings.zone)
         self.membership.publish(**attributes)
 
     def _serve_link(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
@@ -208,9 +208,9 @@
         if request.kind != DELEGATED:
             return self.inbound.begin(request, responder)
         # Imported here: needed only where another sidecar is suspected of drift.
-        from honeywharf.sidecar.bypass import take
+        from honeywharf.sidecar.delegation import begin_delegated
 
-        return take(self.source, request, host_of(request.fields), responder)
+        return begin_delegated(self.source, request, host_of(request.fields), responder)
 
     def choose_delegate(self, excluded: Container[str]) -> str | None:
         """A healthy sidecar of this region, of this zone where there is one; None without one."""
@@ -260,14 +260,14 @@
         """Log one line of what was done so far."""
         inbound = self.inbound
         rejected = " ".join(
-            f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(inbound.refused.items())
+            f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(inbound.rejections.items())
         )
         self.host.log(
             f"{self.source.counters()}; {self.outbound.disconnects.counters()}; "
             f"{self.drift_monitor.counters()}; "
             f"gate served={inbound.served} failed={inbound.failed} "
             f"cancelled={inbound.cancelled} handshakes={self.handshakes} refused {rejected or 'none'}; "
-            f"beats={self.heartbeats.taken} late={self.heartbeats.late}; word={self.mesh_state.revision} "
+            f"beats={self.heartbeats.received} late={self.heartbeats.late}; word={self.mesh_state.revision} "
             f"known={len(self.membership.entries())}"
         )
 
--- a/honeywharf/sessions/conveyor.py
+++ b/honeywharf/sessions/conveyor.py
@@ -27,7 +27,7 @@
 from honeywharf.sessions.outlet import APART_S
 from honeywharf.sessions.spillway import LINK_MBPS, Spillway
 from honeywharf.transport.stream import WINDOW_SIZE, ForwardedRequest
-from honeywharf.verdict import DRAINING, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import DRAINING, LINK_LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -259,7 +259,7 @@
         last = rider.way.gateway.node if rider.way is not None else ""
         self._leave(rider)
         if self._hopeless(rider, now):
-            inlet.late(LOST)
+            inlet.late(LINK_LOST)
             self._over(rider)
             return
         gateway = choose(
@@ -310,7 +310,7 @@
             ran = MAY_HAVE_RUN if inlet.finished else NOT_RUN
             inlet.cancel()
             self._over(rider)
-            rider.replies.failed(Verdict(ran, LOST, inlet.finished))
+            rider.replies.failed(Verdict(ran, LINK_LOST, inlet.finished))
             return
         inlet.detach()
         self.host.after(0.0, lambda: self._find(rider))
@@ -319,7 +319,7 @@
         """A frame for a session."""
         inlet, kind = rider.inlet, frame[0]
         if kind == GONE and frame[2] == inlet.epoch and rider.way is not None:
-            if frame[3] == LOST:
+            if frame[3] == LINK_LOST:
                 rider.unreached += 1
             if frame[3] != DRAINING:
                 rider.way.gateway.doubted_until = self.host.now() + DOUBT_S
--- a/honeywharf/sessions/inlet.py
+++ b/honeywharf/sessions/inlet.py
@@ -41,7 +41,7 @@
     WHOLE_ANSWER,
     WINDOW,
 )
-from honeywharf.verdict import LOST, MAY_HAVE_RUN, NOT_RUN, TIMED_OUT, Verdict
+from honeywharf.verdict import LINK_LOST, MAY_HAVE_RUN, NOT_RUN, TIMED_OUT, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -298,7 +298,7 @@
             self._fail(Verdict(frame[3], frame[4], bool(frame[6]), frame[5] / 1000.0))
         elif kind == UNKNOWN:
             # This way has led to a new life, and all of it: what an old one has had came by ways before.
-            self._fail(Verdict(MAY_HAVE_RUN if self.before else NOT_RUN, LOST, self.before))
+            self._fail(Verdict(MAY_HAVE_RUN if self.before else NOT_RUN, LINK_LOST, self.before))
         elif kind == LEAVE:
             self.state = LEAVING if self.state == FLOWING else IDLE
         elif kind == GONE:
--- a/honeywharf/sessions/landing.py
+++ b/honeywharf/sessions/landing.py
@@ -7,7 +7,7 @@
 from honeywharf.sessions.outlet import OVER, Outlet, Outlets
 from honeywharf.sessions.spillway import LINK_MBPS, Spillway
 from honeywharf.transport.stream import ForwardedRequest
-from honeywharf.verdict import GARBLED, NOT_RUN, Verdict
+from honeywharf.verdict import MALFORMED_ANSWER, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -124,7 +124,7 @@
         try:
             ask = self._ask(outlet, outlet.head, len(body))
         except (TypeError, ValueError):
-            self.outlets.failed(outlet, Verdict(NOT_RUN, GARBLED))
+            self.outlets.failed(outlet, Verdict(NOT_RUN, MALFORMED_ANSWER))
             return
         answers = Landed(self, outlet)
         work = self.begin(ask, answers)
--- a/honeywharf/sessions/outlet.py
+++ b/honeywharf/sessions/outlet.py
@@ -43,14 +43,14 @@
     WINDOW,
 )
 from honeywharf.verdict import (
-    BROKEN_OFF,
     CANCELLED,
+    CONNECTION_BROKEN,
     FULL,
-    LATE,
-    LOST,
+    LINK_LOST,
     MAY_HAVE_RUN,
     NOT_RUN,
     OTHER_SERVICE,
+    TOO_LATE,
     Verdict,
 )
 
@@ -234,7 +234,7 @@
     def _refusal(self, wall_ms: int, expires: int, homes: list[str]) -> int | None:
         """Why nothing is begun, or None."""
         if wall_ms > expires + STALE_S * 1000.0:
-            return LATE
+            return TOO_LATE
         if homes and self.region not in homes:
             return OTHER_SERVICE
         return FULL if len(self.sessions) >= self.most_entries else None
@@ -265,7 +265,7 @@
         same = _asked(first.head) == _asked(outlet.head) and first.length == outlet.length
         if not same or len(first.joined) >= MAX_JOINED:
             self.refused += 1
-            self.send(path, [VERDICT, outlet.sid, epoch, MAY_HAVE_RUN, LOST, 0, 0])
+            self.send(path, [VERDICT, outlet.sid, epoch, MAY_HAVE_RUN, LINK_LOST, 0, 0])
             return
         self.joins += 1
         outlet.state, outlet.until = RUNNING, first.until  # of its own body nothing is wanted
@@ -280,7 +280,7 @@
         if first.verdict is not None:
             self._finish(outlet, first.verdict)
         elif first.base or not first.whole:
-            self._finish(outlet, Verdict(MAY_HAVE_RUN, LOST, True))
+            self._finish(outlet, Verdict(MAY_HAVE_RUN, LINK_LOST, True))
         else:
             outlet.answer, outlet.kept, outlet.came = first.answer, bytearray(first.kept), first.came
             outlet.state, outlet.whole = ANSWERING, True
@@ -346,7 +346,7 @@
             self._have(outlet, 1)
             return
         if outlet.length >= 0 and total != outlet.length:
-            self._finish(outlet, Verdict(NOT_RUN, BROKEN_OFF))
+            self._finish(outlet, Verdict(NOT_RUN, CONNECTION_BROKEN))
             return
         outlet.moved_at = now
         self._start(outlet)
@@ -400,7 +400,7 @@
             self._acked(outlet, got)
             self._tell(outlet, got)
         elif outlet.path is not None:  # what it lacks is not kept any more
-            self._say(outlet, Verdict(MAY_HAVE_RUN, LOST, True))
+            self._say(outlet, Verdict(MAY_HAVE_RUN, LINK_LOST, True))
 
     def _push(self, outlet: Outlet) -> None:
         path = outlet.path
@@ -455,7 +455,7 @@
         outlet = self.sessions.get(sid)
         if outlet is not None:
             outlet.kept = bytearray()
-            outlet.verdict = Verdict(MAY_HAVE_RUN, LOST, True)
+            outlet.verdict = Verdict(MAY_HAVE_RUN, LINK_LOST, True)
 
     # Ends.
 
@@ -495,8 +495,8 @@
                     outlet.epoch,
                     verdict.ran,
                     verdict.why,
-                    int(verdict.again_s * 1000.0),
-                    int(verdict.arrived),
+                    int(verdict.retry_after_s * 1000.0),
+                    int(verdict.reached_backend),
                 ],
             )
 
@@ -511,7 +511,7 @@
         """Give up half-finished bodies that nothing comes for, and forget what is long over."""
         for outlet in list(self.sessions.values()):
             if outlet.state == HOLDING and (now >= outlet.until or now - outlet.moved_at >= APART_S):
-                self._finish(outlet, Verdict(NOT_RUN, LATE if now >= outlet.until else LOST))
+                self._finish(outlet, Verdict(NOT_RUN, TOO_LATE if now >= outlet.until else LINK_LOST))
             if now >= outlet.until:
                 self._closed(outlet)  # whoever asked has given up
             if now >= outlet.until + LEDGER_S and outlet.work is None:
--- a/honeywharf/sessions/passage.py
+++ b/honeywharf/sessions/passage.py
@@ -32,7 +32,7 @@
     VERDICT,
     WINDOW,
 )
-from honeywharf.verdict import DRAINING, FULL, LOST, OTHER_SERVICE
+from honeywharf.verdict import DRAINING, FULL, LINK_LOST, OTHER_SERVICE
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -142,7 +142,7 @@
         destination = reach(to, lane) if why is None else None
         if destination is None:
             self.refused += 1
-            self.send(source, [GONE, sid, epoch, LOST if why is None else why])
+            self.send(source, [GONE, sid, epoch, LINK_LOST if why is None else why])
             return
         row = Row(
             sid,
@@ -281,7 +281,8 @@
             if row.source is path or row.destination is path:
                 self.forget(row)
                 self.send(
-                    row.destination if row.source is path else row.source, [GONE, row.sid, row.epoch, LOST]
+                    row.destination if row.source is path else row.source,
+                    [GONE, row.sid, row.epoch, LINK_LOST],
                 )
 
     def ask_to_leave(self, row: Row) -> None:
--- a/honeywharf/sidecar/__init__.py
+++ b/honeywharf/sidecar/__init__.py
@@ -1,6 +1,7 @@
-"""The data plane: clients at one end, the backend at the other, the gate that judges between them.
+"""The data plane: clients at one end, the backend at the other, and the gate that admits requests to it.
 
-`outbound` holds clients, `course` is a request's life at its source, `source` what courses share, `inbound`
-and `gate` judge at the destination, `backend` holds the connections beside it, `word` is the operator's word
-as this proxy runs it.
+`outbound` and `client_connection` serve clients, `outbound_request` tries gates for one request, and `source`
+holds what these requests share. `inbound` and `gate` admit requests at the destination, `backend` holds the
+connections to the backend, `heartbeat_api` and `probe` learn its state. `mesh_state` is the mesh state in
+force.
 """
--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -1,16 +1,16 @@
-"""Connections to the backend on this machine: one request at a time on each, kept warm, never trusted.
-
-Theory of operation. An idle connection is used again only if less time has passed than the backend keeps it
-(`Keep-Alive`, less a margin); the one used last is used first, so the rest age out. An answer belongs to a
-request only if it echoes its attempt id: what does not is skipped, and the connection is closed afterwards.
-So is one on which anything comes while no request is out, one whose answer came before all of its request
-was written, and one that carried a refusal, as a refused request may come back under the id it had. A new
-connection's request is written once it is up, so one that is refused has seen nothing: a proof.
-
-A backend may forget a connection that rests, and says so only by a reset of what is sent next. So one that
-has rested for `TRUSTED_S` is tried first: the method's bytes go alone, which no backend can take for a
-request, and the rest `TRIED_S` later. One that breaks in between is replaced by a new one, and its request
-has not run.
+"""Connections to the backend on this machine: one request at a time on each, kept open and reused.
+
+Theory of operation. An idle connection is reused only if less time has passed than the backend keeps it open
+(`Keep-Alive`, less a margin); the one used last is taken first, so the rest age out. An answer belongs to a
+request only if it echoes its attempt id; any other is skipped, and the connection is closed afterwards. So is
+a connection that received bytes while no request was out, one whose answer came before all of its request
+was written, and one that carried a rejection, as a rejected request may come back under the id it had. On a
+new connection the request is written once it is up, so a connection that is refused proves that nothing ran.
+
+A backend may have dropped an idle connection, which shows only by a reset of what is sent next. So one that
+was idle for more than `MAX_REST_UNPROBED_S` is probed: the bytes of the method are sent alone, which no
+backend can take for a request, and the rest `PROBE_WAIT_S` later. A connection that breaks in between is
+replaced by a new one, and its request has not run.
 Source: PROTOCOL, "Backends"; LATER, "New on the wire".
 """
 
@@ -29,283 +29,283 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-    class User(Protocol):
-        """Who has a connection for one request."""
+    class ConnectionUser(Protocol):
+        """The request that uses a connection."""
 
         attempt: bytes
-        bodiless: bool  # its answer has a head only, whatever that tells of a body
-        method: bytes  # with which its head begins
+        bodiless: bool  # the answer has no body, whatever its head tells of one
+        method: bytes  # the first bytes of the request's head
 
         def ready(self) -> None:
-            """The connection is up: write."""
+            """Called when the connection is up and may be written to."""
 
         def answered(self, answer: Answer) -> None:
-            """The head of its answer."""
+            """Called with the head of the answer."""
 
         def data(self, data: bytes) -> None:
-            """A part of its answer's body."""
+            """Called with a part of the answer's body."""
 
         def whole(self) -> None:
-            """Its answer is whole; the connection is not the user's any more."""
+            """Called when the answer is complete; the connection is not the user's any more."""
 
-        def broken(self, why: str, sent: bool, heard: bool) -> None:
-            """The connection is gone.
+        def broken(self, why: str, sent: bool, answer_begun: bool) -> None:
+            """Called when the connection is lost.
 
-            `sent`: bytes of the request may have arrived; `heard`: of an answer came.
+            `sent`: bytes of the request may have arrived; `answer_begun`: bytes of an answer were received.
             """
 
         def drained(self) -> None:
-            """What was written has gone."""
+            """Called when the backend has taken all that was written."""
 
 
-MAX_ANSWER = 1 << 30
-MARGIN_S = 1.0  # before the backend closes an idle connection, it is not used any more
-UNTOLD_S = 2.0  # how long a backend that says nothing of it keeps one, as far as is assumed
-CONNECT_S = 0.6
-TRUSTED_S = 0.1  # of rest, after which a connection is tried before a whole request goes on it
-TRIED_S = 0.002  # a reset comes back on the same machine in a tenth of that
+MAX_ANSWER_BYTES = 1 << 30
+KEEP_ALIVE_MARGIN_S = 1.0  # an idle connection is not used any more this long before the backend closes it
+DEFAULT_KEEP_ALIVE_S = 2.0  # for a backend that sends no Keep-Alive header
+CONNECT_TIMEOUT_S = 0.6
+MAX_REST_UNPROBED_S = 0.1  # a connection idle for longer is probed before a whole request is sent on it
+PROBE_WAIT_S = 0.002  # enough for a reset to come back on the same machine
 
 
-class Tap:
+class BackendConnection:
     """One connection to the backend."""
 
     __slots__ = (
         "answering",
-        "begun",
         "connection",
         "idle_since",
         "idle_until",
+        "is_probing",
+        "is_up",
+        "must_close",
         "pool",
         "reader",
-        "request_whole",
+        "request_complete",
         "sent",
+        "sent_ahead",
         "skipping",
-        "spoilt",
-        "trying",
-        "up",
         "user",
     )
 
-    def __init__(self, pool: Taps, user: User) -> None:
+    def __init__(self, pool: BackendConnectionPool, user: ConnectionUser) -> None:
         self.pool = pool
-        self.user: User | None = user
-        self.begun = b""  # bytes of the request that have gone ahead
-        self.trying = False  # whether the backend still knows the connection
-        self.request_whole = False  # what was written is all of the user's request
-        self.up = self.sent = self.spoilt = self.skipping = self.answering = False
+        self.user: ConnectionUser | None = user
+        self.sent_ahead = b""  # bytes of the request that were sent as a probe
+        self.is_probing = False  # while the probe may still be answered by a reset
+        self.request_complete = False  # whether the user has written its whole request
+        self.is_up = self.sent = self.must_close = self.skipping = self.answering = False
         self.idle_since = self.idle_until = 0.0
-        self.reader = AnswerReader(self, MAX_ANSWER)
-        self.connection: Connection = pool.host.connect(pool.address, self._made, CONNECT_S)
+        self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
+        self.connection: Connection = pool.host.connect(pool.address, self._made, CONNECT_TIMEOUT_S)
 
     def _made(self, connection: Connection) -> Handler:
         return self
 
     def opened(self) -> None:
-        """It is up."""
-        self.up = True
+        """Tells the user that the connection is up."""
+        self.is_up = True
         if self.user is not None:
             self.user.ready()
 
-    def again(self, user: User, now: float) -> None:
-        """Serve one more request: at once after a short rest, else once it has been tried."""
-        self.user, self.sent, self.begun = user, False, b""
-        self.request_whole = False
-        if now - self.idle_since <= TRUSTED_S:
-            self.pool.host.after(0.0, partial(_begin, self, user))
+    def reuse(self, user: ConnectionUser, now: float) -> None:
+        """Serves one more request: at once after a short rest, else after a probe."""
+        self.user, self.sent, self.sent_ahead = user, False, b""
+        self.request_complete = False
+        if now - self.idle_since <= MAX_REST_UNPROBED_S:
+            self.pool.host.after(0.0, partial(_notify_ready, self, user))
             return
-        self.trying, self.begun = True, user.method
+        self.is_probing, self.sent_ahead = True, user.method
         self.connection.send(user.method)
-        self.pool.host.after(TRIED_S, partial(self._tried, user))
+        self.pool.host.after(PROBE_WAIT_S, partial(self._probe_passed, user))
 
-    def _tried(self, user: User) -> None:
-        if self.trying and self.user is user:
-            self.trying = False
+    def _probe_passed(self, user: ConnectionUser) -> None:
+        if self.is_probing and self.user is user:
+            self.is_probing = False
             user.ready()
 
-    def _renew(self) -> None:
-        """The backend had forgotten it: a new connection takes its place, as nothing has run."""
-        self.trying, self.up, self.begun = False, False, b""
-        self.request_whole = False
-        self.spoilt = self.skipping = self.answering = False
-        self.reader = AnswerReader(self, MAX_ANSWER)
-        self.pool.forgotten += 1
-        self.pool.made()
-        self.connection = self.pool.host.connect(self.pool.address, self._made, CONNECT_S)
+    def _reconnect(self) -> None:
+        """Replaces a connection that the backend had closed; nothing has run."""
+        self.is_probing, self.is_up, self.sent_ahead = False, False, b""
+        self.request_complete = False
+        self.must_close = self.skipping = self.answering = False
+        self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
+        self.pool.stale_found += 1
+        self.pool.on_connect()
+        self.connection = self.pool.host.connect(self.pool.address, self._made, CONNECT_TIMEOUT_S)
 
     def write(self, data: bytes, last: bool) -> None:
-        """Send bytes of the request, from its first on; what has gone ahead is not sent twice.
+        """Sends bytes of the request; what the probe sent is not sent twice.
 
-        `last`: nothing of the request follows.
+        `last`: these bytes complete the request.
         """
-        self.request_whole = last
+        self.request_complete = last
         if not data:
             return
-        if self.begun:
-            data, self.begun = data[len(self.begun) :], b""
+        if self.sent_ahead:
+            data, self.sent_ahead = data[len(self.sent_ahead) :], b""
         self.sent = True
         self.connection.send(data)
 
     @property
     def unsent(self) -> int:
-        """Bytes that the backend has not taken yet."""
+        """Bytes written that the backend has not taken yet."""
         return self.connection.unsent
 
     def release(self) -> None:
-        """The user gives its request up: the backend is told by the close."""
+        """Closes the connection, which tells the backend that the request is given up."""
         self.user = None
-        self.pool.leave(self)
+        self.pool.discard(self)
         self.connection.abort()
 
-    # What comes.
+    # Calls by the host and the answer's reader.
 
     def received(self, data: bytes) -> None:
-        """Bytes of an answer, or bytes that belong to nothing."""
+        """Reads bytes of an answer; bytes that belong to no request close the connection."""
         if self.user is None:
             self._discard()
             return
-        if self.trying:
+        if self.is_probing:
             self.connection.abort()  # `closed` follows, and a new one
             return
         try:
             self.reader.feed(data)
         except MalformedError:
-            self.spoilt = True
+            self.must_close = True
             if self.user is not None:
-                self._break("garbled")
+                self._fail("garbled")
         if self.user is None and self.connection is not None:
-            if self.spoilt or not self.reader.idle:
+            if self.must_close or not self.reader.idle:
                 self._discard()
-            elif self in self.pool.taps:
-                self.pool.rest(self)
+            elif self in self.pool.open_connections:
+                self.pool.add_idle(self)
 
     def answer(self, answer: Answer) -> None:
-        """A head is whole."""
+        """Takes the head of an answer, if it echoes the request's attempt id."""
         user = self.user
-        if user is None:  # behind a whole answer: it belongs to nothing
-            self.spoilt = True
+        if user is None:  # it follows a complete answer and belongs to no request
+            self.must_close = True
             return
         if answer.attempt != user.attempt:
-            self.skipping = self.spoilt = True
+            self.skipping = self.must_close = True
             return
         self.skipping, self.answering = False, True
         if not answer.keep or answer.refuses:
-            # A refused request may come here again under the same id: a late repeat of this refusal must not
-            # be where its answer is due.
-            self.spoilt = True
-        self.idle_until = (answer.idle_s - MARGIN_S) if answer.idle_s else UNTOLD_S
+            # A rejected request may come here again under the same id: a late repeat of this rejection must
+            # not be taken for its answer.
+            self.must_close = True
+        self.idle_until = (answer.idle_s - KEEP_ALIVE_MARGIN_S) if answer.idle_s else DEFAULT_KEEP_ALIVE_S
         user.answered(answer)
         if user.bodiless:  # the parser waits for a body that does not come
-            self.spoilt = True
+            self.must_close = True
             self.whole()
 
     def data(self, data: bytes) -> None:
-        """A part of a body."""
+        """Takes a part of an answer's body."""
         if self.user is not None and not self.skipping:
             self.user.data(data)
 
     def whole(self) -> None:
-        """An answer is whole."""
+        """Ends the request: its answer is complete."""
         if self.skipping:
             self.skipping = False
             return
         user, self.user = self.user, None
         self.answering = False
-        if not self.request_whole:
-            self.spoilt = True  # guards the next request: it would be read as the rest of this one's body
-        self.connection.resume()  # a user that held it up is done with it
+        if not self.request_complete:
+            self.must_close = True  # else the next request would be read as the rest of this one's body
+        self.connection.resume()  # the user may have paused it
         if user is not None:
             user.whole()
 
     def ended(self) -> None:
-        """The backend sends nothing more."""
-        if self.user is not None and self.trying:
+        """Called when the backend has closed its sending half."""
+        if self.user is not None and self.is_probing:
             self.connection.abort()  # `closed` follows, and a new one
         elif self.user is not None:
-            self._break("ended")
+            self._fail("ended")
         else:
             self._discard()
 
     def drained(self) -> None:
-        """What was written has gone."""
+        """Passes on that the backend has taken all that was written."""
         if self.user is not None:
             self.user.drained()
 
     def closed(self, why: str) -> None:
-        """It is gone."""
-        if self.trying and self.user is not None:
-            self._renew()
+        """Called when the connection is closed."""
+        if self.is_probing and self.user is not None:
+            self._reconnect()
             return
-        self.pool.leave(self)
+        self.pool.discard(self)
         if self.user is not None:
-            self._break(why)
+            self._fail(why)
 
-    def _break(self, why: str) -> None:
+    def _fail(self, why: str) -> None:
         user, self.user = self.user, None
-        heard = self.answering
+        answer_begun = self.answering
         self._discard()
         if user is not None:
-            user.broken(why, self.sent, heard)
+            user.broken(why, self.sent, answer_begun)
 
     def _discard(self) -> None:
-        self.pool.leave(self)
+        self.pool.discard(self)
         self.connection.abort()
 
 
-def _begin(tap: Tap, user: User) -> None:
-    """Tell the user that the connection is up, if it is still its own."""
-    if tap.user is user:
+def _notify_ready(connection: BackendConnection, user: ConnectionUser) -> None:
+    """Tells the user that the connection is up, if it still has it."""
+    if connection.user is user:
         user.ready()
 
 
-class Taps:
-    """The connections to one backend. `most`: connections at once, as the configuration says."""
+class BackendConnectionPool:
+    """The connections to one backend: at most `most` at once, as configured."""
 
     def __init__(self, host: Host, address: Address, made: Callable[[], None]) -> None:
-        self.host, self.address, self.made = host, address, made
-        self.taps: dict[Tap, None] = {}
-        self.idle: list[Tap] = []  # the one that rests for longest first
+        self.host, self.address, self.on_connect = host, address, made
+        self.open_connections: dict[BackendConnection, None] = {}
+        self.idle: list[BackendConnection] = []  # the one that rests for longest first
         self.most = 100
-        self.forgotten = 0  # by the backend, found before a request went on them
+        self.stale_found = 0  # connections closed by the backend, found by a probe
 
-    def take(self, user: User, fresh: bool = False) -> Tap | None:
-        """A connection for one request; None where no more may be open.
+    def take(self, user: ConnectionUser, fresh: bool = False) -> BackendConnection | None:
+        """Returns a connection for one request; None where no more may be open.
 
         `user.ready` is called when it may be written to.
 
-        `fresh`: one that has just been used or is new, as what must not run twice should not meet a
-        closing one.
+        `fresh`: the connection is new or was used recently, as a request that must not run twice should not
+        be sent on one that the backend is about to close.
         """
         now = self.host.now()
         while self.idle:
-            tap = self.idle.pop()
-            if now - tap.idle_since < tap.idle_until * (0.5 if fresh else 1.0):
-                tap.again(user, now)
-                return tap
-            tap.release()
-        if len(self.taps) >= self.most:
+            connection = self.idle.pop()
+            if now - connection.idle_since < connection.idle_until * (0.5 if fresh else 1.0):
+                connection.reuse(user, now)
+                return connection
+            connection.release()
+        if len(self.open_connections) >= self.most:
             return None
-        tap = Tap(self, user)
-        self.taps[tap] = None
-        self.made()
-        return tap
-
-    def rest(self, tap: Tap) -> None:
-        """It is free; those that rest for too long are closed."""
-        now = tap.idle_since = self.host.now()
-        if tap.idle_until <= 0:
-            tap.release()
+        connection = BackendConnection(self, user)
+        self.open_connections[connection] = None
+        self.on_connect()
+        return connection
+
+    def add_idle(self, connection: BackendConnection) -> None:
+        """Takes a connection that is free again, and closes those idle for too long."""
+        now = connection.idle_since = self.host.now()
+        if connection.idle_until <= 0:
+            connection.release()
             return
-        self.idle.append(tap)
+        self.idle.append(connection)
         while self.idle and now - self.idle[0].idle_since >= self.idle[0].idle_until:
             self.idle.pop(0).release()
 
-    def leave(self, tap: Tap) -> None:
-        """It is of no further use."""
-        self.taps.pop(tap, None)
-        if tap in self.idle:
-            self.idle.remove(tap)
+    def discard(self, connection: BackendConnection) -> None:
+        """Forgets a connection that is not used any more."""
+        self.open_connections.pop(connection, None)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
-    def flush(self) -> None:
-        """Close all that rest: another backend is there now."""
-        for tap in list(self.idle):
-            tap.release()
+    def close_idle(self) -> None:
+        """Closes all idle connections, as another backend is at the address now."""
+        for connection in list(self.idle):
+            connection.release()
--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -1,10 +1,10 @@
-"""One client's connection: requests read, routed and given to courses, answers written in order.
+"""One client's connection: requests are read and routed, and their answers written in order.
 
 Theory of operation. Each request on a connection is an `Exchange`. Several may be under way (pipelining); the
-first writes, the others hold their answers, which the windows of their courses bound. Reading stops while
-`MAX_PIPELINED` requests are under way, or while more of a body is held than `MAX_HELD_BODY`. What breaks the
-protocol or a bound of the configuration is answered (400, 408, 413, 431) behind the answers that are owed,
-and ends the connection. A client that ends its bytes is asked whether it still waits (`disconnects`).
+first one's answer is written, the others' answers are held, which the windows of their requests bound.
+Reading stops while `MAX_PIPELINED` requests are under way, or while more of a body than `MAX_HELD_BODY` waits
+to be sent. A request that breaks the protocol or a configured limit is answered (400, 408, 413, 431) after
+the answers due before it, and ends the connection. A client that sends a FIN is probed (`disconnects`).
 Source: PROTOCOL, "Requests"; RULES, LOST, MIXED and GONE.
 """
 
@@ -13,8 +13,8 @@
 from honeywharf.codecs.heads import UNKNOWN, Head
 from honeywharf.codecs.mesh import INTERIM_RESPONSE, RequestReader, begun, final
 from honeywharf.codecs.reader import MalformedError
-from honeywharf.sidecar.course import ASIDE, DEADLINE_S, Course
 from honeywharf.sidecar.disconnects import DisconnectProbe
+from honeywharf.sidecar.outbound_request import DEFAULT_DEADLINE_S, DELEGATED_ROUTE, OutboundRequest
 from honeywharf.transport.stream import WINDOW_SIZE
 
 TYPE_CHECKING = False
@@ -23,36 +23,36 @@
 
     from honeywharf.mesh_config.routes import Route
     from honeywharf.sidecar.disconnects import DisconnectCounters
-    from honeywharf.sidecar.mesh_state import Word
+    from honeywharf.sidecar.mesh_state import MeshStateReplica
     from honeywharf.sidecar.source import Source
     from honeywharf.transport.host import Connection, Host, Timer
 
     class Listener(Protocol):
-        """What a connection needs of the address that it came to."""
+        """The listening address, as its connections use it."""
 
         host: Host
-        word: Word
+        mesh_state: MeshStateReplica
         source: Source
         disconnects: DisconnectCounters
-        draining: bool  # this process ends: answers close their connections
+        draining: bool  # this process shuts down: answers close their connections
         clients: dict[ClientConnection, None]
 
         def ends_before(self, now: float, route: Route) -> bool:
             """Whether this process is likely to end before a request that begins now has its answer."""
 
-        def return_s(self, now: float) -> float:
-            """Seconds after which the next process of this program may serve a client that returns."""
+        def restart_wait_s(self, now: float) -> float:
+            """Returns the seconds after which the next process of this program is likely to serve."""
 
 
 MAX_PIPELINED = 16
-NO_CONFIGURATION_RETRY_S = 0.2  # after which a client may come back to a sidecar that has just started
-MAX_HELD_BODY = 64 * 1024  # of a body that waits to be sent
-MAX_DISCARDED_BODY = 4 << 20  # of a body that is read to its end though the answer is given
+NO_CONFIGURATION_RETRY_S = 0.2  # Retry-After of a sidecar that has no configuration yet
+MAX_HELD_BODY = 64 * 1024  # bytes of a body that wait to be sent
+MAX_DISCARDED_BODY = 4 << 20  # bytes; a longer body is not read to its end once its request is answered
 SLOW_BODY = b"the body was too slow"
 
 
 class LocalAnswer:
-    """An answer of the mesh's own. `retry_after_s`: 0 where the client is not told when to come back."""
+    """An answer of the mesh's own. `retry_after_s`: 0 for an answer without Retry-After."""
 
     __slots__ = ("retry_after_s", "status", "text")
 
@@ -61,33 +61,33 @@
 
 
 class Exchange:
-    """One request and its answer. `out`: bytes that wait until those before it have been answered."""
+    """One request and its answer. `out` holds bytes until the requests before it have been answered."""
 
     __slots__ = (
         "bodiless",
         "chunked",
         "closes",
-        "course",
         "done",
         "interim",
         "keep",
         "long",
         "out",
+        "request",
         "request_complete",
         "waiting",
     )
 
     def __init__(self, keep: bool, bodiless: bool, interim: bool) -> None:
-        self.course: Course | None = None
+        self.request: OutboundRequest | None = None
         self.keep, self.bodiless, self.interim = keep, bodiless, interim
         self.done = self.chunked = self.request_complete = self.closes = self.long = False
         self.out: list[bytes] = []
-        self.waiting = 0  # bytes of the answer's body not yet told as gone
+        self.waiting = 0  # bytes of the answer's body not yet reported as sent
 
     def may_take_interim(self) -> bool:
-        """Whether an interim response may be written: the client knows them, and no answer has begun."""
-        course = self.course
-        return self.interim and not (self.done or self.out or course is None or course.answering)
+        """Whether an interim response may be written: the client supports them and no answer has begun."""
+        request = self.request
+        return self.interim and not (self.done or self.out or request is None or request.answering)
 
 
 class ClientConnection:
@@ -110,24 +110,24 @@
 
     def __init__(self, outbound: Listener, connection: Connection) -> None:
         self.outbound, self.connection = outbound, connection
-        limits = outbound.word.limits()
+        limits = outbound.mesh_state.limits()
         self.reader = RequestReader(_RequestSink(self), limits.max_body_bytes, limits.max_header_bytes + 4096)
-        self.exchanges: list[Exchange] = []  # the first is answered first
-        self.exchange: Exchange | None = None  # whose body is being read
+        self.exchanges: list[Exchange] = []  # in the order of their answers
+        self.exchange: Exchange | None = None  # the one whose body is being read
         self.closing = self.is_closed = self.paused = False
-        self.disconnected = False  # with requests under way
-        self.probe: DisconnectProbe | None = None  # since the client has ended its bytes
-        self.since = outbound.host.now()  # of what the timer waits for
+        self.disconnected = False  # whether the client has left with requests under way
+        self.probe: DisconnectProbe | None = None  # set once the client has sent a FIN
+        self.since = outbound.host.now()
         self.timer: Timer | None = None
         self._time()
 
-    # Time.
+    # Time-outs.
 
     def _time(self) -> None:
-        """Bound how long a head or a body may take, and how long the connection may rest."""
+        """Starts the timer for a head, for a part of a body, or for an idle connection."""
         if self.timer is not None:
             self.timer.cancel()
-        limits = self.outbound.word.limits()
+        limits = self.outbound.mesh_state.limits()
         wait = limits.header_timeout_s if self.reader.in_head else limits.idle_timeout_s
         self.timer = self.outbound.host.after(wait, self._timed_out)
 
@@ -143,13 +143,13 @@
         else:
             self._time()
 
-    # What comes.
+    # Requests.
 
     def opened(self) -> None:
-        """Not called on connections that came in."""
+        """Part of `Handler`; not called on incoming connections."""
 
     def received(self, data: bytes) -> None:
-        """Bytes of requests."""
+        """Reads bytes of requests."""
         if self.closing:
             return
         in_head = self.reader.in_head
@@ -165,14 +165,14 @@
         self.gauge()
 
     def head(self, head: Head) -> None:
-        """A request's head is whole."""
+        """Takes the head of a request: routes it, and begins or rejects it."""
         exchange = Exchange(head.keep, head.method == b"HEAD", head.interim)
         exchange.request_complete, exchange.long = head.length == 0, head.length > MAX_DISCARDED_BODY
         behind = self.exchanges[-1].closes if self.exchanges else False
         self.exchanges.append(exchange)
         if self.closing or behind:
             exchange.closes = True
-            return  # behind one that closes: it counts as not read
+            return  # it follows a request that ends the connection, so it counts as not read
         if not exchange.keep:
             exchange.closes = True
         self.exchange = exchange
@@ -184,21 +184,21 @@
             self._begin(exchange, head, route)
 
     def _find_route(self, head: Head) -> tuple[Route | None, float]:
-        """The route of a request, and for how many seconds its rule is in doubt; 0 without doubt."""
+        """Returns a request's route, and the Retry-After where its rule is suspected of drift, else 0."""
         outbound, retry_after_s = self.outbound, 0.0
-        route = outbound.word.find(head.host, head.path)
+        route = outbound.mesh_state.find(head.host, head.path)
         drift_monitor = outbound.source.drift_monitor
         if drift_monitor is not None:
             route, retry_after_s = drift_monitor.look(head.host, head.path, route)
-        if retry_after_s and outbound.source.helper(()) is not None:
-            return ASIDE, 0.0
+        if retry_after_s and outbound.source.pick_delegate(()) is not None:
+            return DELEGATED_ROUTE, 0.0
         return route, retry_after_s
 
     def _reject(self, head: Head, route: Route | None, retry_after_s: float) -> LocalAnswer | None:
-        """Why a request is not begun; None where it is."""
+        """Returns the answer of a request that is not begun; None where it is begun."""
         if retry_after_s:
             return LocalAnswer(503, retry_after_s, b"rules in doubt here")
-        if route is None and not self.outbound.word.ready:
+        if route is None and not self.outbound.mesh_state.ready:
             return LocalAnswer(503, NO_CONFIGURATION_RETRY_S, b"no configuration yet")
         if route is None:
             return LocalAnswer(404, 0.0, b"no route")
@@ -207,44 +207,44 @@
         return None
 
     def _begin(self, exchange: Exchange, head: Head, route: Route) -> None:
-        """Start the course of a request, unless this process is likely to end before its answer."""
+        """Starts a request, unless this process is likely to end before its answer."""
         if head.expects:
             self._continue(exchange)
         outbound = self.outbound
         now = outbound.host.now()
         if outbound.ends_before(now, route):
-            self.own(exchange, LocalAnswer(503, outbound.return_s(now), b"leaving"))
+            self.own(exchange, LocalAnswer(503, outbound.restart_wait_s(now), b"leaving"))
             return
-        remaining = DEADLINE_S if head.remaining_s is None else head.remaining_s
+        remaining = DEFAULT_DEADLINE_S if head.remaining_s is None else head.remaining_s
         deadline = now + min(remaining, route.timeout_s)
-        course = Course(outbound.source, ExchangeClient(self, exchange), head, route, deadline)
-        exchange.course = course
-        outbound.source.courses[course] = None
-        course.start()
+        request = OutboundRequest(outbound.source, ExchangeClient(self, exchange), head, route, deadline)
+        exchange.request = request
+        outbound.source.active_requests[request] = None
+        request.start()
 
     def _continue(self, exchange: Exchange) -> None:
         if self.exchanges[0] is exchange:
             self.connection.send(INTERIM_RESPONSE)
 
     def data(self, data: bytes) -> None:
-        """A part of a body."""
-        if self.exchange is not None and self.exchange.course is not None:
-            self.exchange.course.data(data)
+        """Takes a part of the body being read."""
+        if self.exchange is not None and self.exchange.request is not None:
+            self.exchange.request.data(data)
 
     def whole(self) -> None:
-        """The request is whole."""
+        """Notes that the request being read is complete."""
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
             exchange.request_complete = True
-            if exchange.course is not None:
-                exchange.course.end()
+            if exchange.request is not None:
+                exchange.request.end()
             self._flush()
 
     def gauge(self) -> None:
-        """Stop or go on reading."""
-        course = self.exchange.course if self.exchange is not None else None
+        """Pauses or resumes reading, by the requests under way and the bytes that wait to be sent."""
+        request = self.exchange.request if self.exchange is not None else None
         full = len(self.exchanges) >= MAX_PIPELINED or (
-            course is not None and not course.over and course.held > MAX_HELD_BODY
+            request is not None and not request.is_over and request.pending_bytes > MAX_HELD_BODY
         )
         if full != self.paused and not self.is_closed:
             self.paused = full
@@ -254,18 +254,18 @@
                 self.connection.watch_end(self._start_probe)
 
     def _fault(self, status: int, text: bytes) -> None:
-        """What came makes no sense, or not in time: it is answered last, and the connection ends."""
+        """Answers a malformed or slow request after those before it, and ends the connection."""
         exchange = self.exchange
         self.exchange = None
         if exchange is None:
             exchange = Exchange(False, False, False)
             self.exchanges.append(exchange)
-        elif exchange.course is not None and not exchange.course.over:
-            course = exchange.course
-            if status == 408 and (course.ran or course.sent):
-                status = 502  # guards the promise of 408: a part has gone on
-            course.cancel()
-            if course.answering:  # guards against a second answer behind the beginning of one
+        elif exchange.request is not None and not exchange.request.is_over:
+            request = exchange.request
+            if status == 408 and (request.ran or request.bytes_sent):
+                status = 502  # 408 promises that nothing has run, but a part of the request was sent on
+            request.cancel()
+            if request.answering:  # its answer has begun: no second one may follow
                 self.broken(exchange)
                 self.closing = True
                 return
@@ -277,14 +277,15 @@
         self.closing = True
         self._flush()
 
-    # What goes.
+    # Answers.
 
     def own(self, exchange: Exchange, answer: LocalAnswer) -> None:
-        """An answer of the mesh's own."""
+        """Writes an answer of the mesh's own."""
         if exchange.done:
             return
         if self._is_last_answer(exchange) or (not exchange.request_complete and exchange.long):
-            exchange.closes = True  # else the rest is read and dropped: a reset could eat the answer
+            # Otherwise the rest of the body is read and dropped, as a reset could destroy the answer.
+            exchange.closes = True
         exchange.out.append(
             final(
                 answer.status,
@@ -298,11 +299,11 @@
         self._flush()
 
     def _is_last_answer(self, exchange: Exchange) -> bool:
-        """Whether this answer is the last because the process leaves; those at work behind it are owed."""
+        """Whether the process shuts down and no request follows that still has to be answered."""
         return self.outbound.draining and self.exchanges[-1:] == [exchange]
 
     def answer(self, exchange: Exchange, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-        """A backend's answer."""
+        """Writes a backend's answer: complete, or its head where `body` is None."""
         if self._is_last_answer(exchange):
             exchange.closes = True
         exchange.chunked = length == UNKNOWN and body is None
@@ -315,20 +316,20 @@
         self._flush()
 
     def answer_data(self, exchange: Exchange, data: bytes) -> None:
-        """A part of its body."""
+        """Writes a part of the answer's body."""
         exchange.out.append(b"%x\r\n%b\r\n" % (len(data), data) if exchange.chunked else data)
         exchange.waiting += len(data)
         self._flush()
 
     def complete_answer(self, exchange: Exchange) -> None:
-        """It is whole."""
+        """Ends the answer, which is complete."""
         if exchange.chunked:
             exchange.out.append(b"0\r\n\r\n")
         exchange.done = True
         self._flush()
 
     def broken(self, exchange: Exchange) -> None:
-        """An answer that has begun breaks off: the connection must not look as if it had not."""
+        """Aborts the connection, so that an answer that breaks off is not taken for a complete one."""
         if not self.is_closed:
             if self.exchanges and self.exchanges[0] is exchange:
                 self.connection.abort()
@@ -338,22 +339,22 @@
                 self._flush()
 
     def _flush(self) -> None:
-        """Write what may be written, and read on if there is room now, or a rest to be dropped."""
+        """Writes what may be written, and reads on where there is room now, or a body to be dropped."""
         self._write()
         if not self.is_closed:
             self.gauge()
 
     def _write(self) -> None:
-        """Write what may be written, in order."""
+        """Writes what may be written, in the order of the requests."""
         while self.exchanges and not self.is_closed:
             exchange = self.exchanges[0]
             if exchange.out:
                 data = b"".join(exchange.out)
                 exchange.out.clear()
                 self.connection.send(data)
-            if exchange.waiting and exchange.course is not None and self.connection.unsent < WINDOW_SIZE:
+            if exchange.waiting and exchange.request is not None and self.connection.unsent < WINDOW_SIZE:
                 waiting, exchange.waiting = exchange.waiting, 0
-                exchange.course.gone_on(waiting)
+                exchange.request.answer_forwarded(waiting)
             if not exchange.done:
                 return
             if exchange.closes:
@@ -367,16 +368,16 @@
                 return
 
     def _close(self) -> None:
-        """All that is owed has been written; what is behind counts as not read."""
+        """Closes the connection after the last answer; requests that follow count as not read."""
         self.closing = True
         for exchange in self.exchanges[1:]:
-            if exchange.course is not None:
-                exchange.course.cancel()
+            if exchange.request is not None:
+                exchange.request.cancel()
         del self.exchanges[:]
         self.connection.close()
 
     def ended(self) -> None:
-        """The client sends nothing more: it has closed, or it still waits for what it is owed."""
+        """Handles the client's FIN: it has closed, or still waits for its answers."""
         if not self.exchanges:
             self.connection.close()
         elif not self.reader.idle:
@@ -388,7 +389,7 @@
             self._flush()
 
     def _start_probe(self) -> None:
-        """The client has ended its bytes, all of which may not be read yet: find out whether it is there."""
+        """Starts probing a client that has sent a FIN; bytes before it may still be unread."""
         if self.probe is None and not self.is_closed:
             self._note_disconnect(reset=False)
             self.probe = DisconnectProbe(self.outbound.host, self.connection, self._may_probe)
@@ -398,11 +399,11 @@
         return bool(self.exchanges) and self.exchanges[0].may_take_interim()
 
     def drained(self) -> None:
-        """What was written has gone."""
+        """Writes on: the client has taken all that was written."""
         self._flush()
 
     def closed(self, why: str) -> None:
-        """It is gone: nobody waits."""
+        """Cancels the requests under way: the connection is closed."""
         self.is_closed = True
         if self.timer is not None:
             self.timer.cancel()
@@ -410,20 +411,20 @@
             self.probe.stop()
         if why:
             self._note_disconnect(reset=True)
-        for course in self._under_way():
-            course.cancel()
+        for request in self._under_way():
+            request.cancel()
             self.outbound.disconnects.cancelled += self.disconnected
         self.exchanges.clear()
         self.outbound.clients.pop(self, None)
         self.reader.close()
 
-    def _under_way(self) -> list[Course]:
-        """Requests of this client that have no final answer yet."""
-        courses = [exchange.course for exchange in self.exchanges if exchange.course is not None]
-        return [course for course in courses if not course.over]
+    def _under_way(self) -> list[OutboundRequest]:
+        """Returns this client's requests that have no final answer yet."""
+        requests = [exchange.request for exchange in self.exchanges if exchange.request is not None]
+        return [request for request in requests if not request.is_over]
 
     def _note_disconnect(self, *, reset: bool) -> None:
-        """Count that the client has left requests of its own under way; once for a connection."""
+        """Counts, once for a connection, a client that leaves with requests under way."""
         under_way, disconnects = len(self._under_way()), self.outbound.disconnects
         if not under_way or self.disconnected:
             return
@@ -433,14 +434,14 @@
         disconnects.requests += under_way
 
     def close_idle(self) -> None:
-        """This process leaves: close if nothing is owed."""
+        """Closes the connection if no request is under way, as this process shuts down."""
         if not self.exchanges and self.reader.idle:
             self.closing = True
             self.connection.close()
 
 
 class _RequestSink:
-    """A client's connection as a reader's sink."""
+    """Adapts a client's connection to the sink of a `RequestReader`."""
 
     __slots__ = ("data", "head", "whole")
 
@@ -449,33 +450,35 @@
 
 
 class ExchangeClient:
-    """An exchange as the place where a course's answer goes."""
+    """Adapts an exchange to the `Client` of an `OutboundRequest`."""
 
     __slots__ = ("client", "exchange")
 
     def __init__(self, client: ClientConnection, exchange: Exchange) -> None:
         self.client, self.exchange = client, exchange
 
-    def final(self, course: Course, status: int, retry_after_s: float, text: bytes) -> None:
-        """An answer of the mesh's own."""
+    def final(self, request: OutboundRequest, status: int, retry_after_s: float, text: bytes) -> None:
+        """Passes on an answer of the mesh's own."""
         self.client.own(self.exchange, LocalAnswer(status, retry_after_s, text))
 
-    def answer(self, course: Course, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-        """A backend's answer."""
+    def answer(
+        self, request: OutboundRequest, status: int, fields: bytes, length: int, body: bytes | None
+    ) -> None:
+        """Passes on a backend's answer."""
         self.client.answer(self.exchange, status, fields, length, body)
 
-    def data(self, course: Course, data: bytes) -> None:
-        """A part of its body."""
+    def data(self, request: OutboundRequest, data: bytes) -> None:
+        """Passes on a part of the answer's body."""
         self.client.answer_data(self.exchange, data)
 
-    def whole(self, course: Course) -> None:
-        """It is whole."""
+    def whole(self, request: OutboundRequest) -> None:
+        """Passes on that the answer is complete."""
         self.client.complete_answer(self.exchange)
 
-    def broken(self, course: Course) -> None:
-        """It breaks off."""
+    def broken(self, request: OutboundRequest) -> None:
+        """Passes on that the answer breaks off."""
         self.client.broken(self.exchange)
 
-    def taken(self, course: Course) -> None:
-        """More of the request's body may be read."""
+    def body_forwarded(self, request: OutboundRequest) -> None:
+        """Lets the connection read more of the request's body."""
         self.client.gauge()
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -1,56 +1,69 @@
-"""The gate before one backend: what must not run is refused here, before the backend has seen a byte.
+"""The gate before one backend: rejects what must not run there, before the backend has seen a byte.
 
-Theory of operation. Every request reaches the backend through this process, so what is known here is known
-first hand. A backend has a life (`instance`); which one is told by its beats or by a health answer. State:
+Theory of operation. Every request reaches the backend through this process, so the gate knows its state at
+first hand. Each start of the backend has an id of its own (`instance`), which heartbeats and health answers
+tell. States:
 
-    UNKNOWN   nothing has told of it since this process started, or it was not there when it was called
+    UNKNOWN   nothing heard of it since this process started, or it did not take a connection
     READY     it takes requests
-    DRAINING  it has said that it leaves: nothing more, from the moment at which that is acknowledged
+    DRAINING  it shuts down: no further request from the moment at which its heartbeat is acknowledged
     ENDED     it has deregistered
 
-A life that has ended never comes back: late beats of it change nothing. `cold_until`: it is cold as far as is
-known. `doubted`: it may have become cold without a word (evacuated and taken back, a new life, this process
-new): the cold bound holds until a beat or a health answer from after that tells. Source: RULES (DRAIN, ROUTE,
-EVAC, FAILBACK), PROTOCOL ("Backends", "Which backends there are"). Times are seconds, steady clock.
+An instance that has ended never returns: late heartbeats of it change nothing. Until `cold_until` the backend
+is cold (caches not filled), and slow start bounds its requests. `cold_unknown` is set where it may be cold
+without having told so: after an evacuation, for a new instance, and when this process starts. Slow start then
+applies until a later heartbeat or health answer tells. Source: RULES (DRAIN, ROUTE, EVAC, FAILBACK), PROTOCOL
+("Backends", "Which backends there are"). Times are in seconds on the steady clock.
 """
 
 from __future__ import annotations
 
 from honeywharf.admission.admission import Admission
 from honeywharf.admission.cold import ColdBound
-from honeywharf.verdict import COLD, DRAINING as IS_DRAINING, EVACUATED, NOBODY, OTHER_SERVICE, UNREADY
+from honeywharf.verdict import (
+    DRAINING as IS_DRAINING,
+    EVACUATED,
+    NO_BACKEND,
+    NOT_READY,
+    OTHER_SERVICE,
+    SLOW_START,
+)
 
 UNKNOWN, READY, DRAINING, ENDED = range(4)
 STATES = ("unknown", "ready", "draining", "ended")
-MAX_LIVES = 64  # ended ones that are remembered
-FIRST_SLOTS = 4  # until something tells
-RESTART_S = 0.3  # at least, from the end of one process of this program to the work of the next
-COLD_MARGIN_S = 0.25  # beyond what is told: it was measured before it came here
+MAX_ENDED_INSTANCES = 64  # ids of ended instances that are remembered
+INITIAL_SLOTS = 4  # until the backend tells its own number
+MIN_RESTART_S = (
+    0.3  # shortest time from the end of one process of this program to the next one's first request
+)
+COLD_MARGIN_S = 0.25  # added to the announced cold time, for the time that the message took
 
 
 class Gate:
-    """What is known of the backend beside this proxy. `changed` counts what others should hear of."""
+    """The state of the backend on this machine. `changes` counts the changes that other nodes should know."""
 
-    def __init__(self, now: float, service: str, overage: float, slack: float) -> None:
-        self.service, self.overage, self.slack = service, overage, slack
+    def __init__(self, now: float, service: str, cold_overage: float, cold_slack: float) -> None:
+        self.service, self.cold_overage, self.cold_slack = service, cold_overage, cold_slack
         self.state = UNKNOWN
         self.instance = ""
         self.sequence = -1
-        self.ended: dict[str, None] = {}  # lives that are over, the oldest first
-        self.admission = Admission(FIRST_SLOTS)
-        self.cold = ColdBound(now, float("inf") if slack == float("inf") else 0.0, overage, slack, fresh=True)
-        self.cold_start_s = float("inf")  # until a configuration tells how long backends are cold
-        self.born = now
+        self.ended_instances: dict[str, None] = {}  # oldest first
+        self.admission = Admission(INITIAL_SLOTS)
+        self.cold = ColdBound(
+            now, float("inf") if cold_slack == float("inf") else 0.0, cold_overage, cold_slack, fresh=True
+        )
+        self.cold_start_s = float("inf")  # configured time for which a started backend is cold
+        self.started_at = now
         self.cold_until = 0.0
-        self.doubted = True
+        self.cold_unknown = True
         self.evacuated = False
-        self.taken_back = 0.0  # when the zone was taken back
-        self.heard = 0.0  # when it was last heard of
+        self.restored_at = 0.0  # end of the last evacuation of the zone
+        self.heard_at = 0.0  # last heartbeat or health answer
         self.changes = 0
 
-    # What is told.
+    # Changes of state.
 
-    def beat(
+    def heartbeat(
         self,
         now: float,
         instance: str,
@@ -59,18 +72,18 @@
         slots: int,
         cold_s: float,
     ) -> bool:
-        """A beat of a backend; False where it is late or of a life that is over, and changed nothing."""
-        if instance in self.ended or (instance == self.instance and sequence <= self.sequence):
+        """Takes a heartbeat; False where it is out of order or of an ended instance, and changes nothing."""
+        if instance in self.ended_instances or (instance == self.instance and sequence <= self.sequence):
             return False
-        self._life(now, instance)
-        self.sequence, self.heard = sequence, now
+        self._set_instance(now, instance)
+        self.sequence, self.heard_at = sequence, now
         if slots > 0:
             self.admission.slots = slots
-        self._told_cold(now, cold_s)
+        self._set_cold(now, cold_s)
         self._become(DRAINING if draining else READY)
         return True
 
-    def health(
+    def health_answer(
         self,
         now: float,
         instance: str,
@@ -79,103 +92,106 @@
         cold_s: float | None,
         asked: float,
     ) -> None:
-        """A health answer; `asked`: when it was asked for.
+        """Takes the answer to a health check that began at `asked`.
 
-        It never undoes what a beat has said of draining.
+        A heartbeat's draining state stays in force.
         """
-        if not instance or instance in self.ended:
+        if not instance or instance in self.ended_instances:
             return
-        self._life(now, instance)
-        self.heard = now
+        self._set_instance(now, instance)
+        self.heard_at = now
         if slots > 0:
             self.admission.slots = slots
-        if asked >= self.taken_back:
-            self._told_cold(now, cold_s or 0.0)
+        if asked >= self.restored_at:
+            self._set_cold(now, cold_s or 0.0)
         if self.state == UNKNOWN and well:
             self._become(READY)
 
     def deregister(self, instance: str) -> None:
-        """It ends."""
+        """Notes that an instance has ended."""
         self._end(instance)
         if instance == self.instance:
             self._become(ENDED)
 
-    def missing(self) -> None:
-        """It was not there when it was called, or another one was: nothing is known of who is there now."""
+    def backend_missing(self) -> None:
+        """Notes that no backend, or another one than expected, was found: which one is there is not known."""
         if self.state != UNKNOWN:
-            self.doubted = True
+            self.cold_unknown = True
         if self.state == READY:
             self._become(UNKNOWN)
 
-    def evacuate(self, now: float, on: bool) -> None:
-        """Its zone is emptied, or taken back."""
+    def set_evacuated(self, now: float, on: bool) -> None:
+        """Notes that the zone is evacuated, or that its evacuation has ended."""
         if self.evacuated and not on:
-            self.taken_back, self.doubted = now, True
+            self.restored_at, self.cold_unknown = now, True
         if self.evacuated != on:
             self.evacuated = on
             self.changes += 1
 
-    def bound(self, per_s: float, start_s: float = 0.0) -> None:
-        """The configuration's bound for cold backends: requests a second, and how long they are cold."""
+    def set_slow_start(self, per_s: float, start_s: float = 0.0) -> None:
+        """Sets slow start as configured: requests a second to a cold backend, and how long it is cold."""
         self.cold_start_s = start_s or float("inf")
-        self.cold.bound(min(per_s, 1e9), self.overage, self.slack)
+        self.cold.bound(min(per_s, 1e9), self.cold_overage, self.cold_slack)
 
-    def _life(self, now: float, instance: str) -> None:
+    def _set_instance(self, now: float, instance: str) -> None:
         if instance == self.instance:
             return
         if self.instance:
             self._end(self.instance)
-        self.instance, self.sequence, self.doubted = instance, -1, True
+        self.instance, self.sequence, self.cold_unknown = instance, -1, True
         self.state = UNKNOWN
         self.changes += 1
 
     def _end(self, instance: str) -> None:
-        self.ended[instance] = None
-        while len(self.ended) > MAX_LIVES:
-            del self.ended[next(iter(self.ended))]
+        self.ended_instances[instance] = None
+        while len(self.ended_instances) > MAX_ENDED_INSTANCES:
+            del self.ended_instances[next(iter(self.ended_instances))]
 
-    def _told_cold(self, now: float, cold_s: float) -> None:
-        self.doubted = False
+    def _set_cold(self, now: float, cold_s: float) -> None:
+        self.cold_unknown = False
         self.cold_until = now + cold_s + COLD_MARGIN_S if cold_s > 0 else 0.0
-        if cold_s > 0 and self.cold_start_s - cold_s <= now - self.born + RESTART_S:
-            self.cold.unused()  # it is younger than the end of whoever ran before this process
+        if cold_s > 0 and self.cold_start_s - cold_s <= now - self.started_at + MIN_RESTART_S:
+            self.cold.unused()  # it started after the previous process of this program had ended
 
     def _become(self, state: int) -> None:
         if state != self.state:
             self.state = state
             self.changes += 1
 
-    # What is asked.
+    # Admission.
 
     def is_cold(self, now: float) -> bool:
-        """Whether the cold bound holds."""
-        return self.doubted or now < self.cold_until
+        """Whether slow start applies."""
+        return self.cold_unknown or now < self.cold_until
 
-    def refusal(self, now: float, service: str, expected: str = "") -> tuple[int, float] | None:
-        """Why a request must not run here now, and when another try may do better (s); None where it may."""
+    def rejection(self, now: float, service: str, expected: str = "") -> tuple[int, float] | None:
+        """Returns why a request must not run here now, and after how many seconds a retry may succeed.
+
+        None where it may run.
+        """
         if service != self.service:
             return OTHER_SERVICE, 0.0
         if self.state == DRAINING or self.state == ENDED:
             return IS_DRAINING, 0.0
         if self.state == UNKNOWN or not self.instance:
-            return (NOBODY if self.heard else UNREADY), 0.0
+            return (NO_BACKEND if self.heard_at else NOT_READY), 0.0
         if self.evacuated:
             return EVACUATED, 0.0
         if self.is_cold(now):
             wait = self.cold.wait(now)
             if wait > 0:
-                return COLD, wait
+                return SLOW_START, wait
         return None
 
-    def sends(self, now: float) -> None:
-        """A request goes to the backend now."""
+    def request_sent(self, now: float) -> None:
+        """Counts a request sent to the backend, for slow start."""
         self.cold.took(now)
 
     def load(self) -> tuple[int, int, int]:
-        """Running, waiting, slots."""
+        """Returns the requests running and queued, and the slots."""
         admission = self.admission
         return admission.running, admission.waiting, admission.slots
 
-    def say(self) -> dict[str, object]:
-        """What others should know of it."""
+    def gossip_attributes(self) -> dict[str, object]:
+        """Returns the backend's state as gossip tells it to other nodes."""
         return {"s": self.service, "b": self.instance, "st": self.state, "sl": self.admission.slots}
--- a/honeywharf/sidecar/beats.py
+++ b/honeywharf/sidecar/heartbeat_api.py
@@ -1,7 +1,7 @@
-"""What the backend on this machine tells: beats and deregistrations, as a tree of matchers.
+"""The HTTP API for the backend on this machine: heartbeats and deregistration.
 
-Source: PROTOCOL, "Which backends there are". A beat is acknowledged with 200; what it says is in force
-from the moment at which it is acknowledged, as the gate beside it is the only way to the backend.
+Source: PROTOCOL, "Which backends there are". A heartbeat is acknowledged with 200; its content is in force
+from then on, as the gate is the only way to the backend.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 MAX_ID = 256
 
 
-class Beats:
-    """Answers the backend's calls. `told()` is called after each one that changed something."""
+class HeartbeatApi:
+    """Answers the backend's calls. `changed()` is called after each one that may have changed the gate."""
 
-    def __init__(self, host: Host, gate: Gate, told: Callable[[], None]) -> None:
-        self.host, self.gate, self.told = host, gate, told
-        self.late = self.taken = 0
-        self.tree = UrlMatcher()
-        self.tree.add("POST", "/api/instances/{id}/heartbeat", self._heartbeat)
-        self.tree.add("POST", "/api/instances/{id}/deregister", self._deregister)
+    def __init__(self, host: Host, gate: Gate, changed: Callable[[], None]) -> None:
+        self.host, self.gate, self.changed = host, gate, changed
+        self.late = self.received = 0
+        self.matcher = UrlMatcher()
+        self.matcher.add("POST", "/api/instances/{id}/heartbeat", self._heartbeat)
+        self.matcher.add("POST", "/api/instances/{id}/deregister", self._deregister)
 
-    def take(self, call: HttpRequest) -> None:
-        """Answer one call."""
+    def handle(self, call: HttpRequest) -> None:
+        """Answers one call."""
         try:
-            found = self.tree.find(call.method, call.path)
+            found = self.matcher.find(call.method, call.path)
         except MethodNotAllowedError:
             call.answer(405)
             return
@@ -59,18 +59,21 @@
             call.answer(400, b"found a beat that can't be read: %b" % str(fault).encode())
             return
         if state not in ("ready", "draining") or cold is None or slots < 0:
-            call.answer(400, b"found a state, a slot count or a time that makes no sense")
+            call.answer(
+                400,
+                b"found a state, a slot count or a time that makes no sense",
+            )
             return
         if service is not None and service != self.gate.service:
             call.answer(409, b"found a beat of another service than the one on this machine")
             return
-        self.taken += 1
-        if not self.gate.beat(self.host.now(), instance, sequence, state == "draining", slots, cold):
+        self.received += 1
+        if not self.gate.heartbeat(self.host.now(), instance, sequence, state == "draining", slots, cold):
             self.late += 1
-        self.told()
+        self.changed()
         call.answer(200, b"{}")
 
     def _deregister(self, call: HttpRequest, instance: str) -> None:
         self.gate.deregister(instance)
-        self.told()
+        self.changed()
         call.answer(200, b"{}")
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -1,43 +1,42 @@
-"""The destination's side of a request: judged by the gate, given a slot, sent to the backend, answered.
+"""The destination's side of a request: admitted by the gate, given a slot, sent to the backend, answered.
 
-Theory of operation. `begin` judges at once and again when a waiting request's turn comes. One that is
-admitted
-holds a slot until it is over. Its head is written to the backend only when its body has begun to come, or
-is whole
-where it is short: a source that has sent no byte of a body knows that nothing has run. Where that took a
-while, the gate judges once more: what was admitted then may be forbidden now. An answer up to
-`WHOLE_BYTES` goes on whole, so that what breaks off before has shown the client nothing.
+Theory of operation. `begin` asks the gate at once, and again when a queued request gets a slot. An admitted
+request holds its slot until it is over. Its head is written to the backend only when its body has begun to
+arrive, or is complete where it is short: a source that has sent no byte of a body knows that nothing has run.
+Where that took longer than `RECHECK_AFTER_S`, the gate is asked again, as a request that was admitted earlier
+may be forbidden by now. An answer up to `MAX_WHOLE_ANSWER` is forwarded only when it is complete, so that a
+connection that breaks earlier has shown the client nothing.
 
-    asked -> receiving -> waiting -> admitted -> sent -> answering -> over
-      \\________\\__________\\________ refused (not run)   \\_______ failed (may have run)
+    begun -> receiving -> queued -> started -> sent -> answering -> over
+      \\________\\__________\\________ rejected (not run)   \\_______ failed (may have run)
 
-A body over `SHORT_BYTES` and up to `HELD_BYTES` is received before a slot is asked for: over a thin link it
-takes longer than the work, and a slot held meanwhile is a slot that nobody uses. How much of it is asked for
-when is the `Intake`'s word. A longer one takes its slot first and goes on as it comes.
+A body over `MAX_SHORT_BODY` and up to `MAX_HELD_BODY` is received before a slot is taken: over a slow link it
+takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how much of it is asked for
+at a time. A longer body takes its slot first and is forwarded as it arrives.
 
-Each `Job` tells its end once. `_over` is the only place that gives the slot and the connection back.
+Each `InboundRequest` reports its end once. `_release` is the only place that gives slot and connection back.
 """
 
 from __future__ import annotations
 
 from honeywharf.admission.intake import STALL_S, Intake
 from honeywharf.codecs.heads import UNKNOWN, Answer
-from honeywharf.sidecar.backend import Taps
+from honeywharf.sidecar.backend import BackendConnectionPool
 from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
 from honeywharf.verdict import (
-    BROKEN_OFF,
-    CHOKED,
-    COLD,
+    CONNECTION_BROKEN,
+    CONNECTION_FAILED,
     FULL,
-    GARBLED,
-    LATE,
-    LEAVING,
+    LINK_SATURATED,
+    MALFORMED_ANSWER,
     MAY_HAVE_RUN,
-    NOBODY,
+    NO_BACKEND,
     NOT_RUN,
-    REFUSED,
+    REJECTED_BY_BACKEND,
+    SHUTTING_DOWN,
+    SLOW_START,
     TIMED_OUT,
-    TURNED_AWAY,
+    TOO_LATE,
     Verdict,
 )
 
@@ -48,187 +47,205 @@
     from honeywharf.admission.admission import Waiter
     from honeywharf.admission.intake import Place
     from honeywharf.drift.requests import DriftMonitor
-    from honeywharf.sidecar.backend import Tap
+    from honeywharf.sidecar.backend import BackendConnection
     from honeywharf.sidecar.gate import Gate
     from honeywharf.transport.host import Host, Timer
     from honeywharf.transport.stream import ForwardedRequest
 
     class Responder(Protocol):
-        """Where a job's outcome goes: a stream's frames, or the source in this process."""
+        """Receives the outcome of an `InboundRequest`: a stream's frames, or the source in this process."""
 
         def admit(self) -> None:
-            """It is admitted."""
+            """Tells the source that the request is admitted."""
 
         def window(self, size: int) -> None:
-            """So many bytes of the request's body have gone on."""
+            """Lets the source send `size` further bytes of the request's body."""
 
         def answer(
             self, status: int, fields: bytes, length: int, load: tuple[int, int, int], body: bytes | None
         ) -> None:
-            """The answer, whole, or its head."""
+            """Sends the answer: complete, or its head where `body` is None."""
 
         def data(self, data: bytes) -> None:
-            """A part of the answer's body."""
+            """Sends a part of the answer's body."""
 
         def complete(self) -> None:
-            """The answer is whole."""
+            """Tells that the answer is complete."""
 
         def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-            """No answer comes, or none further."""
+            """Tells that no answer comes, or none further."""
 
 
-SHORT_BYTES = INITIAL_WINDOW  # of a body that is held whole before the backend sees its head
-WHOLE_BYTES = 64 * 1024  # of an answer that goes on whole
-HELD_BYTES = 512 * 1024  # of a request's body that is held before it has a slot
-BACKLOG = 0.3  # of the aim, that a body's first byte may wait for the link
-WAIT = 0.5  # of the aim, that one whose body is here may wait for a slot
-ON_THE_WAY_S = 0.1  # of the link's time, for longer bodies: what comes behind them waits no longer
-MAX_THAWING = 64  # requests that wait for a cold backend
-LEAVING_S = 1.0  # told by one that leaves: it is asked to let a request wait only after all others
-LATE_S = 0.03  # past the deadline, for the backend's own word of it
-MIN_REMAINING_S = 0.005  # left, under which a request is not begun
-JUDGED_S = 0.1  # for so long a judgement holds; less than the cold bound's window is over a second
+# Sizes are in bytes.
+MAX_SHORT_BODY = INITIAL_WINDOW  # received whole before the head is sent to the backend
+MAX_WHOLE_ANSWER = 64 * 1024  # forwarded only when it is complete
+MAX_HELD_BODY = 512 * 1024  # received before a slot is taken
+# Shares of the request's latency target.
+MAX_BACKLOG_SHARE = 0.3  # wait of a body's first byte for the link
+MAX_SLOT_WAIT_SHARE = 0.5  # wait for a slot once the body is received
+MAX_IN_FLIGHT_S = 0.1  # of the link's time, over all long bodies; bounds the wait of data queued behind them
+MAX_WAITING_FOR_SLOW_START = 64  # requests
+# The wait announced by a gate that shuts down is long, so that its queue is tried after all others.
+SHUTDOWN_RETRY_AFTER_S = 1.0
+DEADLINE_GRACE_S = 0.03  # beyond the deadline, so that the backend's own time-out answer comes first
+MIN_REMAINING_S = 0.005  # a request with less time left is not begun
+# An admission holds this long: less than the part of the slow-start window that exceeds a second.
+RECHECK_AFTER_S = 0.1
 
 
-class Job:
-    """One request at its destination."""
+class InboundRequest:
+    """One request at its destination. `deadline` is in seconds on the steady clock."""
 
     __slots__ = (
-        "answers",
-        "ask",
+        "answer_parts",
+        "answer_window",
         "attempt",
+        "backend_connection",
         "begun_at",
         "body",
-        "credit",
-        "due",
-        "ended",
+        "body_complete",
+        "bytes_received",
+        "checked_at",
+        "connection_ready",
+        "deadline",
+        "deadline_timer",
+        "forwarded",
         "gate",
         "head",
-        "held",
+        "head_written",
         "inbound",
-        "judged_at",
-        "kept",
-        "over",
+        "is_admitted",
+        "is_over",
         "place",
-        "read",
         "receiving",
+        "responder",
         "short",
+        "slow_start_timer",
         "started",
         "streaming",
-        "tap",
-        "tap_up",
-        "thaw",
-        "until",
+        "unacknowledged",
         "waiter",
-        "went",
-        "wrote",
     )
 
-    def __init__(self, inbound: Inbound, ask: ForwardedRequest, answers: Responder) -> None:
-        self.inbound, self.ask, self.answers, self.gate = inbound, ask, answers, inbound.gate
-        self.attempt = ask.attempt_id
-        self.until = inbound.host.now() + ask.remaining_s
+    def __init__(self, inbound: Inbound, forwarded: ForwardedRequest, responder: Responder) -> None:
+        self.inbound, self.forwarded, self.responder, self.gate = inbound, forwarded, responder, inbound.gate
+        self.attempt = forwarded.attempt_id
+        self.deadline = inbound.host.now() + forwarded.remaining_s
         self.waiter: Waiter | None = None
-        self.thaw: Timer | None = None  # while it waits for a cold backend
-        self.place: Place | None = None  # of its body on the link
-        self.receiving = self.went = False  # its body comes before a slot; the source was told to send it
-        self.tap: Tap | None = None
-        self.due: Timer | None = None
-        self.body: list[bytes] = []  # of the request, not yet written
-        self.read = self.held = 0  # bytes of it that came, that are held
-        self.ended = self.over = self.started = self.wrote = self.tap_up = self.streaming = False
+        self.slow_start_timer: Timer | None = None  # set while it waits for a cold backend
+        self.place: Place | None = None  # its body's place in the intake
+        # Whether the body is received before a slot is taken, and whether the source was told to send it.
+        self.receiving = self.is_admitted = False
+        self.backend_connection: BackendConnection | None = None
+        self.deadline_timer: Timer | None = None
+        self.body: list[bytes] = []  # parts not yet written to the backend
+        # Bytes of the body received, and of these the ones that the source has got no window for again.
+        self.bytes_received = self.unacknowledged = 0
+        self.body_complete = self.is_over = self.started = self.head_written = self.connection_ready = (
+            self.streaming
+        ) = False
         self.head: Answer | None = None
-        self.kept: list[bytes] = []  # of an answer that goes on whole, or for which there is no window
-        self.credit = WINDOW_SIZE
-        self.begun_at = self.judged_at = 0.0
+        # Parts of an answer that is not complete, or for which there is no window.
+        self.answer_parts: list[bytes] = []
+        self.answer_window = WINDOW_SIZE
+        self.begun_at = self.checked_at = 0.0
 
-    # Judged.
+    # Admission.
 
-    def judge(self) -> None:
-        """Run it, queue it, or refuse it."""
-        inbound, ask, now = self.inbound, self.ask, self.inbound.host.now()
-        if not self._passes(now):
+    def admit_or_reject(self) -> None:
+        """Starts the request, queues it, receives its body first, or rejects it."""
+        inbound, forwarded, now = self.inbound, self.forwarded, self.inbound.host.now()
+        if not self._passes_gate(now):
             return
-        self.short = inbound.gate.admission.is_short(ask.latency_target_s)
-        if not self.ended and (SHORT_BYTES < ask.length <= HELD_BYTES or ask.length == UNKNOWN):
-            self._receive(now)
+        self.short = inbound.gate.admission.is_short(forwarded.latency_target_s)
+        if not self.body_complete and (
+            MAX_SHORT_BODY < forwarded.length <= MAX_HELD_BODY or forwarded.length == UNKNOWN
+        ):
+            self._receive_body(now)
         else:
-            self._seat(now)
+            self._take_slot(now)
 
-    def _seat(self, now: float) -> None:
-        """Have a slot, wait for one, or be refused."""
-        ask, admission = self.ask, self.inbound.gate.admission
+    def _take_slot(self, now: float) -> None:
+        """Takes a slot, queues for one, or rejects the request."""
+        forwarded, admission = self.forwarded, self.inbound.gate.admission
         if admission.free(now, self.short):
             self._start(now)
-        elif ask.max_queue_wait_s > 0:
+        elif forwarded.max_queue_wait_s > 0:
             self.waiter = admission.wait(
                 now,
-                (ask.priority, ask.latency_target_s),
-                min(ask.max_queue_wait_s, ask.remaining_s),
-                self._turn,
-                self._too_long,
+                (forwarded.priority, forwarded.latency_target_s),
+                min(forwarded.max_queue_wait_s, forwarded.remaining_s),
+                self._slot_granted,
+                self._queue_timed_out,
             )
             if self.waiter is None:
-                self.refuse(FULL, admission.expected_s((ask.priority, ask.latency_target_s)))
+                self.reject(FULL, admission.expected_s((forwarded.priority, forwarded.latency_target_s)))
             else:
-                self.inbound.look_soon()
+                self.inbound.schedule_expiry()
         else:
-            self.refuse(FULL, admission.expected_s((ask.priority, ask.latency_target_s)))
+            self.reject(FULL, admission.expected_s((forwarded.priority, forwarded.latency_target_s)))
 
-    def _receive(self, now: float) -> None:
-        """Have the body come, if a slot is likely once it is here; before a byte of it there is a proof."""
-        inbound, ask = self.inbound, self.ask
+    def _receive_body(self, now: float) -> None:
+        """Starts receiving the body if a slot is likely to be free once it is here.
+
+        Until the source has sent a byte of it, a rejection proves that nothing has run.
+        """
+        inbound, forwarded = self.inbound, self.forwarded
         expected = inbound.expected_s(self)
-        if expected > ask.max_queue_wait_s:
-            self.refuse(FULL, expected)
-        elif not ask.peer:  # from this machine's own client, over no link of ours
-            self.receiving = self.went = True
+        if expected > forwarded.max_queue_wait_s:
+            self.reject(FULL, expected)
+        elif not forwarded.peer:  # from a client of this machine, so over no network link
+            self.receiving = self.is_admitted = True
             inbound.receiving += 1
-            self.answers.admit()
-            if not self.over:
-                self.answers.window(WINDOW_SIZE - INITIAL_WINDOW)
+            self.responder.admit()
+            if not self.is_over:
+                self.responder.window(WINDOW_SIZE - INITIAL_WINDOW)
         else:
             backlog, place = inbound.intake.backlog_s(), None
-            if backlog <= BACKLOG * ask.latency_target_s:
-                place = inbound.intake.join(now, ask.length, self._give)
+            if backlog <= MAX_BACKLOG_SHARE * forwarded.latency_target_s:
+                place = inbound.intake.join(now, forwarded.length, self._ask_for_bytes)
             if place is None:
-                self.refuse(CHOKED, max(0.02, backlog))
+                self.reject(LINK_SATURATED, max(0.02, backlog))
                 return
             self.receiving, self.place = True, place
             inbound.receiving += 1
             inbound.pump_intake()
-        if self.receiving and not self.over:
-            self._due(now)
-
-    def _due(self, now: float) -> None:
-        if self.due is None:
-            self.due = self.inbound.host.after(self.until - now + LATE_S, self._late)
-
-    def _give(self, size: int) -> None:
-        """The link has room for so many further bytes."""
-        if not self.went:
-            self.went = True
-            self.answers.admit()
+        if self.receiving and not self.is_over:
+            self._start_deadline_timer(now)
+
+    def _start_deadline_timer(self, now: float) -> None:
+        if self.deadline_timer is None:
+            self.deadline_timer = self.inbound.host.after(
+                self.deadline - now + DEADLINE_GRACE_S, self._deadline_passed
+            )
+
+    def _ask_for_bytes(self, size: int) -> None:
+        """Lets the source send `size` further bytes of the body, as the link has room for them."""
+        if not self.is_admitted:
+            self.is_admitted = True
+            self.responder.admit()
             size -= INITIAL_WINDOW
         if size > 0:
-            self.answers.window(size)
+            self.responder.window(size)
 
-    def _received(self, size: int) -> None:
-        """A part of a body that is received before it has a slot."""
+    def _body_part_received(self, size: int) -> None:
+        """Accounts for a part of a body that is received before a slot is taken."""
         inbound, now = self.inbound, self.inbound.host.now()
-        if self.read > HELD_BYTES:  # longer than it looked: it goes on as it comes from here
-            self._no_more(now)
-            self.ask.max_queue_wait_s = max(self.ask.max_queue_wait_s, WAIT * self.ask.latency_target_s)
-            if self._passes(now):
-                self._seat(now)
+        if self.bytes_received > MAX_HELD_BODY:  # a body of unknown length is forwarded from here on
+            self._stop_receiving(now)
+            self.forwarded.max_queue_wait_s = max(
+                self.forwarded.max_queue_wait_s, MAX_SLOT_WAIT_SHARE * self.forwarded.latency_target_s
+            )
+            if self._passes_gate(now):
+                self._take_slot(now)
         elif self.place is None:
-            self.answers.window(size)
+            self.responder.window(size)
         else:
             inbound.intake.took(now, self.place, size)
             inbound.pump_intake()
 
-    def _no_more(self, now: float) -> None:
-        """Its body is whole, or is not received any more."""
+    def _stop_receiving(self, now: float) -> None:
+        """Gives up the body's place in the intake: it is complete, or is not wanted any more."""
         if self.receiving:
             self.receiving = False
             self.inbound.receiving -= 1
@@ -237,382 +254,399 @@
             self.place = None
             self.inbound.pump_intake()
 
-    def _passes(self, now: float) -> bool:
-        inbound, ask = self.inbound, self.ask
-        if self.until - now < MIN_REMAINING_S:
-            self.refuse(LATE, 0.0)
-        elif (inbound.leaving and not ask.max_queue_wait_s) or self.until > inbound.end_at:
-            self.refuse(LEAVING, LEAVING_S)
+    def _passes_gate(self, now: float) -> bool:
+        inbound, forwarded = self.inbound, self.forwarded
+        if self.deadline - now < MIN_REMAINING_S:
+            self.reject(TOO_LATE, 0.0)
+        elif (inbound.shutting_down and not forwarded.max_queue_wait_s) or self.deadline > inbound.end_at:
+            self.reject(SHUTTING_DOWN, SHUTDOWN_RETRY_AFTER_S)
         else:
-            refusal = inbound.gate.refusal(now, ask.service)
-            if refusal is None:
+            rejection = inbound.gate.rejection(now, forwarded.service)
+            if rejection is None:
                 return True
-            if refusal[0] == COLD and refusal[1] <= ask.max_queue_wait_s and inbound.thawing < MAX_THAWING:
-                inbound.thawing += 1
-                ask.max_queue_wait_s -= refusal[1]
-                self.thaw = inbound.host.after(refusal[1], self._thawed)
+            if (
+                rejection[0] == SLOW_START
+                and rejection[1] <= forwarded.max_queue_wait_s
+                and inbound.waiting_for_slow_start < MAX_WAITING_FOR_SLOW_START
+            ):
+                inbound.waiting_for_slow_start += 1
+                forwarded.max_queue_wait_s -= rejection[1]
+                self.slow_start_timer = inbound.host.after(rejection[1], self._slow_start_over)
                 return False
-            self.refuse(*refusal)
+            self.reject(*rejection)
         return False
 
-    def _thawed(self) -> None:
-        """A cold backend may take one more: this one, or another that waited as long."""
-        self.thaw = None
-        self.inbound.thawing -= 1
-        self.judge()
+    def _slow_start_over(self) -> None:
+        """Tries again after the wait for a cold backend, whose next request may be another one."""
+        self.slow_start_timer = None
+        self.inbound.waiting_for_slow_start -= 1
+        self.admit_or_reject()
 
-    def _turn(self) -> None:
+    def _slot_granted(self) -> None:
         self.waiter = None
         now, drift_monitor = self.inbound.host.now(), self.inbound.drift_monitor
-        if self._passes(now) and (drift_monitor is None or drift_monitor.still(self)):
+        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.still(self)):
             self._start(now)
 
-    def _too_long(self) -> None:
+    def _queue_timed_out(self) -> None:
         self.waiter = None
-        self.refuse(
-            FULL, self.inbound.gate.admission.expected_s((self.ask.priority, self.ask.latency_target_s))
+        self.reject(
+            FULL,
+            self.inbound.gate.admission.expected_s(
+                (self.forwarded.priority, self.forwarded.latency_target_s)
+            ),
         )
 
-    def refuse(self, why: int, again_s: float) -> None:
-        """It does not run here: the proof, and seconds after which another try may do better."""
-        self.inbound.refused[why] = self.inbound.refused.get(why, 0) + 1
-        self._fail(Verdict(NOT_RUN, why, False, again_s))
+    def reject(self, why: int, retry_after_s: float) -> None:
+        """Tells the source that the request has not run, and after how many seconds a retry may succeed."""
+        self.inbound.rejections[why] = self.inbound.rejections.get(why, 0) + 1
+        self._fail(Verdict(NOT_RUN, why, False, retry_after_s))
 
-    # Runs.
+    # Sending the request to the backend.
 
     def _start(self, now: float) -> None:
         self.gate.admission.start(now, self.short)
-        self.gate.sends(now)
-        self.started, self.begun_at, self.judged_at = True, now, now
-        self._due(now)
-        if self.ask.length != 0 and not self.went:
-            self.went = True
-            self.answers.admit()
+        self.gate.request_sent(now)
+        self.started, self.begun_at, self.checked_at = True, now, now
+        self._start_deadline_timer(now)
+        if self.forwarded.length != 0 and not self.is_admitted:
+            self.is_admitted = True
+            self.responder.admit()
             more = self.inbound.window() - INITIAL_WINDOW
-            if more > 0 and not self.over and not 0 <= self.ask.length <= INITIAL_WINDOW:
-                self.answers.window(more)
+            if more > 0 and not self.is_over and not 0 <= self.forwarded.length <= INITIAL_WINDOW:
+                self.responder.window(more)
         self._write()
 
     def _write(self) -> None:
-        """Write what may be written: the head first, once there is reason to."""
-        if not self.started or self.over:
+        """Writes what may be written: the head first, once enough of the body is here."""
+        if not self.started or self.is_over:
             return
-        if self.tap is None:
-            short = 0 <= self.ask.length <= SHORT_BYTES
-            if not self.ended and self.ask.length != 0 and (short or not self.read):
+        if self.backend_connection is None:
+            short = 0 <= self.forwarded.length <= MAX_SHORT_BODY
+            if not self.body_complete and self.forwarded.length != 0 and (short or not self.bytes_received):
                 return
-            if not self._still_passes():
+            if not self._passes_gate_again():
                 return
-            self.tap = self.inbound.taps.take(_User(self), fresh=self.ask.kind != 0)
-            if self.tap is None:
-                self.refuse(FULL, 0.05)
+            self.backend_connection = self.inbound.pool.take(
+                _RequestConnectionUser(self), fresh=self.forwarded.kind != 0
+            )
+            if self.backend_connection is None:
+                self.reject(FULL, 0.05)
             return
-        if not self.tap_up or not (self.wrote or self._still_passes()):
+        if not self.connection_ready or not (self.head_written or self._passes_gate_again()):
             return
         data = b"".join(self.body)
         self.body.clear()
-        if not self.wrote:
-            data = self._head_bytes() + self._framed(data)
-            self.wrote = True
-            self.tap.write(data, last=self.ended or self.ask.length == 0)
-        elif data or self.ended:
-            self.tap.write(self._framed(data), last=self.ended)
-        if not self.tap.unsent:
+        if not self.head_written:
+            data = self._encode_head() + self._encode_body(data)
+            self.head_written = True
+            self.backend_connection.write(data, last=self.body_complete or self.forwarded.length == 0)
+        elif data or self.body_complete:
+            self.backend_connection.write(self._encode_body(data), last=self.body_complete)
+        if not self.backend_connection.unsent:
             self.drained()
 
-    def _still_passes(self) -> bool:
-        """Judge once more where the last judgement is old: its body was slow, or the connection was."""
+    def _passes_gate_again(self) -> bool:
+        """Asks the gate again where its admission is old, as the body or the connection was slow."""
         now = self.inbound.host.now()
-        if now - self.judged_at <= JUDGED_S:
+        if now - self.checked_at <= RECHECK_AFTER_S:
             return True
-        self.judged_at = now
-        refusal = self.gate.refusal(now, self.ask.service)
-        if refusal is not None:
-            self.refuse(*refusal)
+        self.checked_at = now
+        rejection = self.gate.rejection(now, self.forwarded.service)
+        if rejection is not None:
+            self.reject(*rejection)
             return False
         if self.inbound.drift_monitor is not None and not self.inbound.drift_monitor.still(self):
             return False
-        self.gate.sends(now)
+        self.gate.request_sent(now)
         return True
 
-    def _head_bytes(self) -> bytes:
-        ask = self.ask
-        remaining = max(1, int((self.until - self.inbound.host.now()) * 1000.0))
+    def _encode_head(self) -> bytes:
+        forwarded = self.forwarded
+        remaining = max(1, int((self.deadline - self.inbound.host.now()) * 1000.0))
         framing = b""
-        if ask.length == UNKNOWN:
+        if forwarded.length == UNKNOWN:
             framing = b"Transfer-Encoding: chunked\r\n"
-        elif ask.length or ask.method not in (b"GET", b"HEAD"):
-            framing = b"Content-Length: %d\r\n" % ask.length
+        elif forwarded.length or forwarded.method not in (b"GET", b"HEAD"):
+            framing = b"Content-Length: %d\r\n" % forwarded.length
         return (
             b"%b %b HTTP/1.1\r\n%b%bX-Honeywharf-Deadline-Remaining: %d\r\n"
             b"X-Honeywharf-Expected-Instance: %b\r\nX-Honeywharf-Caller-Service: %b\r\n\r\n"
             % (
-                ask.method,
-                ask.target,
-                ask.fields,
+                forwarded.method,
+                forwarded.target,
+                forwarded.fields,
                 framing,
                 remaining,
                 self.gate.instance.encode(),
-                ask.caller.encode(),
+                forwarded.caller.encode(),
             )
         )
 
-    def _framed(self, data: bytes) -> bytes:
-        if self.ask.length != UNKNOWN:
+    def _encode_body(self, data: bytes) -> bytes:
+        if self.forwarded.length != UNKNOWN:
             return data
         chunk = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
-        return chunk + b"0\r\n\r\n" if self.ended else chunk
+        return chunk + b"0\r\n\r\n" if self.body_complete else chunk
 
-    # What the source says.
+    # Calls by the source.
 
     def data(self, data: bytes) -> None:
-        """A part of the request's body."""
-        if self.over:
+        """Takes a part of the request's body."""
+        if self.is_over:
             return
         self.body.append(data)
-        self.read += len(data)
+        self.bytes_received += len(data)
         if self.receiving:
-            self._received(len(data))
+            self._body_part_received(len(data))
         else:
-            self.held += len(data)
+            self.unacknowledged += len(data)
             self._write()
 
     def end(self) -> None:
-        """The body is whole."""
-        if self.over:
+        """Notes that the body is complete."""
+        if self.is_over:
             return
-        self.ended = True
+        self.body_complete = True
         if not self.receiving:
             self._write()
             return
         now, drift_monitor = self.inbound.host.now(), self.inbound.drift_monitor
-        self._no_more(now)
-        self.ask.max_queue_wait_s = max(self.ask.max_queue_wait_s, WAIT * self.ask.latency_target_s)
-        if self._passes(now) and (drift_monitor is None or drift_monitor.still(self)):
-            self._seat(now)
+        self._stop_receiving(now)
+        self.forwarded.max_queue_wait_s = max(
+            self.forwarded.max_queue_wait_s, MAX_SLOT_WAIT_SHARE * self.forwarded.latency_target_s
+        )
+        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.still(self)):
+            self._take_slot(now)
 
     def window(self, size: int) -> None:
-        """So many further bytes of the answer may be sent."""
-        self.credit += size
-        if self.streaming and not self.over:
-            self._pass_on()
+        """Widens the window: `size` further bytes of the answer may be sent."""
+        self.answer_window += size
+        if self.streaming and not self.is_over:
+            self._forward_answer()
 
     def cancel(self) -> None:
-        """Nobody waits any more."""
-        if not self.over:
+        """Ends the request without an outcome: the source wants no answer any more."""
+        if not self.is_over:
             self.inbound.cancelled += 1
-            self._done()
+            self._release()
 
     def finish(self) -> None:
-        """This process ends: tell the source what is known of the request, instead of a lost link."""
-        if self.over:
+        """Reports what is known of the request because this process ends; a lost link would tell less."""
+        if self.is_over:
             return
-        if self.wrote:
-            self._fail(Verdict(MAY_HAVE_RUN, LEAVING, True))
+        if self.head_written:
+            self._fail(Verdict(MAY_HAVE_RUN, SHUTTING_DOWN, True))
         else:
-            self.refuse(LEAVING, LEAVING_S)
+            self.reject(SHUTTING_DOWN, SHUTDOWN_RETRY_AFTER_S)
 
-    # What the connection to the backend says.
+    # Calls by the connection to the backend.
 
     def ready(self) -> None:
-        """It is up."""
-        if not self.over:
-            self.tap_up = True
+        """Starts writing: the connection is up."""
+        if not self.is_over:
+            self.connection_ready = True
             self._write()
 
     def drained(self) -> None:
-        """What was written has gone: the source may send as much again."""
-        if self.held and not self.body and not self.over:
-            held, self.held = self.held, 0
-            self.answers.window(held)
+        """Lets the source send as much again as the backend has taken."""
+        if self.unacknowledged and not self.body and not self.is_over:
+            unacknowledged, self.unacknowledged = self.unacknowledged, 0
+            self.responder.window(unacknowledged)
 
     def answered(self, answer: Answer) -> None:
-        """The head of the answer."""
+        """Takes the answer's head."""
         self.head = answer
         if answer.cold_s is not None:
             self.gate.cold_until = max(self.gate.cold_until, self.inbound.host.now() + answer.cold_s)
         if answer.load:
-            self.inbound.told_load(answer.load)
+            self.inbound.update_slots(answer.load)
 
     def answer_data(self, data: bytes) -> None:
-        """A part of the answer's body."""
-        self.kept.append(data)
+        """Takes a part of the answer's body."""
+        self.answer_parts.append(data)
         if self.streaming:
-            self._pass_on()
-        elif sum(map(len, self.kept)) > WHOLE_BYTES:
+            self._forward_answer()
+        elif sum(map(len, self.answer_parts)) > MAX_WHOLE_ANSWER:
             head = self.head
             assert head is not None
-            if not self._good():
-                self._no_answer(head)  # nobody may see it, so nothing more of it is held
+            if not self._may_reach_client():
+                self._discard_answer(head)  # at once, so that no more of it is held
                 return
             self.streaming = True
-            self.answers.answer(head.status, b"".join(head.fields), head.length, self.gate.load(), None)
-            self._pass_on()
-
-    def _pass_on(self) -> None:
-        """Pass on what the window allows; read on when all of it has gone."""
-        data = b"".join(self.kept)
-        now, rest = data[: self.credit], data[self.credit :]
-        self.credit -= len(now)
-        self.kept = [rest] if rest else []
+            self.responder.answer(head.status, b"".join(head.fields), head.length, self.gate.load(), None)
+            self._forward_answer()
+
+    def _forward_answer(self) -> None:
+        """Forwards what the window allows, and pauses reading from the backend while more is left."""
+        data = b"".join(self.answer_parts)
+        now, rest = data[: self.answer_window], data[self.answer_window :]
+        self.answer_window -= len(now)
+        self.answer_parts = [rest] if rest else []
         if now:
-            self.answers.data(now)
-        if self.tap is not None:
-            (self.tap.connection.pause if rest else self.tap.connection.resume)()
-
-    def _good(self) -> bool:
-        """Whether the answer is one that a client may see: a success has the seal, and is not encoded."""
+            self.responder.data(now)
+        if self.backend_connection is not None:
+            (
+                self.backend_connection.connection.pause
+                if rest
+                else self.backend_connection.connection.resume
+            )()
+
+    def _may_reach_client(self) -> bool:
+        """Whether a client may see the answer: not a rejection, not encoded, and a success has the seal."""
         head = self.head
         return (
             head is not None and not head.refuses and (head.status >= 300 or head.sealed) and not head.encoded
         )
 
     def whole(self) -> None:
-        """The answer is whole."""
-        self.tap = None
+        """Forwards the rest of the answer, which is complete."""
+        self.backend_connection = None
         head = self.head
         assert head is not None
         if self.streaming:
-            self.credit = 1 << 62
-            self._pass_on()
+            self.answer_window = 1 << 62
+            self._forward_answer()
             self.inbound.served += 1
-            self.answers.complete()
-            self._done()
-        elif not self._good():
-            self._no_answer(head)
+            self.responder.complete()
+            self._release()
+        elif not self._may_reach_client():
+            self._discard_answer(head)
         else:
-            body = b"".join(self.kept)
+            body = b"".join(self.answer_parts)
             self.inbound.served += 1
-            length = head.length if self.ask.method == b"HEAD" else len(body)
-            self.answers.answer(head.status, b"".join(head.fields), length, self.gate.load(), body)
-            self._done()
+            length = head.length if self.forwarded.method == b"HEAD" else len(body)
+            self.responder.answer(head.status, b"".join(head.fields), length, self.gate.load(), body)
+            self._release()
 
-    def _no_answer(self, head: Answer) -> None:
-        """What came is none that a client may see: the backend's word that it has not run, or nonsense."""
+    def _discard_answer(self, head: Answer) -> None:
+        """Reports an answer that no client may see: the backend's rejection, or a malformed answer."""
         if head.refuses:
             if head.status == 421:
-                self.inbound.other_there()
-            self._fail(Verdict(NOT_RUN, TURNED_AWAY, True, 0.05))
+                self.inbound.other_backend_found()
+            self._fail(Verdict(NOT_RUN, REJECTED_BY_BACKEND, True, 0.05))
         else:
-            self._fail(Verdict(MAY_HAVE_RUN, GARBLED, True))
+            self._fail(Verdict(MAY_HAVE_RUN, MALFORMED_ANSWER, True))
 
-    def broken(self, why: str, sent: bool, heard: bool) -> None:
-        """The connection to the backend is gone."""
-        self.tap = None
+    def broken(self, why: str, sent: bool, answer_begun: bool) -> None:
+        """Reports that the connection to the backend is lost; only an unsent request has not run."""
+        self.backend_connection = None
         if not sent:
             if why == "refused":
-                self.inbound.nobody_there()
-            self._fail(Verdict(NOT_RUN, NOBODY if why == "refused" else REFUSED))
+                self.inbound.connection_refused()
+            self._fail(Verdict(NOT_RUN, NO_BACKEND if why == "refused" else CONNECTION_FAILED))
         else:
-            self._fail(Verdict(MAY_HAVE_RUN, GARBLED if heard else BROKEN_OFF, True))
+            self._fail(Verdict(MAY_HAVE_RUN, MALFORMED_ANSWER if answer_begun else CONNECTION_BROKEN, True))
 
-    # Ends.
+    # End of the request.
 
-    def _late(self) -> None:
-        self.due = None
-        if not self.over:
-            ran = MAY_HAVE_RUN if self.wrote else NOT_RUN
-            self._fail(Verdict(ran, TIMED_OUT, self.wrote))
+    def _deadline_passed(self) -> None:
+        self.deadline_timer = None
+        if not self.is_over:
+            ran = MAY_HAVE_RUN if self.head_written else NOT_RUN
+            self._fail(Verdict(ran, TIMED_OUT, self.head_written))
 
     def _fail(self, verdict: Verdict) -> None:
-        if not self.over:
+        if not self.is_over:
             if verdict.ran != NOT_RUN:
                 self.inbound.failed += 1
             load = self.gate.load()
-            self._done()
-            self.answers.fail(verdict, load)
-
-    def _done(self) -> None:
-        """Give the slot and the connection back."""
-        self.over = True
-        if self.due is not None:
-            self.due.cancel()
-        if self.tap is not None:
-            tap, self.tap = self.tap, None
-            tap.release()
+            self._release()
+            self.responder.fail(verdict, load)
+
+    def _release(self) -> None:
+        """Gives the slot and the connection back."""
+        self.is_over = True
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
+        if self.backend_connection is not None:
+            backend_connection, self.backend_connection = self.backend_connection, None
+            backend_connection.release()
         if self.waiter is not None:
             self.gate.admission.leave(self.waiter)
             self.waiter = None
         self.body.clear()
-        self._no_more(0.0)
-        if self.thaw is not None:
-            self.thaw.cancel()
-            self.thaw = None
-            self.inbound.thawing -= 1
+        self._stop_receiving(0.0)
+        if self.slow_start_timer is not None:
+            self.slow_start_timer.cancel()
+            self.slow_start_timer = None
+            self.inbound.waiting_for_slow_start -= 1
         if self.started:
             now = self.inbound.host.now()
             self.gate.admission.ended(now, self.short, now - self.begun_at if self.head is not None else None)
-            self.inbound.pump_soon()
-        self.inbound.jobs.pop(self, None)
+            self.inbound.start_waiting_soon()
+        self.inbound.pending_requests.pop(self, None)
 
 
-class _User:
-    """A job as a connection's user: a request's body and an answer's both come as `data`."""
+class _RequestConnectionUser:
+    """Adapts an `InboundRequest` to a `ConnectionUser`, whose `data` takes the answer's body."""
 
     __slots__ = ("answered", "attempt", "bodiless", "broken", "data", "drained", "method", "ready", "whole")
 
-    def __init__(self, job: Job) -> None:
-        self.attempt, self.method = job.attempt, job.ask.method
+    def __init__(self, request: InboundRequest) -> None:
+        self.attempt, self.method = request.attempt, request.forwarded.method
         self.bodiless = self.method == b"HEAD"
-        self.ready, self.answered, self.data = job.ready, job.answered, job.answer_data
-        self.whole, self.broken, self.drained = job.whole, job.broken, job.drained
+        self.ready, self.answered, self.data = request.ready, request.answered, request.answer_data
+        self.whole, self.broken, self.drained = request.whole, request.broken, request.drained
 
 
 class Inbound:
-    """All jobs before one backend."""
+    """All requests sent through one gate to its backend."""
 
-    def __init__(self, host: Host, gate: Gate, taps: Taps) -> None:
-        self.host, self.gate, self.taps = host, gate, taps
-        self.jobs: dict[Job, None] = {}
-        self.refused: dict[int, int] = {}
+    def __init__(self, host: Host, gate: Gate, pool: BackendConnectionPool) -> None:
+        self.host, self.gate, self.pool = host, gate, pool
+        self.pending_requests: dict[InboundRequest, None] = {}
+        self.rejections: dict[int, int] = {}
         self.served = self.failed = self.cancelled = 0
-        self.leaving = False
-        self.end_at = float("inf")  # when this process ends: what may take longer is not begun
-        self.thawing = 0  # requests that wait for a cold backend
-        self.link_bytes_s = float("inf")  # of this machine's link
+        self.shutting_down = False
+        self.end_at = float("inf")  # the end of this process; a request that may take longer is not begun
+        self.waiting_for_slow_start = 0  # requests
+        self.link_bytes_s = float("inf")  # rate of this machine's network link, in bytes a second
         self.intake = Intake()
-        self.receiving = 0  # requests whose bodies come before they have a slot
+        self.receiving = 0  # requests whose bodies are received before they have a slot
         self.intake_due: Timer | None = None
-        self.look: Timer | None = None
-        self.look_at = 0.0
-        self.pumping = False
+        self.expiry_timer: Timer | None = None
+        self.expiry_at = 0.0
+        self.start_scheduled = False
         self.drift_monitor: DriftMonitor | None = None
-        self.suspects = 0  # times at which the backend was found missing or another
+        self.backend_mismatches = 0  # times that no backend, or another one, was found at the address
 
-    def begin(self, ask: ForwardedRequest, answers: Responder) -> Job:
-        """Take a request from a source; its outcome goes to `answers`, perhaps from within this call."""
-        job = Job(self, ask, answers)
-        self.jobs[job] = None
-        if self.drift_monitor is None or self.drift_monitor.passes(job):
-            job.judge()
-        return job
+    def begin(self, forwarded: ForwardedRequest, responder: Responder) -> InboundRequest:
+        """Takes a request from a source; `responder` gets its outcome, possibly from within this call."""
+        request = InboundRequest(self, forwarded, responder)
+        self.pending_requests[request] = None
+        if self.drift_monitor is None or self.drift_monitor.passes(request):
+            request.admit_or_reject()
+        return request
 
     def finish(self) -> None:
-        """This process ends now: the source of each job is told what is known of it."""
-        for job in list(self.jobs):
-            job.finish()
+        """Ends every request because this process ends; each source is told what is known."""
+        for request in list(self.pending_requests):
+            request.finish()
 
     def window(self) -> int:
-        """Bytes of one more request's body that may be on the way: its share of the link's time."""
-        bodies = 1 + sum(1 for job in self.jobs if job.started and not job.ended)
-        return int(max(INITIAL_WINDOW, min(WINDOW_SIZE, self.link_bytes_s * ON_THE_WAY_S / bodies)))
+        """Returns the bytes of one more body that may be in flight: its share of the link's time."""
+        bodies = 1 + sum(
+            1 for request in self.pending_requests if request.started and not request.body_complete
+        )
+        return int(max(INITIAL_WINDOW, min(WINDOW_SIZE, self.link_bytes_s * MAX_IN_FLIGHT_S / bodies)))
 
-    def linked(self, mbps: float) -> None:
-        """How fast this machine's link is, in megabits a second."""
+    def set_link_rate(self, mbps: float) -> None:
+        """Sets the rate of this machine's network link, in megabits a second."""
         self.link_bytes_s = mbps * 125_000.0
         self.intake.link(self.link_bytes_s)
 
-    def expected_s(self, job: Job) -> float:
-        """How long it would wait for a slot if its body were here, after those whose bodies come."""
+    def expected_s(self, request: InboundRequest) -> float:
+        """Returns the expected wait for a slot, behind the requests whose bodies are being received."""
         admission, now = self.gate.admission, self.host.now()
-        if admission.free(now, job.short) and admission.running + self.receiving < admission.slots:
+        if admission.free(now, request.short) and admission.running + self.receiving < admission.slots:
             return 0.0
-        return admission.expected_s((job.ask.priority, job.ask.latency_target_s)) + (
+        return admission.expected_s((request.forwarded.priority, request.forwarded.latency_target_s)) + (
             self.receiving * admission.mean_s / max(1, admission.slots)
         )
 
     def pump_intake(self) -> None:
-        """Ask for bytes of bodies; look again soon where some wait behind one that may have stalled."""
+        """Asks for bytes of bodies, and again after `STALL_S` where a stalled body may hold others up."""
         if self.intake.pump(self.host.now()) and self.intake_due is None:
             self.intake_due = self.host.after(STALL_S, self._pump_intake)
 
@@ -620,34 +654,34 @@
         self.intake_due = None
         self.pump_intake()
 
-    def told_load(self, load: bytes) -> None:
-        """The backend told running, waiting, slots."""
+    def update_slots(self, load: bytes) -> None:
+        """Takes over the number of slots from a load header: running, waiting, slots."""
         figures = load.split(b",")
         if len(figures) == 3 and figures[2].strip().isdigit():
             slots = int(figures[2])
             if 0 < slots < 100000:
                 self.gate.admission.slots = slots
 
-    def nobody_there(self) -> None:
-        """A connection was refused."""
-        self.suspects += 1
-        self.gate.missing()
-        self.taps.flush()
-
-    def other_there(self) -> None:
-        """The backend there is not the one that was meant."""
-        self.suspects += 1
-        self.gate.missing()
-        self.taps.flush()
-
-    def pump_soon(self) -> None:
-        """Let those who wait run, when what is under way has returned."""
-        if not self.pumping:
-            self.pumping = True
-            self.host.after(0.0, self._pump)
-
-    def _pump(self) -> None:
-        self.pumping = False
+    def connection_refused(self) -> None:
+        """Notes that the backend refused a connection: nobody is there."""
+        self.backend_mismatches += 1
+        self.gate.backend_missing()
+        self.pool.close_idle()
+
+    def other_backend_found(self) -> None:
+        """Notes that another backend answers at the address than the expected instance."""
+        self.backend_mismatches += 1
+        self.gate.backend_missing()
+        self.pool.close_idle()
+
+    def start_waiting_soon(self) -> None:
+        """Starts queued requests once the calls in progress have returned."""
+        if not self.start_scheduled:
+            self.start_scheduled = True
+            self.host.after(0.0, self._start_waiting)
+
+    def _start_waiting(self) -> None:
+        self.start_scheduled = False
         admission = self.gate.admission
         while True:
             waiter = admission.next(self.host.now())
@@ -655,18 +689,18 @@
                 return
             waiter.go()
 
-    def look_soon(self) -> None:
-        """See to those who wait too long."""
-        due = self.gate.admission.due()
-        if due is None or (self.look is not None and self.look_at <= due):
+    def schedule_expiry(self) -> None:
+        """Schedules the rejection of queued requests that wait too long."""
+        expires_at = self.gate.admission.due()
+        if expires_at is None or (self.expiry_timer is not None and self.expiry_at <= expires_at):
             return
-        if self.look is not None:
-            self.look.cancel()
-        self.look_at = due
-        self.look = self.host.after(max(0.0, due - self.host.now()), self._look)
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
+        self.expiry_at = expires_at
+        self.expiry_timer = self.host.after(max(0.0, expires_at - self.host.now()), self._expire_waiting)
 
-    def _look(self) -> None:
-        self.look = None
+    def _expire_waiting(self) -> None:
+        self.expiry_timer = None
         for waiter in self.gate.admission.expired(self.host.now()):
             waiter.refuse()
-        self.look_soon()
+        self.schedule_expiry()
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -1,11 +1,11 @@
-"""The operator's word as one sidecar runs it: one revision at a time, never an older one.
-
-Theory of operation. A word is `(revision, version, digest, evacuated zones)`; the configuration's text is
-asked for by its digest where it is another one. At the start a word counts only if a control node has read it
-from a majority ("word.read"); after that any word of a higher revision that anybody has ("word.known") is
-taken, as control nodes tell of none that is not settled. Whoever has a word gives it to others, so control
-nodes need not serve all. A start without a majority to be had waits, not ready, however long: what a control
-node that is cut off knows may be old, and nobody beside it can tell. Source: RULES, CONFIG and EVAC.
+"""The mesh state as one sidecar has it in force: one revision at a time, never an older one.
+
+Theory of operation. A mesh state is `(revision, version, digest, evacuated zones)`; the configuration's text
+is fetched by its digest where it is another one. At the start a mesh state counts only if a control node has
+read it from a majority ("word.read"); after that, any higher revision that any node holds ("word.known") is
+taken, as control nodes announce only settled ones. Each holder gives its mesh state to others, so control
+nodes need not serve all. Without a majority, a sidecar that starts stays not ready, however long: the state
+of a control node that is cut off may be old, and nobody beside it can tell. Source: RULES, CONFIG and EVAC.
 """
 
 from __future__ import annotations
@@ -24,150 +24,166 @@
     from honeywharf.transport.rpc_client import RpcClient
     from honeywharf.transport.rpc_server import Reply
 
-WITHIN_S = 0.7  # for a call
-BODY_WITHIN_S = (0.8, 6.0)  # for a text: at first, and at most after calls in vain, as it may be long
-AGAIN_S = 0.15
-PATIENT_S = 0.25  # for one holder, before news of another one is followed
-MAX_TEXT = 80 << 20
+CALL_TIMEOUT_S = 0.7
+TEXT_TIMEOUTS_S = (0.8, 6.0)  # first and longest; doubled after each failure, as a text may be long
+RETRY_S = 0.15
+MIN_FETCH_S = 0.25  # a fetch gets this long before an announcement starts another one
+MAX_TEXT_BYTES = 80 << 20
 
 
-class Word:
-    """What is in force here. `changed()` is called after each change, `holders()` gives addresses to ask."""
+class MeshStateReplica:
+    """The mesh state in force here.
+
+    `changed()` is called after each change; `control_nodes()` returns the addresses of control nodes.
+    """
 
     def __init__(
-        self, host: Host, caller: RpcClient, cores: Callable[[], list[Address]], changed: Callable[[], None]
+        self,
+        host: Host,
+        rpc_client: RpcClient,
+        control_nodes: Callable[[], list[Address]],
+        changed: Callable[[], None],
     ) -> None:
-        self.host, self.caller, self.cores, self.changed = host, caller, cores, changed
+        self.host, self.rpc_client, self.control_nodes, self.changed = (
+            host,
+            rpc_client,
+            control_nodes,
+            changed,
+        )
         self.revision = 0
         self.version = 0
         self.digest = ""
         self.value: dict[str, Any] = {}
         self.evacuated: set[str] = set()
         self.table: RoutingTable | None = None
-        self.packed = b""  # the text, compressed
+        self.packed = b""  # the configuration's text, compressed
         self.ready = False
-        self.newest = 0  # the highest revision heard of
-        self.fetch = 0  # number of the fetch under way; 0 without one
+        self.newest = 0  # the highest revision announced
+        self.fetch_number = 0  # of the fetch under way; 0 without one
         self.fetches = 0
         self.fetched_at = 0.0
-        self.vain = 0  # fetches in a row without a text
-        self.turn = 0
+        self.failed_fetches = 0  # fetches in a row that got no text
+        self.next_control_node = 0
         self._limits = Limits({})
-        self.named: Callable[[bytes, str], bool] = lambda text, digest: True  # whether a text is a digest's
+        self.has_digest: Callable[[bytes, str], bool] = lambda text, digest: True
 
     # Used by the rest of the sidecar.
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route of a request; None without one."""
+        """Returns the route of a request; None without one."""
         return None if self.table is None else self.table.find(host, path)
 
     def limits(self) -> Limits:
-        """What a client may send, and how long it may take."""
+        """Returns the limits on clients' requests: sizes and times."""
         return self._limits if self.table is None else self.table.limits
 
-    # Taking a word over.
+    # Taking a mesh state over.
 
     def start(self) -> None:
-        """Ask until a majority has told."""
+        """Asks control nodes until one has read the mesh state from a majority."""
         if self.ready:
             return
-        cores = self.cores()
-        if cores:
-            self.turn += 1
-            core = cores[self.turn % len(cores)]
-            self.caller.call(
-                core, rpc_methods.READ_STATE, None, WITHIN_S, lambda value: self._started(core, value)
+        control_nodes = self.control_nodes()
+        if control_nodes:
+            self.next_control_node += 1
+            control_node = control_nodes[self.next_control_node % len(control_nodes)]
+            self.rpc_client.call(
+                control_node,
+                rpc_methods.READ_STATE,
+                None,
+                CALL_TIMEOUT_S,
+                lambda value: self._majority_answered(control_node, value),
             )
         else:
-            self.host.after(AGAIN_S, self.start)
+            self.host.after(RETRY_S, self.start)
 
-    def _started(self, core: Address, value: Any) -> None:
+    def _majority_answered(self, control_node: Address, value: Any) -> None:
         if isinstance(value, dict) and value.get("digest"):
-            self._take(core, value)
-        if not self.ready and not self.fetch:
-            self.host.after(AGAIN_S, self.start)
+            self._adopt(control_node, value)
+        if not self.ready and not self.fetch_number:
+            self.host.after(RETRY_S, self.start)
 
-    def heard(self, revision: int, holder: Address) -> None:
-        """News of a word: asked for if it is newer, though another holder may still owe an older one."""
+    def revision_announced(self, revision: int, holder: Address) -> None:
+        """Fetches an announced revision if it is newer, even if a fetch of an older one is late."""
         self.newest = max(self.newest, revision)
-        busy = self.fetch and self.host.now() - self.fetched_at < PATIENT_S
+        busy = self.fetch_number and self.host.now() - self.fetched_at < MIN_FETCH_S
         if revision > self.revision and self.ready and not busy:
-            fetch = self._begin()
-            self.caller.call(
+            fetch = self._begin_fetch()
+            self.rpc_client.call(
                 holder,
                 rpc_methods.KNOWN_STATE,
                 None,
-                WITHIN_S,
-                lambda value: self._known(fetch, holder, value),
+                CALL_TIMEOUT_S,
+                lambda value: self._holder_answered(fetch, holder, value),
             )
 
-    def _begin(self) -> int:
+    def _begin_fetch(self) -> int:
         self.fetches += 1
-        self.fetch, self.fetched_at = self.fetches, self.host.now()
-        return self.fetch
+        self.fetch_number, self.fetched_at = self.fetches, self.host.now()
+        return self.fetch_number
 
-    def _known(self, fetch: int, holder: Address, value: Any) -> None:
-        if self.fetch == fetch:
-            self.fetch = 0
+    def _holder_answered(self, fetch: int, holder: Address, value: Any) -> None:
+        if self.fetch_number == fetch:
+            self.fetch_number = 0
         if isinstance(value, dict) and value.get("digest"):
-            self._take(holder, value)
+            self._adopt(holder, value)
         else:
-            self._again()
+            self._fetch_again()
 
-    def _again(self) -> None:
-        """The holder did not tell: ask a control node, in a while."""
+    def _fetch_again(self) -> None:
+        """Asks a control node after `RETRY_S`, as long as a newer revision was announced."""
         if self.newest > self.revision and self.ready:
-            cores = self.cores()
-            if cores:
-                self.turn += 1
-                core = cores[self.turn % len(cores)]
-                self.host.after(AGAIN_S, lambda: self.heard(self.newest, core))
+            control_nodes = self.control_nodes()
+            if control_nodes:
+                self.next_control_node += 1
+                control_node = control_nodes[self.next_control_node % len(control_nodes)]
+                self.host.after(RETRY_S, lambda: self.revision_announced(self.newest, control_node))
 
     def restore(self, value: dict[str, Any], table: RoutingTable, packed: bytes) -> None:
-        """Take over what a majority told, whatever is in force here: after a slip only."""
+        """Takes over what a majority told, whatever is in force here; used only to repair drift."""
         self.newest = value["rev"]
         self._apply(value, table, packed)
 
-    def take(self, holder: Address, value: dict[str, Any]) -> None:
-        """A holder has told its word: taken over if it is newer and this node has had one."""
+    def offer(self, holder: Address, value: dict[str, Any]) -> None:
+        """Takes a peer's mesh state over if it is newer and this node has had one before."""
         if self.ready:
-            self._take(holder, value)
+            self._adopt(holder, value)
 
-    def _take(self, holder: Address, value: dict[str, Any]) -> None:
+    def _adopt(self, holder: Address, value: dict[str, Any]) -> None:
         if value["rev"] <= self.revision:
             return
         if value["digest"] == self.digest:
             self._apply(value, None, b"")
             return
-        fetch = self._begin()
-        first, most = BODY_WITHIN_S
-        within = min(most, first * 2 ** min(self.vain, 4))
-        self.caller.call(
+        fetch = self._begin_fetch()
+        first_s, longest_s = TEXT_TIMEOUTS_S
+        timeout_s = min(longest_s, first_s * 2 ** min(self.failed_fetches, 4))
+        self.rpc_client.call(
             holder,
             rpc_methods.CONFIGURATION_TEXT,
             value["digest"],
-            within,
-            lambda packed: self._body(fetch, holder, value, packed),
+            timeout_s,
+            lambda packed: self._text_received(fetch, holder, value, packed),
         )
 
-    def _body(self, fetch: int, holder: Address, value: dict[str, Any], packed: Any) -> None:
-        if self.fetch == fetch:
-            self.fetch = 0
+    def _text_received(self, fetch: int, holder: Address, value: dict[str, Any], packed: Any) -> None:
+        if self.fetch_number == fetch:
+            self.fetch_number = 0
         table = None
         if isinstance(packed, bytes):
             try:
-                text = zlib.decompressobj().decompress(packed, MAX_TEXT)
-                if not self.named(text, value["digest"]):
-                    raise ValueError(f"not the text of {value['digest']}")
+                text = zlib.decompressobj().decompress(packed, MAX_TEXT_BYTES)
+                if not self.has_digest(text, value["digest"]):
+                    raise ValueError(f"text: expected digest {value['digest']}, got another")
                 table = RoutingTable(text)
             except (ValueError, KeyError, TypeError, zlib.error) as fault:
-                self.host.log(f"word r{value['version']} from {holder[0]} can't be read: {fault}")
-        self.vain = 0 if table is not None else self.vain + 1
+                self.host.log(f"configuration r{value['version']} from {holder[0]} can't be read: {fault}")
+        self.failed_fetches = 0 if table is not None else self.failed_fetches + 1
         if table is not None and value["rev"] > self.revision:
             self._apply(value, table, packed)
         elif not self.ready:
-            self.host.after(AGAIN_S, self.start)
-        self._again()
+            self.host.after(RETRY_S, self.start)
+        self._fetch_again()
 
     def _apply(self, value: dict[str, Any], table: RoutingTable | None, packed: bytes) -> None:
         if table is not None:
@@ -177,13 +193,13 @@
         self.evacuated = {zone for zone, on in value["evac"].items() if on}
         self.ready = True
         evacuated = ",".join(sorted(self.evacuated)) or "none"
-        self.host.log(f"word {self.revision}: configuration r{self.version}, evacuated {evacuated}")
+        self.host.log(f"mesh state {self.revision}: configuration r{self.version}, evacuated {evacuated}")
         self.changed()
 
     # Giving it to others.
 
     def methods(self) -> dict[str, Callable[[Any, Reply, Address], None]]:
-        """What others may call."""
+        """Returns the RPC methods by which others fetch the mesh state and the text."""
         return {
             rpc_methods.KNOWN_STATE: lambda args, reply, peer: reply(self.value or None),
             rpc_methods.CONFIGURATION_TEXT: lambda args, reply, peer: reply(
--- a/honeywharf/sidecar/probe.py
+++ b/honeywharf/sidecar/probe.py
@@ -1,8 +1,8 @@
-"""Health probes: only where nothing else tells, as each has its price.
+"""Health checks of the backend, sent only where no heartbeat tells its state, as each one costs time there.
 
-Theory of operation. Asked for when the gate does not know what is there (this process is new, a connection
-was refused) or doubts whether it is cold (its zone was taken back). A beat often tells first; the probe waits
-`PATIENT_S` for one, except at the start, where a beat may be a whole interval away.
+Theory of operation. A check is sent when the gate does not know the backend's state (this process is new, a
+connection was refused) or whether it is cold (its zone's evacuation has ended). A heartbeat often comes
+first, so a check waits `FIRST_DELAY_S` for one; heartbeats may be much longer apart.
 """
 
 from __future__ import annotations
@@ -19,48 +19,50 @@
     from honeywharf.sidecar.gate import Gate
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-PATIENT_S = 0.1
-AGAIN_S = 0.5
-LONGEST_S = 2.0  # between probes of one that does not answer
-WITHIN_S = 1.0
-MAX_ANSWER = 64 * 1024
+FIRST_DELAY_S = 0.1
+MIN_RETRY_DELAY_S = 0.5
+MAX_RETRY_DELAY_S = 2.0
+TIMEOUT_S = 1.0
+MAX_ANSWER_BYTES = 64 * 1024
 
 
 class Probe:
-    """Asks the backend's health. `path` is None until a configuration tells it."""
+    """Sends health checks where they are wanted. `path` is None until a configuration gives it."""
 
-    def __init__(self, host: Host, address: Address, gate: Gate, told: Callable[[], None]) -> None:
-        self.host, self.address, self.gate, self.told = host, address, gate, told
+    def __init__(self, host: Host, address: Address, gate: Gate, gate_changed: Callable[[], None]) -> None:
+        self.host, self.address, self.gate, self.gate_changed = host, address, gate, gate_changed
         self.path: bytes | None = None
-        self.waiting = False
-        self.pause = PATIENT_S
+        self.is_scheduled = False
+        self.delay_s = FIRST_DELAY_S
         self.sent = 0
 
-    def wanted(self) -> bool:
-        """Whether nothing else has told what matters."""
+    def is_wanted(self) -> bool:
+        """Whether the gate lacks what a health check tells."""
         gate = self.gate
-        return self.path is not None and (gate.state == UNKNOWN or (gate.doubted and gate.state == READY))
+        return self.path is not None and (
+            gate.state == UNKNOWN or (gate.cold_unknown and gate.state == READY)
+        )
 
-    def look(self) -> None:
-        """Ask, soon, if there is reason to."""
-        if self.wanted() and not self.waiting:
-            self.waiting = True
-            self.host.after(self.pause, self._ask)
+    def schedule(self) -> None:
+        """Schedules a health check if one is wanted."""
+        if self.is_wanted() and not self.is_scheduled:
+            self.is_scheduled = True
+            self.host.after(self.delay_s, self._send)
 
-    def _ask(self) -> None:
-        if not self.wanted():
-            self.waiting, self.pause = False, PATIENT_S
+    def _send(self) -> None:
+        if not self.is_wanted():
+            self.is_scheduled, self.delay_s = False, FIRST_DELAY_S
             return
         self.sent += 1
-        _Asking(self)
+        _HealthCheck(self)
 
     def answered(self, answer: Answer | None, asked: float) -> None:
-        """What came back; None where nothing did."""
-        self.waiting = False
+        """Takes the answer of a check that was sent at `asked`; None where none came."""
+        self.is_scheduled = False
         if answer is not None:
             load = answer.load.split(b",")
             slots = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 0
-            self.gate.health(
+            self.gate.health_answer(
                 self.host.now(),
                 answer.instance.decode("latin-1"),
                 answer.status == 200,
@@ -68,27 +70,27 @@
                 answer.cold_s,
                 asked,
             )
-        self.pause = min(LONGEST_S, max(AGAIN_S, 2 * self.pause))
-        self.told()
-        self.look()
+        self.delay_s = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, 2 * self.delay_s))
+        self.gate_changed()
+        self.schedule()
 
 
-class _Asking:
-    """One probe."""
+class _HealthCheck:
+    """One health check."""
 
     def __init__(self, probe: Probe) -> None:
         self.probe, self.asked = probe, probe.host.now()
         self.answered: Answer | None = None
         self.over = False
-        self.reader = AnswerReader(self, MAX_ANSWER)
-        self.connection = probe.host.connect(probe.address, self._made, WITHIN_S)
-        self.timer = probe.host.after(WITHIN_S, self._end)
+        self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
+        self.connection = probe.host.connect(probe.address, self._made, TIMEOUT_S)
+        self.timer = probe.host.after(TIMEOUT_S, self._end)
 
     def _made(self, connection: Connection) -> Handler:
         return self
 
     def opened(self) -> None:
-        """It is up."""
+        """Sends the request."""
         path = self.probe.path or b"/health"
         self.connection.send(
             b"GET %b HTTP/1.1\r\nHost: %b\r\nConnection: close\r\n\r\n"
@@ -96,32 +98,32 @@
         )
 
     def received(self, data: bytes) -> None:
-        """Bytes of the answer."""
+        """Reads bytes of the answer."""
         try:
             self.reader.feed(data)
         except MalformedError:
             self._end()
 
     def answer(self, answer: Answer) -> None:
-        """The head is all that is wanted."""
+        """Ends the check: the head tells all that is wanted."""
         self.answered = answer
         self._end()
 
     def data(self, data: bytes) -> None:
-        """Its body is not."""
+        """Ignores the body."""
 
     def whole(self) -> None:
-        """It is whole."""
+        """Called when the answer is complete; the check has ended by then."""
 
     def ended(self) -> None:
-        """The backend sends nothing more."""
+        """Ends the check without an answer: the backend has closed its sending half."""
         self._end()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Called when the request is sent; nothing to do."""
 
     def closed(self, why: str) -> None:
-        """It is gone."""
+        """Ends the check: the connection is closed."""
         self._end()
 
     def _end(self) -> None:
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -1,4 +1,4 @@
-"""What all courses of one sidecar share: the word, the list, budgets, links, the gate beside it."""
+"""State that all outbound requests of a sidecar share: known backends, retry budgets, links, counters."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from honeywharf.policy.levels import Levels
 from honeywharf.transport.link import LinkPool
 from honeywharf.transport.stream import ForwardedRequest
-from honeywharf.verdict import CHOKED, WORDS, Verdict
+from honeywharf.verdict import LINK_SATURATED, WORDS, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -16,19 +16,19 @@
     from honeywharf.mesh_config.routes import Route
     from honeywharf.mesh_config.settings import Settings
     from honeywharf.sessions.abroad import Abroad
-    from honeywharf.sidecar.bypass import Passing
-    from honeywharf.sidecar.course import Channel, Course
+    from honeywharf.sidecar.delegation import DelegatedRequest
     from honeywharf.sidecar.inbound import Inbound
-    from honeywharf.sidecar.mesh_state import Word
+    from honeywharf.sidecar.mesh_state import MeshStateReplica
+    from honeywharf.sidecar.outbound_request import Channel, OutboundRequest
     from honeywharf.transport.host import Host
 
 MAX_SERVICES = 1024
-CHOKED_S = 0.5  # at most, that a gate whose link is full of bodies is asked for no further one
-READY = 1  # a gate's state, as told
+MAX_SATURATED_S = 0.5  # longest time for which a gate with a saturated link gets no further large body
+READY = 1  # a gate's state in its gossip attributes
 
 
-class _Listed:
-    """What is told of one proxy's backend."""
+class _ListedBackend:
+    """A backend as the sidecar beside it announces it."""
 
     __slots__ = ("instance", "service", "state", "zone")
 
@@ -36,18 +36,18 @@
         self.service, self.instance, self.state, self.zone = service, instance, state, zone
 
 
-class Local:
-    """The gate in this process as a course's way to it, and the course as the job's way back."""
+class LocalResponder:
+    """Passes the outcome of an `InboundRequest` to the `OutboundRequest` of the same process."""
 
-    __slots__ = ("course", "is_over", "job")
+    __slots__ = ("inbound_request", "is_over", "request")
 
-    def __init__(self, course: Course) -> None:
-        self.course, self.is_over = course, False
-        self.job: object = None
+    def __init__(self, request: OutboundRequest) -> None:
+        self.request, self.is_over = request, False
+        self.inbound_request: object = None
 
     def admit(self) -> None:
-        """It is admitted."""
-        self.course.go()
+        """Passes on that the gate has admitted the request."""
+        self.request.gate_admitted()
 
     def answer(
         self,
@@ -57,126 +57,131 @@
         load: tuple[int, int, int],
         body: bytes | None,
     ) -> None:
-        """The answer, whole, or its head."""
+        """Passes on the answer: complete, or its head where `body` is None."""
         self.is_over = body is not None
-        self.course.answered(status, fields, length, body)
+        self.request.answered(status, fields, length, body)
 
     def data(self, data: bytes) -> None:
-        """A part of the answer's body."""
-        self.course.answer_data(data)
+        """Passes on a part of the answer's body."""
+        self.request.answer_data(data)
 
     def window(self, size: int) -> None:
-        """So many bytes of the request's body have gone on."""
-        self.course.window(size)
+        """Lets the source send `size` further bytes of the request's body."""
+        self.request.window(size)
 
     def complete(self) -> None:
-        """The answer is whole."""
+        """Passes on that the answer is complete."""
         self.is_over = True
-        self.course.whole()
+        self.request.whole()
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-        """No answer comes."""
+        """Passes on that no answer comes, or none further."""
         self.is_over = True
-        self.course.failed(verdict)
+        self.request.failed(verdict)
 
 
-class _Remote:
-    """A course as a stream's `ResponseHandler`."""
+class _RemoteResponseHandler:
+    """Adapts an `OutboundRequest` to a stream's `ResponseHandler`."""
 
     __slots__ = ("admitted", "answered", "completed", "data", "failed", "load", "window")
 
-    def __init__(self, course: Course) -> None:
-        self.answered, self.data, self.failed = course.answered, course.answer_data, course.failed
+    def __init__(self, request: OutboundRequest) -> None:
+        self.answered, self.data, self.failed = request.answered, request.answer_data, request.failed
         self.load, self.admitted, self.completed, self.window = (
-            course.load,
-            course.go,
-            course.whole,
-            course.window,
+            request.load,
+            request.gate_admitted,
+            request.whole,
+            request.window,
         )
 
 
 class Source:
-    """Shared by all courses. `draw()` gives even random numbers in [0, 1)."""
+    """The state shared by all outbound requests. `draw()` returns uniform random numbers in [0, 1)."""
 
     def __init__(
         self,
         host: Host,
         settings: Settings,
-        word: Word,
+        mesh_state: MeshStateReplica,
         inbound: Inbound,
         draw: Callable[[], float],
     ) -> None:
-        self.host, self.word, self.inbound, self.draw = host, word, inbound, draw
-        self.abroad: Abroad | None = None  # where settings name gateways to other regions
+        self.host, self.mesh_state, self.inbound, self.draw = host, mesh_state, inbound, draw
+        self.abroad: Abroad | None = None  # set where the settings name gateways to other regions
         self.me, self.zone, self.service = settings.ip, settings.zone, settings.service or ""
-        self.ratio = settings.bound("retry-budget-ratio", 0.1)
-        self.slack = settings.bound("retry-budget-slack", 10.0)
-        self.window_s = settings.bound("retry-window", 10.0)
+        self.retry_ratio = settings.bound("retry-budget-ratio", 0.1)
+        self.retry_slack = settings.bound("retry-budget-slack", 10.0)
+        self.retry_window_s = settings.bound("retry-window", 10.0)
         self.regions = settings.zones  # by zone
         self.links = LinkPool(host, settings.internal_ports[0])
         self.levels: dict[str, Levels] = {}
         self.budgets: dict[str, RetryBudget] = {}
-        self.list: dict[str, _Listed] = {}
-        self.courses: dict[Course, None] = {}
-        self.proxies: Callable[[], int] = lambda: 1
-        self.doubted: set[str] = set()
-        self.choked: dict[str, float] = {}  # by gate of the list, until when it is asked for no body
-        self.asks = 0
-        self.end_at = float("inf")  # when this process ends: no gate is given longer
-        self.helper: Callable[[Container[str]], str | None] = lambda passed: None  # a sidecar that is well
-        self.handed = 0  # requests that a sidecar that is well was asked to decide
-        self.passing: dict[Passing, None] = {}  # those of others that are decided here
+        self.backends: dict[str, _ListedBackend] = {}
+        self.active_requests: dict[OutboundRequest, None] = {}
+        self.count_sidecars: Callable[[], int] = lambda: 1
+        self.suspected: set[str] = set()
+        self.saturated_until: dict[str, float] = {}  # by gate: until then it gets no large body
+        self.sent = 0
+        self.end_at = float("inf")  # the end of this process, which bounds every request's deadline
+        # Returns a healthy sidecar that is not among those tried.
+        self.pick_delegate: Callable[[Container[str]], str | None] = lambda tried: None
+        self.delegated = 0  # requests delegated to other sidecars
+        self.accepted_delegations: dict[DelegatedRequest, None] = {}  # other sidecars' requests decided here
         self.drift_monitor: DriftMonitor | None = None
         self.statuses: dict[int, int] = {}
-        self.refusals: dict[int, int] = {}
+        self.rejections: dict[int, int] = {}
 
-    # The list.
+    # Known backends.
 
-    def told(self, node: str, say: dict[str, object] | None, zone: str) -> None:
-        """News of a proxy: what its gate says of its backend; None when it has gone.
+    def update_backend(self, node: str, attributes: dict[str, object] | None, zone: str) -> None:
+        """Takes a sidecar's gossip attributes over; None when it has left.
 
-        Who has gone is held down by nobody: if it comes back, it comes without a doubt.
+        A sidecar that has left is not suspected any more, so that it is usable once it returns.
         """
-        if say is None:
-            self.doubted.discard(node)
-        before = self.list.get(node)
-        if say is None or not say.get("s"):
+        if attributes is None:
+            self.suspected.discard(node)
+        before = self.backends.get(node)
+        if attributes is None or not attributes.get("s"):
             if before is not None:
-                del self.list[node]
+                del self.backends[node]
                 self.levels_of(before.service).gone(node)
             return
-        state = say.get("st")
-        now = _Listed(str(say["s"]), str(say.get("b", "")), state if isinstance(state, int) else 0, zone)
-        if before is not None and before.service != now.service:
+        state = attributes.get("st")
+        backend = _ListedBackend(
+            str(attributes["s"]), str(attributes.get("b", "")), state if isinstance(state, int) else 0, zone
+        )
+        if before is not None and before.service != backend.service:
             self.levels_of(before.service).gone(node)
-        self.list[node] = now
+        self.backends[node] = backend
         renewed = (
             before is None
-            or before.instance != now.instance
-            or (before.state != READY and now.state == READY)
+            or before.instance != backend.instance
+            or (before.state != READY and backend.state == READY)
         )
-        self._relist(node, renewed)
+        self._update_usable(node, renewed)
 
-    def _relist(self, node: str, renewed: bool) -> None:
-        entry = self.list.get(node)
+    def _update_usable(self, node: str, renewed: bool) -> None:
+        entry = self.backends.get(node)
         if entry is not None:
             usable = (
-                entry.state == READY and entry.zone not in self.word.evacuated and node not in self.doubted
+                entry.state == READY
+                and entry.zone not in self.mesh_state.evacuated
+                and node not in self.suspected
             )
             self.levels_of(entry.service).listed(node, entry.zone, usable, renewed)
 
-    def relist(self) -> None:
-        """Evacuations have changed."""
-        for node in self.list:
-            self._relist(node, False)
+    def update_usable(self) -> None:
+        """Marks each backend as usable or not after a change of the evacuated zones."""
+        for node in self.backends:
+            self._update_usable(node, False)
 
-    def doubt(self, node: str, down: bool) -> None:
-        """Watchers say that a proxy is down, or up again."""
-        (self.doubted.add if down else self.doubted.discard)(node)
-        self._relist(node, not down)
+    def set_suspected(self, node: str, down: bool) -> None:
+        """Notes that the failure detector takes a sidecar for down, or for up again."""
+        (self.suspected.add if down else self.suspected.discard)(node)
+        self._update_usable(node, not down)
 
     def levels_of(self, service: str) -> Levels:
-        """The backends of a service."""
+        """Returns the choice among a service's backends, made on first use."""
         levels = self.levels.get(service)
         if levels is None:
             if len(self.levels) >= MAX_SERVICES:
@@ -184,89 +189,97 @@
             levels = self.levels[service] = Levels(self.zone, self.draw)
         return levels
 
-    # For courses.
+    # Used by requests.
 
-    def abroad_of(self, homes: tuple[str, ...], service: str) -> set[str]:
-        """Backends of a service that are in no home: a request that has homes passes them over.
+    def backends_outside(self, allowed: tuple[str, ...], service: str) -> set[str]:
+        """Returns a service's backends outside the allowed regions.
 
-        A zone whose region is not known is no home: better refused than held where it must not be.
+        A zone whose region is not known counts as outside: a rejection does less harm than data in a region
+        where it must not be.
         """
         return {
             target.key
             for target in self.levels_of(service).targets.values()
-            if self.regions.get(target.zone, "") not in homes
+            if self.regions.get(target.zone, "") not in allowed
         }
 
     def revision(self) -> int:
-        """Of the word that this sidecar decides by."""
-        return self.word.revision
+        """Returns the revision of the mesh state in force here."""
+        return self.mesh_state.revision
 
     def rule(self, route: Route) -> bytes:
-        """The digest of the rule that decides, as it travels with a request."""
+        """Returns the digest of the route that decides, which is sent with the request."""
         return b"" if self.drift_monitor is None else self.drift_monitor.rule(route)
 
     def draw_service(self, route: Route) -> str:
-        """The service for one request of a route, by weight."""
+        """Draws the service for one request of a route, by weight."""
         draw = self.draw()
         service = route.service(draw)
         return service if self.drift_monitor is None else self.drift_monitor.drawn(route, draw, service)
 
     def budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
+        """Returns the retry budget of a service, made on first use."""
         budget = self.budgets.get(service)
         if budget is None:
             if len(self.budgets) >= MAX_SERVICES:
                 self.budgets.clear()
-            budget = self.budgets[service] = RetryBudget(self.ratio, self.slack, self.window_s)
+            budget = self.budgets[service] = RetryBudget(
+                self.retry_ratio, self.retry_slack, self.retry_window_s
+            )
         return budget
 
-    def spend(self, service: str) -> bool:
-        """Whether one more backend may be asked for a request that has arrived at one."""
-        return self.budget(service).spend(self.host.now(), self.proxies())
+    def spend_retry(self, service: str) -> bool:
+        """Whether the budget allows a retry of a request that has reached a backend; takes it if so."""
+        return self.budget(service).spend(self.host.now(), self.count_sidecars())
+
+    def open(self, key: str, ask: ForwardedRequest, request: OutboundRequest) -> Channel | None:
+        """Sends a request to a gate; the gate in this process may call back from within.
 
-    def open(self, key: str, ask: ForwardedRequest, course: Course) -> Channel | None:
-        """The way to a gate; its word may come from within this call where it is in this process."""
+        None where the link has no room.
+        """
         if key == self.me:
-            return self.inbound.begin(ask, Local(course))
-        if self.abroad is not None and key in self.list and self.abroad.far(self.list[key].zone):
-            return self.abroad.open(key, ask, _Remote(course), course.route.allowed_regions)
-        return self.links.link_to(key).open(ask, _Remote(course))
-
-    def served(self, service: str, key: str, status: int) -> None:
-        """A backend answered."""
-        self.count(status)
+            return self.inbound.begin(ask, LocalResponder(request))
+        if self.abroad is not None and key in self.backends and self.abroad.far(self.backends[key].zone):
+            return self.abroad.open(key, ask, _RemoteResponseHandler(request), request.route.allowed_regions)
+        return self.links.link_to(key).open(ask, _RemoteResponseHandler(request))
+
+    def backend_answered(self, service: str, key: str, status: int) -> None:
+        """Notes that a backend answered."""
+        self.count_answer(status)
         self.levels_of(service).served(key)
 
-    def failed(self, service: str, key: str, certain: bool) -> None:
-        """An attempt failed there."""
+    def attempt_failed(self, service: str, key: str, certain: bool) -> None:
+        """Notes that an attempt failed; `certain` where nobody is there."""
         self.levels_of(service).failed(self.host.now(), key, certain)
 
-    def refused(self, service: str, key: str, verdict: Verdict) -> None:
-        """A gate refused."""
-        self.refusals[verdict.why] = self.refusals.get(verdict.why, 0) + 1
-        if verdict.why == CHOKED:  # for bodies only: a lookup there is none the slower
-            if key in self.list:
-                self.choked[key] = self.host.now() + min(CHOKED_S, verdict.again_s)
+    def attempt_rejected(self, service: str, key: str, verdict: Verdict) -> None:
+        """Notes that a gate rejected a request."""
+        self.rejections[verdict.why] = self.rejections.get(verdict.why, 0) + 1
+        if verdict.why == LINK_SATURATED:  # concerns large bodies only: short requests may still go there
+            if key in self.backends:
+                self.saturated_until[key] = self.host.now() + min(MAX_SATURATED_S, verdict.retry_after_s)
             self.levels_of(service).released(key)
         else:
-            self.levels_of(service).refused(self.host.now(), key, verdict.again_s)
+            self.levels_of(service).refused(self.host.now(), key, verdict.retry_after_s)
 
-    def choked_now(self) -> set[str]:
-        """Gates whose links are full of bodies, as far as was told."""
+    def saturated_gates(self) -> set[str]:
+        """Returns the gates whose links have no room for a large body, as far as they told."""
         now = self.host.now()
-        self.choked = {key: until for key, until in self.choked.items() if until > now}
-        return set(self.choked)
+        self.saturated_until = {key: until for key, until in self.saturated_until.items() if until > now}
+        return set(self.saturated_until)
 
-    def released(self, service: str, key: str) -> None:
-        """Nobody waits for an attempt there any more."""
+    def attempt_abandoned(self, service: str, key: str) -> None:
+        """Notes that an attempt was given up without an outcome."""
         self.levels_of(service).released(key)
 
-    def count(self, status: int) -> None:
-        """One more final answer of that status."""
+    def count_answer(self, status: int) -> None:
+        """Counts a final answer by its status."""
         self.statuses[status] = self.statuses.get(status, 0) + 1
 
     def counters(self) -> str:
-        """What was done so far, for a log line."""
-        refusals = " ".join(f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(self.refusals.items()))
+        """Returns what was done so far, for a log line."""
+        rejections = " ".join(
+            f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(self.rejections.items())
+        )
         answers = " ".join(f"{status}={n}" for status, n in sorted(self.statuses.items()))
-        return f"answers {answers or 'none'}; asks={self.asks} {refusals} links-lost={self.links.lost}"
+        return f"answers {answers or 'none'}; asks={self.sent} {rejections} links-lost={self.links.lost}"
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -16,7 +16,7 @@
 from honeywharf.drift import second
 from honeywharf.drift.requests import DriftMonitor
 from honeywharf.mesh_config.routes import Route, RoutingTable
-from honeywharf.sidecar.inbound import Job
+from honeywharf.sidecar.inbound import InboundRequest
 from honeywharf.simulation.field import SERVICES, SMALL, ZONES, Field, Side
 from honeywharf.simulation.rules import Ask, Order
 from honeywharf.simulation.run import real_control_node, real_sidecar
@@ -156,8 +156,8 @@
     def list(self, sidecar: Any, chance: random.Random) -> Undo:
         """The list has one id, zone or draining mark wrong, or this backend's cold time."""
         source = sidecar.source
-        node = chance.choice([node for node in source.list if node != sidecar.settings.ip])
-        entry, how = source.list[node], chance.randrange(4)
+        node = chance.choice([node for node in source.backends if node != sidecar.settings.ip])
+        entry, how = source.backends[node], chance.randrange(4)
         target = source.levels_of(entry.service).targets[node]
         kept = (entry.instance, entry.zone, entry.state, target.zone, target.usable)
         if how == 0:
@@ -357,11 +357,11 @@
             self._noticed(ip, by, what)
             DriftMonitor.slip(drift_monitor, by, what, renew)
 
-        def refuse(job: Job, again_s: float) -> bool:
-            self._noticed(job.ask.peer or ip, "judge" if job.ask.peer else "reading", "refused")
+        def refuse(job: InboundRequest, again_s: float) -> bool:
+            self._noticed(job.forwarded.peer or ip, "judge" if job.forwarded.peer else "reading", "refused")
             return DriftMonitor._refuse_job(drift_monitor, job, again_s)
 
-        def hold(job: Job, holder: Any) -> bool:
+        def hold(job: InboundRequest, holder: Any) -> bool:
             if self.kind == "freeze":
                 self._noticed(ip, "judge", "asks first")
             return DriftMonitor._hold(drift_monitor, job, holder)
@@ -458,9 +458,9 @@
         floor = max((order.version for order in orders if order.acked <= bound), default=0)
         return [order for order in orders if order.version >= floor]
 
-    def ran(self, job: Job) -> None:
+    def ran(self, job: InboundRequest) -> None:
         """A request's head goes to a backend now."""
-        ask = job.ask
+        ask = job.forwarded
         sent = self.book.asks.get(ask.attempt_id.decode())
         if sent is None or sent.repeatable:
             return
@@ -479,18 +479,18 @@
 
     def play(self, until: float = 0.0) -> Trial:
         """Play it whole, or until a time."""
-        plain = Job._head_bytes
+        plain = InboundRequest._encode_head
 
-        def heads(job: Job) -> bytes:
+        def heads(job: InboundRequest) -> bytes:
             self.ran(job)
             return plain(job)
 
-        cast(Any, Job)._head_bytes = heads
+        cast(Any, InboundRequest)._encode_head = heads
         try:
             self.world.strict = True
             self.world.run(until or FIRST + self.many * self.gap + 4.0)
         finally:
-            cast(Any, Job)._head_bytes = plain
+            cast(Any, InboundRequest)._encode_head = plain
         return self
 
     def statuses(self) -> dict[int, int]:
--- a/honeywharf/transport/link.py
+++ b/honeywharf/transport/link.py
@@ -24,7 +24,7 @@
     REFUSE,
     WINDOW,
 )
-from honeywharf.verdict import LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import LINK_LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
@@ -162,7 +162,7 @@
             s for s in self.streams.values() if s.is_idempotent and now - s.opened_at > STREAM_TIMEOUT_S
         ]:
             stream.cancel()
-            stream.handler.failed(Verdict(MAY_HAVE_RUN, LOST))
+            stream.handler.failed(Verdict(MAY_HAVE_RUN, LINK_LOST))
 
     def fail(self) -> None:
         """Close the link: whatever was open on it has failed."""
@@ -179,7 +179,7 @@
             # Guards what must not run twice: only a body that was never asked for proves anything, or a link
             # that was never up.
             proof = not self.is_up or (stream.has_body and not stream.is_admitted)
-            stream.handler.failed(Verdict(NOT_RUN if proof else MAY_HAVE_RUN, LOST))
+            stream.handler.failed(Verdict(NOT_RUN if proof else MAY_HAVE_RUN, LINK_LOST))
 
     def opened(self) -> None:
         """It is up."""
--- a/honeywharf/transport/link_server.py
+++ b/honeywharf/transport/link_server.py
@@ -163,8 +163,8 @@
                 kind,
                 self.number,
                 verdict.why,
-                int(verdict.again_s * 1000.0),
-                verdict.arrived,
+                int(verdict.retry_after_s * 1000.0),
+                verdict.reached_backend,
                 load,
                 verdict.ran,
             ]
--- a/tests/control/test_mechanisms.py
+++ b/tests/control/test_mechanisms.py
@@ -15,7 +15,7 @@
 from honeywharf.control.operator_api import OperatorApi
 from honeywharf.control.register_queues import ReadQueue
 from honeywharf.control.standby import Handover
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from tests.control import test_cut_off, test_history, test_one_content, test_second_loss
 from tests.sidecar import test_mesh_state
 
@@ -66,14 +66,16 @@
 
 def starts_alone(patch: Patch) -> None:
     """A sidecar takes what one control node knows."""
-    right = Word.start
+    right = MeshStateReplica.start
 
-    def start(self: Word) -> None:
-        core = self.cores()[0]
-        self.caller.call(core, "word.known", None, 0.7, lambda value: self._started(core, value))
+    def start(self: MeshStateReplica) -> None:
+        core = self.control_nodes()[0]
+        self.rpc_client.call(
+            core, "word.known", None, 0.7, lambda value: self._majority_answered(core, value)
+        )
         right(self)
 
-    patch.setattr(Word, "start", start)
+    patch.setattr(MeshStateReplica, "start", start)
 
 
 def remembers_no_versions(patch: Patch) -> None:
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -13,7 +13,7 @@
 from honeywharf.simulation.rules import Ask
 from honeywharf.simulation.slips import Kinds, Trial
 from honeywharf.simulation.standins import Caller
-from honeywharf.verdict import TURNED_AWAY
+from honeywharf.verdict import REJECTED_BY_BACKEND
 
 
 def program(side: Side) -> Any:
@@ -32,7 +32,7 @@
 
 def deaf(side: Side) -> None:
     """It hears no news of words; it may still ask for one, and be told by whom it asks."""
-    program(side).mesh_state.heard = lambda revision, holder: None
+    program(side).mesh_state.revision_announced = lambda revision, holder: None
 
 
 def ordered(trial: Trial) -> int:
@@ -86,7 +86,7 @@
     for n in range(24):
         trial.world.at(8.0 + n / 4, other)
     trial.play(22.0)
-    turned = sum(program(side).source.refusals.get(TURNED_AWAY, 0) for side in trial.field.sides)
+    turned = sum(program(side).source.rejections.get(REJECTED_BY_BACKEND, 0) for side in trial.field.sides)
     assert turned > 10
     calm(trial)
 
@@ -98,7 +98,7 @@
     before = program(behind[0]).mesh_state.version
     for side in behind:
         word = program(side).mesh_state
-        word.heard, word._take = (lambda revision, holder: None), (lambda holder, value: None)
+        word.revision_announced, word._adopt = (lambda revision, holder: None), (lambda holder, value: None)
     version = ordered(trial)
     trial.play(10.0)
     assert {program(side).mesh_state.version for side in behind} == {before}
@@ -107,7 +107,7 @@
     assert all(program(side).drift_monitor.caught == {} for side in trial.field.sides)
     for side in behind:
         word = program(side).mesh_state
-        del word.heard, word._take
+        del word.revision_announced, word._adopt
     trial.play(14.0)
     assert {program(side).mesh_state.version for side in trial.field.sides} == {version}
     calm(trial)
@@ -160,7 +160,7 @@
     trial.play(9.5)
     assert program(first).drift_monitor.state.at in (states.HEALED, states.AGREED)
     Kinds(trial).build(program(second), chance)
-    before = program(second).source.handed
+    before = program(second).source.delegated
     trial.play(14.0)
     drift_monitor = program(second).drift_monitor
     assert (drift_monitor.state.at, drift_monitor.standing, drift_monitor.unfit) == (
@@ -168,7 +168,7 @@
         False,
         False,
     )  # no leave
-    assert program(second).source.handed > before
+    assert program(second).source.delegated > before
     asked = [ask for ask in trial.book.asks.values() if ask.machine == second.ip and ask.sent > 10.0]
     assert {ask.kind for ask in asked} == {"read_only", "mutating", "upload"}
     assert {ask.status for ask in asked if ask.sent < 12.0} <= {200, 500}
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -33,7 +33,7 @@
     assert set(trial.statuses()) <= {200, 500}  # 500 is the stand-in backends' own
     assert trial.wrong == []
     assert trial.alarms == []
-    assert sum(cast(Any, side.proxy.program).source.handed for side in trial.field.sides) > 10
+    assert sum(cast(Any, side.proxy.program).source.delegated for side in trial.field.sides) > 10
 
 
 def test_who_stands_aside_accuses_nobody_nor_does_one_whose_rule_a_third_has_run() -> None:
--- a/tests/sessions/test_ledger.py
+++ b/tests/sessions/test_ledger.py
@@ -13,7 +13,7 @@
 from honeywharf.sessions.inlet import OVER, Request
 from honeywharf.sessions.kinds import OPEN, WINDOW
 from honeywharf.sessions.outlet import APART_S, LEDGER_S, MAX_JOINED, RUNNING, Outlet, Outlets
-from honeywharf.verdict import BROKEN_OFF, FULL, MAY_HAVE_RUN, NAMES, NOT_RUN, Verdict
+from honeywharf.verdict import CONNECTION_BROKEN, FULL, MAY_HAVE_RUN, NOT_RUN, RAN_NAMES, Verdict
 from tests.sessions.town import Town
 
 NOTE = Path(__file__).parents[2] / "docs" / "design" / "gateway.md"
@@ -169,7 +169,7 @@
     ("answer half way", "same life"): lambda: answer_half(lambda town: town.kill("a")),
     ("answer half way", "destination restarted"): lambda: answer_half(Town.restart),
     ("refused by the gate", "same life"): lambda: ended(Verdict(NOT_RUN, FULL)),
-    ("failed at the backend", "same life"): lambda: ended(Verdict(MAY_HAVE_RUN, BROKEN_OFF, True)),
+    ("failed at the backend", "same life"): lambda: ended(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True)),
     ("attempt comes again, first at work", "same request"): lambda: again(at_work(Town(BODY))),
     ("attempt comes again, first answered", "answer kept"): lambda: again(Town(BODY).play()),
     ("attempt comes again, first answered", "answer forgotten"): again_evicted,
@@ -199,7 +199,7 @@
     town, which = ROWS[row]()
     ends = town.sources[which][1].ends
     assert len(ends) == 1
-    told = "answer" if ends[0] == 200 else NAMES[getattr(ends[0], "ran")]  # noqa: B009
+    told = "answer" if ends[0] == 200 else RAN_NAMES[getattr(ends[0], "ran")]  # noqa: B009
     assert (str(len(town.runs)), told) == table()[row]
 
 
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -24,10 +24,10 @@
 from typing import Any, NamedTuple, cast
 
 from honeywharf.mesh_config.routes import RoutingTable
-from honeywharf.sidecar.backend import Taps
+from honeywharf.sidecar.backend import BackendConnectionPool
 from honeywharf.sidecar.gate import Gate
 from honeywharf.sidecar.inbound import Inbound
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.shutdown import Shutdown
 from honeywharf.sidecar.source import Source
@@ -168,17 +168,17 @@
         own, ip = settings(host.machine.ip), host.machine.ip
         self.host, self.pair = host, pair
         self.gate = Gate(host.now(), SERVICE, 1.5, 5.0)
-        self.gate.bound(22.0)
-        taps = Taps(host, (ip, APPLICATION), lambda: None)
-        self.inbound = Inbound(host, self.gate, taps)
-        self.inbound.linked(own.link_mbps)
-        word = Word(host, RpcCaller(host), list, lambda: None)
-        word.table, word.ready, word.revision = RoutingTable(TABLE), True, 7
-        self.source = Source(host, own, word, self.inbound, lambda: 0.0)
-        self.source.slack = 100.0  # the retry budget is no guard here: it never stands in the way
+        self.gate.set_slow_start(22.0)
+        pool = BackendConnectionPool(host, (ip, APPLICATION), lambda: None)
+        self.inbound = Inbound(host, self.gate, pool)
+        self.inbound.set_link_rate(own.link_mbps)
+        mesh_state = MeshStateReplica(host, RpcCaller(host), list, lambda: None)
+        mesh_state.table, mesh_state.ready, mesh_state.revision = RoutingTable(TABLE), True, 7
+        self.source = Source(host, own, mesh_state, self.inbound, lambda: 0.0)
+        self.source.retry_slack = 100.0  # the retry budget is no guard here: it never stands in the way
         answerer = RpcServer({}, self._streams)
         host.listen((ip, INTERNAL), answerer.accept)
-        self.outbound = Outbound(host, (ip, OUTBOUND), word, self.source)
+        self.outbound = Outbound(host, (ip, OUTBOUND), mesh_state, self.source)
         self.shutdown = Shutdown(
             host,
             GRACE_S,
@@ -190,10 +190,10 @@
         )
         host.on_signal(TERM, self.shutdown.begin)
         for gate in pair.gates():
-            self.source.told(gate, {"s": SERVICE, "b": f"i-{gate}", "st": 1, "sl": 4}, ZONE)
+            self.source.update_backend(gate, {"s": SERVICE, "b": f"i-{gate}", "st": 1, "sl": 4}, ZONE)
         life = pair.life(ip)
         if life:
-            self.gate.beat(host.now(), life, 1, False, 4, 0.0)
+            self.gate.heartbeat(host.now(), life, 1, False, 4, 0.0)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
         reader.max_frame = MAX_FRAME
@@ -326,7 +326,7 @@
         """A backend's first beat."""
         program = self.processes["a" if ip == SOURCE else "b"].program
         if isinstance(program, Proxy):
-            program.gate.beat(program.host.now(), life, 1, False, 4, 0.0)
+            program.gate.heartbeat(program.host.now(), life, 1, False, 4, 0.0)
 
     def mixed(self, what: str) -> None:
         """The client read what it must not."""
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from honeywharf.sidecar.backend import Tap
+from honeywharf.sidecar.backend import BackendConnection
 from honeywharf.sidecar.client_connection import ClientConnection
-from honeywharf.sidecar.course import Course
-from honeywharf.sidecar.inbound import Job
+from honeywharf.sidecar.inbound import InboundRequest
+from honeywharf.sidecar.outbound_request import OutboundRequest
 from honeywharf.transport.link import ClientStream, Link
 from honeywharf.transport.link_server import LinkServer
 from honeywharf.transport.stream import ForwardedRequest
@@ -43,70 +43,70 @@
 def broken_connection_proves(put: Put) -> None:
     """What was written to a backend whose connection ends counts as not run."""
 
-    def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
+    def broken(self: InboundRequest, why: str, sent: bool, heard: bool) -> None:
         was(self, why, False, heard)
 
-    was = Job.broken
-    put(Job, "broken", broken)
+    was = InboundRequest.broken
+    put(InboundRequest, "broken", broken)
 
 
 def own_timeout_proves(put: Put) -> None:
     """What no gate has answered in time counts as not run."""
 
-    def late(self: Course) -> None:
-        self.went, self.ran = False, False
+    def late(self: OutboundRequest) -> None:
+        self.is_admitted, self.ran = False, False
         self.head.length = self.head.length or 1
         was(self)
 
-    was = Course._late
-    put(Course, "_late", late)
+    was = OutboundRequest._deadline_passed
+    put(OutboundRequest, "_deadline_passed", late)
 
 
 def end_proves(put: Put) -> None:
     """What is under way when the process ends counts as not run."""
 
-    def finish(self: Course, again_s: float) -> None:
-        self.went, self.ran = False, False
+    def finish(self: OutboundRequest, retry_after_s: float) -> None:
+        self.is_admitted, self.ran = False, False
         self.head.length = self.head.length or 1
-        was(self, again_s)
+        was(self, retry_after_s)
 
-    was = Course.finish
-    put(Course, "finish", finish)
+    was = OutboundRequest.finish
+    put(OutboundRequest, "finish", finish)
 
 
 def leaving_gate_proves(put: Put) -> None:
     """A job at work when its process ends is refused."""
 
-    def finish(self: Job) -> None:
-        self.wrote = False
+    def finish(self: InboundRequest) -> None:
+        self.head_written = False
         was(self)
 
-    was = Job.finish
-    put(Job, "finish", finish)
+    was = InboundRequest.finish
+    put(InboundRequest, "finish", finish)
 
 
 def failure_is_refusal(put: Put) -> None:
     """A gate's word that a request may have run is read as a refusal."""
 
-    def failed(self: Course, verdict: Verdict) -> None:
+    def failed(self: OutboundRequest, verdict: Verdict) -> None:
         if verdict.ran == MAY_HAVE_RUN and not self.answering:
             verdict = Verdict(NOT_RUN, verdict.why)
         was(self, verdict)
 
-    was = Course.failed
-    put(Course, "failed", failed)
+    was = OutboundRequest.failed
+    put(OutboundRequest, "failed", failed)
 
 
 def echo_not_checked(put: Put) -> None:
     """A backend's answer is taken for whatever request is out on its connection."""
 
-    def answer(self: Tap, answer: Any) -> None:
+    def answer(self: BackendConnection, answer: Any) -> None:
         if self.user is not None:
             answer.attempt = self.user.attempt
         was(self, answer)
 
-    was = Tap.answer
-    put(Tap, "answer", answer)
+    was = BackendConnection.answer
+    put(BackendConnection, "answer", answer)
 
 
 def answers_as_they_come(put: Put) -> None:
