--- a/tests/sidecar/stage.py
+++ b/tests/sidecar/stage.py
@@ -11,12 +11,12 @@
 from honeywharf.codecs.heads import Head
 from honeywharf.mesh_config.routes import Route, RoutingTable
 from honeywharf.mesh_config.settings import Settings, parse
-from honeywharf.sidecar.backend import Taps
-from honeywharf.sidecar.course import Course
+from honeywharf.sidecar.backend import BackendConnectionPool
 from honeywharf.sidecar.gate import Gate
-from honeywharf.sidecar.inbound import Inbound, Job
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.inbound import Inbound, InboundRequest
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from honeywharf.sidecar.outbound import Outbound
+from honeywharf.sidecar.outbound_request import OutboundRequest
 from honeywharf.sidecar.source import Source
 from honeywharf.simulation.field import APPLICATION, OUTBOUND, settings as settings_text
 from honeywharf.simulation.machine import Machine, Network, Process
@@ -89,8 +89,8 @@
 class Channel:
     """The way to a scripted gate, and what came over it."""
 
-    def __init__(self, key: str, ask: ForwardedRequest, course: Course) -> None:
-        self.key, self.ask, self.course = key, ask, course
+    def __init__(self, key: str, ask: ForwardedRequest, outbound_request: OutboundRequest) -> None:
+        self.key, self.ask, self.outbound_request = key, ask, outbound_request
         self.body = bytearray()
         self.ends = self.passed = 0
         self.cancelled = False
@@ -122,8 +122,8 @@
 
     def __init__(self, clock: Clock | Host, seed: int = 1) -> None:
         host = cast("Host", clock)
-        word = Word(host, cast("Any", None), list, lambda: None)
-        super().__init__(host, settings(), word, cast("Inbound", None), Random(seed).random)
+        mesh_state = MeshStateReplica(host, cast("Any", None), list, lambda: None)
+        super().__init__(host, settings(), mesh_state, cast("Inbound", None), Random(seed).random)
         self.channels: list[Channel] = []
         self.took_spends: list[bool] = []
         self.may_spend = True
@@ -133,15 +133,15 @@
     def list_gates(self, *keys: str, zone: str = ZONE) -> None:
         """Make gates known."""
         for key in keys:
-            self.told(key, {"s": SERVICE, "b": f"i-{key}", "st": 1, "sl": 8}, zone)
+            self.update_backend(key, {"s": SERVICE, "b": f"i-{key}", "st": 1, "sl": 8}, zone)
 
-    def open(self, key: str, ask: ForwardedRequest, course: Course) -> Channel | None:
+    def open(self, key: str, ask: ForwardedRequest, outbound_request: OutboundRequest) -> Channel | None:
         """Keep the ask; None where the script says that the link has no room."""
-        channel = Channel(key, ask, course)
+        channel = Channel(key, ask, outbound_request)
         self.channels.append(channel)
         return channel if self.script(channel) else None
 
-    def spend(self, service: str) -> bool:
+    def spend_retry(self, service: str) -> bool:
         """As the test says."""
         self.took_spends.append(self.may_spend)
         return self.may_spend
@@ -251,10 +251,10 @@
 
     def _sidecar(self, host: Process) -> Outbound:
         source = Scripted(host)
-        source.word.table = RoutingTable(TABLE)
-        source.word.ready = True
+        source.mesh_state.table = RoutingTable(TABLE)
+        source.mesh_state.ready = True
         source.list_gates("10.1.0.20", "10.1.0.21")
-        return Outbound(host, (IP, OUTBOUND), source.word, source)
+        return Outbound(host, (IP, OUTBOUND), source.mesh_state, source)
 
     @property
     def outbound(self) -> Outbound:
@@ -292,34 +292,38 @@
         self.body = b""
         self.ends = self.taken_times = 0
 
-    def final(self, course: Course, status: int, again_s: float, words: bytes) -> None:
+    def final(
+        self, outbound_request: OutboundRequest, status: int, retry_after_s: float, words: bytes
+    ) -> None:
         """An answer of the mesh's own."""
-        self.events.append(("final", status, again_s))
+        self.events.append(("final", status, retry_after_s))
         self.ends += 1
 
-    def answer(self, course: Course, status: int, fields: bytes, length: int, body: bytes | None) -> None:
+    def answer(
+        self, outbound_request: OutboundRequest, status: int, fields: bytes, length: int, body: bytes | None
+    ) -> None:
         """A backend's answer."""
         self.events.append(("answer", status))
         if body is not None:
             self.body += body
             self.ends += 1
 
-    def data(self, course: Course, data: bytes) -> None:
+    def data(self, outbound_request: OutboundRequest, data: bytes) -> None:
         """A part of it."""
         assert not self.ends
         self.body += data
 
-    def whole(self, course: Course) -> None:
+    def whole(self, outbound_request: OutboundRequest) -> None:
         """It is whole."""
         self.events.append(("whole",))
         self.ends += 1
 
-    def broken(self, course: Course) -> None:
+    def broken(self, outbound_request: OutboundRequest) -> None:
         """It breaks off."""
         self.events.append(("broken",))
         self.ends += 1
 
-    def taken(self, course: Course) -> None:
+    def body_forwarded(self, outbound_request: OutboundRequest) -> None:
         """More may be read."""
         self.taken_times += 1
 
@@ -550,7 +554,7 @@
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
         """No answer comes."""
         assert not self.ends
-        self.events.append(("fail", verdict.ran, verdict.why, verdict.arrived))
+        self.events.append(("fail", verdict.ran, verdict.why, verdict.reached_backend))
         self.verdict = verdict
         self.ends += 1
 
@@ -572,11 +576,11 @@
 
     def _sidecar(self, host: Process) -> Inbound:
         gate = Gate(host.now(), SERVICE, 1.5, 5.0)
-        gate.bound(22.0)
-        taps = Taps(host, (IP, APPLICATION), lambda: None)
-        taps.most = self.connections
-        gate.beat(host.now(), LIFE, 1, False, self.slots, 0.0)
-        return Inbound(host, gate, taps)
+        gate.set_slow_start(22.0)
+        pool = BackendConnectionPool(host, (IP, APPLICATION), lambda: None)
+        pool.most = self.connections
+        gate.heartbeat(host.now(), LIFE, 1, False, self.slots, 0.0)
+        return Inbound(host, gate, pool)
 
     @property
     def inbound(self) -> Inbound:
@@ -593,7 +597,9 @@
         """The scripted backend."""
         return cast("Backend", self.app.program)
 
-    def begin(self, request: ForwardedRequest, answers: Answers | None = None) -> tuple[Job, Answers]:
+    def begin(
+        self, request: ForwardedRequest, answers: Answers | None = None
+    ) -> tuple[InboundRequest, Answers]:
         """Begin one job."""
         kept = answers or Answers()
         return self.inbound.begin(request, kept), kept
--- a/tests/sidecar/test_bypass.py
+++ b/tests/sidecar/test_delegation.py
@@ -8,17 +8,17 @@
 import pytest
 
 from honeywharf.mesh_config.routes import RoutingTable
-from honeywharf.sidecar import bypass
-from honeywharf.sidecar.course import ASIDE, MAX_HELPERS, Course
+from honeywharf.sidecar import delegation
+from honeywharf.sidecar.outbound_request import DELEGATED_ROUTE, MAX_DELEGATES, OutboundRequest
 from honeywharf.transport.stream import DELEGATED, INITIAL_WINDOW, ForwardedRequest
 from honeywharf.verdict import (
-    BROKEN_OFF,
+    CONNECTION_BROKEN,
     DRIFT,
     FULL,
-    LEAVING,
-    LOST,
+    LINK_LOST,
     MAY_HAVE_RUN,
     NOT_RUN,
+    SHUTTING_DOWN,
     TIMED_OUT,
     Verdict,
 )
@@ -33,10 +33,12 @@
     def __init__(self, length: int = 0, helpers: tuple[str, ...] = ("10.1.0.30", "10.1.0.31")) -> None:
         self.clock, self.client = Clock(), Client()
         self.source = Scripted(self.clock)
-        self.source.helper = lambda passed: next((key for key in helpers if key not in passed), None)
-        self.course = Course(self.source, self.client, head(length), ASIDE, self.clock.now() + 2.0)
-        self.source.courses[self.course] = None
-        self.course.start()
+        self.source.pick_delegate = lambda passed: next((key for key in helpers if key not in passed), None)
+        self.request = OutboundRequest(
+            self.source, self.client, head(length), DELEGATED_ROUTE, self.clock.now() + 2.0
+        )
+        self.source.active_requests[self.request] = None
+        self.request.start()
 
     @property
     def last(self) -> Channel:
@@ -52,14 +54,14 @@
     assert ask.remaining_s < 2.0
     again = ForwardedRequest.unpack([0, 1, *_frame(ask)])
     assert (again.kind, again.caller, again.fields) == (DELEGATED, SERVICE, ask.fields)
-    play.course.data(b"hello")
-    play.course.end()
+    play.request.data(b"hello")
+    play.request.end()
     assert bytes(play.last.body) == b""
-    play.course.go()
+    play.request.gate_admitted()
     assert (bytes(play.last.body), play.last.ends) == (b"hello", 1)
-    play.course.answered(201, b"", 2, b"ok")
+    play.request.answered(201, b"", 2, b"ok")
     assert play.client.events == [("answer", 201)]
-    assert play.source.handed == 1
+    assert play.source.delegated == 1
 
 
 def _frame(ask: ForwardedRequest) -> list[Any]:
@@ -82,12 +84,17 @@
 
 
 def test_who_doubts_too_or_is_not_there_is_followed_by_one_more() -> None:
-    for first in (DOUBTS, Verdict(NOT_RUN, DRIFT), Verdict(NOT_RUN, LEAVING), Verdict(NOT_RUN, LOST)):
+    for first in (
+        DOUBTS,
+        Verdict(NOT_RUN, DRIFT),
+        Verdict(NOT_RUN, SHUTTING_DOWN),
+        Verdict(NOT_RUN, LINK_LOST),
+    ):
         play = Doubting()
-        play.course.failed(first)
+        play.request.failed(first)
         assert play.last.key == "10.1.0.31"
-        play.course.failed(DOUBTS)
-        assert len(play.source.channels) == MAX_HELPERS
+        play.request.failed(DOUBTS)
+        assert len(play.source.channels) == MAX_DELEGATES
         assert play.client.events[0][:2] == ("final", 503)
         assert float(str(play.client.events[0][2])) > 0
         assert play.client.ends == 1
@@ -98,13 +105,13 @@
     [
         (Verdict(NOT_RUN, FULL, False, 0.7), ("final", 503, 0.7)),
         (Verdict(MAY_HAVE_RUN, TIMED_OUT, True), ("final", 504, 0.0)),
-        (Verdict(MAY_HAVE_RUN, BROKEN_OFF, True), ("final", 502, 0.0)),
-        (Verdict(MAY_HAVE_RUN, LOST), ("final", 502, 0.0)),
+        (Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True), ("final", 502, 0.0)),
+        (Verdict(MAY_HAVE_RUN, LINK_LOST), ("final", 502, 0.0)),
     ],
 )
 def test_a_helpers_last_word_is_the_last_word(verdict: Verdict, wanted: tuple[object, ...]) -> None:
     play = Doubting()
-    play.course.failed(verdict)
+    play.request.failed(verdict)
     assert play.client.events == [wanted]
     assert len(play.source.channels) == 1
 
@@ -112,7 +119,7 @@
 def test_without_a_helper_it_is_refused_with_a_time_to_return() -> None:
     play = Doubting(helpers=())
     assert play.client.events[0][:2] == ("final", 503)
-    assert play.source.handed == 0
+    assert play.source.delegated == 0
 
 
 class DriftMonitor:
@@ -120,10 +127,10 @@
 
     def __init__(self) -> None:
         self.accused: dict[str, object] = {}
-        self.again_s = 0.0
+        self.retry_after_s = 0.0
 
-    def stale(self, course: Course, key: str) -> None:
-        course.decide()
+    def stale(self, request: OutboundRequest, key: str) -> None:
+        request.reroute()
 
     def rule(self, route: object) -> bytes:
         return b"12345678"
@@ -132,39 +139,41 @@
         return service
 
     def look(self, host: bytes, path: bytes, route: Any) -> tuple[Any, float]:
-        return route, self.again_s
+        return route, self.retry_after_s
 
 
 def judged(caller: str | None = None, arrived: bool = False) -> Any:
     """A course whose gates all hold another rule, to its end."""
     clock, client = Clock(), Client()
     source: Any = Scripted(clock)
-    source.word.table, source.drift_monitor = RoutingTable(TABLE), DriftMonitor()
+    source.mesh_state.table, source.drift_monitor = RoutingTable(TABLE), DriftMonitor()
     source.list_gates("10.1.0.20", "10.1.0.21")
-    source.helper = lambda passed: None if "10.1.0.30" in passed else "10.1.0.30"
+    source.pick_delegate = lambda passed: None if "10.1.0.30" in passed else "10.1.0.30"
     made = head(0)
     made.target = b"/mutating/1"
-    course = Course(source, client, made, source.word.find(made.host, made.target), clock.now() + 2.0, caller)
-    source.courses[course] = None
-    course.start()
+    request = OutboundRequest(
+        source, client, made, source.mesh_state.find(made.host, made.target), clock.now() + 2.0, caller
+    )
+    source.active_requests[request] = None
+    request.start()
     if arrived:
-        course.failed(Verdict(NOT_RUN, FULL, True))
+        request.failed(Verdict(NOT_RUN, FULL, True))
     for _ in range(4):
-        if not course.over and course.route is not ASIDE:
-            course.failed(Verdict(NOT_RUN, DRIFT))
+        if not request.is_over and request.route is not DELEGATED_ROUTE:
+            request.failed(Verdict(NOT_RUN, DRIFT))
     return source
 
 
 def test_where_every_gate_holds_another_rule_another_sidecar_decides() -> None:
     source = judged()
-    assert source.handed == 1
+    assert source.delegated == 1
     assert source.channels[-1].key == "10.1.0.30"
     assert source.channels[-1].ask.kind == DELEGATED
 
 
 def test_nothing_is_handed_on_twice_nor_once_a_backend_has_seen_it() -> None:
-    assert judged(caller="tile-vault").handed == 0
-    assert judged(arrived=True).handed == 0
+    assert judged(caller="tile-vault").delegated == 0
+    assert judged(arrived=True).delegated == 0
 
 
 class Answers:
@@ -191,7 +200,7 @@
         self.told.append(("whole",))
 
     def fail(self, verdict: Verdict, load: object) -> None:
-        self.told.append(("fail", verdict.ran, verdict.why, verdict.again_s))
+        self.told.append(("fail", verdict.ran, verdict.why, verdict.retry_after_s))
 
 
 class Helping:
@@ -201,13 +210,13 @@
         self.clock = Clock()
         source: Any = Scripted(self.clock)
         self.source = source
-        self.source.word.table, self.source.word.ready, self.source.word.revision = (
+        self.source.mesh_state.table, self.source.mesh_state.ready, self.source.mesh_state.revision = (
             RoutingTable(TABLE),
             True,
             7,
         )
-        source.inbound = SimpleNamespace(leaving=False)
-        self.source.helper = lambda passed: "10.1.0.30"
+        source.inbound = SimpleNamespace(shutting_down=False)
+        self.source.pick_delegate = lambda passed: "10.1.0.30"
         self.source.list_gates("10.1.0.20")
         self.answers: Any = Answers()
         made = head(length)
@@ -228,7 +237,7 @@
         )
 
     def take(self) -> Any:
-        return bypass.take(self.source, self.ask, b"shop.example", self.answers)
+        return delegation.begin_delegated(self.source, self.ask, b"shop.example", self.answers)
 
 
 def test_it_is_decided_by_the_helpers_rules_in_the_callers_name() -> None:
@@ -240,12 +249,12 @@
     assert ask.remaining_s <= 1.5
     work.data(b"abc")
     work.end()
-    course = next(iter(play.source.courses))
-    course.go()
+    request = next(iter(play.source.active_requests))
+    request.gate_admitted()
     assert bytes(play.source.channels[-1].body) == b"abc"
-    course.answered(200, b"", 2, b"ok")
+    request.answered(200, b"", 2, b"ok")
     assert play.answers.told == [("go",), ("answer", 200, b"ok")]
-    assert (play.source.passing, play.source.courses) == ({}, {})
+    assert (play.source.accepted_delegations, play.source.active_requests) == ({}, {})
 
 
 @pytest.mark.parametrize(
@@ -253,71 +262,71 @@
     [
         (503, ("fail", NOT_RUN, FULL, 0.3)),
         (504, ("fail", MAY_HAVE_RUN, TIMED_OUT, 0.0)),
-        (502, ("fail", MAY_HAVE_RUN, BROKEN_OFF, 0.0)),
+        (502, ("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, 0.0)),
         (404, ("answer", 404, b"words")),
     ],
 )
 def test_what_the_mesh_says_itself_goes_back_as_what_it_proves(status: int, told: tuple[object, ...]) -> None:
     play = Helping()
     play.take()
-    passing = next(iter(play.source.passing))
-    passing.final(passing.course, status, 0.3 if status == 503 else 0.0, b"words")
+    passing = next(iter(play.source.accepted_delegations))
+    passing.final(passing.request, status, 0.3 if status == 503 else 0.0, b"words")
     assert play.answers.told == [told]
-    assert play.source.passing == {}
+    assert play.source.accepted_delegations == {}
 
 
 def test_who_can_not_help_says_so_at_once() -> None:
     older = Helping(revision=8)
     assert older.take() is None
-    assert older.answers.told == [("fail", NOT_RUN, DRIFT, bypass.REFUSED_S)]
+    assert older.answers.told == [("fail", NOT_RUN, DRIFT, delegation.REJECTION_RETRY_AFTER_S)]
     leaving = Helping()
-    leaving.source.inbound.leaving = True
+    leaving.source.inbound.shutting_down = True
     assert leaving.take() is None
-    assert leaving.answers.told[0][2] == LEAVING
+    assert leaving.answers.told[0][2] == SHUTTING_DOWN
     doubting = Helping()
     doubting.source.drift_monitor = DriftMonitor()
-    doubting.source.drift_monitor.again_s = 0.4
+    doubting.source.drift_monitor.retry_after_s = 0.4
     assert doubting.take() is None
     assert doubting.answers.told == [("fail", NOT_RUN, DRIFT, 0.4)]
     nowhere = Helping(target=b"/nowhere/1")
     assert nowhere.take() is None
     assert nowhere.answers.told == [("answer", 404, b"no route")]
-    assert nowhere.source.courses == {}
+    assert nowhere.source.active_requests == {}
 
 
 def test_requests_of_others_and_their_bodies_are_bounded() -> None:
     play = Helping(length=1 << 20)
-    works = [play.take() for _ in range(bypass.MAX_PASSING + 1)]
+    works = [play.take() for _ in range(delegation.MAX_DELEGATED + 1)]
     assert works[-1] is None
-    assert len(play.source.passing) == bypass.MAX_PASSING
+    assert len(play.source.accepted_delegations) == delegation.MAX_DELEGATED
     works[0].cancel()
-    assert len(play.source.passing) == bypass.MAX_PASSING - 1
+    assert len(play.source.accepted_delegations) == delegation.MAX_DELEGATED - 1
     assert play.take() is not None
     one = Helping(length=1 << 20)
     work = one.take()
-    course, most, sent = next(iter(one.source.courses)), 0, 0
-    course.go()
+    request, most, sent = next(iter(one.source.active_requests)), 0, 0
+    request.gate_admitted()
     while sent < 1 << 20 and one.answers.granted > sent:
         step = min(one.answers.granted - sent, (1 << 20) - sent)
         work.data(bytes(step))
         sent += step
-        most = max(most, course.held)
-        course.window(INITIAL_WINDOW)
-    assert most <= bypass.AHEAD_BYTES
+        most = max(most, request.pending_bytes)
+        request.window(INITIAL_WINDOW)
+    assert most <= delegation.READ_AHEAD_BYTES
     assert sent == 1 << 20
 
 
 def test_an_answer_in_parts_goes_back_in_parts() -> None:
     play = Helping()
     work = play.take()
-    course = next(iter(play.source.courses))
-    course.answered(200, b"", 9, None)
-    course.answer_data(b"abc")
+    request = next(iter(play.source.active_requests))
+    request.answered(200, b"", 9, None)
+    request.answer_data(b"abc")
     work.window(3)
     assert play.source.channels[-1].passed == 3
-    course.failed(Verdict(MAY_HAVE_RUN, BROKEN_OFF, True))
+    request.failed(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True))
     assert play.answers.told == [
         ("answer", 200, None),
         ("data", b"abc"),
-        ("fail", MAY_HAVE_RUN, BROKEN_OFF, 0.0),
+        ("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, 0.0),
     ]
--- a/tests/sidecar/test_disconnects.py
+++ b/tests/sidecar/test_disconnects.py
@@ -44,7 +44,7 @@
     caller.connection.close()
     front.run()
     assert [channel.cancelled for channel in front.channels] == [True] * requests
-    assert not front.source.courses
+    assert not front.source.active_requests
     assert not front.outbound.clients
 
 
@@ -81,13 +81,13 @@
     front = Front()
     caller = front.call(request() + request(attempt=b"a2"))
     first, second = front.channels
-    first.course.answered(200, b"", 10, None)
-    first.course.answer_data(b"01234")
+    first.outbound_request.answered(200, b"", 10, None)
+    first.outbound_request.answer_data(b"01234")
     caller.connection.finish()
     front.run(1.0)
     assert INTERIM_RESPONSE not in caller.data
-    first.course.answer_data(b"56789")
-    first.course.whole()
+    first.outbound_request.answer_data(b"56789")
+    first.outbound_request.whole()
     front.run(FIRST_INTERVAL_S * 3)
     assert caller.data.endswith(b"0123456789" + INTERIM_RESPONSE), "the second request's client is not asked"
     give(front, second, b"ok")
@@ -108,12 +108,12 @@
     front = Front()
     caller = front.call(request())
     (channel,) = front.channels
-    channel.course.answered(200, b"", 100_000, None)
-    channel.course.answer_data(b"x" * 1000)
+    channel.outbound_request.answered(200, b"", 100_000, None)
+    channel.outbound_request.answer_data(b"x" * 1000)
     front.run()
     caller.connection.close()
     front.run()
-    channel.course.answer_data(b"x" * 1000)
+    channel.outbound_request.answer_data(b"x" * 1000)
     front.run()
     assert channel.cancelled
 
--- a/tests/sidecar/test_beats.py
+++ b/tests/sidecar/test_heartbeat_api.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from honeywharf.sidecar.beats import MAX_ID, Beats
 from honeywharf.sidecar.gate import DRAINING, ENDED, READY, UNKNOWN, Gate
-from honeywharf.sidecar.probe import LONGEST_S, PATIENT_S, WITHIN_S, Probe
+from honeywharf.sidecar.heartbeat_api import MAX_ID, HeartbeatApi
+from honeywharf.sidecar.probe import FIRST_DELAY_S, MAX_RETRY_DELAY_S, TIMEOUT_S, Probe
 from honeywharf.simulation.field import APPLICATION, CONTROL
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
@@ -33,8 +33,8 @@
 
     def _sidecar(self, host: Process) -> object:
         self.gate = Gate(host.now(), SERVICE, 1.5, 5.0)
-        self.beats = Beats(host, self.gate, self._tell)
-        self.door = HttpServer(host, (IP, CONTROL), self.beats.take, 1 << 20)
+        self.heartbeat_api = HeartbeatApi(host, self.gate, self._tell)
+        self.door = HttpServer(host, (IP, CONTROL), self.heartbeat_api.handle, 1 << 20)
         self.probe = Probe(host, (IP, APPLICATION), self.gate, self._tell)
         return self.gate
 
@@ -95,7 +95,7 @@
     assert desk.gate.state == DRAINING
     assert desk.beat(4) == 200
     assert desk.gate.state == DRAINING
-    assert (desk.beats.taken, desk.beats.late) == (3, 1)
+    assert (desk.heartbeat_api.received, desk.heartbeat_api.late) == (3, 1)
     assert desk.call(f"/api/instances/{LIFE}/deregister") == 200
     assert desk.gate.state == ENDED
     assert desk.beat(9) == 200
@@ -179,7 +179,7 @@
     """Look, and count the probes that come."""
     desk.probe.path = b"/health"
     before = len(desk.backend.requests)
-    desk.probe.look()
+    desk.probe.schedule()
     desk.run(seconds)
     return len(desk.backend.requests) - before
 
@@ -198,8 +198,8 @@
 def test_a_beat_in_time_spares_the_probe() -> None:
     desk = Desk()
     desk.probe.path = b"/health"
-    desk.probe.look()
-    desk.run(PATIENT_S / 4)
+    desk.probe.schedule()
+    desk.run(FIRST_DELAY_S / 4)
     desk.beat()
     desk.run(5.0)
     assert desk.backend.requests == []
@@ -208,7 +208,7 @@
 
 def test_nothing_is_asked_before_a_configuration_tells_the_path() -> None:
     desk = Desk()
-    desk.probe.look()
+    desk.probe.schedule()
     desk.run(5.0)
     assert not desk.backend.visits
 
@@ -227,14 +227,14 @@
 
     desk.backend.serve = serve
     desk.probe.path = b"/health"
-    desk.probe.look()
+    desk.probe.schedule()
     desk.run(30.0)
     asked = len(desk.backend.requests)
-    assert 30.0 / (LONGEST_S + WITHIN_S + 0.1) - 1 <= asked <= 30.0 / LONGEST_S + 4
+    assert 30.0 / (MAX_RETRY_DELAY_S + TIMEOUT_S + 0.1) - 1 <= asked <= 30.0 / MAX_RETRY_DELAY_S + 4
     assert desk.gate.state == UNKNOWN
     assert desk.backend.open <= 1
     desk.backend.serve = healthy
-    desk.run(LONGEST_S + WITHIN_S + 0.1)
+    desk.run(MAX_RETRY_DELAY_S + TIMEOUT_S + 0.1)
     assert desk.gate.state == READY
 
 
@@ -244,11 +244,11 @@
     desk.backend.serve = lambda visit, request: healthy(visit, request, cold=cold)
     desk.beat()
     now = desk.sidecar.now()
-    desk.gate.evacuate(now, on=True)
-    desk.gate.evacuate(now + 0.001, on=False)
+    desk.gate.set_evacuated(now, on=True)
+    desk.gate.set_evacuated(now + 0.001, on=False)
     desk.run(0.002)
     assert probed(desk, 1.0) == 1
-    assert not desk.gate.doubted
+    assert not desk.gate.cold_unknown
     assert desk.gate.is_cold(desk.sidecar.now())
 
 
@@ -256,8 +256,8 @@
     desk = Desk()
     desk.backend.serve = healthy
     desk.probe.path = b"/health"
-    desk.probe.look()
-    desk.run(PATIENT_S / 2)
+    desk.probe.schedule()
+    desk.run(FIRST_DELAY_S / 2)
     desk.beat(state="draining")
     desk.run(5.0)
     assert desk.gate.state == DRAINING
--- a/tests/sidecar/test_homes.py
+++ b/tests/sidecar/test_homes.py
@@ -12,7 +12,7 @@
 from honeywharf.mesh_config.changes import changes
 from honeywharf.mesh_config.configuration import check
 from honeywharf.mesh_config.routes import RoutingTable
-from honeywharf.sidecar.course import Course
+from honeywharf.sidecar.outbound_request import OutboundRequest
 from honeywharf.verdict import DRAINING, FULL, NOT_RUN, Verdict
 from tests.sidecar.stage import TABLE, Client, Clock, Scripted, head, route
 
@@ -55,29 +55,29 @@
     assert "allowed-regions" in lines[0]
 
 
-def course(homes: tuple[str, ...], zones: dict[str, str]) -> tuple[Scripted, Client, Course]:
+def request(homes: tuple[str, ...], zones: dict[str, str]) -> tuple[Scripted, Client, OutboundRequest]:
     source, client, one = Scripted(Clock()), Client(), route()
     one.allowed_regions = homes
     source.regions = {zone: zone[0] for zone in zones.values()}
     for key, zone in zones.items():
         source.list_gates(key, zone=zone)
-    made = Course(source, client, head(), one, source.host.now() + 2.0)
-    source.courses[made] = None
+    made = OutboundRequest(source, client, head(), one, source.host.now() + 2.0)
+    source.active_requests[made] = None
     made.start()
     return source, client, made
 
 
 def asked(homes: tuple[str, ...], zones: dict[str, str], verdict: Verdict) -> list[str]:
     """Every gate that is asked until nobody is left."""
-    source, _, made = course(homes, zones)
+    source, _, made = request(homes, zones)
     for _ in range(12):
-        if made.over or not source.channels:
+        if made.is_over or not source.channels:
             break
         made.failed(verdict)
     return [channel.key for channel in source.channels]
 
 
-@pytest.mark.parametrize("verdict", [Verdict(NOT_RUN, DRAINING), Verdict(NOT_RUN, FULL, again_s=0.02)])
+@pytest.mark.parametrize("verdict", [Verdict(NOT_RUN, DRAINING), Verdict(NOT_RUN, FULL, retry_after_s=0.02)])
 def test_no_gate_outside_the_homes_is_asked_for_room_or_to_wait(verdict: Verdict) -> None:
     zones = {"1": "a-1", "2": "b-1", "3": "b-2", "4": "c-1"}
     assert set(asked((), zones, verdict)) == {"1", "2", "3", "4"}
@@ -86,18 +86,18 @@
 
 
 def test_where_no_home_has_a_backend_the_client_is_told_that_nothing_ran() -> None:
-    source, client, made = course(("x",), {"1": "a-1"})
+    source, expected_client, made = request(("x",), {"1": "a-1"})
     assert source.channels == []
-    assert made.over
+    assert made.is_over
     assert source.statuses == {503: 1}
-    assert client is made.who
+    assert expected_client is made.client
 
 
 def test_a_zone_whose_region_is_not_known_is_no_home() -> None:
-    source, _, _ = course((), {"1": "a-1"})
+    source, _, _ = request((), {"1": "a-1"})
     source.regions = {}
-    assert source.abroad_of(("a",), "basket") | source.abroad_of(("",), "basket") == set()
-    source, _, made = course(("a",), {"1": "a-1"})
+    assert source.backends_outside(("a",), "basket") | source.backends_outside(("",), "basket") == set()
+    source, _, made = request(("a",), {"1": "a-1"})
     assert made.gate == "1"
     source.regions = {}
-    assert source.abroad_of(("a",), made.service) == {"1"}
+    assert source.backends_outside(("a",), made.service) == {"1"}
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -7,24 +7,24 @@
 import pytest
 
 from honeywharf.codecs.heads import UNKNOWN
-from honeywharf.sidecar.backend import TRIED_S, TRUSTED_S
+from honeywharf.sidecar.backend import MAX_REST_UNPROBED_S, PROBE_WAIT_S
 from honeywharf.sidecar.gate import READY, UNKNOWN as NOT_KNOWN
-from honeywharf.sidecar.inbound import Job
+from honeywharf.sidecar.inbound import InboundRequest
 from honeywharf.transport.stream import WINDOW_SIZE
 from honeywharf.verdict import (
-    BROKEN_OFF,
-    CHOKED,
+    CONNECTION_BROKEN,
     DRAINING,
     FULL,
-    GARBLED,
-    LATE,
-    LEAVING,
+    LINK_SATURATED,
+    MALFORMED_ANSWER,
     MAY_HAVE_RUN,
-    NOBODY,
+    NO_BACKEND,
     NOT_RUN,
     OTHER_SERVICE,
+    REJECTED_BY_BACKEND,
+    SHUTTING_DOWN,
     TIMED_OUT,
-    TURNED_AWAY,
+    TOO_LATE,
 )
 from tests.sidecar.stage import ATTEMPT, LIFE, SERVICE, Answers, Request, Stage, Visit, answer, ask
 
@@ -35,9 +35,9 @@
     """Nothing is held any more."""
     assert stage.gate.admission.running == 0
     assert stage.gate.admission.waiting == 0
-    assert not stage.inbound.jobs
-    assert all(tap.user is None for tap in stage.inbound.taps.taps)
-    assert stage.backend.open == len(stage.inbound.taps.taps) == len(stage.inbound.taps.idle)
+    assert not stage.inbound.pending_requests
+    assert all(tap.user is None for tap in stage.inbound.pool.open_connections)
+    assert stage.backend.open == len(stage.inbound.pool.open_connections) == len(stage.inbound.pool.idle)
 
 
 def test_a_request_reaches_the_backend_unchanged_and_with_what_we_add() -> None:
@@ -59,16 +59,16 @@
 @pytest.mark.parametrize(("length", "size"), [(5, 5), (40_000, 40_000), (UNKNOWN, 0), (UNKNOWN, 300_000)])
 def test_bodies_go_on_whole_and_in_windows(length: int, size: int) -> None:
     stage, body, sent = Stage(), Random(2).randbytes(size), 0
-    job, told = stage.begin(ask(kind=2, length=length, remaining_s=5.0))
+    inbound_request, told = stage.begin(ask(kind=2, length=length, remaining_s=5.0))
     assert told.events == [("go",)]
     window = WINDOW_SIZE
     while sent < size:
         piece = body[sent : sent + min(window + told.windows - sent, 16_384)]
         assert piece, "the window was not opened again"
-        job.data(piece)
+        inbound_request.data(piece)
         sent += len(piece)
         stage.run(0.01)
-    job.end()
+    inbound_request.end()
     stage.run()
     (request,) = stage.backend.requests
     assert request.body == body
@@ -80,11 +80,11 @@
 @pytest.mark.parametrize("length", [2000, 40_000, UNKNOWN])
 def test_a_head_is_not_written_before_its_body_has_come(length: int) -> None:
     stage = Stage()
-    job, told = stage.begin(ask(kind=1, length=length, remaining_s=1.0))
+    inbound_request, told = stage.begin(ask(kind=1, length=length, remaining_s=1.0))
     stage.run(0.5)
     assert not stage.backend.visits
     if length == 2000:
-        job.data(bytes(1999))
+        inbound_request.data(bytes(1999))
         stage.run(0.2)
         assert not stage.backend.visits
     stage.run(1.0)
@@ -148,30 +148,30 @@
 
     visit.received = forgotten  # type: ignore[method-assign]
     stage.run(0.3)
-    job, told = stage.begin(ask(kind=kind, length=size))
-    job.data(b"x" * size)
-    job.end()
+    inbound_request, told = stage.begin(ask(kind=kind, length=size))
+    inbound_request.data(b"x" * size)
+    inbound_request.end()
     stage.run()
     assert told.events[-1] == ("answer", 200, 4, True)
     assert len(stage.backend.visits) == 2
     assert [len(request.body) for request in stage.backend.requests] == [size, size]
-    assert stage.inbound.taps.forgotten == 1
+    assert stage.inbound.pool.stale_found == 1
     idle(stage)
 
 
 def test_nothing_that_could_run_goes_on_a_rested_connection_before_it_is_tried() -> None:
     stage = Stage()
     stage.begin(ask())
-    stage.run(TRUSTED_S + 0.1)
+    stage.run(MAX_REST_UNPROBED_S + 0.1)
     (visit,) = stage.backend.visits
     before = visit.bytes
-    job, told = stage.begin(ask())
-    stage.run(TRIED_S / 2)
+    inbound_request, told = stage.begin(ask())
+    stage.run(PROBE_WAIT_S / 2)
     assert visit.bytes - before == len(b"GET")
-    job.cancel()
+    inbound_request.cancel()
     stage.run()
     assert len(stage.backend.requests) == 1
-    assert stage.inbound.taps.forgotten == 0
+    assert stage.inbound.pool.stale_found == 0
     assert not told.events
     idle(stage)
 
@@ -181,10 +181,10 @@
     stage.begin(ask())
     stage.run(0.3)
     _, told = stage.begin(ask(kind=1))
-    stage.run(TRIED_S / 4)
+    stage.run(PROBE_WAIT_S / 4)
     stage.app.kill()
     stage.run()
-    assert told.events == [("fail", NOT_RUN, NOBODY, False)]
+    assert told.events == [("fail", NOT_RUN, NO_BACKEND, False)]
     assert stage.gate.state == NOT_KNOWN
 
 
@@ -251,7 +251,7 @@
         _, told = stage.begin(ask(attempt=b"a%d" % n))
         stage.run(0.001 if n % 2 else 0.01)
         stage.run(0.01)
-        assert told.events in ([("answer", 200, 4, True)], [("fail", MAY_HAVE_RUN, BROKEN_OFF, True)])
+        assert told.events in ([("answer", 200, 4, True)], [("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, True)])
         assert told.body in (b"done", b"")
 
 
@@ -267,9 +267,9 @@
     )
     _, told = stage.begin(ask(kind=1))
     stage.run()
-    assert told.events == [("fail", NOT_RUN, TURNED_AWAY, True)]
+    assert told.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
     assert (stage.gate.state == NOT_KNOWN) == (status == 421)
-    assert stage.gate.doubted == (status == 421)
+    assert stage.gate.cold_unknown == (status == 421)
     idle(stage)
 
 
@@ -284,12 +284,12 @@
 
 
 WRONG = {
-    "not an answer": (b"garbage\r\n\r\n", GARBLED),
-    "no seal": (answer(ATTEMPT, seal=False), GARBLED),
-    "encoded": (answer(ATTEMPT, more=b"Content-Encoding: gzip\r\n"), GARBLED),
-    "two lengths": (answer(ATTEMPT, more=b"Content-Length: 9\r\n"), GARBLED),
-    "a bad chunk": (answer(ATTEMPT, chunked=True)[:-12] + b"zz\r\n", GARBLED),
-    "no seal, long": (answer(ATTEMPT, bytes(200_000), seal=False), GARBLED),
+    "not an answer": (b"garbage\r\n\r\n", MALFORMED_ANSWER),
+    "no seal": (answer(ATTEMPT, seal=False), MALFORMED_ANSWER),
+    "encoded": (answer(ATTEMPT, more=b"Content-Encoding: gzip\r\n"), MALFORMED_ANSWER),
+    "two lengths": (answer(ATTEMPT, more=b"Content-Length: 9\r\n"), MALFORMED_ANSWER),
+    "a bad chunk": (answer(ATTEMPT, chunked=True)[:-12] + b"zz\r\n", MALFORMED_ANSWER),
+    "no seal, long": (answer(ATTEMPT, bytes(200_000), seal=False), MALFORMED_ANSWER),
 }
 
 
@@ -302,8 +302,8 @@
     stage.run(0.5)
     assert [e[:2] for e in told.events] == [("fail", MAY_HAVE_RUN)]
     assert told.verdict is not None
-    assert told.verdict.arrived
-    assert told.verdict.why in (why, BROKEN_OFF)
+    assert told.verdict.reached_backend
+    assert told.verdict.why in (why, CONNECTION_BROKEN)
     idle(stage)
 
 
@@ -323,9 +323,9 @@
         pour(visit, 40)
 
     stage.backend.serve = serve
-    job, told = stage.begin(ask(kind=1, remaining_s=5.0))
+    inbound_request, told = stage.begin(ask(kind=1, remaining_s=5.0))
     stage.run(1.0)
-    assert sum(map(len, job.kept)) <= 200_000
+    assert sum(map(len, inbound_request.answer_parts)) <= 200_000
     assert [e[:2] for e in told.events] == [("fail", MAY_HAVE_RUN)]
     idle(stage)
 
@@ -343,7 +343,9 @@
     stage.backend.serve = serve
     _, told = stage.begin(ask(kind=1))
     stage.run()
-    assert told.events == [("fail", MAY_HAVE_RUN, GARBLED if cut == "body" else BROKEN_OFF, True)]
+    assert told.events == [
+        ("fail", MAY_HAVE_RUN, MALFORMED_ANSWER if cut == "body" else CONNECTION_BROKEN, True)
+    ]
     idle(stage)
 
 
@@ -355,9 +357,9 @@
         stage.app.after(0.05, visit.connection.close)
 
     stage.backend.serve = serve
-    job, told = stage.begin(ask())
+    inbound_request, told = stage.begin(ask())
     stage.run(0.02)
-    job.window(1 << 20)
+    inbound_request.window(1 << 20)
     stage.run(1.0)
     assert [e[0] for e in told.events] == ["answer", "fail"]
     assert told.verdict is not None
@@ -370,9 +372,9 @@
     stage.app.end()
     _, told = stage.begin(ask(kind=1))
     stage.run()
-    assert told.events == [("fail", NOT_RUN, NOBODY, False)]
+    assert told.events == [("fail", NOT_RUN, NO_BACKEND, False)]
     assert stage.gate.state == NOT_KNOWN
-    assert stage.gate.doubted
+    assert stage.gate.cold_unknown
     assert stage.gate.admission.running == 0
 
 
@@ -392,10 +394,10 @@
 def test_a_cancelled_job_gives_all_back_and_tells_nothing(when: str) -> None:
     stage = Stage()
     stage.backend.serve = lambda visit, request: None
-    job, told = stage.begin(ask())
+    inbound_request, told = stage.begin(ask())
     stage.run({"at once": 0.0, "connecting": 0.00005, "at work": 0.1}[when])
-    job.cancel()
-    job.cancel()
+    inbound_request.cancel()
+    inbound_request.cancel()
     stage.run()
     assert told.events == []
     assert stage.inbound.cancelled == 1
@@ -409,15 +411,15 @@
 def test_a_long_answer_goes_on_as_the_window_allows_and_the_backend_is_held_up() -> None:
     stage, body = Stage(), Random(5).randbytes(1_000_000)
     stage.backend.serve = lambda visit, request: visit.send(answer(request.attempt, body))
-    job, told = stage.begin(ask(remaining_s=60.0))
+    inbound_request, told = stage.begin(ask(remaining_s=60.0))
     stage.run(1.0)
     assert told.events == [("answer", 200, 1_000_000, False)]
     assert len(told.body) == WINDOW_SIZE
-    assert sum(map(len, job.kept)) <= 2 * WINDOW_SIZE
+    assert sum(map(len, inbound_request.answer_parts)) <= 2 * WINDOW_SIZE
     assert stage.backend.visits[0].connection.unsent > 700_000
     while not told.ends:
         passed = len(told.body)
-        job.window(50_000)
+        inbound_request.window(50_000)
         stage.run(0.05)
         assert len(told.body) > passed
     assert told.body == body
@@ -427,9 +429,9 @@
 def test_a_connection_whose_last_answer_outran_its_window_still_serves_the_next() -> None:
     stage = Stage()
     stage.backend.serve = lambda visit, request: visit.send(answer(request.attempt, bytes(72_000)))
-    job, told = stage.begin(ask())  # its end comes in the read in which the window runs out
+    inbound_request, told = stage.begin(ask())  # its end comes in the read in which the window runs out
     stage.run(1.0)
-    job.window(10_000)
+    inbound_request.window(10_000)
     assert told.ends == 1
     assert len(told.body) == 72_000
     _, told = stage.begin(ask())
@@ -444,16 +446,16 @@
 
 def test_what_must_not_run_is_refused_before_the_backend_sees_a_byte() -> None:
     stage = Stage()
-    cases = [(ask(service="another"), OTHER_SERVICE), (ask(remaining_s=0.001), LATE)]
+    cases = [(ask(service="another"), OTHER_SERVICE), (ask(remaining_s=0.001), TOO_LATE)]
     for asked, why in cases:
         assert stage.begin(asked)[1].events == [("fail", NOT_RUN, why, False)]
-    stage.inbound.leaving = True
-    assert stage.begin(ask())[1].events == [("fail", NOT_RUN, LEAVING, False)]
-    stage.inbound.leaving = False
+    stage.inbound.shutting_down = True
+    assert stage.begin(ask())[1].events == [("fail", NOT_RUN, SHUTTING_DOWN, False)]
+    stage.inbound.shutting_down = False
     stage.inbound.end_at = stage.sidecar.now() + 0.9  # the request may take 1.0 s
-    assert stage.begin(ask())[1].events == [("fail", NOT_RUN, LEAVING, False)]
+    assert stage.begin(ask())[1].events == [("fail", NOT_RUN, SHUTTING_DOWN, False)]
     stage.inbound.end_at = float("inf")
-    stage.gate.beat(stage.sidecar.now(), LIFE, 2, True, 4, 0.0)
+    stage.gate.heartbeat(stage.sidecar.now(), LIFE, 2, True, 4, 0.0)
     assert stage.begin(ask())[1].events == [("fail", NOT_RUN, DRAINING, False)]
     stage.run()
     assert not stage.backend.visits
@@ -509,12 +511,12 @@
 
 def test_a_backend_that_began_to_leave_while_a_body_was_awaited_gets_nothing() -> None:
     stage = Stage()
-    job, told = stage.begin(ask(kind=1, length=2000, remaining_s=9.0))
+    inbound_request, told = stage.begin(ask(kind=1, length=2000, remaining_s=9.0))
     stage.run(0.5)
-    stage.gate.beat(stage.sidecar.now(), LIFE, 2, True, 4, 0.0)
+    stage.gate.heartbeat(stage.sidecar.now(), LIFE, 2, True, 4, 0.0)
     stage.run(2.5)  # a slow client: `drain-timeout` is over
-    job.data(bytes(2000))
-    job.end()
+    inbound_request.data(bytes(2000))
+    inbound_request.end()
     stage.run()
     assert not stage.backend.requests
     assert told.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
@@ -524,11 +526,13 @@
 def test_a_cold_backend_gets_no_burst_of_bodies_that_were_awaited() -> None:
     stage = Stage(slots=60, connections=80)
     now = stage.sidecar.now()
-    stage.gate.beat(now, LIFE, 2, False, 60, 30.0)
+    stage.gate.heartbeat(now, LIFE, 2, False, 60, 30.0)
     jobs = []
     for _ in range(3):
-        while (job := stage.begin(ask(kind=1, length=100, remaining_s=9.0)))[1].events == [("go",)]:
-            jobs.append(job[0])
+        while (inbound_request := stage.begin(ask(kind=1, length=100, remaining_s=9.0)))[1].events == [
+            ("go",)
+        ]:
+            jobs.append(inbound_request[0])
         stage.run(1.2)
     assert 40 < len(jobs) <= 60
     for waiting in jobs:
@@ -566,15 +570,15 @@
             stage.app.after(rng.expovariate(50.0), lambda: visit.send(whole))
 
     stage.backend.serve = serve
-    jobs: list[tuple[Job, Answers, int]] = []
-    cancelled: set[Job] = set()
+    jobs: list[tuple[InboundRequest, Answers, int]] = []
+    cancelled: set[InboundRequest] = set()
     for n in range(400):
         if rng.random() < 0.01 and stage.app.alive:
             stage.app.kill()
         if rng.random() < 0.03:
-            stage.gate.beat(stage.sidecar.now(), LIFE, 10 + n, False, 5, 0.0)
+            stage.gate.heartbeat(stage.sidecar.now(), LIFE, 10 + n, False, 5, 0.0)
         length = rng.choice((0, 0, 300, 50_000, UNKNOWN))
-        job, told = stage.begin(
+        inbound_request, told = stage.begin(
             ask(
                 kind=rng.randrange(3),
                 length=length,
@@ -583,35 +587,35 @@
                 attempt=b"a%d" % n,
             )
         )
-        jobs.append((job, told, length))
+        jobs.append((inbound_request, told, length))
         for _ in range(3):
-            job, told, length = rng.choice(jobs[-8:])
-            if job.over:
+            inbound_request, told, length = rng.choice(jobs[-8:])
+            if inbound_request.is_over:
                 continue
             if rng.random() < 0.15:
-                job.cancel()
-                cancelled.add(job)
-            elif length and ("go",) in told.events and not job.ended:
-                left = (length if length > 0 else 70_000) - job.read
-                job.data(bytes(min(left, 16_384)))
+                inbound_request.cancel()
+                cancelled.add(inbound_request)
+            elif length and ("go",) in told.events and not inbound_request.body_complete:
+                left = (length if length > 0 else 70_000) - inbound_request.bytes_received
+                inbound_request.data(bytes(min(left, 16_384)))
                 if left <= 16_384:
-                    job.end()
+                    inbound_request.end()
             else:
-                job.window(1 << 20)
+                inbound_request.window(1 << 20)
         stage.run(rng.expovariate(100.0))
         if not stage.app.alive:
             stage.run(0.5)
             stage.backend.serve = serve
     stage.run(3.0)
     assert stage.inbound.served > 10
-    for job, told, _ in jobs:
-        assert job.over
-        assert told.ends == (0 if job in cancelled else 1)
+    for inbound_request, told, _ in jobs:
+        assert inbound_request.is_over
+        assert told.ends == (0 if inbound_request in cancelled else 1)
     assert stage.gate.admission.running == 0
     assert stage.gate.admission.waiting == 0
-    assert not stage.inbound.jobs
-    assert all(tap.user is None for tap in stage.inbound.taps.taps)
-    assert set(stage.inbound.taps.taps) == set(stage.inbound.taps.idle)
+    assert not stage.inbound.pending_requests
+    assert all(tap.user is None for tap in stage.inbound.pool.open_connections)
+    assert set(stage.inbound.pool.open_connections) == set(stage.inbound.pool.idle)
     assert stage.gate.state in (READY, NOT_KNOWN)
 
 
@@ -619,7 +623,7 @@
     stage = Stage()
     stage.begin(ask())
     stage.run()
-    stage.gate.beat(stage.sidecar.now(), "i-2", 0, False, 4, 0.0)
+    stage.gate.heartbeat(stage.sidecar.now(), "i-2", 0, False, 4, 0.0)
     stage.begin(ask())
     stage.run()
     assert [r.headers[b"x-honeywharf-expected-instance"] for r in stage.backend.requests] == [
@@ -631,12 +635,12 @@
 
 def test_a_body_on_its_way_holds_no_slot_and_a_lookup_goes_before_it() -> None:
     stage = Stage(slots=1)
-    stage.inbound.linked(2.7)
+    stage.inbound.set_link_rate(2.7)
     far = ask(kind=2, length=40_000, remaining_s=5.0)
     far.peer = "10.1.0.9"
-    job, told = stage.begin(far)
+    inbound_request, told = stage.begin(far)
     assert told.events == [("go",)]
-    job.data(bytes(8192))
+    inbound_request.data(bytes(8192))
     _, lookup = stage.begin(ask())
     stage.run(0.1)
     assert lookup.events == [("answer", 200, 4, True)]
@@ -645,10 +649,10 @@
     while sent < 40_000:
         assert told.windows + 8192 > sent, "the window was not opened again"
         piece = min(told.windows + 8192, 40_000) - sent
-        job.data(bytes(piece))
+        inbound_request.data(bytes(piece))
         sent += piece
     assert not any(b"POST" in request.line for request in stage.backend.requests)
-    job.end()
+    inbound_request.end()
     stage.run()
     assert told.events[1:] == [("answer", 200, 4, True)]
     assert (stage.inbound.receiving, stage.inbound.intake.held) == (0, 0)
@@ -657,17 +661,17 @@
 
 def test_a_choked_link_refuses_bodies_before_a_byte_and_nothing_else() -> None:
     stage = Stage(slots=50)
-    stage.inbound.linked(2.7)
+    stage.inbound.set_link_rate(2.7)
     jobs = []
     for n in range(12):
         far = ask(kind=2, length=60_000, remaining_s=5.0, attempt=b"%016x" % n)
         far.peer = "10.1.0.9"
         jobs.append(stage.begin(far))
     refused = [told for _, told in jobs if told.verdict is not None]
-    assert [told.events for told in refused] == [[("fail", NOT_RUN, CHOKED, False)]] * len(refused)
+    assert [told.events for told in refused] == [[("fail", NOT_RUN, LINK_SATURATED, False)]] * len(refused)
     assert 12 - len(refused) == 1  # the next one's first byte would wait 0.18 s of an aim of 0.5
     assert refused[0].verdict is not None
-    assert refused[0].verdict.again_s > 0.15
+    assert refused[0].verdict.retry_after_s > 0.15
     _, lookup = stage.begin(ask())
     stage.run(0.1)
     assert lookup.events == [("answer", 200, 4, True)]
@@ -680,8 +684,8 @@
     stage = Stage()
     far = ask(kind=2, length=40_000, remaining_s=1.0)
     far.peer = "10.1.0.9"
-    job, told = stage.begin(far)
-    job.data(bytes(8192))
+    inbound_request, told = stage.begin(far)
+    inbound_request.data(bytes(8192))
     stage.run(1.2)
     assert told.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
     assert not stage.backend.visits
@@ -690,10 +694,10 @@
 
 def test_what_was_allowed_at_the_head_is_judged_again_when_the_body_is_here() -> None:
     stage = Stage()
-    job, told = stage.begin(ask(kind=2, length=40_000, remaining_s=5.0))
-    job.data(bytes(40_000))
-    stage.gate.beat(stage.inbound.host.now(), LIFE, 2, True, 4, 0.0)  # it drains
-    job.end()
+    inbound_request, told = stage.begin(ask(kind=2, length=40_000, remaining_s=5.0))
+    inbound_request.data(bytes(40_000))
+    stage.gate.heartbeat(stage.inbound.host.now(), LIFE, 2, True, 4, 0.0)  # it drains
+    inbound_request.end()
     stage.run()
     assert told.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
     assert not stage.backend.visits
@@ -709,9 +713,9 @@
     stage.run(0.05)
     assert len(stage.backend.requests) == 1
     stage.inbound.finish()
-    assert running.events == [("fail", MAY_HAVE_RUN, LEAVING, True)]
-    assert waiting.events == [("fail", NOT_RUN, LEAVING, False)]
-    assert not stage.inbound.jobs
+    assert running.events == [("fail", MAY_HAVE_RUN, SHUTTING_DOWN, True)]
+    assert waiting.events == [("fail", NOT_RUN, SHUTTING_DOWN, False)]
+    assert not stage.inbound.pending_requests
     stage.run(0.5)
     assert len(stage.backend.requests) == 1  # what was refused never runs
     assert stage.gate.admission.running == 0
@@ -728,16 +732,16 @@
             visit.send(answer(b"a1", b"", 503, False, NOT_EXECUTED))
 
     stage.backend.read = early
-    job, told = stage.begin(ask(kind=2, length=1 << 20, attempt=b"a1"))
-    job.data(b"x" * 40_000)
+    inbound_request, told = stage.begin(ask(kind=2, length=1 << 20, attempt=b"a1"))
+    inbound_request.data(b"x" * 40_000)
     stage.run(0.05)
-    assert told.events[-1] == ("fail", NOT_RUN, TURNED_AWAY, True)
+    assert told.events[-1] == ("fail", NOT_RUN, REJECTED_BY_BACKEND, True)
     assert len(heads) == 1
     assert stage.backend.open == 0
     stage.backend.read = None
-    job, told = stage.begin(ask(kind=1, length=3, attempt=b"a2"))
-    job.data(b"abc")
-    job.end()
+    inbound_request, told = stage.begin(ask(kind=1, length=3, attempt=b"a2"))
+    inbound_request.data(b"abc")
+    inbound_request.end()
     stage.run(0.05)
     assert [request.attempt for request in stage.backend.requests] == [b"a2"]
     assert told.body == b"done"
@@ -755,7 +759,7 @@
     stage.backend.serve = twice
     _, told = stage.begin(ask(kind=1, attempt=b"a1"))
     stage.run(0.005)
-    assert told.events == [("fail", NOT_RUN, TURNED_AWAY, True)]
+    assert told.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
     _, again = stage.begin(ask(kind=1, attempt=b"a1"))
     stage.run(0.05)
     assert len(stage.backend.requests) == 2
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -6,7 +6,7 @@
 
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sidecar.gate import DRAINING, READY
-from honeywharf.sidecar.shutdown import GATE_S, UNTIL_QUIET_S
+from honeywharf.sidecar.shutdown import GATE_CLOSES_BEFORE_S, QUIET_AFTER_S
 from honeywharf.simulation.days import Day, Fault
 from honeywharf.simulation.field import TERM, Field
 from honeywharf.simulation.run import real_control_node, real_sidecar
@@ -25,18 +25,18 @@
     assert isinstance(other, Sidecar)
     at_term = told.served
     side.proxy.signal(TERM)
-    world.run(9.0 + UNTIL_QUIET_S - GATE_S - 0.05)
-    assert not told.leaving
-    assert other.source.list[side.ip].state == READY
+    world.run(9.0 + QUIET_AFTER_S - GATE_CLOSES_BEFORE_S - 0.05)
+    assert not told.shutting_down
+    assert other.source.backends[side.ip].state == READY
     open_for = told.served
     assert open_for - at_term > 10
-    world.run(9.0 + UNTIL_QUIET_S - 0.1)
-    assert other.source.list[side.ip].state == DRAINING
+    world.run(9.0 + QUIET_AFTER_S - 0.1)
+    assert other.source.backends[side.ip].state == DRAINING
     closed = told.served
     world.run(9.0 + 6.0)
     assert side.proxy.program is not sidecar
     assert told.served - closed <= 1
-    assert not told.jobs
+    assert not told.pending_requests
     assert field.book.found == []
 
 
@@ -85,10 +85,10 @@
     world.run(9.0 + 5.59)
     under_way = [ask for ask in field.book.asks.values() if ask.machine == side.ip and not ask.status]
     assert under_way
-    assert sidecar.source.courses
+    assert sidecar.source.active_requests
     world.run(9.0 + 5.62)
-    assert not sidecar.source.courses
-    assert not sidecar.inbound.jobs
+    assert not sidecar.source.active_requests
+    assert not sidecar.inbound.pending_requests
     world.run(9.0 + 6.0)
     assert side.proxy.program is not sidecar
     assert all(ask.status >= 500 for ask in under_way), [ask.status for ask in under_way]
--- a/tests/sidecar/test_mesh_state.py
+++ b/tests/sidecar/test_mesh_state.py
@@ -6,7 +6,7 @@
 import zlib
 from typing import Any, cast
 
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from honeywharf.simulation.field import ROUTES
 from tests.control.virtual_network import VirtualNetwork
 
@@ -54,11 +54,11 @@
         self.machine.after(within, lambda: done(self.answers.get(method)))
 
 
-def started(answers: dict[str, Any], seconds: float) -> tuple[Word, Asked]:
+def started(answers: dict[str, Any], seconds: float) -> tuple[MeshStateReplica, Asked]:
     """A sidecar's state so long after its start."""
     asked = Asked(answers)
     asked.machine.start(lambda machine: None)
-    word = Word(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
+    word = MeshStateReplica(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
     word.start()
     asked.machine.network.run(asked.machine.network.time + seconds)
     return word, asked
@@ -82,10 +82,10 @@
     old = {"rev": 3, "version": 5, "digest": "five", "evac": {}}
     asked = Asked({"word.known": old, "word.body": b"text"})
     asked.machine.start(lambda machine: None)
-    state = Word(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
+    state = MeshStateReplica(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
     state.start()
     for _ in range(60):
-        state.heard(4, CORES[0])
+        state.revision_announced(4, CORES[0])
         asked.machine.network.run(asked.machine.network.time + 1.0)
     assert not state.ready
     assert len(asked.methods) > 50
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -8,12 +8,12 @@
 
 from honeywharf.codecs.mesh import INTERIM_RESPONSE
 from honeywharf.sidecar.client_connection import MAX_HELD_BODY, MAX_PIPELINED
-from honeywharf.sidecar.outbound import SUCCESSOR_S
+from honeywharf.sidecar.outbound import RESTART_S
 from honeywharf.transport.stream import WINDOW_SIZE
-from honeywharf.verdict import BROKEN_OFF, DRAINING, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import CONNECTION_BROKEN, DRAINING, MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.stage import Channel, Front
 
-PERHAPS = Verdict(MAY_HAVE_RUN, BROKEN_OFF, True)
+PERHAPS = Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True)
 REFUSED = Verdict(NOT_RUN, DRAINING)
 
 
@@ -36,7 +36,7 @@
 
 def give(front: Front, channel: Channel, body: bytes, status: int = 200) -> None:
     """A gate's whole answer."""
-    channel.course.answered(status, b"X-Honeywharf-Server-Seal: s\r\n", len(body), body)
+    channel.outbound_request.answered(status, b"X-Honeywharf-Server-Seal: s\r\n", len(body), body)
     front.run()
 
 
@@ -47,7 +47,7 @@
     assert channel.ask.method == b"POST"
     assert (channel.ask.target, channel.ask.length, channel.ask.kind) == (b"/mutating/x", 5, 1)
     assert (channel.ask.service, channel.ask.caller) == ("order-desk", "order-desk")
-    channel.course.go()
+    channel.outbound_request.gate_admitted()
     assert (bytes(channel.body), channel.ends) == (b"hello", 1)
     give(front, channel, b"done")
     ((status, top, body),) = caller.answers()
@@ -69,15 +69,15 @@
     front = Front()
     caller = front.call(request(attempt=b"a") + request(attempt=b"b"))
     first, second = front.channels
-    second.course.answered(200, b"", 100_000, None)
-    second.course.answer_data(b"x" * WINDOW_SIZE)
+    second.outbound_request.answered(200, b"", 100_000, None)
+    second.outbound_request.answer_data(b"x" * WINDOW_SIZE)
     front.run()
     assert caller.data == b""
     assert second.passed == 0
     give(front, first, b"first")
     assert second.passed == WINDOW_SIZE
-    second.course.answer_data(b"x" * (100_000 - WINDOW_SIZE))
-    second.course.whole()
+    second.outbound_request.answer_data(b"x" * (100_000 - WINDOW_SIZE))
+    second.outbound_request.whole()
     front.run()
     assert [len(body) for _, _, body in caller.answers()] == [5, 100_000]
 
@@ -157,7 +157,7 @@
     front = Front()
     caller = front.call(request("mutating", body=bytes(1000))[:-1].replace(b": 2000", b": 9000"))
     if went:
-        front.channels[0].course.go()
+        front.channels[0].outbound_request.gate_admitted()
     front.run(1.9)
     assert caller.data == b""
     front.run(0.2)
@@ -183,14 +183,14 @@
 def test_no_more_of_a_body_is_held_than_its_bound_while_nobody_asks_for_it() -> None:
     front = Front()
     caller = front.call(request("upload", body=bytes(1_000_000)), seconds=0.5)
-    course = front.channels[0].course
-    assert MAX_HELD_BODY < course.held <= MAX_HELD_BODY + 64 * 1024
+    outbound_request = front.channels[0].outbound_request
+    assert MAX_HELD_BODY < outbound_request.pending_bytes <= MAX_HELD_BODY + 64 * 1024
     assert caller.connection.unsent > 500_000
-    course.go()
+    outbound_request.gate_admitted()
     while not front.channels[0].ends:
-        course.window(30_000)
+        outbound_request.window(30_000)
         front.run()
-        assert course.held <= MAX_HELD_BODY + 64 * 1024
+        assert outbound_request.pending_bytes <= MAX_HELD_BODY + 64 * 1024
     assert len(front.channels[0].body) == 1_000_000
     give(front, front.channels[0], b"ok")
     assert caller.statuses() == [200]
@@ -200,12 +200,12 @@
 def test_the_rest_of_an_upload_that_is_answered_early_is_read_and_the_connection_goes_on(end: str) -> None:
     front = Front()
     caller = front.call(request("upload", body=bytes(1_000_000)) + request(attempt=b"a2"), seconds=0.2)
-    course = front.channels[0].course
+    outbound_request = front.channels[0].outbound_request
     if end == "refused":
-        while not course.over:
-            course.failed(REFUSED)
+        while not outbound_request.is_over:
+            outbound_request.failed(REFUSED)
     elif end == "answered":
-        course.go()
+        outbound_request.gate_admitted()
         give(front, front.channels[0], b"early", status=403)
     else:
         front.run(2.0)
@@ -222,8 +222,8 @@
 def test_an_upload_too_long_to_be_read_for_nothing_closes_the_connection() -> None:
     front = Front()
     caller = front.call(request("upload", body=bytes(6 << 20)), seconds=0.1)
-    front.channels[0].course.failed(REFUSED)
-    front.channels[1].course.failed(REFUSED)
+    front.channels[0].outbound_request.failed(REFUSED)
+    front.channels[1].outbound_request.failed(REFUSED)
     front.run(1.0)
     assert caller.gone is not None
     assert not front.outbound.clients
@@ -235,18 +235,18 @@
     assert caller.data == b"HTTP/1.1 100 Continue\r\n\r\n"
     caller.send(b"hello")
     front.run()
-    front.channels[0].course.go()
+    front.channels[0].outbound_request.gate_admitted()
     assert bytes(front.channels[0].body) == b"hello"
 
 
 def test_an_answer_to_head_has_no_body_and_one_in_chunks_has_its_end() -> None:
     front = Front()
     caller = front.call(request(method=b"HEAD") + request(attempt=b"a2"))
-    front.channels[0].course.answered(200, b"", 1234, b"")
-    front.channels[1].course.answered(200, b"", -1, None)
-    front.channels[1].course.answer_data(b"abc")
-    front.channels[1].course.answer_data(b"defg")
-    front.channels[1].course.whole()
+    front.channels[0].outbound_request.answered(200, b"", 1234, b"")
+    front.channels[1].outbound_request.answered(200, b"", -1, None)
+    front.channels[1].outbound_request.answer_data(b"abc")
+    front.channels[1].outbound_request.answer_data(b"defg")
+    front.channels[1].outbound_request.whole()
     front.run()
     top, _, rest = caller.data.partition(b"\r\n\r\n")
     assert b"Content-Length: 1234" in top
@@ -261,25 +261,25 @@
     for length in (100, -1):
         front = Front()
         caller = front.call(request() + request(attempt=b"a2"))
-        front.channels[0].course.answered(200, b"", length, None)
-        front.channels[0].course.answer_data(b"abc")
+        front.channels[0].outbound_request.answered(200, b"", length, None)
+        front.channels[0].outbound_request.answer_data(b"abc")
         front.run()
-        front.channels[0].course.failed(PERHAPS)
+        front.channels[0].outbound_request.failed(PERHAPS)
         front.run()
         assert caller.gone is not None
         assert not caller.data.endswith(b"0\r\n\r\n")
         assert caller.data.count(b"HTTP/1.1") == 1
         assert front.channels[1].cancelled
-        assert not front.source.courses
+        assert not front.source.active_requests
 
 
 def test_a_break_behind_another_answer_ends_the_connection_in_its_turn() -> None:
     front = Front()
     caller = front.call(request() + request(attempt=b"a2"))
     second = front.channels[1]
-    second.course.answered(200, b"", 100_000, None)
-    second.course.answer_data(b"abc")
-    second.course.failed(PERHAPS)
+    second.outbound_request.answered(200, b"", 100_000, None)
+    second.outbound_request.answer_data(b"abc")
+    second.outbound_request.failed(PERHAPS)
     front.run()
     assert caller.gone is None
     give(front, front.channels[0], b"first")
@@ -292,14 +292,14 @@
 def test_a_fault_in_an_upload_whose_answer_has_begun_adds_no_second_answer(rest: bytes) -> None:
     front = Front()
     caller = front.call(request("upload", more=b"Transfer-Encoding: chunked\r\n") + b"3\r\nabc\r\n")
-    course = front.channels[0].course
-    course.deadline += 60.0
-    course.go()
-    course.answered(200, b"", 100_000, None)
-    course.answer_data(b"x" * 1000)
+    outbound_request = front.channels[0].outbound_request
+    outbound_request.deadline += 60.0
+    outbound_request.gate_admitted()
+    outbound_request.answered(200, b"", 100_000, None)
+    outbound_request.answer_data(b"x" * 1000)
     front.run()
-    assert course.due is not None
-    course.due.cancel()
+    assert outbound_request.deadline_timer is not None
+    outbound_request.deadline_timer.cancel()
     if rest:
         caller.send(rest)
     front.run(5.0)
@@ -315,7 +315,7 @@
     (caller.connection.close if how == "close" else caller.connection.abort)()
     front.run()
     assert all(channel.cancelled for channel in front.channels)
-    assert not front.source.courses
+    assert not front.source.active_requests
     assert not front.outbound.clients
 
 
@@ -381,35 +381,37 @@
         queues[who] = queues[who][step:]
         front.run(0.001)
         for channel in front.channels:
-            course = channel.course
-            if course.over or course.channel is not channel:
+            outbound_request = channel.outbound_request
+            if outbound_request.is_over or outbound_request.channel is not channel:
                 continue
             draw = rng.random()
-            if draw < 0.3 and channel.ask.length and not course.went:
-                course.go()
-            elif draw < 0.5 and course.went:
-                course.window(50_000)
+            if draw < 0.3 and channel.ask.length and not outbound_request.is_admitted:
+                outbound_request.gate_admitted()
+            elif draw < 0.5 and outbound_request.is_admitted:
+                outbound_request.window(50_000)
             elif draw < 0.6:
-                course.answered(200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id)
+                outbound_request.answered(200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id)
             elif draw < 0.65:
-                course.answered(200, b"", -1, None)
-                course.answer_data(channel.ask.attempt_id)
-                course.whole()
+                outbound_request.answered(200, b"", -1, None)
+                outbound_request.answer_data(channel.ask.attempt_id)
+                outbound_request.whole()
             elif draw < 0.7:
-                course.failed(REFUSED)
+                outbound_request.failed(REFUSED)
     for who, caller in enumerate(callers):
         caller.send(queues[who])
     for _ in range(80):
         front.run(0.05)
         for channel in front.channels:
-            if not channel.course.over and channel.course.channel is channel:
-                channel.course.answered(200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id)
+            if not channel.outbound_request.is_over and channel.outbound_request.channel is channel:
+                channel.outbound_request.answered(
+                    200, b"", len(channel.ask.attempt_id), channel.ask.attempt_id
+                )
     for names, caller in zip(wanted, callers, strict=True):
         answers = caller.answers()
         assert len(answers) == len(names)
         for name, (status, _, body) in zip(names, answers, strict=True):
             assert (status == 200 and body == name) or status in (503, 504)
-    assert not front.source.courses
+    assert not front.source.active_requests
 
 
 def test_a_leaving_sidecar_answers_all_that_is_at_work_on_a_connection() -> None:
@@ -440,7 +442,7 @@
     front.run(0.1)
     assert [body for _, _, body in caller.answers()] == [b"one", b"two"]
     assert caller.gone is not None
-    assert not front.source.courses
+    assert not front.source.active_requests
 
 
 def test_what_can_not_be_answered_before_the_end_is_refused_with_a_time_to_return() -> None:
@@ -456,15 +458,15 @@
     ((status, top, _),) = late.answers()
     assert status == 503
     assert b"Connection: close" in top
-    again_s = float(top.partition(b"Retry-After: ")[2].partition(b"\r\n")[0])
-    assert 0.4 < again_s - SUCCESSOR_S <= 0.45
+    retry_after_s = float(top.partition(b"Retry-After: ")[2].partition(b"\r\n")[0])
+    assert 0.4 < retry_after_s - RESTART_S <= 0.45
     front.run(0.1)
     assert late.gone is not None
     front.outbound.finish()
     front.run(0.1)
     assert held.statuses() == [503]  # read_only
     assert at_work.statuses() == [503]  # its body was not asked for
-    assert not front.source.courses
+    assert not front.source.active_requests
 
 
 def test_a_route_with_a_long_aim_is_not_refused_for_most_of_the_grace_period() -> None:
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -27,19 +27,19 @@
 from honeywharf.gossip.dissemination import RevisionRumours
 from honeywharf.gossip.gossip import Gossip
 from honeywharf.programs.sidecar import Sidecar
-from honeywharf.sidecar.backend import Tap
+from honeywharf.sidecar.backend import BackendConnection
 from honeywharf.sidecar.client_connection import ClientConnection
-from honeywharf.sidecar.course import Course
 from honeywharf.sidecar.disconnects import DisconnectProbe
 from honeywharf.sidecar.gate import DRAINING, ENDED, READY, Gate
-from honeywharf.sidecar.inbound import Job
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.inbound import InboundRequest
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from honeywharf.sidecar.outbound import Outbound
+from honeywharf.sidecar.outbound_request import OutboundRequest
 from honeywharf.sidecar.source import Source
 from honeywharf.simulation.days import Fault
 from honeywharf.simulation.run import Report, run
 from honeywharf.transport.link import Link
-from honeywharf.verdict import BROKEN_OFF, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import CONNECTION_BROKEN, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 Put = Callable[[object, str, Any], None]  # owner, name, what stands there instead
 Kinds = tuple[tuple[str, str], ...]
@@ -241,25 +241,27 @@
 def word_from_the_first(put: Put) -> None:
     """And no news of a newer one, which mend it."""
 
-    def start(self: Word) -> None:
+    def start(self: MeshStateReplica) -> None:
         if not self.ready:
-            core = self.cores()[0]
-            self.caller.call(core, "word.known", None, 0.7, lambda value: self._started(core, value))
+            core = self.control_nodes()[0]
+            self.rpc_client.call(
+                core, "word.known", None, 0.7, lambda value: self._majority_answered(core, value)
+            )
 
-    put(Word, "start", start)
-    put(Word, "heard", lambda self, revision, holder: None)
+    put(MeshStateReplica, "start", start)
+    put(MeshStateReplica, "revision_announced", lambda self, revision, holder: None)
 
 
 def word_never_renewed(put: Put) -> None:
-    put(Word, "heard", lambda self, revision, holder: None)
+    put(MeshStateReplica, "revision_announced", lambda self, revision, holder: None)
 
 
 def evacuations_not_taken_over(put: Put) -> None:
-    def apply(self: Word, value: Any, table: Any, packed: bytes) -> None:
+    def apply(self: MeshStateReplica, value: Any, table: Any, packed: bytes) -> None:
         was(self, {**value, "evac": {}}, table, packed)
 
-    was = Word._apply
-    put(Word, "_apply", apply)
+    was = MeshStateReplica._apply
+    put(MeshStateReplica, "_apply", apply)
 
 
 # The gate.
@@ -284,18 +286,18 @@
             for name, what in kept.items():
                 setattr(self, name, what)
 
-    was = Gate.refusal
-    put(Gate, "refusal", refusal)
+    was = Gate.rejection
+    put(Gate, "rejection", refusal)
 
 
 def list_is_never_renewed(put: Put) -> None:
     def told(self: Source, node: str, say: Any, zone: str) -> None:
-        before = self.list.get(node)
+        before = self.backends.get(node)
         if say is not None and (before is None or before.state != READY):
             was(self, node, say, zone)
 
-    was = Source.told
-    put(Source, "told", told)
+    was = Source.update_backend
+    put(Source, "update_backend", told)
 
 
 def nobody_heeds_draining(put: Put) -> None:
@@ -309,12 +311,12 @@
     gate_does_not_heed(put, evacuated=False)
 
     def relist(self: Source, node: str, renewed: bool) -> None:
-        kept, self.word.evacuated = self.word.evacuated, set()
+        kept, self.mesh_state.evacuated = self.mesh_state.evacuated, set()
         was(self, node, renewed)
-        self.word.evacuated = kept
+        self.mesh_state.evacuated = kept
 
-    was = Source._relist
-    put(Source, "_relist", relist)
+    was = Source._update_usable
+    put(Source, "_update_usable", relist)
 
 
 def cold_bound_off(put: Put) -> None:
@@ -322,7 +324,7 @@
 
 
 def cold_is_not_told(put: Put) -> None:
-    put(Gate, "_told_cold", lambda self, now, cold_s: setattr(self, "doubted", False))
+    put(Gate, "_set_cold", lambda self, now, cold_s: setattr(self, "cold_unknown", False))
 
 
 def new_process_knows_no_cold(put: Put) -> None:
@@ -330,11 +332,11 @@
 
     def life(self: Gate, now: float, instance: str) -> None:
         was(self, now, instance)
-        self.doubted = False
+        self.cold_unknown = False
 
-    was = Gate._life
-    put(Gate, "_life", life)
-    put(Gate, "_told_cold", lambda self, now, cold_s: None)
+    was = Gate._set_instance
+    put(Gate, "_set_instance", life)
+    put(Gate, "_set_cold", lambda self, now, cold_s: None)
 
 
 def cold_bound_by_slices(put: Put) -> None:
@@ -352,19 +354,19 @@
     def refusal(self: Gate, now: float, service: str, expected: str = "") -> Any:
         return was(self, now, self.service, expected)
 
-    was = Gate.refusal
-    put(Gate, "refusal", refusal)
+    was = Gate.rejection
+    put(Gate, "rejection", refusal)
     list_is_never_renewed(put)
     id_not_expected(put)
 
 
 def id_not_expected(put: Put) -> None:
-    def head(self: Job) -> bytes:
+    def head(self: InboundRequest) -> bytes:
         expected = b"X-Honeywharf-Expected-Instance"
         return b"\r\n".join([line for line in was(self).split(b"\r\n") if not line.startswith(expected)])
 
-    was = Job._head_bytes
-    put(Job, "_head_bytes", head)
+    was = InboundRequest._encode_head
+    put(InboundRequest, "_encode_head", head)
 
 
 def life_not_told_apart(put: Put) -> None:
@@ -375,9 +377,9 @@
     ) -> bool:
         return bool(was(self, now, self.instance or instance, self.sequence + 1, draining, slots, 0.0))
 
-    was = Gate.beat
-    put(Gate, "beat", beat)
-    put(Gate, "missing", lambda self: None)
+    was = Gate.heartbeat
+    put(Gate, "heartbeat", beat)
+    put(Gate, "backend_missing", lambda self: None)
     id_not_expected(put)
 
 
@@ -385,40 +387,40 @@
 
 
 def seal_not_checked(put: Put) -> None:
-    put(Job, "_good", lambda self: self.head is not None and not self.head.unexecuted)
+    put(InboundRequest, "_may_reach_client", lambda self: self.head is not None and not self.head.unexecuted)
 
 
 def echo_not_checked(put: Put) -> None:
-    def answer(self: Tap, head: Any) -> None:
+    def answer(self: BackendConnection, head: Any) -> None:
         if self.user is not None:
             head.attempt = self.user.attempt
         was(self, head)
 
-    was = Tap.answer
-    put(Tap, "answer", answer)
+    was = BackendConnection.answer
+    put(BackendConnection, "answer", answer)
 
 
 def excess_is_used(put: Put) -> None:
     """What comes while nobody waits is kept for who comes next, and no id is looked at."""
 
-    def discard(self: Tap) -> None:
-        if not self.up or self.connection.peer != self.pool.address or self.user is not None:
+    def discard(self: BackendConnection) -> None:
+        if not self.is_up or self.connection.peer != self.pool.address or self.user is not None:
             was(self)
 
-    was = Tap._discard
-    put(Tap, "_discard", discard)
+    was = BackendConnection._discard
+    put(BackendConnection, "_discard", discard)
     echo_not_checked(put)
 
 
 def half_an_answer_is_whole(put: Put) -> None:
-    def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
-        if heard and self.head is not None and not self.streaming:
+    def broken(self: InboundRequest, why: str, sent: bool, revision_announced: bool) -> None:
+        if revision_announced and self.head is not None and not self.streaming:
             self.whole()
         else:
-            was(self, why, sent, heard)
+            was(self, why, sent, revision_announced)
 
-    was = Job.broken
-    put(Job, "broken", broken)
+    was = InboundRequest.broken
+    put(InboundRequest, "broken", broken)
 
 
 def answers_as_they_come(put: Put) -> None:
@@ -431,31 +433,31 @@
 
 
 def caller_as_sent(put: Put) -> None:
-    def start(self: Course) -> None:
+    def start(self: OutboundRequest) -> None:
         self.source.service = "forged"
         was(self)
 
-    was = Course.start
-    put(Course, "start", start)
+    was = OutboundRequest.start
+    put(OutboundRequest, "start", start)
 
 
 def pieces_from_the_beginning(put: Put) -> None:
-    def piece(self: Course) -> bytes:
-        return b"".join(self.kept)[: len(was(self))]
+    def piece(self: OutboundRequest) -> bytes:
+        return b"".join(self.retained)[: len(was(self))]
 
-    was = Course._piece
-    put(Course, "_piece", piece)
+    was = OutboundRequest._next_chunk
+    put(OutboundRequest, "_next_chunk", piece)
 
 
 # Run, not run, may have run.
 
 
 def reset_means_not_run(put: Put) -> None:
-    def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
-        was(self, why, False, heard)
+    def broken(self: InboundRequest, why: str, sent: bool, revision_announced: bool) -> None:
+        was(self, why, False, revision_announced)
 
-    was = Job.broken
-    put(Job, "broken", broken)
+    was = InboundRequest.broken
+    put(InboundRequest, "broken", broken)
 
 
 def lost_link_means_not_run(put: Put) -> None:
@@ -468,32 +470,36 @@
 
 
 def repeats_what_may_have_run(put: Put) -> None:
-    put(Verdict, "may_repeat", lambda self, repeatable: True)
+    put(Verdict, "may_retry", lambda self, repeatable: True)
 
 
 def refuses_what_may_have_run(put: Put) -> None:
-    def give_up(self: Course, again_s: float) -> None:
+    def give_up(self: OutboundRequest, again_s: float) -> None:
         self.ran = False
         was(self, again_s)
 
-    was = Course._give_up
-    put(Course, "_give_up", give_up)
+    was = OutboundRequest._give_up
+    put(OutboundRequest, "_give_up", give_up)
 
 
 def ledger_off(put: Put) -> None:
     """A source forgets that a request may have run once it is given to another gate."""
 
-    def ask(self: Course, key: str, patience_s: float) -> None:
+    def ask(self: OutboundRequest, key: str, patience_s: float) -> None:
         self.ran = False
         was(self, key, patience_s)
 
-    was = Course._ask
-    put(Course, "_ask", ask)
-    put(Course, "_arrived", lambda self, verdict: self._not_run(Verdict(NOT_RUN, verdict.why)))
+    was = OutboundRequest._send_to
+    put(OutboundRequest, "_send_to", ask)
+    put(
+        OutboundRequest,
+        "_reached_backend",
+        lambda self, verdict: self._rejected(Verdict(NOT_RUN, verdict.why)),
+    )
 
 
 def budget_off(put: Put) -> None:
-    put(Source, "spend", lambda self, service: True)
+    put(Source, "spend_retry", lambda self, service: True)
 
 
 # The platform.
@@ -523,8 +529,8 @@
 
     def terminate(self: Sidecar) -> None:
         was(self)
-        for job in list(self.inbound.jobs):
-            job._fail(Verdict(MAY_HAVE_RUN, BROKEN_OFF, True))
+        for job in list(self.inbound.pending_requests):
+            job._fail(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True))
 
     was = Sidecar.terminate
     put(Sidecar, "terminate", terminate)
@@ -548,7 +554,7 @@
 
 def cancellation_is_lost(put: Put) -> None:
     """The gate is not told that nobody waits any more."""
-    put(Course, "cancel", lambda self: self._end() if not self.over else None)
+    put(OutboundRequest, "cancel", lambda self: self._end() if not self.over else None)
 
 
 def reset_is_not_heeded(put: Put) -> None:
@@ -556,7 +562,7 @@
 
     def closed(self: ClientConnection, why: str) -> None:
         for exchange in self.exchanges:
-            exchange.course = None
+            exchange.request = None
         was(self, why)
 
     was = ClientConnection.closed
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -250,7 +250,7 @@
     {f"honeywharf.drift.{name}" for name in ("requests", "rounds", "scan", "watch")}
     | {
         f"honeywharf.sidecar.{name}"
-        for name in ("bypass", "client_connection", "course", "inbound", "outbound", "source")
+        for name in ("delegation", "client_connection", "outbound_request", "inbound", "outbound", "source")
     }
     | {"honeywharf.programs.sidecar"}
 )
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -23,7 +23,7 @@
 from honeywharf.transport.link_server import LinkServer, StreamResponder
 from honeywharf.transport.rpc_server import RpcServer
 from honeywharf.transport.stream import MAX_CHUNK, MAX_STREAMS, WINDOW_SIZE, ForwardedRequest
-from honeywharf.verdict import FULL, GARBLED, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import FULL, LINK_LOST, MALFORMED_ANSWER, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 HERE, THERE, PORT = "10.1.0.8", "10.2.0.9", 7620
 LOAD = (3, 1, 8)
@@ -91,7 +91,7 @@
 
     def failed(self, verdict: Verdict) -> None:
         """No answer."""
-        self._note("failed", verdict.ran, verdict.why, verdict.arrived, verdict.again_s)
+        self._note("failed", verdict.ran, verdict.why, verdict.reached_backend, verdict.retry_after_s)
         self.over = True
 
     def load(self, load: tuple[int, int, int]) -> None:
@@ -129,7 +129,7 @@
         work = Work(ask, answers)
         self.works.append(work)
         if self.over_at_once:
-            answers.fail(Verdict(NOT_RUN, FULL, again_s=0.05), LOAD)
+            answers.fail(Verdict(NOT_RUN, FULL, retry_after_s=0.05), LOAD)
         return work
 
     @property
@@ -229,9 +229,9 @@
 @pytest.mark.parametrize(
     "verdict",
     [
-        Verdict(NOT_RUN, FULL, again_s=0.25),
-        Verdict(NOT_RUN, GARBLED, True),
-        Verdict(MAY_HAVE_RUN, GARBLED, True),
+        Verdict(NOT_RUN, FULL, retry_after_s=0.25),
+        Verdict(NOT_RUN, MALFORMED_ANSWER, True),
+        Verdict(MAY_HAVE_RUN, MALFORMED_ANSWER, True),
     ],
 )
 def test_a_verdict_comes_as_it_was_given(verdict: Verdict) -> None:
@@ -240,7 +240,7 @@
     pair.run()
     pair.works[0].answers.fail(verdict, LOAD)
     pair.run()
-    failed = ("failed", verdict.ran, verdict.why, verdict.arrived, verdict.again_s)
+    failed = ("failed", verdict.ran, verdict.why, verdict.reached_backend, verdict.retry_after_s)
     assert told.events == [("load", *LOAD), failed]
     assert not pair.link.streams
 
@@ -310,7 +310,7 @@
         else:
             pair.there.end()
     pair.run(LINK_TIMEOUT_S + 0.6)
-    assert told.events[-1] == ("failed", ran, LOST, False, 0.0)
+    assert told.events[-1] == ("failed", ran, LINK_LOST, False, 0.0)
     assert pair.links.lost == 1
     assert not pair.links.links
 
@@ -322,7 +322,7 @@
     pair.cut()
     pair.works[0].answers.admit()
     pair.run(4.0)
-    assert told.events == [("failed", NOT_RUN, LOST, False, 0.0)]
+    assert told.events == [("failed", NOT_RUN, LINK_LOST, False, 0.0)]
     assert pair.works[0].body == b""
 
 
@@ -334,7 +334,7 @@
     assert pair.link.round_trip_s == pytest.approx(2 * pair.network.cross, rel=0.5)
     pair.there.freeze()
     pair.run(LINK_TIMEOUT_S + 0.6)
-    assert told.events == [("failed", MAY_HAVE_RUN, LOST, False, 0.0)]
+    assert told.events == [("failed", MAY_HAVE_RUN, LINK_LOST, False, 0.0)]
 
 
 def test_silence_from_before_a_stream_was_opened_does_not_count() -> None:
@@ -356,9 +356,9 @@
     pair.run()
     pair.cut()
     pair.run(STREAM_TIMEOUT_S + 0.6)
-    assert [t.events for t in told] == [[("failed", MAY_HAVE_RUN, LOST, False, 0.0)], []]
+    assert [t.events for t in told] == [[("failed", MAY_HAVE_RUN, LINK_LOST, False, 0.0)], []]
     pair.run(LINK_TIMEOUT_S)
-    assert told[1].events == [("failed", MAY_HAVE_RUN, LOST, False, 0.0)]
+    assert told[1].events == [("failed", MAY_HAVE_RUN, LINK_LOST, False, 0.0)]
 
 
 def test_an_unused_link_is_closed_and_another_opened_when_one_is_wanted() -> None:
@@ -382,7 +382,7 @@
     pair.run()
     assert [w.cancelled for w in pair.works] == [True] * 3
     for work in pair.works:
-        work.answers.fail(Verdict(MAY_HAVE_RUN, GARBLED), LOAD)  # nobody hears it
+        work.answers.fail(Verdict(MAY_HAVE_RUN, MALFORMED_ANSWER), LOAD)  # nobody hears it
     pair.run()
 
 
@@ -520,5 +520,5 @@
     pair.run()
     assert not pair.links.links
     assert told.body == b""
-    assert told.events[-1] == ("failed", MAY_HAVE_RUN, LOST, False, 0.0)
+    assert told.events[-1] == ("failed", MAY_HAVE_RUN, LINK_LOST, False, 0.0)
     assert sum(event[0] == "answered" for event in told.events) == len(frames) - 1
