--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -33,7 +33,7 @@
         """The request that uses a connection."""
 
         attempt: bytes
-        bodiless: bool  # the answer has no body, whatever its head tells of one
+        bodiless: bool  # the answer has no body, whatever its head says of one
         method: bytes  # the first bytes of the request's head
 
         def ready(self) -> None:
@@ -60,7 +60,7 @@
 
 MAX_ANSWER_BYTES = 1 << 30
 KEEP_ALIVE_MARGIN_S = 1.0  # an idle connection is not used any more this long before the backend closes it
-DEFAULT_KEEP_ALIVE_S = 2.0  # for a backend that sends no Keep-Alive header
+DEFAULT_KEEP_ALIVE_S = 2.0  # where the backend sends no Keep-Alive header
 CONNECT_TIMEOUT_S = 0.6
 MAX_REST_UNPROBED_S = 0.1  # a connection idle for longer is probed before a whole request is sent on it
 PROBE_WAIT_S = 0.002  # enough for a reset to come back on the same machine
@@ -181,7 +181,7 @@
     def answer(self, answer: Answer) -> None:
         """Takes the head of an answer, if it echoes the request's attempt id."""
         user = self.user
-        if user is None:  # it follows a complete answer and belongs to no request
+        if user is None:  # an answer that follows a complete one belongs to no request
             self.must_close = True
             return
         if answer.attempt != user.attempt:
--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -61,33 +61,33 @@
 
 
 class Exchange:
-    """One request and its answer. `out` holds bytes until the requests before it have been answered."""
+    """One request and its answer. `pending_output` waits until the requests before it have been answered."""
 
     __slots__ = (
         "bodiless",
         "chunked",
         "closes",
         "done",
+        "has_long_body",
         "interim",
         "keep",
-        "long",
-        "out",
+        "pending_output",
         "request",
         "request_complete",
-        "waiting",
+        "unreported_bytes",
     )
 
     def __init__(self, keep: bool, bodiless: bool, interim: bool) -> None:
         self.request: OutboundRequest | None = None
         self.keep, self.bodiless, self.interim = keep, bodiless, interim
-        self.done = self.chunked = self.request_complete = self.closes = self.long = False
-        self.out: list[bytes] = []
-        self.waiting = 0  # bytes of the answer's body not yet reported as sent
+        self.done = self.chunked = self.request_complete = self.closes = self.has_long_body = False
+        self.pending_output: list[bytes] = []
+        self.unreported_bytes = 0  # bytes of the answer's body not yet reported as sent
 
     def may_take_interim(self) -> bool:
         """Whether an interim response may be written: the client supports them and no answer has begun."""
         request = self.request
-        return self.interim and not (self.done or self.out or request is None or request.answering)
+        return self.interim and not (self.done or self.pending_output or request is None or request.answering)
 
 
 class ClientConnection:
@@ -96,6 +96,7 @@
     __slots__ = (
         "closing",
         "connection",
+        "created_at",
         "disconnected",
         "exchange",
         "exchanges",
@@ -104,7 +105,6 @@
         "paused",
         "probe",
         "reader",
-        "since",
         "timer",
     )
 
@@ -117,13 +117,13 @@
         self.closing = self.is_closed = self.paused = False
         self.disconnected = False  # whether the client has left with requests under way
         self.probe: DisconnectProbe | None = None  # set once the client has sent a FIN
-        self.since = outbound.host.now()
+        self.created_at = outbound.host.now()
         self.timer: Timer | None = None
-        self._time()
+        self._restart_timer()
 
     # Time-outs.
 
-    def _time(self) -> None:
+    def _restart_timer(self) -> None:
         """Starts the timer for a head, for a part of a body, or for an idle connection."""
         if self.timer is not None:
             self.timer.cancel()
@@ -136,12 +136,12 @@
         if self.is_closed or self.closing:
             return
         if self.reader.in_head or (self.exchange is not None and not self.paused):
-            self._fault(408, SLOW_BODY)
+            self._answer_fault(408, SLOW_BODY)
         elif not self.exchanges:
             self.closing = True
             self.connection.close()
         else:
-            self._time()
+            self._restart_timer()
 
     # Requests.
 
@@ -156,30 +156,30 @@
         try:
             self.reader.feed(data)
         except MalformedError as fault:
-            self._fault(fault.status, str(fault).encode())
+            self._answer_fault(fault.status, str(fault).encode())
             return
         if self.is_closed:
             return
         if not (in_head and self.reader.in_head):
-            self._time()
-        self.gauge()
+            self._restart_timer()
+        self.update_reading()
 
     def head(self, head: Head) -> None:
         """Takes the head of a request: routes it, and begins or rejects it."""
         exchange = Exchange(head.keep, head.method == b"HEAD", head.interim)
-        exchange.request_complete, exchange.long = head.length == 0, head.length > MAX_DISCARDED_BODY
-        behind = self.exchanges[-1].closes if self.exchanges else False
+        exchange.request_complete, exchange.has_long_body = head.length == 0, head.length > MAX_DISCARDED_BODY
+        follows_last = self.exchanges[-1].closes if self.exchanges else False
         self.exchanges.append(exchange)
-        if self.closing or behind:
+        if self.closing or follows_last:
             exchange.closes = True
-            return  # it follows a request that ends the connection, so it counts as not read
+            return  # a request that follows the last one counts as not read
         if not exchange.keep:
             exchange.closes = True
         self.exchange = exchange
         route, retry_after_s = self._find_route(head)
         rejection = self._reject(head, route, retry_after_s)
         if rejection is not None:
-            self.own(exchange, rejection)
+            self.answer_locally(exchange, rejection)
         elif route is not None:
             self._begin(exchange, head, route)
 
@@ -213,7 +213,7 @@
         outbound = self.outbound
         now = outbound.host.now()
         if outbound.ends_before(now, route):
-            self.own(exchange, LocalAnswer(503, outbound.restart_wait_s(now), b"leaving"))
+            self.answer_locally(exchange, LocalAnswer(503, outbound.restart_wait_s(now), b"leaving"))
             return
         remaining = DEFAULT_DEADLINE_S if head.remaining_s is None else head.remaining_s
         deadline = now + min(remaining, route.timeout_s)
@@ -240,7 +240,7 @@
                 exchange.request.end()
             self._flush()
 
-    def gauge(self) -> None:
+    def update_reading(self) -> None:
         """Pauses or resumes reading, by the requests under way and the bytes that wait to be sent."""
         request = self.exchange.request if self.exchange is not None else None
         full = len(self.exchanges) >= MAX_PIPELINED or (
@@ -253,7 +253,7 @@
             if full and self.probe is None:
                 self.connection.watch_end(self._start_probe)
 
-    def _fault(self, status: int, text: bytes) -> None:
+    def _answer_fault(self, status: int, text: bytes) -> None:
         """Answers a malformed or slow request after those before it, and ends the connection."""
         exchange = self.exchange
         self.exchange = None
@@ -265,28 +265,28 @@
             if status == 408 and (request.ran or request.bytes_sent):
                 status = 502  # 408 promises that nothing has run, but a part of the request was sent on
             request.cancel()
-            if request.answering:  # its answer has begun: no second one may follow
+            if request.answering:  # no second answer may follow one that has begun
                 self.broken(exchange)
                 self.closing = True
                 return
         exchange.closes = True
-        if exchange.out or exchange.done:
+        if exchange.pending_output or exchange.done:
             exchange.done = True
         else:
-            self.own(exchange, LocalAnswer(status, 0.0, text))
+            self.answer_locally(exchange, LocalAnswer(status, 0.0, text))
         self.closing = True
         self._flush()
 
     # Answers.
 
-    def own(self, exchange: Exchange, answer: LocalAnswer) -> None:
+    def answer_locally(self, exchange: Exchange, answer: LocalAnswer) -> None:
         """Writes an answer of the mesh's own."""
         if exchange.done:
             return
-        if self._is_last_answer(exchange) or (not exchange.request_complete and exchange.long):
+        if self._is_last_answer(exchange) or (not exchange.request_complete and exchange.has_long_body):
             # Otherwise the rest of the body is read and dropped, as a reset could destroy the answer.
             exchange.closes = True
-        exchange.out.append(
+        exchange.pending_output.append(
             final(
                 answer.status,
                 answer.text,
@@ -308,23 +308,25 @@
             exchange.closes = True
         exchange.chunked = length == UNKNOWN and body is None
         bodiless = exchange.bodiless or status in (204, 304)
-        exchange.out.append(begun(status, fields, length, keep=not exchange.closes, bodiless=bodiless))
+        exchange.pending_output.append(
+            begun(status, fields, length, keep=not exchange.closes, bodiless=bodiless)
+        )
         if body is not None:
             if not bodiless:
-                exchange.out.append(body)
+                exchange.pending_output.append(body)
             exchange.done = True
         self._flush()
 
     def answer_data(self, exchange: Exchange, data: bytes) -> None:
         """Writes a part of the answer's body."""
-        exchange.out.append(b"%x\r\n%b\r\n" % (len(data), data) if exchange.chunked else data)
-        exchange.waiting += len(data)
+        exchange.pending_output.append(b"%x\r\n%b\r\n" % (len(data), data) if exchange.chunked else data)
+        exchange.unreported_bytes += len(data)
         self._flush()
 
     def complete_answer(self, exchange: Exchange) -> None:
         """Ends the answer, which is complete."""
         if exchange.chunked:
-            exchange.out.append(b"0\r\n\r\n")
+            exchange.pending_output.append(b"0\r\n\r\n")
         exchange.done = True
         self._flush()
 
@@ -335,26 +337,30 @@
                 self.connection.abort()
             else:
                 self.closing = exchange.closes = exchange.done = True
-                exchange.out = []
+                exchange.pending_output = []
                 self._flush()
 
     def _flush(self) -> None:
         """Writes what may be written, and reads on where there is room now, or a body to be dropped."""
         self._write()
         if not self.is_closed:
-            self.gauge()
+            self.update_reading()
 
     def _write(self) -> None:
         """Writes what may be written, in the order of the requests."""
         while self.exchanges and not self.is_closed:
             exchange = self.exchanges[0]
-            if exchange.out:
-                data = b"".join(exchange.out)
-                exchange.out.clear()
+            if exchange.pending_output:
+                data = b"".join(exchange.pending_output)
+                exchange.pending_output.clear()
                 self.connection.send(data)
-            if exchange.waiting and exchange.request is not None and self.connection.unsent < WINDOW_SIZE:
-                waiting, exchange.waiting = exchange.waiting, 0
-                exchange.request.answer_forwarded(waiting)
+            if (
+                exchange.unreported_bytes
+                and exchange.request is not None
+                and self.connection.unsent < WINDOW_SIZE
+            ):
+                unreported_bytes, exchange.unreported_bytes = exchange.unreported_bytes, 0
+                exchange.request.answer_forwarded(unreported_bytes)
             if not exchange.done:
                 return
             if exchange.closes:
@@ -459,7 +465,7 @@
 
     def final(self, request: OutboundRequest, status: int, retry_after_s: float, text: bytes) -> None:
         """Passes on an answer of the mesh's own."""
-        self.client.own(self.exchange, LocalAnswer(status, retry_after_s, text))
+        self.client.answer_locally(self.exchange, LocalAnswer(status, retry_after_s, text))
 
     def answer(
         self, request: OutboundRequest, status: int, fields: bytes, length: int, body: bytes | None
@@ -481,4 +487,4 @@
 
     def body_forwarded(self, request: OutboundRequest) -> None:
         """Lets the connection read more of the request's body."""
-        self.client.gauge()
+        self.client.update_reading()
--- a/honeywharf/sidecar/delegation.py
+++ b/honeywharf/sidecar/delegation.py
@@ -43,7 +43,7 @@
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
 MAX_DELEGATED = 256
-READ_AHEAD_BYTES = 64 * 1024  # of a body, beyond what a gate has taken
+READ_AHEAD_BYTES = 64 * 1024  # how far reading a body runs ahead of what a gate has taken
 REJECTION_RETRY_AFTER_S = 0.05  # announced by a sidecar that can't decide the request now
 NO_LOAD = (0, 0, 0)  # load of a responder without a backend
 
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -32,7 +32,7 @@
 UNKNOWN, READY, DRAINING, ENDED = range(4)
 STATES = ("unknown", "ready", "draining", "ended")
 MAX_ENDED_INSTANCES = 64  # ids of ended instances that are remembered
-INITIAL_SLOTS = 4  # until the backend tells its own number
+INITIAL_SLOTS = 4  # in force before the backend announces its own number
 MIN_RESTART_S = (
     0.3  # shortest time from the end of one process of this program to the next one's first request
 )
@@ -87,12 +87,12 @@
         self,
         now: float,
         instance: str,
-        well: bool,
+        is_healthy: bool,
         slots: int,
         cold_s: float | None,
-        asked: float,
+        asked_at: float,
     ) -> None:
-        """Takes the answer to a health check that began at `asked`.
+        """Takes the answer to a health check that began at `asked_at`.
 
         A heartbeat's draining state stays in force.
         """
@@ -102,9 +102,9 @@
         self.heard_at = now
         if slots > 0:
             self.admission.slots = slots
-        if asked >= self.restored_at:
+        if asked_at >= self.restored_at:
             self._set_cold(now, cold_s or 0.0)
-        if self.state == UNKNOWN and well:
+        if self.state == UNKNOWN and is_healthy:
             self._become(READY)
 
     def deregister(self, instance: str) -> None:
@@ -151,7 +151,7 @@
         self.cold_unknown = False
         self.cold_until = now + cold_s + COLD_MARGIN_S if cold_s > 0 else 0.0
         if cold_s > 0 and self.cold_start_s - cold_s <= now - self.started_at + MIN_RESTART_S:
-            self.cold.unused()  # it started after the previous process of this program had ended
+            self.cold.unused()  # the backend started after the previous process of this program had ended
 
     def _become(self, state: int) -> None:
         if state != self.state:
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -83,11 +83,11 @@
 # Shares of the request's latency target.
 MAX_BACKLOG_SHARE = 0.3  # wait of a body's first byte for the link
 MAX_SLOT_WAIT_SHARE = 0.5  # wait for a slot once the body is received
-MAX_IN_FLIGHT_S = 0.1  # of the link's time, over all long bodies; bounds the wait of data queued behind them
+MAX_IN_FLIGHT_S = 0.1  # link time that all long bodies may use at once; bounds the wait of data behind them
 MAX_WAITING_FOR_SLOW_START = 64  # requests
 # The wait announced by a gate that shuts down is long, so that its queue is tried after all others.
 SHUTDOWN_RETRY_AFTER_S = 1.0
-DEADLINE_GRACE_S = 0.03  # beyond the deadline, so that the backend's own time-out answer comes first
+DEADLINE_GRACE_S = 0.03  # added to the deadline, so that the backend's own time-out answer comes first
 MIN_REMAINING_S = 0.005  # a request with less time left is not begun
 # An admission holds this long: less than the part of the slow-start window that exceeds a second.
 RECHECK_AFTER_S = 0.1
@@ -133,7 +133,7 @@
         self.deadline = inbound.host.now() + forwarded.remaining_s
         self.waiter: Waiter | None = None
         self.slow_start_timer: Timer | None = None  # set while it waits for a cold backend
-        self.place: Place | None = None  # its body's place in the intake
+        self.place: Place | None = None  # place of the body in the intake
         # Whether the body is received before a slot is taken, and whether the source was told to send it.
         self.receiving = self.is_admitted = False
         self.backend_connection: BackendConnection | None = None
@@ -471,7 +471,7 @@
             head = self.head
             assert head is not None
             if not self._may_reach_client():
-                self._discard_answer(head)  # at once, so that no more of it is held
+                self._discard_answer(head)  # now, so that no more of the body is held
                 return
             self.streaming = True
             self.responder.answer(head.status, b"".join(head.fields), head.length, self.gate.load(), None)
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -59,7 +59,7 @@
         self.packed = b""  # the configuration's text, compressed
         self.ready = False
         self.newest = 0  # the highest revision announced
-        self.fetch_number = 0  # of the fetch under way; 0 without one
+        self.fetch_number = 0  # number of the fetch under way; 0 without one
         self.fetches = 0
         self.fetched_at = 0.0
         self.failed_fetches = 0  # fetches in a row that got no text
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -15,7 +15,7 @@
     from honeywharf.sidecar.source import Source
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-MAX_REJECTING_SHARE = 0.25  # of the time from SIGTERM to the end, in which requests may be rejected
+MAX_REJECTING_SHARE = 0.25  # share of the time from SIGTERM to the end in which requests may be rejected
 RESTART_S = 1.0  # from the end of one process of this program until the next one serves
 MAX_CONNECTIONS = 3000
 
--- a/honeywharf/sidecar/outbound_request.py
+++ b/honeywharf/sidecar/outbound_request.py
@@ -77,8 +77,8 @@
 MAX_QUEUE_WAIT_SHARE = 0.22
 MAX_RETAINED_BODY = 512 * 1024  # bytes of a body retained for a further attempt
 MAX_GATES_TRIED = 6
-MAX_ROUTE_LOOKUPS = 3  # for one request whose gates decide by another rule
-DEFAULT_DEADLINE_S = 10.0  # of a request without a deadline header
+MAX_ROUTE_LOOKUPS = 3  # bounds the lookups of a request whose gates decide by another rule
+DEFAULT_DEADLINE_S = 10.0  # applies to a request without a deadline header
 MAX_QUEUES_TRIED = 3
 RETRY_AFTER_SHARES = (0.08, 0.3)  # range of Retry-After, as shares of the latency target
 ANSWER_MARGIN_S = 0.004  # a final answer sent this long before the deadline arrives in time
@@ -532,7 +532,7 @@
         if drift_monitor is None or self.body_dropped or not (may_reroute or self._may_delegate()):
             return False
         source.attempt_abandoned(self.service, self.gate)
-        self.attempts += 1  # tells `_send_to` that a gate in this process has rejected from within
+        self.attempts += 1  # shows `_send_to` that a gate in this process has rejected from within
         if may_reroute:
             drift_monitor.stale(self, self.gate)
         else:
--- a/honeywharf/sidecar/probe.py
+++ b/honeywharf/sidecar/probe.py
@@ -56,8 +56,8 @@
         self.sent += 1
         _HealthCheck(self)
 
-    def answered(self, answer: Answer | None, asked: float) -> None:
-        """Takes the answer of a check that was sent at `asked`; None where none came."""
+    def answered(self, answer: Answer | None, asked_at: float) -> None:
+        """Takes the answer of a check that was sent at `asked_at`; None where none came."""
         self.is_scheduled = False
         if answer is not None:
             load = answer.load.split(b",")
@@ -68,7 +68,7 @@
                 answer.status == 200,
                 slots,
                 answer.cold_s,
-                asked,
+                asked_at,
             )
         self.delay_s = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, 2 * self.delay_s))
         self.gate_changed()
@@ -79,7 +79,7 @@
     """One health check."""
 
     def __init__(self, probe: Probe) -> None:
-        self.probe, self.asked = probe, probe.host.now()
+        self.probe, self.asked_at = probe, probe.host.now()
         self.answered: Answer | None = None
         self.over = False
         self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
@@ -132,4 +132,4 @@
             self.timer.cancel()
             self.connection.abort()
             answered = self.answered
-            self.probe.host.after(0.0, lambda: self.probe.answered(answered, self.asked))
+            self.probe.host.after(0.0, lambda: self.probe.answered(answered, self.asked_at))
--- a/honeywharf/sidecar/shutdown.py
+++ b/honeywharf/sidecar/shutdown.py
@@ -103,7 +103,7 @@
         if self.started_at is not None:
             return
         self.started_at = self.host.now()
-        self.host.log("leaving")
+        self.host.log("SIGTERM received; shutting down")
         end_at = self.started_at + self.grace_s
         self.inbound.end_at = end_at
         self.outbound.drain(end_at)
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -112,7 +112,7 @@
         self.retry_ratio = settings.bound("retry-budget-ratio", 0.1)
         self.retry_slack = settings.bound("retry-budget-slack", 10.0)
         self.retry_window_s = settings.bound("retry-window", 10.0)
-        self.regions = settings.zones  # by zone
+        self.regions = settings.zones  # region of each zone
         self.links = LinkPool(host, settings.internal_ports[0])
         self.levels: dict[str, Levels] = {}
         self.budgets: dict[str, RetryBudget] = {}
@@ -120,7 +120,7 @@
         self.active_requests: dict[OutboundRequest, None] = {}
         self.count_sidecars: Callable[[], int] = lambda: 1
         self.suspected: set[str] = set()
-        self.saturated_until: dict[str, float] = {}  # by gate: until then it gets no large body
+        self.saturated_until: dict[str, float] = {}  # a gate gets no large body until then
         self.sent = 0
         self.end_at = float("inf")  # the end of this process, which bounds every request's deadline
         # Returns a healthy sidecar that is not among those tried.
