--- a/tests/drift/test_judge.py
+++ b/tests/drift/test_judge.py
@@ -8,7 +8,7 @@
 
 from honeywharf.drift import states
 from honeywharf.drift.judge import ASK, CONFLICT, RUN, STALE, host_of, judge
-from tests.sidecar.stage import SERVICE, route
+from tests.sidecar.fixtures import SERVICE, route
 
 MINE, OTHER = b"m" * 8, b"o" * 8
 
--- a/tests/sidecar/stage.py
+++ b/tests/sidecar/fixtures.py
@@ -1,4 +1,4 @@
-"""What the tests of the sidecar share: a clock by hand, a source with scripted gates, a scripted backend."""
+"""Fixtures of the sidecar tests: a manual clock, a source with fake gates, a scripted backend."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from honeywharf.verdict import Verdict
 
 IP, ZONE, SERVICE = "10.1.0.8", "tartu-saal", "order-desk"
-LIFE = "i-7f3a91c2"
+INSTANCE = "i-7f3a91c2"
 ATTEMPT = b"9c41d07be2a35f68"
 
 
@@ -35,40 +35,40 @@
     return parse(settings_text(ip, ZONE, ["10.1.0.12"], True, SERVICE))
 
 
-# A clock by hand.
+# A manual clock.
 
 
-class Due:
-    """A call that is due at a time of a clock."""
+class ScheduledCall:
+    """A call scheduled on a manual clock."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Do not call."""
+        """Cancels the call."""
         self.call = None
 
 
-class Clock:
-    """The part of a host that rules need: time and timers, moved by hand."""
+class ManualClock:
+    """The part of a host that code without I/O needs: time and timers, moved by the test."""
 
     def __init__(self) -> None:
         self.time, self.serial = 100.0, 0
-        self.heap: list[tuple[float, int, Due]] = []
+        self.heap: list[tuple[float, int, ScheduledCall]] = []
 
     def now(self) -> float:
-        """Seconds."""
+        """Returns the time in seconds."""
         return self.time
 
-    def after(self, seconds: float, call: Callable[[], None]) -> Due:
-        """Call once, when the clock is moved that far."""
-        due = Due(call)
+    def after(self, seconds: float, call: Callable[[], None]) -> ScheduledCall:
+        """Schedules a call."""
+        due = ScheduledCall(call)
         self.serial += 1
         heapq.heappush(self.heap, (self.time + seconds, self.serial, due))
         return due
 
     def move(self, seconds: float) -> None:
-        """Move on and call what is due on the way."""
+        """Moves the time forward and makes the calls that are due."""
         until = self.time + seconds
         while self.heap and self.heap[0][0] <= until:
             when, _, due = heapq.heappop(self.heap)
@@ -79,20 +79,20 @@
         self.time = until
 
     def pending(self) -> int:
-        """Timers that would still call."""
+        """Returns the number of timers that are not cancelled."""
         return sum(due.call is not None for _, _, due in self.heap)
 
 
-# A source whose gates are scripted.
+# A source with fake gates.
 
 
-class Channel:
-    """The way to a scripted gate, and what came over it."""
+class FakeChannel:
+    """Records what an outbound request sends to one gate."""
 
-    def __init__(self, key: str, ask: ForwardedRequest, outbound_request: OutboundRequest) -> None:
-        self.key, self.ask, self.outbound_request = key, ask, outbound_request
+    def __init__(self, key: str, forwarded: ForwardedRequest, outbound_request: OutboundRequest) -> None:
+        self.key, self.forwarded, self.outbound_request = key, forwarded, outbound_request
         self.body = bytearray()
-        self.ends = self.passed = 0
+        self.ends = self.answer_bytes_forwarded = 0
         self.cancelled = False
         self.on_data: Callable[[bytes], None] = lambda data: None
 
@@ -108,8 +108,8 @@
         self.ends += 1
 
     def window(self, size: int) -> None:
-        """Bytes of the answer have gone on."""
-        self.passed += size
+        """Counts the bytes of the answer that were forwarded."""
+        self.answer_bytes_forwarded += size
 
     def cancel(self) -> None:
         """Nobody waits any more."""
@@ -117,34 +117,36 @@
         self.cancelled = True
 
 
-class Scripted(Source):
-    """A source that asks no real gate: each ask is kept, and `script` may answer from within."""
+class FakeSource(Source):
+    """A source that records each attempt instead of sending it; `script` may answer from within."""
 
-    def __init__(self, clock: Clock | Host, seed: int = 1) -> None:
+    def __init__(self, clock: ManualClock | Host, seed: int = 1) -> None:
         host = cast("Host", clock)
         mesh_state = MeshStateReplica(host, cast("Any", None), list, lambda: None)
         super().__init__(host, settings(), mesh_state, cast("Inbound", None), Random(seed).random)
-        self.channels: list[Channel] = []
-        self.took_spends: list[bool] = []
-        self.may_spend = True
-        self.script: Callable[[Channel], bool] = lambda channel: True
+        self.channels: list[FakeChannel] = []
+        self.retry_decisions: list[bool] = []
+        self.allow_retries = True
+        self.script: Callable[[FakeChannel], bool] = lambda channel: True
         self.links.link_to = None  # type: ignore[assignment,method-assign]
 
     def list_gates(self, *keys: str, zone: str = ZONE) -> None:
-        """Make gates known."""
+        """Makes gates known."""
         for key in keys:
             self.update_backend(key, {"s": SERVICE, "b": f"i-{key}", "st": 1, "sl": 8}, zone)
 
-    def open(self, key: str, ask: ForwardedRequest, outbound_request: OutboundRequest) -> Channel | None:
-        """Keep the ask; None where the script says that the link has no room."""
-        channel = Channel(key, ask, outbound_request)
+    def open(
+        self, key: str, forwarded: ForwardedRequest, outbound_request: OutboundRequest
+    ) -> FakeChannel | None:
+        """Records an attempt; None where the script says that the link has no room."""
+        channel = FakeChannel(key, forwarded, outbound_request)
         self.channels.append(channel)
         return channel if self.script(channel) else None
 
     def spend_retry(self, service: str) -> bool:
-        """As the test says."""
-        self.took_spends.append(self.may_spend)
-        return self.may_spend
+        """Allows a retry if the test does."""
+        self.retry_decisions.append(self.allow_retries)
+        return self.allow_retries
 
 
 TABLE = json.dumps(
@@ -177,8 +179,8 @@
 ).encode()
 
 
-class Caller:
-    """A client's connection to the outbound address; what came back, read as it came."""
+class HttpClient:
+    """A client's connection to the outbound address; records the bytes received."""
 
     def __init__(self, host: Process, to: Address) -> None:
         self.host = host
@@ -189,11 +191,11 @@
         self.connection = host.connect(to, lambda connection: self)
 
     def send(self, data: bytes) -> None:
-        """Send bytes of whatever kind."""
+        """Sends bytes."""
         self.connection.send(data)
 
     def answers(self) -> list[tuple[int, bytes, bytes]]:
-        """Status, head and body of all whole answers; what is left over must be nothing."""
+        """Returns status, head and body of all answers; fails where an answer is incomplete."""
         made, rest = [], self.data
         while rest:
             top, end, rest = rest.partition(b"\r\n\r\n")
@@ -213,31 +215,31 @@
         return made
 
     def statuses(self) -> list[int]:
-        """Statuses of all answers."""
+        """Returns the statuses of all answers."""
         return [status for status, _, _ in self.answers()]
 
     def opened(self) -> None:
         """It is up."""
 
     def received(self, data: bytes) -> None:
-        """Bytes of answers."""
+        """Records bytes of answers."""
         self.data += data
 
     def ended(self) -> None:
-        """The sidecar sends nothing more."""
+        """Closes the connection: the sidecar has closed its sending half."""
         self.half = True
         self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing."""
 
     def closed(self, why: str) -> None:
         """It is gone."""
         self.gone, self.closed_at = why, self.host.world.now
 
 
-class Front:
-    """One machine with an outbound address over scripted gates, and clients on it."""
+class OutboundSetup:
+    """One machine with an outbound address over fake gates, and clients on it."""
 
     def __init__(self, seed: int = 1) -> None:
         self.world = World(seed)
@@ -250,7 +252,7 @@
         self.run(0.1)
 
     def _sidecar(self, host: Process) -> Outbound:
-        source = Scripted(host)
+        source = FakeSource(host)
         source.mesh_state.table = RoutingTable(TABLE)
         source.mesh_state.ready = True
         source.list_gates("10.1.0.20", "10.1.0.21")
@@ -258,34 +260,34 @@
 
     @property
     def outbound(self) -> Outbound:
-        """What is tested."""
+        """The object under test."""
         return cast("Outbound", self.sidecar.program)
 
     @property
-    def source(self) -> Scripted:
+    def source(self) -> FakeSource:
         """Its source."""
-        return cast("Scripted", self.outbound.source)
+        return cast("FakeSource", self.outbound.source)
 
     @property
-    def channels(self) -> list[Channel]:
-        """What the gates were asked."""
+    def channels(self) -> list[FakeChannel]:
+        """The attempts made so far."""
         return self.source.channels
 
-    def call(self, data: bytes = b"", seconds: float = 0.01) -> Caller:
-        """Connect and send."""
-        caller = Caller(self.client, (IP, OUTBOUND))
+    def call(self, data: bytes = b"", seconds: float = 0.01) -> HttpClient:
+        """Connects a client and sends bytes."""
+        caller = HttpClient(self.client, (IP, OUTBOUND))
         caller.send(data)
         self.run(seconds)
         return caller
 
     def run(self, seconds: float = 0.01) -> None:
-        """Let time pass; a fault of a program fails the test."""
+        """Lets time pass; an exception in a program fails the test."""
         self.world.run(self.world.now + seconds)
         assert not self.world.crashes, self.world.crashes[0][2]
 
 
-class Client:
-    """Where a course's answer goes: kept. `ends` counts what ends a request."""
+class RecordingClient:
+    """Records the answer of an outbound request. `ends` counts the calls that end it."""
 
     def __init__(self) -> None:
         self.events: list[tuple[object, ...]] = []
@@ -324,21 +326,21 @@
         self.ends += 1
 
     def body_forwarded(self, outbound_request: OutboundRequest) -> None:
-        """More may be read."""
+        """Counts the calls."""
         self.taken_times += 1
 
 
-def route(kind: str = "read_only", attempts: int = 2, aim_s: float = 0.5, timeout_s: float = 3.0) -> Route:
-    """One route to the service."""
+def route(kind: str = "read_only", attempts: int = 2, target_s: float = 0.5, timeout_s: float = 3.0) -> Route:
+    """Returns a route to the service."""
     made = Route()
     made.name, made.host, made.prefix, made.kind = "r-1", b"shop.example", b"/orders/", kind
-    made.timeout_s, made.latency_target_s, made.priority, made.max_attempts = timeout_s, aim_s, 1, attempts
+    made.timeout_s, made.latency_target_s, made.priority, made.max_attempts = timeout_s, target_s, 1, attempts
     made.split, made.allowed_regions = ((SERVICE, 1.0),), ()
     return made
 
 
 def head(length: int = 0) -> Head:
-    """The head of one request."""
+    """Returns the head of a request."""
     made = Head()
     made.method, made.target, made.host = b"POST" if length else b"GET", b"/orders/2f", b"shop.example"
     made.attempt, made.length = ATTEMPT, length
@@ -346,24 +348,24 @@
     return made
 
 
-def ask(
+def forwarded_request(
     kind: int = 0,
     length: int = 0,
     remaining_s: float = 1.0,
-    patience_s: float = 0.0,
+    queue_wait_s: float = 0.0,
     method: bytes = b"",
     attempt: bytes = ATTEMPT,
     service: str = SERVICE,
     priority: int = 1,
 ) -> ForwardedRequest:
-    """What a source asks."""
+    """Returns a request as a source forwards it."""
     fields = b"Host: shop.example\r\nX-Honeywharf-Attempt-Id: %b\r\n" % attempt
     return ForwardedRequest(
         service=service,
         attempt_id=attempt,
         kind=kind,
         remaining_s=remaining_s,
-        max_queue_wait_s=patience_s,
+        max_queue_wait_s=queue_wait_s,
         priority=priority,
         latency_target_s=0.5,
         caller="tile-vault",
@@ -375,11 +377,11 @@
     )
 
 
-# A backend by script, on a simulated machine.
+# A scripted backend on a simulated machine.
 
 
-class Request:
-    """One whole request as a backend read it."""
+class ReceivedRequest:
+    """A request as the scripted backend read it."""
 
     def __init__(self, line: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
         self.line, self.headers, self.body = line, headers, body
@@ -390,21 +392,21 @@
         return self.headers[b"x-honeywharf-attempt-id"]
 
 
-class Visit:
-    """One connection at the scripted backend. Its reader is not the one under test."""
+class ScriptedConnection:
+    """A connection at the scripted backend, with a reader independent of the one under test."""
 
-    def __init__(self, backend: Backend, connection: Connection) -> None:
+    def __init__(self, backend: ScriptedBackend, connection: Connection) -> None:
         self.backend, self.connection = backend, connection
         self.raw = b""
         self.bytes = 0
-        self.requests: list[Request] = []
+        self.requests: list[ReceivedRequest] = []
         self.gone: str | None = None
 
     def opened(self) -> None:
         """Not called."""
 
     def received(self, data: bytes) -> None:
-        """Bytes of requests."""
+        """Reads bytes of requests."""
         self.bytes += len(data)
         if self.backend.read is not None:
             self.backend.read(self, data)
@@ -415,7 +417,7 @@
             self.backend.requests.append(request)
             self.backend.serve(self, request)
 
-    def _cut(self) -> Request | None:
+    def _cut(self) -> ReceivedRequest | None:
         top, end, rest = self.raw.partition(b"\r\n\r\n")
         if not end:
             return None
@@ -436,7 +438,7 @@
             if len(rest) < size:
                 return None
             body, self.raw = rest[:size], rest[size:]
-        return Request(line, headers, body)
+        return ReceivedRequest(line, headers, body)
 
     @staticmethod
     def _chunks(rest: bytes) -> tuple[bytes, bytes] | None:
@@ -452,15 +454,15 @@
                 return body, rest
 
     def send(self, data: bytes) -> None:
-        """Send bytes of whatever kind."""
+        """Sends bytes."""
         self.connection.send(data)
 
     def ended(self) -> None:
-        """The sidecar sends nothing more."""
+        """Closes the connection: the sidecar has closed its sending half."""
         self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing."""
 
     def closed(self, why: str) -> None:
         """It is gone."""
@@ -475,7 +477,7 @@
     more: bytes = b"",
     chunked: bool = False,
 ) -> bytes:
-    """A backend's answer."""
+    """Returns a backend's answer."""
     sealed = b"X-Honeywharf-Server-Seal: 3e1b.07\r\n" if seal else b""
     top = b"HTTP/1.1 %d OK\r\nX-Honeywharf-Attempt-Id: %b\r\n%b%b" % (status, attempt, sealed, more)
     if chunked:
@@ -485,34 +487,36 @@
     return top + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Backend:
-    """Listens at the application's address; `serve` is the test's."""
+class ScriptedBackend:
+    """Listens at the application's address; the test sets `serve`."""
 
     def __init__(self, host: Process) -> None:
         self.host = host
-        self.visits: list[Visit] = []
-        self.requests: list[Request] = []
-        self.serve: Callable[[Visit, Request], None] = self.usual
-        self.read: Callable[[Visit, bytes], None] | None = None  # takes bytes before they make a request
+        self.accepted: list[ScriptedConnection] = []
+        self.requests: list[ReceivedRequest] = []
+        self.serve: Callable[[ScriptedConnection, ReceivedRequest], None] = self.usual
+        self.read: Callable[[ScriptedConnection, bytes], None] | None = (
+            None  # takes the bytes instead of the reader
+        )
         host.listen((host.machine.ip, APPLICATION), self._accept)
 
     def _accept(self, connection: Connection) -> Handler:
-        visit = Visit(self, connection)
-        self.visits.append(visit)
-        return visit
+        scripted = ScriptedConnection(self, connection)
+        self.accepted.append(scripted)
+        return scripted
 
-    def usual(self, visit: Visit, request: Request) -> None:
-        """Answer with success."""
-        visit.send(answer(request.attempt))
+    def usual(self, scripted: ScriptedConnection, request: ReceivedRequest) -> None:
+        """Answers with success."""
+        scripted.send(answer(request.attempt))
 
     @property
     def open(self) -> int:
-        """Connections that are up."""
-        return sum(visit.gone is None for visit in self.visits)
+        """The number of open connections."""
+        return sum(scripted.gone is None for scripted in self.accepted)
 
 
-class Answers:
-    """Where a job's outcome goes: kept."""
+class RecordingResponder:
+    """Records the outcome of an inbound request."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
@@ -559,8 +563,8 @@
         self.ends += 1
 
 
-class Stage:
-    """One machine with a gate, its inbound jobs, and a scripted backend; a strict simulated world."""
+class InboundSetup:
+    """One machine with a gate, its inbound requests and a scripted backend, in a strict simulation."""
 
     def __init__(self, seed: int = 1, slots: int = 4, connections: int = 20) -> None:
         self.world = World(seed)
@@ -568,23 +572,23 @@
         self.network = Network(self.world)
         self.machine = Machine(self.network, IP, ZONE)
         self.sidecar = Process(self.machine, "sidecar", self._sidecar)
-        self.app = Process(self.machine, "app", Backend)
+        self.app = Process(self.machine, "app", ScriptedBackend)
         self.slots, self.connections = slots, connections
         self.sidecar.start()
         self.app.start()
-        self.run(2.0)  # what a fresh gate takes as used up is over
+        self.run(2.0)  # the slow-start window that a new gate takes as used up is over
 
     def _sidecar(self, host: Process) -> Inbound:
         gate = Gate(host.now(), SERVICE, 1.5, 5.0)
         gate.set_slow_start(22.0)
         pool = BackendConnectionPool(host, (IP, APPLICATION), lambda: None)
         pool.most = self.connections
-        gate.heartbeat(host.now(), LIFE, 1, False, self.slots, 0.0)
+        gate.heartbeat(host.now(), INSTANCE, 1, False, self.slots, 0.0)
         return Inbound(host, gate, pool)
 
     @property
     def inbound(self) -> Inbound:
-        """The jobs."""
+        """The inbound side under test."""
         return cast("Inbound", self.sidecar.program)
 
     @property
@@ -593,18 +597,18 @@
         return self.inbound.gate
 
     @property
-    def backend(self) -> Backend:
+    def backend(self) -> ScriptedBackend:
         """The scripted backend."""
-        return cast("Backend", self.app.program)
+        return cast("ScriptedBackend", self.app.program)
 
     def begin(
-        self, request: ForwardedRequest, answers: Answers | None = None
-    ) -> tuple[InboundRequest, Answers]:
-        """Begin one job."""
-        kept = answers or Answers()
+        self, request: ForwardedRequest, answers: RecordingResponder | None = None
+    ) -> tuple[InboundRequest, RecordingResponder]:
+        """Begins one inbound request."""
+        kept = answers or RecordingResponder()
         return self.inbound.begin(request, kept), kept
 
     def run(self, seconds: float = 0.2) -> None:
-        """Let time pass; a fault of a program fails the test."""
+        """Lets time pass; an exception in a program fails the test."""
         self.world.run(self.world.now + seconds)
         assert not self.world.crashes, self.world.crashes[0][2]
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -41,7 +41,16 @@
 from honeywharf.transport.rpc_client import RpcClient as RpcCaller
 from honeywharf.transport.rpc_server import RpcServer
 from honeywharf.transport.stream import MAX_FRAME
-from tests.sidecar.stage import SERVICE, TABLE, ZONE, Backend, Request, Visit, answer, settings
+from tests.sidecar.fixtures import (
+    SERVICE,
+    TABLE,
+    ZONE,
+    ReceivedRequest,
+    ScriptedBackend,
+    ScriptedConnection,
+    answer,
+    settings,
+)
 from tests.simulation.mutants import wrong
 
 SOURCE, DESTINATION = "10.1.0.8", "10.1.0.20"
@@ -119,7 +128,7 @@
 )
 
 
-class OrderBackend(Backend):
+class OrderBackend(ScriptedBackend):
     """A backend that runs whatever comes whole, and answers in the manner of the schedule once."""
 
     def __init__(self, host: Process, pair: Pair) -> None:
@@ -128,37 +137,37 @@
         self.serve = self._take
         pair.tell_gate(host.machine.ip, self.life)
 
-    def _take(self, visit: Visit, request: Request) -> None:
+    def _take(self, scripted: ScriptedConnection, request: ReceivedRequest) -> None:
         manner, self.pair.manner = self.pair.manner, "well"
         attempt = request.attempt
         if manner == "turned away":
-            visit.send(answer(attempt, b"full", 503, False, b"X-Honeywharf-Not-Executed: 1\r\n"))
+            scripted.send(answer(attempt, b"full", 503, False, b"X-Honeywharf-Not-Executed: 1\r\n"))
             return
         self.pair.runs.append(attempt.decode())
-        self.host.after(WORK_S, lambda: self._answer(visit, attempt, manner))
+        self.host.after(WORK_S, lambda: self._answer(scripted, attempt, manner))
 
-    def _answer(self, visit: Visit, attempt: bytes, manner: str) -> None:
-        if visit.gone is not None:
+    def _answer(self, scripted: ScriptedConnection, attempt: bytes, manner: str) -> None:
+        if scripted.gone is not None:
             return
         whole = answer(attempt, b"done " + attempt)
         if manner == "failed":
-            visit.send(answer(attempt, b"error", 500))
+            scripted.send(answer(attempt, b"error", 500))
         elif manner == "cut":
-            visit.connection.abort()
+            scripted.connection.abort()
         elif manner == "half":
-            visit.send(whole[:-3])
-            visit.connection.close()
+            scripted.send(whole[:-3])
+            scripted.connection.close()
         elif manner == "twice":
-            visit.send(whole + whole)
+            scripted.send(whole + whole)
         elif manner == "twice late":
-            visit.send(whole)
-            self.host.after(0.01, lambda: visit.send(whole))
+            scripted.send(whole)
+            self.host.after(0.01, lambda: scripted.send(whole))
         elif manner == "another's":
-            visit.send(answer(b"nobody", b"done nobody") + whole)
+            scripted.send(answer(b"nobody", b"done nobody") + whole)
         elif manner == "garbled":
-            visit.send(b"\x00\x01garbled " + whole)
+            scripted.send(b"\x00\x01garbled " + whole)
         elif manner == "well":
-            visit.send(whole)
+            scripted.send(whole)
 
 
 class Proxy:
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -1,4 +1,4 @@
-"""Proxies with one guard left out, each found out by some schedule of `order_model`."""
+"""Sidecars with one guard left out, each detected by some schedule of `order_model`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def lost_link_proves(put: Put) -> None:
-    """What was sent on a link that is lost counts as not run."""
+    """Requests sent on a link that is lost count as not run."""
 
     def lose(self: Link) -> None:
         self.is_up = False
@@ -41,7 +41,7 @@
 
 
 def broken_connection_proves(put: Put) -> None:
-    """What was written to a backend whose connection ends counts as not run."""
+    """Requests written to a backend whose connection ends count as not run."""
 
     def broken(self: InboundRequest, why: str, sent: bool, heard: bool) -> None:
         was(self, why, False, heard)
@@ -51,7 +51,7 @@
 
 
 def own_timeout_proves(put: Put) -> None:
-    """What no gate has answered in time counts as not run."""
+    """Requests that no gate has answered in time count as not run."""
 
     def late(self: OutboundRequest) -> None:
         self.is_admitted, self.ran = False, False
@@ -63,7 +63,7 @@
 
 
 def end_proves(put: Put) -> None:
-    """What is under way when the process ends counts as not run."""
+    """Requests under way when the process ends count as not run."""
 
     def finish(self: OutboundRequest, retry_after_s: float) -> None:
         self.is_admitted, self.ran = False, False
@@ -75,7 +75,7 @@
 
 
 def leaving_gate_proves(put: Put) -> None:
-    """A job at work when its process ends is refused."""
+    """An inbound request that runs when its process ends is reported as rejected."""
 
     def finish(self: InboundRequest) -> None:
         self.head_written = False
@@ -86,7 +86,7 @@
 
 
 def failure_is_refusal(put: Put) -> None:
-    """A gate's word that a request may have run is read as a refusal."""
+    """A gate's failure of a request that may have run is read as a rejection."""
 
     def failed(self: OutboundRequest, verdict: Verdict) -> None:
         if verdict.ran == MAY_HAVE_RUN and not self.answering:
@@ -98,7 +98,7 @@
 
 
 def echo_not_checked(put: Put) -> None:
-    """A backend's answer is taken for whatever request is out on its connection."""
+    """A backend's answer is taken for the connection's request without a check of the attempt id."""
 
     def answer(self: BackendConnection, answer: Any) -> None:
         if self.user is not None:
@@ -110,7 +110,7 @@
 
 
 def answers_as_they_come(put: Put) -> None:
-    """Answers on a client's connection are written in the order in which they come."""
+    """Answers on a client's connection are written in the order in which they arrive."""
 
     def write(self: ClientConnection) -> None:
         self.exchanges.sort(key=lambda exchange: not exchange.done)
@@ -121,7 +121,7 @@
 
 
 def stream_number_again(put: Put) -> None:
-    """The number of a stream that was given up is used for the next one, and the destination lets it."""
+    """The number of a cancelled stream is reused, and the destination accepts it."""
 
     def cancel(self: ClientStream) -> None:
         link = self.link
@@ -139,12 +139,12 @@
 
 
 def closes_on_pipelined(put: Put) -> None:
-    """A process that leaves closes a connection behind an answer though more is at work on it."""
+    """A process that shuts down closes a connection after any answer, with requests still under way."""
     put(ClientConnection, "_is_last_answer", lambda self, exchange: self.outbound.draining)
 
 
 class Mutant(NamedTuple):
-    """One guard left out; `scene` and `manner`: where single faults show it."""
+    """One guard left out; single faults in `scene` with `manner` show it."""
 
     name: str
     make: Callable[[Put], None]
@@ -170,7 +170,7 @@
 
 
 def caught(mutant: Mutant) -> tuple[int, str]:
-    """After how many schedules of its scene it was found out, and by what; 0 and "" where by none."""
+    """Returns after how many schedules it was detected, and by which rule; 0 and "" if not."""
     scene = next(scene for scene in SCENES if scene.name == mutant.scene)
     with watched(), wrong(mutant.make):
         for count, faults in enumerate(singles(scene, mutant.manner), 1):
--- a/tests/sidecar/test_delegation.py
+++ b/tests/sidecar/test_delegation.py
@@ -1,4 +1,4 @@
-"""Requests handed on by a sidecar in doubt, at both ends: whole, once, never with a second chance to run."""
+"""Delegated requests at both ends: sent whole, delegated once, never run twice."""
 
 from __future__ import annotations
 
@@ -22,18 +22,27 @@
     TIMED_OUT,
     Verdict,
 )
-from tests.sidecar.stage import ATTEMPT, SERVICE, TABLE, Channel, Client, Clock, Scripted, head
+from tests.sidecar.fixtures import (
+    ATTEMPT,
+    SERVICE,
+    TABLE,
+    FakeChannel,
+    FakeSource,
+    ManualClock,
+    RecordingClient,
+    head,
+)
 
-DOUBTS = Verdict(NOT_RUN, DRIFT, False, 0.05)
+DRIFT_REJECTION = Verdict(NOT_RUN, DRIFT, False, 0.05)
 
 
-class Doubting:
-    """A sidecar in doubt with two helpers, and one request of its client."""
+class DelegatingSetup:
+    """A sidecar that suspects its rules, with two delegates and one request of its client."""
 
-    def __init__(self, length: int = 0, helpers: tuple[str, ...] = ("10.1.0.30", "10.1.0.31")) -> None:
-        self.clock, self.client = Clock(), Client()
-        self.source = Scripted(self.clock)
-        self.source.pick_delegate = lambda passed: next((key for key in helpers if key not in passed), None)
+    def __init__(self, length: int = 0, delegates: tuple[str, ...] = ("10.1.0.30", "10.1.0.31")) -> None:
+        self.clock, self.client = ManualClock(), RecordingClient()
+        self.source = FakeSource(self.clock)
+        self.source.pick_delegate = lambda tried: next((key for key in delegates if key not in tried), None)
         self.request = OutboundRequest(
             self.source, self.client, head(length), DELEGATED_ROUTE, self.clock.now() + 2.0
         )
@@ -41,63 +50,68 @@
         self.request.start()
 
     @property
-    def last(self) -> Channel:
+    def last(self) -> FakeChannel:
         return self.source.channels[-1]
 
 
-def test_what_is_handed_on_says_whose_it_is_and_decides_nothing() -> None:
-    play = Doubting(length=5)
-    ask = play.last.ask
-    assert (play.last.key, ask.kind, ask.service, ask.rule) == ("10.1.0.30", DELEGATED, "", b"")
-    assert (ask.attempt_id, ask.caller, ask.length) == (ATTEMPT, SERVICE, 5)
-    assert ask.fields == b"".join(head(5).fields)
-    assert ask.remaining_s < 2.0
-    again = ForwardedRequest.unpack([0, 1, *_frame(ask)])
-    assert (again.kind, again.caller, again.fields) == (DELEGATED, SERVICE, ask.fields)
-    play.request.data(b"hello")
-    play.request.end()
-    assert bytes(play.last.body) == b""
-    play.request.gate_admitted()
-    assert (bytes(play.last.body), play.last.ends) == (b"hello", 1)
-    play.request.answered(201, b"", 2, b"ok")
-    assert play.client.events == [("answer", 201)]
-    assert play.source.delegated == 1
-
-
-def _frame(ask: ForwardedRequest) -> list[Any]:
+def test_a_delegated_request_names_its_caller_and_carries_no_rule() -> None:
+    setup = DelegatingSetup(length=5)
+    forwarded = setup.last.forwarded
+    assert (setup.last.key, forwarded.kind, forwarded.service, forwarded.rule) == (
+        "10.1.0.30",
+        DELEGATED,
+        "",
+        b"",
+    )
+    assert (forwarded.attempt_id, forwarded.caller, forwarded.length) == (ATTEMPT, SERVICE, 5)
+    assert forwarded.fields == b"".join(head(5).fields)
+    assert forwarded.remaining_s < 2.0
+    again = ForwardedRequest.unpack([0, 1, *_frame(forwarded)])
+    assert (again.kind, again.caller, again.fields) == (DELEGATED, SERVICE, forwarded.fields)
+    setup.request.data(b"hello")
+    setup.request.end()
+    assert bytes(setup.last.body) == b""
+    setup.request.gate_admitted()
+    assert (bytes(setup.last.body), setup.last.ends) == (b"hello", 1)
+    setup.request.answered(201, b"", 2, b"ok")
+    assert setup.client.events == [("answer", 201)]
+    assert setup.source.delegated == 1
+
+
+def _frame(forwarded: ForwardedRequest) -> list[Any]:
     return [
-        ask.service,
-        ask.attempt_id,
-        ask.kind,
-        int(ask.remaining_s * 1000),
+        forwarded.service,
+        forwarded.attempt_id,
+        forwarded.kind,
+        int(forwarded.remaining_s * 1000),
         0,
-        ask.priority,
+        forwarded.priority,
         0,
-        ask.caller,
-        ask.method,
-        ask.target,
-        ask.fields,
-        ask.length,
-        ask.revision,
-        ask.rule,
+        forwarded.caller,
+        forwarded.method,
+        forwarded.target,
+        forwarded.fields,
+        forwarded.length,
+        forwarded.revision,
+        forwarded.rule,
     ]
 
 
-def test_who_doubts_too_or_is_not_there_is_followed_by_one_more() -> None:
+def test_one_more_delegate_is_tried_where_the_first_rejects_or_is_lost() -> None:
     for first in (
-        DOUBTS,
+        DRIFT_REJECTION,
         Verdict(NOT_RUN, DRIFT),
         Verdict(NOT_RUN, SHUTTING_DOWN),
         Verdict(NOT_RUN, LINK_LOST),
     ):
-        play = Doubting()
-        play.request.failed(first)
-        assert play.last.key == "10.1.0.31"
-        play.request.failed(DOUBTS)
-        assert len(play.source.channels) == MAX_DELEGATES
-        assert play.client.events[0][:2] == ("final", 503)
-        assert float(str(play.client.events[0][2])) > 0
-        assert play.client.ends == 1
+        setup = DelegatingSetup()
+        setup.request.failed(first)
+        assert setup.last.key == "10.1.0.31"
+        setup.request.failed(DRIFT_REJECTION)
+        assert len(setup.source.channels) == MAX_DELEGATES
+        assert setup.client.events[0][:2] == ("final", 503)
+        assert float(str(setup.client.events[0][2])) > 0
+        assert setup.client.ends == 1
 
 
 @pytest.mark.parametrize(
@@ -110,20 +124,20 @@
     ],
 )
 def test_a_helpers_last_word_is_the_last_word(verdict: Verdict, wanted: tuple[object, ...]) -> None:
-    play = Doubting()
-    play.request.failed(verdict)
-    assert play.client.events == [wanted]
-    assert len(play.source.channels) == 1
+    setup = DelegatingSetup()
+    setup.request.failed(verdict)
+    assert setup.client.events == [wanted]
+    assert len(setup.source.channels) == 1
 
 
-def test_without_a_helper_it_is_refused_with_a_time_to_return() -> None:
-    play = Doubting(helpers=())
-    assert play.client.events[0][:2] == ("final", 503)
-    assert play.source.delegated == 0
+def test_without_a_delegate_the_answer_is_503_with_retry_after() -> None:
+    setup = DelegatingSetup(delegates=())
+    assert setup.client.events[0][:2] == ("final", 503)
+    assert setup.source.delegated == 0
 
 
 class DriftMonitor:
-    """The part that courses call."""
+    """The part of the drift monitor that outbound requests call."""
 
     def __init__(self) -> None:
         self.accused: dict[str, object] = {}
@@ -142,13 +156,13 @@
         return route, self.retry_after_s
 
 
-def judged(caller: str | None = None, arrived: bool = False) -> Any:
-    """A course whose gates all hold another rule, to its end."""
-    clock, client = Clock(), Client()
-    source: Any = Scripted(clock)
+def request_rejected_for_drift(caller: str | None = None, reached_backend: bool = False) -> Any:
+    """Runs a request whose gates all hold another rule, and returns its source."""
+    clock, client = ManualClock(), RecordingClient()
+    source: Any = FakeSource(clock)
     source.mesh_state.table, source.drift_monitor = RoutingTable(TABLE), DriftMonitor()
     source.list_gates("10.1.0.20", "10.1.0.21")
-    source.pick_delegate = lambda passed: None if "10.1.0.30" in passed else "10.1.0.30"
+    source.pick_delegate = lambda tried: None if "10.1.0.30" in tried else "10.1.0.30"
     made = head(0)
     made.target = b"/mutating/1"
     request = OutboundRequest(
@@ -156,7 +170,7 @@
     )
     source.active_requests[request] = None
     request.start()
-    if arrived:
+    if reached_backend:
         request.failed(Verdict(NOT_RUN, FULL, True))
     for _ in range(4):
         if not request.is_over and request.route is not DELEGATED_ROUTE:
@@ -164,51 +178,51 @@
     return source
 
 
-def test_where_every_gate_holds_another_rule_another_sidecar_decides() -> None:
-    source = judged()
+def test_a_request_is_delegated_where_every_gate_holds_another_rule() -> None:
+    source = request_rejected_for_drift()
     assert source.delegated == 1
     assert source.channels[-1].key == "10.1.0.30"
-    assert source.channels[-1].ask.kind == DELEGATED
+    assert source.channels[-1].forwarded.kind == DELEGATED
 
 
-def test_nothing_is_handed_on_twice_nor_once_a_backend_has_seen_it() -> None:
-    assert judged(caller="tile-vault").delegated == 0
-    assert judged(arrived=True).delegated == 0
+def test_no_request_is_delegated_twice_or_after_it_has_reached_a_backend() -> None:
+    assert request_rejected_for_drift(caller="tile-vault").delegated == 0
+    assert request_rejected_for_drift(reached_backend=True).delegated == 0
 
 
-class Answers:
-    """The stream back to the sidecar in doubt."""
+class RecordingResponder:
+    """Records what is sent back to the delegating sidecar."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[object, ...]] = []
-        self.granted = 0
+        self.events: list[tuple[object, ...]] = []
+        self.requested_bytes = 0
 
     def admit(self) -> None:
-        self.told.append(("go",))
-        self.granted += INITIAL_WINDOW
+        self.events.append(("go",))
+        self.requested_bytes += INITIAL_WINDOW
 
     def window(self, size: int) -> None:
-        self.granted += size
+        self.requested_bytes += size
 
     def answer(self, status: int, fields: bytes, length: int, load: object, body: bytes | None) -> None:
-        self.told.append(("answer", status, body))
+        self.events.append(("answer", status, body))
 
     def data(self, data: bytes) -> None:
-        self.told.append(("data", data))
+        self.events.append(("data", data))
 
     def complete(self) -> None:
-        self.told.append(("whole",))
+        self.events.append(("whole",))
 
     def fail(self, verdict: Verdict, load: object) -> None:
-        self.told.append(("fail", verdict.ran, verdict.why, verdict.retry_after_s))
+        self.events.append(("fail", verdict.ran, verdict.why, verdict.retry_after_s))
 
 
-class Helping:
-    """A sidecar that is well, and one request that was handed on to it."""
+class DelegateSetup:
+    """A healthy sidecar, and one request delegated to it."""
 
     def __init__(self, length: int = 0, target: bytes = b"/mutating/1", revision: int = 7) -> None:
-        self.clock = Clock()
-        source: Any = Scripted(self.clock)
+        self.clock = ManualClock()
+        source: Any = FakeSource(self.clock)
         self.source = source
         self.source.mesh_state.table, self.source.mesh_state.ready, self.source.mesh_state.revision = (
             RoutingTable(TABLE),
@@ -216,11 +230,11 @@
             7,
         )
         source.inbound = SimpleNamespace(shutting_down=False)
-        self.source.pick_delegate = lambda passed: "10.1.0.30"
+        self.source.pick_delegate = lambda tried: "10.1.0.30"
         self.source.list_gates("10.1.0.20")
-        self.answers: Any = Answers()
+        self.responder: Any = RecordingResponder()
         made = head(length)
-        self.ask = ForwardedRequest(
+        self.forwarded = ForwardedRequest(
             service="",
             attempt_id=ATTEMPT,
             kind=DELEGATED,
@@ -236,29 +250,34 @@
             revision=revision,
         )
 
-    def take(self) -> Any:
-        return delegation.begin_delegated(self.source, self.ask, b"shop.example", self.answers)
+    def begin(self) -> Any:
+        return delegation.begin_delegated(self.source, self.forwarded, b"shop.example", self.responder)
 
 
-def test_it_is_decided_by_the_helpers_rules_in_the_callers_name() -> None:
-    play = Helping(length=3)
-    work = play.take()
-    ask = play.source.channels[-1].ask
-    assert (ask.kind, ask.service, ask.caller, ask.attempt_id) == (1, SERVICE, "tile-vault", ATTEMPT)
-    assert ask.fields == play.ask.fields
-    assert ask.remaining_s <= 1.5
+def test_a_delegated_request_is_decided_by_the_delegates_rules_for_its_caller() -> None:
+    setup = DelegateSetup(length=3)
+    work = setup.begin()
+    forwarded = setup.source.channels[-1].forwarded
+    assert (forwarded.kind, forwarded.service, forwarded.caller, forwarded.attempt_id) == (
+        1,
+        SERVICE,
+        "tile-vault",
+        ATTEMPT,
+    )
+    assert forwarded.fields == setup.forwarded.fields
+    assert forwarded.remaining_s <= 1.5
     work.data(b"abc")
     work.end()
-    request = next(iter(play.source.active_requests))
+    request = next(iter(setup.source.active_requests))
     request.gate_admitted()
-    assert bytes(play.source.channels[-1].body) == b"abc"
+    assert bytes(setup.source.channels[-1].body) == b"abc"
     request.answered(200, b"", 2, b"ok")
-    assert play.answers.told == [("go",), ("answer", 200, b"ok")]
-    assert (play.source.accepted_delegations, play.source.active_requests) == ({}, {})
+    assert setup.responder.events == [("go",), ("answer", 200, b"ok")]
+    assert (setup.source.accepted_delegations, setup.source.active_requests) == ({}, {})
 
 
 @pytest.mark.parametrize(
-    ("status", "told"),
+    ("status", "events"),
     [
         (503, ("fail", NOT_RUN, FULL, 0.3)),
         (504, ("fail", MAY_HAVE_RUN, TIMED_OUT, 0.0)),
@@ -266,48 +285,48 @@
         (404, ("answer", 404, b"words")),
     ],
 )
-def test_what_the_mesh_says_itself_goes_back_as_what_it_proves(status: int, told: tuple[object, ...]) -> None:
-    play = Helping()
-    play.take()
-    passing = next(iter(play.source.accepted_delegations))
-    passing.final(passing.request, status, 0.3 if status == 503 else 0.0, b"words")
-    assert play.answers.told == [told]
-    assert play.source.accepted_delegations == {}
-
-
-def test_who_can_not_help_says_so_at_once() -> None:
-    older = Helping(revision=8)
-    assert older.take() is None
-    assert older.answers.told == [("fail", NOT_RUN, DRIFT, delegation.REJECTION_RETRY_AFTER_S)]
-    leaving = Helping()
+def test_a_local_answer_is_passed_back_with_its_verdict(status: int, events: tuple[object, ...]) -> None:
+    setup = DelegateSetup()
+    setup.begin()
+    delegated_request = next(iter(setup.source.accepted_delegations))
+    delegated_request.final(delegated_request.request, status, 0.3 if status == 503 else 0.0, b"words")
+    assert setup.responder.events == [events]
+    assert setup.source.accepted_delegations == {}
+
+
+def test_a_delegate_that_can_not_decide_rejects_at_once() -> None:
+    older = DelegateSetup(revision=8)
+    assert older.begin() is None
+    assert older.responder.events == [("fail", NOT_RUN, DRIFT, delegation.REJECTION_RETRY_AFTER_S)]
+    leaving = DelegateSetup()
     leaving.source.inbound.shutting_down = True
-    assert leaving.take() is None
-    assert leaving.answers.told[0][2] == SHUTTING_DOWN
-    doubting = Helping()
+    assert leaving.begin() is None
+    assert leaving.responder.events[0][2] == SHUTTING_DOWN
+    doubting = DelegateSetup()
     doubting.source.drift_monitor = DriftMonitor()
     doubting.source.drift_monitor.retry_after_s = 0.4
-    assert doubting.take() is None
-    assert doubting.answers.told == [("fail", NOT_RUN, DRIFT, 0.4)]
-    nowhere = Helping(target=b"/nowhere/1")
-    assert nowhere.take() is None
-    assert nowhere.answers.told == [("answer", 404, b"no route")]
+    assert doubting.begin() is None
+    assert doubting.responder.events == [("fail", NOT_RUN, DRIFT, 0.4)]
+    nowhere = DelegateSetup(target=b"/nowhere/1")
+    assert nowhere.begin() is None
+    assert nowhere.responder.events == [("answer", 404, b"no route")]
     assert nowhere.source.active_requests == {}
 
 
-def test_requests_of_others_and_their_bodies_are_bounded() -> None:
-    play = Helping(length=1 << 20)
-    works = [play.take() for _ in range(delegation.MAX_DELEGATED + 1)]
+def test_delegated_requests_and_their_bodies_are_bounded() -> None:
+    setup = DelegateSetup(length=1 << 20)
+    works = [setup.begin() for _ in range(delegation.MAX_DELEGATED + 1)]
     assert works[-1] is None
-    assert len(play.source.accepted_delegations) == delegation.MAX_DELEGATED
+    assert len(setup.source.accepted_delegations) == delegation.MAX_DELEGATED
     works[0].cancel()
-    assert len(play.source.accepted_delegations) == delegation.MAX_DELEGATED - 1
-    assert play.take() is not None
-    one = Helping(length=1 << 20)
-    work = one.take()
+    assert len(setup.source.accepted_delegations) == delegation.MAX_DELEGATED - 1
+    assert setup.begin() is not None
+    one = DelegateSetup(length=1 << 20)
+    work = one.begin()
     request, most, sent = next(iter(one.source.active_requests)), 0, 0
     request.gate_admitted()
-    while sent < 1 << 20 and one.answers.granted > sent:
-        step = min(one.answers.granted - sent, (1 << 20) - sent)
+    while sent < 1 << 20 and one.responder.requested_bytes > sent:
+        step = min(one.responder.requested_bytes - sent, (1 << 20) - sent)
         work.data(bytes(step))
         sent += step
         most = max(most, request.pending_bytes)
@@ -316,16 +335,16 @@
     assert sent == 1 << 20
 
 
-def test_an_answer_in_parts_goes_back_in_parts() -> None:
-    play = Helping()
-    work = play.take()
-    request = next(iter(play.source.active_requests))
+def test_an_answer_in_parts_is_passed_on_in_parts() -> None:
+    setup = DelegateSetup()
+    work = setup.begin()
+    request = next(iter(setup.source.active_requests))
     request.answered(200, b"", 9, None)
     request.answer_data(b"abc")
     work.window(3)
-    assert play.source.channels[-1].passed == 3
+    assert setup.source.channels[-1].answer_bytes_forwarded == 3
     request.failed(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True))
-    assert play.answers.told == [
+    assert setup.responder.events == [
         ("answer", 200, None),
         ("data", b"abc"),
         ("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, 0.0),
--- a/tests/sidecar/test_disconnects.py
+++ b/tests/sidecar/test_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that leave while requests of theirs are under way: what is counted of it."""
+"""Clients that disconnect with requests under way: detection, cancellation, counters."""
 
 from __future__ import annotations
 
@@ -7,138 +7,140 @@
 from honeywharf.codecs.mesh import INTERIM_RESPONSE
 from honeywharf.sidecar.client_connection import MAX_PIPELINED
 from honeywharf.sidecar.disconnects import FIRST_INTERVAL_S, MAX_INTERVAL_S, DisconnectCounters
-from tests.sidecar.stage import Caller, Front
+from tests.sidecar.fixtures import HttpClient, OutboundSetup
 from tests.sidecar.test_outbound import give, request
 
 
-def test_a_client_that_leaves_with_nothing_under_way_is_not_counted() -> None:
-    front = Front()
-    caller = front.call(request())
-    give(front, front.channels[0], b"ok")
+def test_a_client_that_disconnects_with_nothing_under_way_is_not_counted() -> None:
+    setup = OutboundSetup()
+    caller = setup.call(request())
+    give(setup, setup.channels[0], b"ok")
     caller.connection.close()
-    front.run()
-    assert front.outbound.disconnects.counters() == DisconnectCounters().counters()
+    setup.run()
+    assert setup.outbound.disconnects.counters() == DisconnectCounters().counters()
 
 
 @pytest.mark.parametrize(
     ("how", "counted"), [("close", "closed=1 reset=0 requests=2"), ("abort", "closed=0 reset=1 requests=2")]
 )
-def test_it_is_counted_how_a_client_left_and_what_it_left_behind(how: str, counted: str) -> None:
-    front = Front()
-    caller = front.call(request() + request(attempt=b"a2"))
+def test_a_disconnect_is_counted_with_its_requests(how: str, counted: str) -> None:
+    setup = OutboundSetup()
+    caller = setup.call(request() + request(attempt=b"a2"))
     (caller.connection.close if how == "close" else caller.connection.abort)()
-    front.run()
-    assert f"clients disconnected {counted}" in front.outbound.disconnects.counters()
+    setup.run()
+    assert f"clients disconnected {counted}" in setup.outbound.disconnects.counters()
 
 
-def test_a_connection_that_is_no_longer_read_is_counted() -> None:
-    front = Front()
-    front.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
-    assert "paused=1" in front.outbound.disconnects.counters()
+def test_a_connection_whose_reading_is_paused_is_counted() -> None:
+    setup = OutboundSetup()
+    setup.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
+    assert "paused=1" in setup.outbound.disconnects.counters()
 
 
 def test_requests_of_a_client_that_closes_in_order_are_cancelled() -> None:
-    front, requests = Front(), 3
-    caller = front.call(b"".join(request(attempt=b"a%d" % n) for n in range(requests)))
-    assert len(front.channels) == requests
+    setup, requests = OutboundSetup(), 3
+    caller = setup.call(b"".join(request(attempt=b"a%d" % n) for n in range(requests)))
+    assert len(setup.channels) == requests
     caller.connection.close()
-    front.run()
-    assert [channel.cancelled for channel in front.channels] == [True] * requests
-    assert not front.source.active_requests
-    assert not front.outbound.clients
+    setup.run()
+    assert [channel.cancelled for channel in setup.channels] == [True] * requests
+    assert not setup.source.active_requests
+    assert not setup.outbound.clients
 
 
-def half_closed(asked: int, seconds: float) -> tuple[Front, Caller]:
-    """A client that ended its side with a request under way, and how often it was asked since."""
-    front = Front()
-    caller = front.call(request())
+def half_closed(probes: int, seconds: float) -> tuple[OutboundSetup, HttpClient]:
+    """Returns a client that has half-closed with a request under way, after `probes` interim responses."""
+    setup = OutboundSetup()
+    caller = setup.call(request())
     caller.connection.finish()
-    front.run(seconds)
-    assert caller.data == INTERIM_RESPONSE * asked
-    assert not front.channels[0].cancelled
-    return front, caller
+    setup.run(seconds)
+    assert caller.data == INTERIM_RESPONSE * probes
+    assert not setup.channels[0].cancelled
+    return setup, caller
 
 
-def test_a_client_that_waits_with_its_own_side_closed_is_asked_again_and_may_leave_later() -> None:
-    front, caller = half_closed(asked=3, seconds=FIRST_INTERVAL_S * 3.5)
-    caller.connection.close()  # which sends nothing: its end is known already
-    front.run(FIRST_INTERVAL_S * 2)
-    assert not front.channels[0].cancelled
-    front.run(FIRST_INTERVAL_S * 2)
-    assert front.channels[0].cancelled, "it was not asked again"
+def test_a_half_closed_client_is_probed_again_and_may_disconnect_later() -> None:
+    setup, caller = half_closed(probes=3, seconds=FIRST_INTERVAL_S * 3.5)
+    caller.connection.close()  # sends nothing, as its FIN was sent before
+    setup.run(FIRST_INTERVAL_S * 2)
+    assert not setup.channels[0].cancelled
+    setup.run(FIRST_INTERVAL_S * 2)
+    assert setup.channels[0].cancelled, "it was not probed again"
 
 
-def test_it_is_asked_less_and_less_often_and_not_at_all_once_it_is_answered() -> None:
-    front, caller = half_closed(asked=4, seconds=FIRST_INTERVAL_S * 7.5)
-    give(front, front.channels[0], b"ok")
-    front.run(3 * MAX_INTERVAL_S)
+def test_probes_become_rarer_and_stop_once_the_client_has_its_answer() -> None:
+    setup, caller = half_closed(probes=4, seconds=FIRST_INTERVAL_S * 7.5)
+    give(setup, setup.channels[0], b"ok")
+    setup.run(3 * MAX_INTERVAL_S)
     assert caller.data.count(INTERIM_RESPONSE) == 4
     assert caller.data.endswith(b"ok")
     assert caller.gone is not None
 
 
-def test_nothing_is_put_into_an_answer_that_has_begun() -> None:
-    front = Front()
-    caller = front.call(request() + request(attempt=b"a2"))
-    first, second = front.channels
+def test_no_interim_response_is_sent_within_an_answer() -> None:
+    setup = OutboundSetup()
+    caller = setup.call(request() + request(attempt=b"a2"))
+    first, second = setup.channels
     first.outbound_request.answered(200, b"", 10, None)
     first.outbound_request.answer_data(b"01234")
     caller.connection.finish()
-    front.run(1.0)
+    setup.run(1.0)
     assert INTERIM_RESPONSE not in caller.data
     first.outbound_request.answer_data(b"56789")
     first.outbound_request.whole()
-    front.run(FIRST_INTERVAL_S * 3)
-    assert caller.data.endswith(b"0123456789" + INTERIM_RESPONSE), "the second request's client is not asked"
-    give(front, second, b"ok")
+    setup.run(FIRST_INTERVAL_S * 3)
+    assert caller.data.endswith(b"0123456789" + INTERIM_RESPONSE), (
+        "the client is not probed for the second request"
+    )
+    give(setup, second, b"ok")
     assert caller.data.endswith(b"ok")
 
 
-def test_a_client_of_http_1_0_is_not_asked_and_gets_its_answer() -> None:
-    front = Front()
-    caller = front.call(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+def test_an_http_1_0_client_is_not_probed_and_gets_its_answer() -> None:
+    setup = OutboundSetup()
+    caller = setup.call(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
     caller.connection.finish()
-    front.run(1.0)
+    setup.run(1.0)
     assert caller.data == b""
-    give(front, front.channels[0], b"ok")
+    give(setup, setup.channels[0], b"ok")
     assert caller.statuses() == [200]
 
 
 def test_a_client_that_leaves_in_the_middle_of_an_answer_is_found_out_by_its_next_bytes() -> None:
-    front = Front()
-    caller = front.call(request())
-    (channel,) = front.channels
+    setup = OutboundSetup()
+    caller = setup.call(request())
+    (channel,) = setup.channels
     channel.outbound_request.answered(200, b"", 100_000, None)
     channel.outbound_request.answer_data(b"x" * 1000)
-    front.run()
+    setup.run()
     caller.connection.close()
-    front.run()
+    setup.run()
     channel.outbound_request.answer_data(b"x" * 1000)
-    front.run()
+    setup.run()
     assert channel.cancelled
 
 
 @pytest.mark.parametrize("more", [0, 1], ids=["read to its end", "with a request unread"])
-def test_a_client_that_closes_while_its_connection_is_not_read_takes_its_requests_with_it(more: int) -> None:
-    front = Front()
-    caller = front.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
+def test_a_client_that_closes_while_reading_is_paused_has_its_requests_cancelled(more: int) -> None:
+    setup = OutboundSetup()
+    caller = setup.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
     caller.send(request(attempt=b"late") * more)
-    front.run()
-    assert front.outbound.disconnects.paused == 1
+    setup.run()
+    assert setup.outbound.disconnects.paused == 1
     caller.connection.close()
-    front.run()
-    assert [channel.cancelled for channel in front.channels] == [True] * MAX_PIPELINED
-    assert not front.outbound.clients
+    setup.run()
+    assert [channel.cancelled for channel in setup.channels] == [True] * MAX_PIPELINED
+    assert not setup.outbound.clients
 
 
-def test_a_client_that_ends_its_side_while_it_is_not_read_gets_its_answers() -> None:
-    front = Front()
-    caller = front.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
+def test_a_client_that_half_closes_while_reading_is_paused_gets_its_answers() -> None:
+    setup = OutboundSetup()
+    caller = setup.call(b"".join(request(attempt=b"a%d" % n) for n in range(MAX_PIPELINED)))
     caller.send(request(attempt=b"late"))
     caller.connection.finish()
-    front.run()
+    setup.run()
     for n in range(MAX_PIPELINED + 1):
-        give(front, front.channels[n], b"body %d" % n)
+        give(setup, setup.channels[n], b"body %d" % n)
     assert caller.data.count(b"HTTP/1.1 200") == MAX_PIPELINED + 1
     assert caller.data.startswith(INTERIM_RESPONSE + b"HTTP/1.1 200")
     assert caller.data.count(INTERIM_RESPONSE) == 1
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate's table: what each word of a backend does in each state, and why a request is refused."""
+"""The gate: its state after each event, reasons of rejections, slow start."""
 
 from __future__ import annotations
 
@@ -7,75 +7,84 @@
 import pytest
 
 from honeywharf.sidecar.gate import COLD_MARGIN_S, DRAINING, ENDED, MAX_ENDED_INSTANCES, READY, UNKNOWN, Gate
-from honeywharf.verdict import DRAINING as LEAVES, EVACUATED, NO_BACKEND, NOT_READY, OTHER_SERVICE, SLOW_START
+from honeywharf.verdict import (
+    DRAINING as IS_DRAINING,
+    EVACUATED,
+    NO_BACKEND,
+    NOT_READY,
+    OTHER_SERVICE,
+    SLOW_START,
+)
 
 SERVICE = "order-desk"
 Do = Callable[[Gate], object]
 
 
-def beat(instance: str = "i-1", sequence: int = 2, draining: bool = False, cold_s: float = 0.0) -> Do:
+def send_heartbeat(
+    instance: str = "i-1", sequence: int = 2, draining: bool = False, cold_s: float = 0.0
+) -> Do:
     return lambda gate: gate.heartbeat(10.0, instance, sequence, draining, 8, cold_s)
 
 
-def health(instance: str = "i-1", well: bool = True, asked: float = 9.9) -> Do:
-    return lambda gate: gate.health_answer(10.0, instance, well, 8, None, asked)
+def send_health_answer(instance: str = "i-1", is_healthy: bool = True, asked: float = 9.9) -> Do:
+    return lambda gate: gate.health_answer(10.0, instance, is_healthy, 8, None, asked)
 
 
-def made() -> Gate:
+def gate_of_order_desk() -> Gate:
     gate = Gate(0.0, SERVICE, 1.5, 5.0)
     gate.set_slow_start(22.0)
     return gate
 
 
-START: dict[str, tuple[Do, ...]] = {
+FIRST_EVENTS: dict[str, tuple[Do, ...]] = {
     "unknown": (),
-    "ready": (beat(sequence=1),),
-    "draining": (beat(sequence=1, draining=True),),
-    "ended": (beat(sequence=1), lambda gate: gate.deregister("i-1")),
-    "missing": (beat(sequence=1), lambda gate: gate.backend_missing()),
+    "ready": (send_heartbeat(sequence=1),),
+    "draining": (send_heartbeat(sequence=1, draining=True),),
+    "ended": (send_heartbeat(sequence=1), lambda gate: gate.deregister("i-1")),
+    "missing": (send_heartbeat(sequence=1), lambda gate: gate.backend_missing()),
 }
-TABLE: list[tuple[str, str, Do, int]] = [
-    ("unknown", "beat", beat(), READY),
-    ("unknown", "last beat", beat(draining=True), DRAINING),
-    ("unknown", "health", health(), READY),
-    ("unknown", "ill", health(well=False), UNKNOWN),
-    ("unknown", "no id", health(instance=""), UNKNOWN),
+TRANSITIONS: list[tuple[str, str, Do, int]] = [
+    ("unknown", "beat", send_heartbeat(), READY),
+    ("unknown", "last beat", send_heartbeat(draining=True), DRAINING),
+    ("unknown", "health", send_health_answer(), READY),
+    ("unknown", "ill", send_health_answer(is_healthy=False), UNKNOWN),
+    ("unknown", "no id", send_health_answer(instance=""), UNKNOWN),
     ("unknown", "deregister", lambda g: g.deregister("i-1"), UNKNOWN),
     ("unknown", "missing", lambda g: g.backend_missing(), UNKNOWN),
-    ("ready", "beat", beat(), READY),
-    ("ready", "last beat", beat(draining=True), DRAINING),
-    ("ready", "late beat", beat(sequence=1, draining=True), READY),
-    ("ready", "health", health(), READY),
-    ("ready", "ill", health(well=False), READY),
+    ("ready", "beat", send_heartbeat(), READY),
+    ("ready", "last beat", send_heartbeat(draining=True), DRAINING),
+    ("ready", "late beat", send_heartbeat(sequence=1, draining=True), READY),
+    ("ready", "health", send_health_answer(), READY),
+    ("ready", "ill", send_health_answer(is_healthy=False), READY),
     ("ready", "deregister", lambda g: g.deregister("i-1"), ENDED),
     ("ready", "another's end", lambda g: g.deregister("i-0"), READY),
     ("ready", "missing", lambda g: g.backend_missing(), UNKNOWN),
-    ("ready", "new life", beat(instance="i-2", sequence=0), READY),
-    ("ready", "new life, ill", health(instance="i-2", well=False), UNKNOWN),
-    ("draining", "late beat", beat(sequence=1), DRAINING),
-    ("draining", "health", health(), DRAINING),
-    ("draining", "taken back", beat(), READY),
+    ("ready", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ready", "new life, ill", send_health_answer(instance="i-2", is_healthy=False), UNKNOWN),
+    ("draining", "late beat", send_heartbeat(sequence=1), DRAINING),
+    ("draining", "health", send_health_answer(), DRAINING),
+    ("draining", "taken back", send_heartbeat(), READY),
     ("draining", "missing", lambda g: g.backend_missing(), DRAINING),
     ("draining", "deregister", lambda g: g.deregister("i-1"), ENDED),
-    ("draining", "new life", beat(instance="i-2", sequence=0), READY),
-    ("ended", "beat", beat(sequence=9), ENDED),
-    ("ended", "health", health(), ENDED),
+    ("draining", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ended", "beat", send_heartbeat(sequence=9), ENDED),
+    ("ended", "health", send_health_answer(), ENDED),
     ("ended", "missing", lambda g: g.backend_missing(), ENDED),
-    ("ended", "new life", beat(instance="i-2", sequence=0), READY),
-    ("ended", "new life's health", health(instance="i-2"), READY),
-    ("missing", "late beat", beat(sequence=1), UNKNOWN),
-    ("missing", "beat", beat(), READY),
-    ("missing", "health", health(), READY),
-    ("missing", "last beat", beat(draining=True), DRAINING),
+    ("ended", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ended", "new life's health", send_health_answer(instance="i-2"), READY),
+    ("missing", "late beat", send_heartbeat(sequence=1), UNKNOWN),
+    ("missing", "beat", send_heartbeat(), READY),
+    ("missing", "health", send_health_answer(), READY),
+    ("missing", "last beat", send_heartbeat(draining=True), DRAINING),
 ]
 
 
 @pytest.mark.parametrize(
-    ("start", "word", "do", "after"), TABLE, ids=lambda v: v if isinstance(v, str) else ""
+    ("start", "word", "do", "after"), TRANSITIONS, ids=lambda v: v if isinstance(v, str) else ""
 )
-def test_the_table(start: str, word: str, do: Do, after: int) -> None:
-    gate = made()
-    for each in START[start]:
+def test_transitions(start: str, word: str, do: Do, after: int) -> None:
+    gate = gate_of_order_desk()
+    for each in FIRST_EVENTS[start]:
         each(gate)
     state, life, changes = gate.state, gate.instance, gate.changes
     do(gate)
@@ -86,79 +95,79 @@
     )
 
 
-def test_a_life_that_has_ended_never_comes_back() -> None:
-    gate = made()
-    beat("i-1", 1)(gate)
-    beat("i-2", 1)(gate)
-    assert beat("i-1", 99)(gate) is False
-    health("i-1")(gate)
+def test_an_ended_instance_never_returns() -> None:
+    gate = gate_of_order_desk()
+    send_heartbeat("i-1", 1)(gate)
+    send_heartbeat("i-2", 1)(gate)
+    assert send_heartbeat("i-1", 99)(gate) is False
+    send_health_answer("i-1")(gate)
     assert (gate.instance, gate.state) == ("i-2", READY)
-    gate.deregister("i-3")  # before its first beat came here
-    assert beat("i-3", 1)(gate) is False
+    gate.deregister("i-3")  # before its first heartbeat arrives
+    assert send_heartbeat("i-3", 1)(gate) is False
     assert gate.instance == "i-2"
 
 
-def test_lives_that_are_over_are_remembered_up_to_a_bound() -> None:
-    gate = made()
+def test_ended_instances_are_remembered_up_to_a_bound() -> None:
+    gate = gate_of_order_desk()
     for n in range(3 * MAX_ENDED_INSTANCES):
-        beat(f"i-{n}", 1)(gate)
+        send_heartbeat(f"i-{n}", 1)(gate)
     assert len(gate.ended_instances) == MAX_ENDED_INSTANCES
-    assert beat(f"i-{2 * MAX_ENDED_INSTANCES + 2}", 99)(gate) is False
+    assert send_heartbeat(f"i-{2 * MAX_ENDED_INSTANCES + 2}", 99)(gate) is False
 
 
-def test_why_it_refuses() -> None:
-    gate = made()
+def test_reasons_of_rejections() -> None:
+    gate = gate_of_order_desk()
     assert gate.rejection(0.0, "another") == (OTHER_SERVICE, 0.0)
     assert gate.rejection(0.0, SERVICE) == (NOT_READY, 0.0)
-    beat()(gate)
+    send_heartbeat()(gate)
     assert gate.rejection(20.0, SERVICE) is None
     gate.backend_missing()
     assert gate.rejection(20.0, SERVICE) == (NO_BACKEND, 0.0)
-    beat(sequence=3, draining=True)(gate)
-    assert gate.rejection(20.0, SERVICE) == (LEAVES, 0.0)
+    send_heartbeat(sequence=3, draining=True)(gate)
+    assert gate.rejection(20.0, SERVICE) == (IS_DRAINING, 0.0)
     gate.deregister("i-1")
-    assert gate.rejection(20.0, SERVICE) == (LEAVES, 0.0)
-    beat("i-2")(gate)
+    assert gate.rejection(20.0, SERVICE) == (IS_DRAINING, 0.0)
+    send_heartbeat("i-2")(gate)
     gate.set_evacuated(11.0, on=True)
     assert gate.rejection(20.0, SERVICE) == (EVACUATED, 0.0)
 
 
-def spent(gate: Gate, now: float) -> int:
-    """Send until it refuses; how many went."""
-    went = 0
-    while gate.rejection(now, SERVICE) is None and went < 500:
+def send_until_rejected(gate: Gate, now: float) -> int:
+    """Sends requests until the gate rejects one; returns how many were sent."""
+    count_sent = 0
+    while gate.rejection(now, SERVICE) is None and count_sent < 500:
         gate.request_sent(now)
-        went += 1
-    return went
+        count_sent += 1
+    return count_sent
 
 
-def test_a_cold_one_takes_what_the_rule_allows_until_it_is_warm() -> None:
-    gate = made()
-    beat(cold_s=3.0)(gate)
+def test_a_cold_backend_gets_what_slow_start_allows_until_it_is_warm() -> None:
+    gate = gate_of_order_desk()
+    send_heartbeat(cold_s=3.0)(gate)
     allowed = int(22.0 * 1.5 + 5.0)
-    assert 0.8 * allowed < spent(gate, 10.0) <= allowed
-    refusal = gate.rejection(10.5, SERVICE)
-    assert refusal is not None
-    assert refusal[0] == SLOW_START
-    assert refusal[1] == pytest.approx(0.65)
+    assert 0.8 * allowed < send_until_rejected(gate, 10.0) <= allowed
+    rejection_with_wait = gate.rejection(10.5, SERVICE)
+    assert rejection_with_wait is not None
+    assert rejection_with_wait[0] == SLOW_START
+    assert rejection_with_wait[1] == pytest.approx(0.65)
     assert gate.rejection(10.0 + 3.0 + COLD_MARGIN_S, SERVICE) is None
-    assert spent(gate, 10.0 + 3.0 + COLD_MARGIN_S) == 500
+    assert send_until_rejected(gate, 10.0 + 3.0 + COLD_MARGIN_S) == 500
 
 
-def test_a_new_process_and_a_new_life_are_doubted_until_they_are_told_of() -> None:
-    gate = made()
+def test_a_backend_is_taken_for_cold_until_it_tells_after_a_restart_or_a_new_instance() -> None:
+    gate = gate_of_order_desk()
     assert gate.is_cold(50.0)
-    health()(gate)
+    send_health_answer()(gate)
     assert not gate.is_cold(50.0)
     gate.backend_missing()
     assert gate.is_cold(50.0)
-    beat()(gate)
+    send_heartbeat()(gate)
     assert not gate.is_cold(50.0)
 
 
-def test_after_its_zone_was_taken_back_only_words_from_after_that_tell() -> None:
-    gate = made()
-    beat()(gate)
+def test_after_an_evacuation_only_later_heartbeats_and_health_checks_count() -> None:
+    gate = gate_of_order_desk()
+    send_heartbeat()(gate)
     gate.set_evacuated(11.0, on=True)
     gate.set_evacuated(12.0, on=False)
     assert gate.is_cold(50.0)
@@ -175,28 +184,28 @@
     assert not gate.is_cold(70.0)
 
 
-def test_withdrawing_what_was_never_ordered_changes_nothing() -> None:
-    gate = made()
-    beat()(gate)
+def test_ending_an_evacuation_that_was_not_in_force_changes_nothing() -> None:
+    gate = gate_of_order_desk()
+    send_heartbeat()(gate)
     changes = gate.changes
     gate.set_evacuated(11.0, on=False)
     assert (gate.changes, gate.cold_unknown) == (changes, False)
 
 
-def test_what_it_says_of_itself() -> None:
-    gate = made()
-    beat()(gate)
+def test_gossip_attributes_and_load() -> None:
+    gate = gate_of_order_desk()
+    send_heartbeat()(gate)
     assert gate.gossip_attributes() == {"s": SERVICE, "b": "i-1", "st": READY, "sl": 8}
     gate.admission.running = 1
     assert gate.load() == (1, 0, 8)
 
 
-@pytest.mark.parametrize(("cold_s", "refused"), [(2.9, False), (2.75, False), (2.4, True), (1.0, True)])
-def test_a_new_process_sends_to_a_cold_backend_at_once_only_if_none_before_it_can_have(
+@pytest.mark.parametrize(("cold_s", "is_rejected"), [(2.9, False), (2.75, False), (2.4, True), (1.0, True)])
+def test_a_new_process_sends_to_a_cold_backend_at_once_only_if_no_earlier_process_can_have(
     cold_s: float,
-    refused: bool,
+    is_rejected: bool,
 ) -> None:
     gate = Gate(10.0, SERVICE, 1.5, 5.0)
     gate.set_slow_start(22.0, 3.0)
     gate.heartbeat(10.0, "i-1", 1, False, 8, cold_s)
-    assert (gate.rejection(10.0, SERVICE) is not None) == refused
+    assert (gate.rejection(10.0, SERVICE) is not None) == is_rejected
--- a/tests/sidecar/test_heartbeat_api.py
+++ b/tests/sidecar/test_heartbeat_api.py
@@ -1,4 +1,4 @@
-"""What the backend tells, and what is asked of its health where nothing else tells."""
+"""Heartbeats and deregistration over HTTP, and health checks where no heartbeat comes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,28 @@
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.http_server import HttpServer
-from tests.sidecar.stage import IP, LIFE, SERVICE, ZONE, Backend, Caller, Request, Visit
+from tests.sidecar.fixtures import (
+    INSTANCE,
+    IP,
+    SERVICE,
+    ZONE,
+    HttpClient,
+    ReceivedRequest,
+    ScriptedBackend,
+    ScriptedConnection,
+)
 
 
-class Desk:
-    """A gate that is told by beats over a door, and by a probe of a scripted backend."""
+class GateSetup:
+    """A gate with its heartbeat API, and a health probe of a scripted backend."""
 
     def __init__(self) -> None:
         self.world = World(1)
         self.world.strict = True
         self.machine = Machine(Network(self.world), IP, ZONE)
-        self.told = 0
+        self.gate_changes = 0
         self.sidecar = Process(self.machine, "sidecar", self._sidecar)
-        self.app = Process(self.machine, "app", Backend)
+        self.app = Process(self.machine, "app", ScriptedBackend)
         self.sidecar.start()
         self.app.start()
         self.run()
@@ -34,17 +43,17 @@
     def _sidecar(self, host: Process) -> object:
         self.gate = Gate(host.now(), SERVICE, 1.5, 5.0)
         self.heartbeat_api = HeartbeatApi(host, self.gate, self._tell)
-        self.door = HttpServer(host, (IP, CONTROL), self.heartbeat_api.handle, 1 << 20)
+        self.http_server = HttpServer(host, (IP, CONTROL), self.heartbeat_api.handle, 1 << 20)
         self.probe = Probe(host, (IP, APPLICATION), self.gate, self._tell)
         return self.gate
 
     def _tell(self) -> None:
-        self.told += 1
+        self.gate_changes += 1
 
     @property
-    def backend(self) -> Backend:
+    def backend(self) -> ScriptedBackend:
         """The scripted backend."""
-        return cast("Backend", self.app.program)
+        return cast("ScriptedBackend", self.app.program)
 
     def run(self, seconds: float = 0.02) -> None:
         """Let time pass; a fault of a program fails the test."""
@@ -52,8 +61,8 @@
         assert not self.world.crashes, self.world.crashes[0][2]
 
     def call(self, path: str, body: object = None, method: str = "POST") -> int:
-        """One call to the door; its status."""
-        caller = Caller(self.app, (IP, CONTROL))
+        """Makes one call to the heartbeat API; returns its status."""
+        caller = HttpClient(self.app, (IP, CONTROL))
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         top = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
         caller.send(top.encode() + data)
@@ -61,8 +70,8 @@
         ((status, _, _),) = caller.answers()
         return status
 
-    def beat(self, sequence: int = 4, life: str = LIFE, **changes: Any) -> int:
-        """One beat, as PROTOCOL shows it; `changes` go into its status, or its details."""
+    def send_heartbeat(self, sequence: int = 4, instance_id: str = INSTANCE, **changes: Any) -> int:
+        """Sends a heartbeat; `changes` replace fields of its status or its details."""
         body: dict[str, dict[str, Any]] = {
             "details": {
                 "target-service": SERVICE,
@@ -75,33 +84,35 @@
         for name, value in changes.items():
             key = name.replace("_", "-")
             body["details" if key in body["details"] else "status"][key] = value
-        return self.call(f"/api/instances/{life}/heartbeat", {"address": f"{IP}:{APPLICATION}", **body})
-
-
-def test_a_beat_says_that_the_backend_is_ready_how_many_slots_and_how_cold() -> None:
-    desk = Desk()
-    assert desk.beat(cold_remaining="2.5s") == 200
-    gate = desk.gate
-    assert (gate.state, gate.instance, gate.admission.slots, gate.sequence) == (READY, LIFE, 12, 4)
-    assert gate.is_cold(desk.sidecar.now() + 2.4)
-    assert not gate.is_cold(desk.sidecar.now() + 3.0)
-    assert desk.told == 1
-
-
-def test_what_is_acknowledged_is_in_force_and_what_is_late_changes_nothing() -> None:
-    desk = Desk()
-    desk.beat(4)
-    assert desk.beat(5, state="draining") == 200
-    assert desk.gate.state == DRAINING
-    assert desk.beat(4) == 200
-    assert desk.gate.state == DRAINING
-    assert (desk.heartbeat_api.received, desk.heartbeat_api.late) == (3, 1)
-    assert desk.call(f"/api/instances/{LIFE}/deregister") == 200
-    assert desk.gate.state == ENDED
-    assert desk.beat(9) == 200
-    assert desk.gate.state == ENDED
-    assert desk.beat(1, life="i-next") == 200
-    assert (desk.gate.state, desk.gate.instance) == (READY, "i-next")
+        return self.call(
+            f"/api/instances/{instance_id}/heartbeat", {"address": f"{IP}:{APPLICATION}", **body}
+        )
+
+
+def test_a_heartbeat_sets_state_slots_and_cold_time() -> None:
+    setup = GateSetup()
+    assert setup.send_heartbeat(cold_remaining="2.5s") == 200
+    gate = setup.gate
+    assert (gate.state, gate.instance, gate.admission.slots, gate.sequence) == (READY, INSTANCE, 12, 4)
+    assert gate.is_cold(setup.sidecar.now() + 2.4)
+    assert not gate.is_cold(setup.sidecar.now() + 3.0)
+    assert setup.gate_changes == 1
+
+
+def test_an_acknowledged_heartbeat_is_in_force_and_a_late_one_changes_nothing() -> None:
+    setup = GateSetup()
+    setup.send_heartbeat(4)
+    assert setup.send_heartbeat(5, state="draining") == 200
+    assert setup.gate.state == DRAINING
+    assert setup.send_heartbeat(4) == 200
+    assert setup.gate.state == DRAINING
+    assert (setup.heartbeat_api.received, setup.heartbeat_api.late) == (3, 1)
+    assert setup.call(f"/api/instances/{INSTANCE}/deregister") == 200
+    assert setup.gate.state == ENDED
+    assert setup.send_heartbeat(9) == 200
+    assert setup.gate.state == ENDED
+    assert setup.send_heartbeat(1, instance_id="i-next") == 200
+    assert (setup.gate.state, setup.gate.instance) == (READY, "i-next")
 
 
 @pytest.mark.parametrize(
@@ -117,10 +128,10 @@
         {"capacity_slots": "many"},
     ],
 )
-def test_a_beat_that_makes_no_sense_is_refused_and_changes_nothing(changes: dict[str, Any]) -> None:
-    desk = Desk()
-    assert desk.beat(**changes) == 400
-    assert (desk.gate.state, desk.told) == (UNKNOWN, 0)
+def test_an_invalid_heartbeat_is_rejected_and_changes_nothing(changes: dict[str, Any]) -> None:
+    setup = GateSetup()
+    assert setup.send_heartbeat(**changes) == 400
+    assert (setup.gate.state, setup.gate_changes) == (UNKNOWN, 0)
 
 
 @pytest.mark.parametrize(
@@ -139,125 +150,131 @@
         b"[" * 100_000,
     ],
 )
-def test_a_body_that_is_no_beat_is_400(body: bytes) -> None:
-    desk = Desk()
-    assert desk.call(f"/api/instances/{LIFE}/heartbeat", body) == 400
-    assert desk.gate.state == UNKNOWN
+def test_a_body_that_is_no_heartbeat_is_400(body: bytes) -> None:
+    setup = GateSetup()
+    assert setup.call(f"/api/instances/{INSTANCE}/heartbeat", body) == 400
+    assert setup.gate.state == UNKNOWN
 
 
-def test_a_beat_of_another_service_is_not_acknowledged() -> None:
-    desk = Desk()
-    assert desk.beat(target_service="another") == 409
-    assert desk.gate.state == UNKNOWN
+def test_a_heartbeat_of_another_service_is_not_acknowledged() -> None:
+    setup = GateSetup()
+    assert setup.send_heartbeat(target_service="another") == 409
+    assert setup.gate.state == UNKNOWN
 
 
 @pytest.mark.parametrize(
     ("method", "path", "status"),
     [
-        ("GET", f"/api/instances/{LIFE}/heartbeat", 405),
+        ("GET", f"/api/instances/{INSTANCE}/heartbeat", 405),
         ("POST", "/api/instances", 404),
         ("POST", "/", 404),
         ("POST", "/api/instances/" + "i" * (MAX_ID + 1) + "/deregister", 400),
     ],
 )
-def test_what_is_no_call_of_a_backend(method: str, path: str, status: int) -> None:
-    desk = Desk()
-    assert desk.call(path, method=method) == status
+def test_other_calls_of_the_heartbeat_api_are_rejected(method: str, path: str, status: int) -> None:
+    setup = GateSetup()
+    assert setup.call(path, method=method) == status
 
 
-# Probes.
+# Health checks.
 
 
-def healthy(visit: Visit, request: Request, status: int = 200, cold: bytes = b"", life: str = LIFE) -> None:
-    visit.send(
+def healthy(
+    scripted: ScriptedConnection,
+    request: ReceivedRequest,
+    status: int = 200,
+    cold: bytes = b"",
+    instance_id: str = INSTANCE,
+) -> None:
+    scripted.send(
         b"HTTP/1.1 %d OK\r\nX-Honeywharf-Instance-Id: %b\r\nX-Honeywharf-Instance-Load: 1,0,9\r\n"
-        b"%bContent-Length: 0\r\n\r\n" % (status, life.encode(), cold)
+        b"%bContent-Length: 0\r\n\r\n" % (status, instance_id.encode(), cold)
     )
 
 
-def probed(desk: Desk, seconds: float) -> int:
-    """Look, and count the probes that come."""
-    desk.probe.path = b"/health"
-    before = len(desk.backend.requests)
-    desk.probe.schedule()
-    desk.run(seconds)
-    return len(desk.backend.requests) - before
+def probed(setup: GateSetup, seconds: float) -> int:
+    """Schedules a health check, and counts those that arrive."""
+    setup.probe.path = b"/health"
+    before = len(setup.backend.requests)
+    setup.probe.schedule()
+    setup.run(seconds)
+    return len(setup.backend.requests) - before
 
 
-def test_a_new_process_asks_once_and_knows_then() -> None:
-    desk = Desk()
+def test_a_new_process_sends_one_health_check() -> None:
+    setup = GateSetup()
     cold = b"X-Honeywharf-Cold-Remaining: 700\r\n"
-    desk.backend.serve = lambda visit, request: healthy(visit, request, cold=cold)
-    assert probed(desk, 5.0) == 1
-    assert desk.backend.requests[0].line == b"GET /health HTTP/1.1"
-    assert (desk.gate.state, desk.gate.instance, desk.gate.admission.slots) == (READY, LIFE, 9)
-    assert desk.backend.open == 0
-    assert desk.gate.cold_until > 0
+    setup.backend.serve = lambda scripted, request: healthy(scripted, request, cold=cold)
+    assert probed(setup, 5.0) == 1
+    assert setup.backend.requests[0].line == b"GET /health HTTP/1.1"
+    assert (setup.gate.state, setup.gate.instance, setup.gate.admission.slots) == (READY, INSTANCE, 9)
+    assert setup.backend.open == 0
+    assert setup.gate.cold_until > 0
 
 
-def test_a_beat_in_time_spares_the_probe() -> None:
-    desk = Desk()
-    desk.probe.path = b"/health"
-    desk.probe.schedule()
-    desk.run(FIRST_DELAY_S / 4)
-    desk.beat()
-    desk.run(5.0)
-    assert desk.backend.requests == []
-    assert probed(desk, 5.0) == 0
+def test_a_heartbeat_in_time_makes_the_health_check_unnecessary() -> None:
+    setup = GateSetup()
+    setup.probe.path = b"/health"
+    setup.probe.schedule()
+    setup.run(FIRST_DELAY_S / 4)
+    setup.send_heartbeat()
+    setup.run(5.0)
+    assert setup.backend.requests == []
+    assert probed(setup, 5.0) == 0
 
 
-def test_nothing_is_asked_before_a_configuration_tells_the_path() -> None:
-    desk = Desk()
-    desk.probe.schedule()
-    desk.run(5.0)
-    assert not desk.backend.visits
+def test_no_health_check_is_sent_before_a_configuration_gives_the_path() -> None:
+    setup = GateSetup()
+    setup.probe.schedule()
+    setup.run(5.0)
+    assert not setup.backend.accepted
 
 
 @pytest.mark.parametrize("how", ["ill", "silent", "garbage", "close"])
-def test_one_that_does_not_answer_well_is_asked_again_with_growing_pauses(how: str) -> None:
-    desk = Desk()
+def test_an_unhealthy_backend_is_checked_again_with_growing_delays(how: str) -> None:
+    setup = GateSetup()
 
-    def serve(visit: Visit, request: Request) -> None:
+    def serve(scripted: ScriptedConnection, request: ReceivedRequest) -> None:
         if how == "ill":
-            healthy(visit, request, 503)
+            healthy(scripted, request, 503)
         elif how == "garbage":
-            visit.send(b"nonsense\r\n\r\n")
+            scripted.send(b"nonsense\r\n\r\n")
         elif how == "close":
-            visit.connection.close()
+            scripted.connection.close()
 
-    desk.backend.serve = serve
-    desk.probe.path = b"/health"
-    desk.probe.schedule()
-    desk.run(30.0)
-    asked = len(desk.backend.requests)
+    setup.backend.serve = serve
+    setup.probe.path = b"/health"
+    setup.probe.schedule()
+    setup.run(30.0)
+    asked = len(setup.backend.requests)
     assert 30.0 / (MAX_RETRY_DELAY_S + TIMEOUT_S + 0.1) - 1 <= asked <= 30.0 / MAX_RETRY_DELAY_S + 4
-    assert desk.gate.state == UNKNOWN
-    assert desk.backend.open <= 1
-    desk.backend.serve = healthy
-    desk.run(MAX_RETRY_DELAY_S + TIMEOUT_S + 0.1)
-    assert desk.gate.state == READY
+    assert setup.gate.state == UNKNOWN
+    assert setup.backend.open <= 1
+    setup.backend.serve = healthy
+    setup.run(MAX_RETRY_DELAY_S + TIMEOUT_S + 0.1)
+    assert setup.gate.state == READY
 
 
-def test_a_zone_taken_back_is_asked_for_what_is_cold_now() -> None:
-    desk = Desk()
+def test_a_backend_is_checked_for_being_cold_after_an_evacuation() -> None:
+    setup = GateSetup()
     cold = b"X-Honeywharf-Cold-Remaining: 3000\r\n"
-    desk.backend.serve = lambda visit, request: healthy(visit, request, cold=cold)
-    desk.beat()
-    now = desk.sidecar.now()
-    desk.gate.set_evacuated(now, on=True)
-    desk.gate.set_evacuated(now + 0.001, on=False)
-    desk.run(0.002)
-    assert probed(desk, 1.0) == 1
-    assert not desk.gate.cold_unknown
-    assert desk.gate.is_cold(desk.sidecar.now())
-
-
-def test_a_health_answer_does_not_undo_that_the_backend_leaves() -> None:
-    desk = Desk()
-    desk.backend.serve = healthy
-    desk.probe.path = b"/health"
-    desk.probe.schedule()
-    desk.run(FIRST_DELAY_S / 2)
-    desk.beat(state="draining")
-    desk.run(5.0)
-    assert desk.gate.state == DRAINING
+    setup.backend.serve = lambda scripted, request: healthy(scripted, request, cold=cold)
+    setup.send_heartbeat()
+    now = setup.sidecar.now()
+    setup.gate.set_evacuated(now, on=True)
+    setup.gate.set_evacuated(now + 0.001, on=False)
+    setup.run(0.002)
+    assert probed(setup, 1.0) == 1
+    assert not setup.gate.cold_unknown
+    assert setup.gate.is_cold(setup.sidecar.now())
+
+
+def test_a_health_answer_does_not_undo_draining() -> None:
+    setup = GateSetup()
+    setup.backend.serve = healthy
+    setup.probe.path = b"/health"
+    setup.probe.schedule()
+    setup.run(FIRST_DELAY_S / 2)
+    setup.send_heartbeat(state="draining")
+    setup.run(5.0)
+    assert setup.gate.state == DRAINING
--- a/tests/sidecar/test_homes.py
+++ b/tests/sidecar/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes of routes: read from the word, kept to at the choice, part of the rule that a gate judges by."""
+"""Allowed regions of routes: parsing, choice of gates, part of the digest that gates compare."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar.outbound_request import OutboundRequest
 from honeywharf.verdict import DRAINING, FULL, NOT_RUN, Verdict
-from tests.sidecar.stage import TABLE, Client, Clock, Scripted, head, route
+from tests.sidecar.fixtures import TABLE, FakeSource, ManualClock, RecordingClient, head, route
 
 
 def text(homes: Any) -> bytes:
@@ -23,7 +23,7 @@
     return json.dumps(whole).encode()
 
 
-def test_homes_are_read_sorted_and_once_and_none_means_any() -> None:
+def test_allowed_regions_are_sorted_without_duplicates_and_none_means_any() -> None:
     assert RoutingTable(text(["b", "a", "b"])).all_routes()[0].allowed_regions == ("a", "b")
     assert (
         RoutingTable(text(None)).all_routes()[0].allowed_regions
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("wrong", ["a", {"a": 1}, [1], [""], [None], ["x"] * 65])
-def test_homes_that_are_no_list_of_regions_are_refused(wrong: Any) -> None:
+def test_allowed_regions_that_are_no_list_of_names_are_rejected(wrong: Any) -> None:
     found = check(text(wrong))
     assert isinstance(found, Err)
     assert "allowed-regions" in str(found.err_value)
 
 
-def test_homes_are_part_of_the_rule_for_both_readings_and_of_what_a_change_tells() -> None:
+def test_allowed_regions_are_part_of_the_route_digest_of_both_readings_and_of_the_listed_changes() -> None:
     rules = digests.Rules()
     made = {}
     for homes in ((), ("a",), ("a", "b")):
@@ -55,8 +55,10 @@
     assert "allowed-regions" in lines[0]
 
 
-def request(homes: tuple[str, ...], zones: dict[str, str]) -> tuple[Scripted, Client, OutboundRequest]:
-    source, client, one = Scripted(Clock()), Client(), route()
+def request(
+    homes: tuple[str, ...], zones: dict[str, str]
+) -> tuple[FakeSource, RecordingClient, OutboundRequest]:
+    source, client, one = FakeSource(ManualClock()), RecordingClient(), route()
     one.allowed_regions = homes
     source.regions = {zone: zone[0] for zone in zones.values()}
     for key, zone in zones.items():
@@ -68,7 +70,7 @@
 
 
 def asked(homes: tuple[str, ...], zones: dict[str, str], verdict: Verdict) -> list[str]:
-    """Every gate that is asked until nobody is left."""
+    """Returns the gates tried until none is left."""
     source, _, made = request(homes, zones)
     for _ in range(12):
         if made.is_over or not source.channels:
@@ -78,14 +80,14 @@
 
 
 @pytest.mark.parametrize("verdict", [Verdict(NOT_RUN, DRAINING), Verdict(NOT_RUN, FULL, retry_after_s=0.02)])
-def test_no_gate_outside_the_homes_is_asked_for_room_or_to_wait(verdict: Verdict) -> None:
+def test_no_gate_outside_the_allowed_regions_is_tried(verdict: Verdict) -> None:
     zones = {"1": "a-1", "2": "b-1", "3": "b-2", "4": "c-1"}
     assert set(asked((), zones, verdict)) == {"1", "2", "3", "4"}
     assert set(asked(("b",), zones, verdict)) == {"2", "3"}
     assert set(asked(("a", "c"), zones, verdict)) == {"1", "4"}
 
 
-def test_where_no_home_has_a_backend_the_client_is_told_that_nothing_ran() -> None:
+def test_without_a_backend_in_the_allowed_regions_the_client_gets_503() -> None:
     source, expected_client, made = request(("x",), {"1": "a-1"})
     assert source.channels == []
     assert made.is_over
@@ -93,7 +95,7 @@
     assert expected_client is made.client
 
 
-def test_a_zone_whose_region_is_not_known_is_no_home() -> None:
+def test_a_zone_of_unknown_region_is_not_allowed() -> None:
     source, _, _ = request((), {"1": "a-1"})
     source.regions = {}
     assert source.backends_outside(("a",), "basket") | source.backends_outside(("",), "basket") == set()
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -1,4 +1,4 @@
-"""A sidecar that is told to end: its backend is of use until shortly before, and nothing is cut off."""
+"""Shutdown of a sidecar: its backend is used until shortly before the end, and no request is lost."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.simulation.mutants import end_without_a_word, wrong
 
 
-def test_the_gate_of_one_that_leaves_takes_requests_until_shortly_before_its_end() -> None:
+def test_the_gate_takes_requests_until_shortly_before_the_end_of_a_shutdown() -> None:
     field = Field(31, real_sidecar, real_control_node, until=16.0)
     world, side = field.world, field.sides[0]
     Day(field, [])
@@ -40,8 +40,8 @@
     assert field.book.found == []
 
 
-def pressed(seed: int) -> Field:
-    """A roll that takes so many at a time that the platform sends clients to those that leave."""
+def loaded_until_the_end(seed: int) -> Field:
+    """Rolls so many sidecars at a time that the platform sends clients to those that shut down."""
     field = Field(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
     Day(field, [Fault(9.0, "roll_term", "busy", seed)])
     world = field.world
@@ -52,21 +52,21 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_clients_that_press_on_until_the_end_get_whole_answers(seed: int) -> None:
-    field = pressed(seed)
-    assert field.book.found == []  # LOST among them
+def test_requests_until_the_end_of_a_sidecar_get_whole_answers(seed: int) -> None:
+    field = loaded_until_the_end(seed)
+    assert field.book.found == []  # the LOST rule is among those checked
     rolled = {ip for ip, until in field.book.last.items() if until > 9.0}
     late = [ask for ask in field.book.asks.values() if ask.machine in rolled and 13.0 < ask.sent < 15.0]
     assert len(late) > 50
 
 
-def test_a_process_that_ends_without_a_word_is_found_out() -> None:
+def test_a_process_that_ends_without_final_answers_is_detected() -> None:
     with wrong(end_without_a_word):
-        found = pressed(1).book.found
+        found = loaded_until_the_end(1).book.found
     assert [rule for rule, _, _ in found] == ["LOST"]
 
 
-def test_whatever_is_under_way_at_the_end_gets_a_final_answer() -> None:
+def test_every_request_under_way_at_the_end_gets_a_final_answer() -> None:
     field = Field(5, real_sidecar, real_control_node, until=16.0, per_s=2.0)
     world, side = field.world, field.sides[0]
     Day(field, [])
@@ -81,7 +81,7 @@
     for each in field.sides:
         backend = each.life()
         assert backend is not None
-        backend.mean = 60.0  # what runs from here on is at work until after the end
+        backend.mean = 60.0  # requests from here on run until after the end
     world.run(9.0 + 5.59)
     under_way = [ask for ask in field.book.asks.values() if ask.machine == side.ip and not ask.status]
     assert under_way
--- a/tests/sidecar/test_mesh_state.py
+++ b/tests/sidecar/test_mesh_state.py
@@ -1,4 +1,4 @@
-"""What a sidecar takes for the mesh state at its start: a configuration that a majority has told."""
+"""The mesh state at a sidecar's start: only one that a control node has read from a majority."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from honeywharf.simulation.field import ROUTES
 from tests.control.virtual_network import VirtualNetwork
 
-CORES = [("10.0.0.1", 7620), ("10.0.0.2", 7620)]
+CONTROL_NODES = [("10.0.0.1", 7620), ("10.0.0.2", 7620)]
 HOST, PREFIX = ROUTES[0][:2]
 
 
 def configuration(version: int) -> bytes:
-    """The text of a configuration with one route."""
+    """Returns the text of a configuration with one route."""
     route = {
         "name": "r-1",
         "hostname": HOST,
@@ -38,12 +38,12 @@
 
 
 def state(revision: int, version: int, digest: str) -> dict[str, Any]:
-    """A mesh state as control nodes tell it."""
+    """Returns a mesh state as control nodes send it."""
     return {"rev": revision, "version": version, "digest": digest, "evac": {}}
 
 
-class Asked:
-    """A caller whose calls are kept, and answered by `answers` of each method."""
+class FakeRpcClient:
+    """An RPC client that records its calls and answers each method from `answers`."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
         self.answers, self.methods = answers, list[str]()
@@ -54,39 +54,43 @@
         self.machine.after(within, lambda: done(self.answers.get(method)))
 
 
-def started(answers: dict[str, Any], seconds: float) -> tuple[MeshStateReplica, Asked]:
-    """A sidecar's state so long after its start."""
-    asked = Asked(answers)
-    asked.machine.start(lambda machine: None)
-    word = MeshStateReplica(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
-    word.start()
-    asked.machine.network.run(asked.machine.network.time + seconds)
-    return word, asked
+def started(answers: dict[str, Any], seconds: float) -> tuple[MeshStateReplica, FakeRpcClient]:
+    """Returns a sidecar's mesh state `seconds` after its start."""
+    rpc_client = FakeRpcClient(answers)
+    rpc_client.machine.start(lambda machine: None)
+    mesh_state = MeshStateReplica(
+        cast(Any, rpc_client.machine), cast(Any, rpc_client), lambda: CONTROL_NODES, lambda: None
+    )
+    mesh_state.start()
+    rpc_client.machine.network.run(rpc_client.machine.network.time + seconds)
+    return mesh_state, rpc_client
 
 
-def test_the_first_version_that_there_can_be_is_taken_over() -> None:
+def test_version_0_is_taken_over() -> None:
     told = {"word.read": state(1, 0, "zero"), "word.body": zlib.compress(configuration(0))}
-    word, _ = started(told, 3.0)
-    assert word.ready
-    assert word.version == 0
-    assert word.find(HOST.encode(), PREFIX.encode()) is not None
+    mesh_state, _ = started(told, 3.0)
+    assert mesh_state.ready
+    assert mesh_state.version == 0
+    assert mesh_state.find(HOST.encode(), PREFIX.encode()) is not None
 
 
-def test_a_state_without_a_configuration_makes_nobody_ready() -> None:
-    word, asked = started({"word.read": state(7, -1, "")}, 20.0)
-    assert not word.ready
-    assert asked.methods.count("word.read") > 10
+def test_a_mesh_state_without_a_configuration_makes_no_sidecar_ready() -> None:
+    mesh_state, rpc_client = started({"word.read": state(7, -1, "")}, 20.0)
+    assert not mesh_state.ready
+    assert rpc_client.methods.count("word.read") > 10
 
 
 def test_without_a_majority_it_takes_nothing_however_long_it_waits() -> None:
     old = {"rev": 3, "version": 5, "digest": "five", "evac": {}}
-    asked = Asked({"word.known": old, "word.body": b"text"})
-    asked.machine.start(lambda machine: None)
-    state = MeshStateReplica(cast(Any, asked.machine), cast(Any, asked), lambda: CORES, lambda: None)
+    rpc_client = FakeRpcClient({"word.known": old, "word.body": b"text"})
+    rpc_client.machine.start(lambda machine: None)
+    state = MeshStateReplica(
+        cast(Any, rpc_client.machine), cast(Any, rpc_client), lambda: CONTROL_NODES, lambda: None
+    )
     state.start()
     for _ in range(60):
-        state.revision_announced(4, CORES[0])
-        asked.machine.network.run(asked.machine.network.time + 1.0)
+        state.revision_announced(4, CONTROL_NODES[0])
+        rpc_client.machine.network.run(rpc_client.machine.network.time + 1.0)
     assert not state.ready
-    assert len(asked.methods) > 50
-    assert set(asked.methods) == {"word.read"}
+    assert len(rpc_client.methods) > 50
+    assert set(rpc_client.methods) == {"word.read"}
--- a/tests/sidecar/test_order_explored.py
+++ b/tests/sidecar/test_order_explored.py
@@ -1,4 +1,4 @@
-"""One order over two proxies under single faults; all of them, and pairs, in bench/order_explore.py."""
+"""One order over two sidecars under single faults; bench/order_explore.py plays pairs of faults too."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 @pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.name)
-def test_no_single_fault_has_an_order_run_twice_or_answered_wrongly(scene: Scene) -> None:
+def test_no_single_fault_makes_an_order_run_twice_or_be_answered_wrongly(scene: Scene) -> None:
     with watched():
         for faults in singles(scene, "well"):
             assert play(scene, "well", faults).wrong == [], faults
 
 
 @pytest.mark.parametrize("manner", MANNERS)
-def test_no_manner_of_a_backend_has_an_order_run_twice_or_answered_wrongly(manner: str) -> None:
+def test_no_backend_behaviour_makes_an_order_run_twice_or_be_answered_wrongly(manner: str) -> None:
     with watched():
         for scene in SCENES:
             assert play(scene, manner).wrong == []
@@ -31,5 +31,5 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_guard_that_is_left_out_is_found_out(mutant: Mutant) -> None:
+def test_each_mutant_is_detected(mutant: Mutant) -> None:
     assert caught(mutant)[0]
