--- a/tests/sidecar/fixtures.py
+++ b/tests/sidecar/fixtures.py
@@ -97,14 +97,14 @@
         self.on_data: Callable[[bytes], None] = lambda data: None
 
     def data(self, data: bytes) -> None:
-        """A part of the body."""
+        """Records a part of the request's body."""
         assert not self.cancelled
         assert not self.ends, "a part of the body behind its end"
         self.body += data
         self.on_data(data)
 
     def end(self) -> None:
-        """The body is whole."""
+        """Counts the ends of the body."""
         self.ends += 1
 
     def window(self, size: int) -> None:
@@ -112,7 +112,7 @@
         self.answer_bytes_forwarded += size
 
     def cancel(self) -> None:
-        """Nobody waits any more."""
+        """Notes the cancellation."""
         assert not self.cancelled
         self.cancelled = True
 
@@ -219,7 +219,7 @@
         return [status for status, _, _ in self.answers()]
 
     def opened(self) -> None:
-        """It is up."""
+        """Does nothing."""
 
     def received(self, data: bytes) -> None:
         """Records bytes of answers."""
@@ -234,7 +234,7 @@
         """Does nothing."""
 
     def closed(self, why: str) -> None:
-        """It is gone."""
+        """Notes the end of the connection."""
         self.gone, self.closed_at = why, self.host.world.now
 
 
@@ -265,7 +265,7 @@
 
     @property
     def source(self) -> FakeSource:
-        """Its source."""
+        """The source of its requests."""
         return cast("FakeSource", self.outbound.source)
 
     @property
@@ -297,31 +297,31 @@
     def final(
         self, outbound_request: OutboundRequest, status: int, retry_after_s: float, words: bytes
     ) -> None:
-        """An answer of the mesh's own."""
+        """Notes an answer of the mesh's own."""
         self.events.append(("final", status, retry_after_s))
         self.ends += 1
 
     def answer(
         self, outbound_request: OutboundRequest, status: int, fields: bytes, length: int, body: bytes | None
     ) -> None:
-        """A backend's answer."""
+        """Notes a backend's answer."""
         self.events.append(("answer", status))
         if body is not None:
             self.body += body
             self.ends += 1
 
     def data(self, outbound_request: OutboundRequest, data: bytes) -> None:
-        """A part of it."""
+        """Records a part of the answer's body."""
         assert not self.ends
         self.body += data
 
     def whole(self, outbound_request: OutboundRequest) -> None:
-        """It is whole."""
+        """Notes that the answer is complete."""
         self.events.append(("whole",))
         self.ends += 1
 
     def broken(self, outbound_request: OutboundRequest) -> None:
-        """It breaks off."""
+        """Notes that the answer broke off."""
         self.events.append(("broken",))
         self.ends += 1
 
@@ -388,7 +388,7 @@
 
     @property
     def attempt(self) -> bytes:
-        """Its attempt id."""
+        """The attempt id."""
         return self.headers[b"x-honeywharf-attempt-id"]
 
 
@@ -403,7 +403,7 @@
         self.gone: str | None = None
 
     def opened(self) -> None:
-        """Not called."""
+        """Does nothing."""
 
     def received(self, data: bytes) -> None:
         """Reads bytes of requests."""
@@ -465,7 +465,7 @@
         """Does nothing."""
 
     def closed(self, why: str) -> None:
-        """It is gone."""
+        """Notes the end of the connection."""
         self.gone = why
 
 
@@ -526,18 +526,18 @@
         self.on_go: Callable[[], None] = lambda: None
 
     def admit(self) -> None:
-        """It is admitted."""
+        """Notes the admission."""
         self.events.append(("go",))
         self.on_go()
 
     def window(self, size: int) -> None:
-        """Bytes of the request's body have gone on."""
+        """Counts the bytes granted."""
         self.windows += size
 
     def answer(
         self, status: int, fields: bytes, length: int, load: tuple[int, int, int], body: bytes | None
     ) -> None:
-        """The answer, whole, or its head."""
+        """Notes the answer, or its head."""
         assert not self.ends
         self.events.append(("answer", status, length, body is not None))
         if body is not None:
@@ -545,18 +545,18 @@
             self.ends += 1
 
     def data(self, data: bytes) -> None:
-        """A part of it."""
+        """Records a part of the answer's body."""
         assert not self.ends
         self.body += data
 
     def complete(self) -> None:
-        """It is whole."""
+        """Notes that the answer is complete."""
         assert not self.ends
         self.events.append(("whole",))
         self.ends += 1
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-        """No answer comes."""
+        """Notes the verdict."""
         assert not self.ends
         self.events.append(("fail", verdict.ran, verdict.why, verdict.reached_backend))
         self.verdict = verdict
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -1,19 +1,19 @@
-"""One order of a client over two proxies, under every single fault and every pair of them.
+"""One client's order over two sidecars, under every single fault and every pair of faults.
 
-Theory of operation. A `Pair` is two machines on the simulated network, each with a proxy (the program's own
-classes, without a control plane) and a backend of one service; the client sits on the first. A schedule is a
-tuple of faults. Each names a step and what happens there: the step is the number of a delivery (bytes, an
-acknowledgement of a connection, an end) on the connections that carry the order, so a fault can strike
-between any two frames. What a TCP connection can do to a frame is covered by these: it arrives; it is late
-(a short cut, a frozen process); it is lost with all that follows it (a long cut, one way or both, a reset of
-both ends or of one). Nothing below the proxies sends a frame twice, so frames are doubled only where
-a program does it: a backend that answers twice, and the client that tries again after a promise.
+Theory of operation. `TwoSidecars` is two machines on the simulated network, each with a sidecar (the
+program's own classes, without a control plane) and a backend of one service; the client runs on the first. A
+schedule is a tuple of faults, each with the number of the delivery before which it happens. Deliveries are
+bytes, acknowledgements of connections and ends on the connections that carry the order, so a fault can happen
+between any two frames. These faults cover what a TCP connection can do to a frame: it arrives; it is late (a
+short partition, a frozen process); it is lost with all that follows it (a long partition, one way or both, a
+reset of both ends or of one). Nothing below the sidecars sends a frame twice, so frames are doubled only
+where a program does it: a backend that answers twice, and the client that retries after a 503 or the like.
 
 `play` runs a schedule to its end and lists what is wrong:
 
     TWICE    more than one whole request of the order reached a backend that runs it
-    REFUSED  the client was told 429, 503, 408 or 421 for a try that has run, or that ran later
-    MIXED    an answer was not the one of the request it was read for, or came where nothing waited
+    REFUSED  the client got 429, 503, 408 or 421 for an attempt that has run, or that ran later
+    MIXED    an answer was not that of the request it was read for, or came where none was due
 """
 
 from __future__ import annotations
@@ -54,23 +54,23 @@
 from tests.simulation.mutants import wrong
 
 SOURCE, DESTINATION = "10.1.0.8", "10.1.0.20"
-START_S, LENGTH_S = 2.0, 9.0  # the client begins; the run ends so long after it
-DEADLINE_S = 2.0  # of the order
-WORK_S = 0.05  # of a backend on one request
-GRACE_S = 0.5  # from SIGTERM to the end of a process: less than the deadline, so that it can strike first
-SHORT_S, LONG_S = 0.4, 4.5  # a fault that is over before anybody gives up, and one that is not
+START_S, LENGTH_S = 2.0, 9.0  # start of the client, and time from then to the end of the run
+DEADLINE_S = 2.0  # time that the client has for the order
+WORK_S = 0.05  # time that a backend needs for one request
+GRACE_S = 0.5  # from SIGTERM to the end of a process; ends before the deadline
+SHORT_S, LONG_S = 0.4, 4.5  # duration of a fault: less, and more, than any timeout
 PROMISES = (408, 421, 429, 503)
-MAX_TRIES = 3  # of the client
-GIVEN_UP_S = 0.04  # of a request that no backend answers so soon
-SHORT_BYTES = 8192  # of a body that comes with one read
+MAX_ATTEMPTS = 3  # bounds the client
+GIVEN_UP_S = 0.04  # a deadline before any backend answers
+SHORT_BYTES = 8192  # largest body that arrives with one read
 
 
 class Scene(NamedTuple):
-    """What the client sends.
+    """The requests that the client sends.
 
-    `size`: bytes of the order's body. `local`: the gate beside the client's own proxy is asked first.
-    `before`: what becomes of another request that the client sends first: nothing yet ("pipelined", the order
-    follows it on its connection), an answer ("answered", the order follows that), or a deadline ("given up").
+    `size`: bytes of the order's body. `local`: the gate of the client's own sidecar is tried first. `before`:
+    the state of another request, sent first, when the order is sent: "pipelined" (unanswered, on the same
+    connection), "answered", or "given up" (its deadline has passed).
     """
 
     name: str
@@ -92,13 +92,13 @@
 
 
 class Fault(NamedTuple):
-    """One trouble: `what` happens just before delivery number `step`."""
+    """A fault: `what` happens just before delivery number `step`."""
 
     step: int
     what: str
 
 
-#: What may happen before a delivery. Names of processes: a, b (proxies), x, y (the backends beside them).
+#: Faults before a delivery. Names of processes: a, b (sidecars), x, y (the backends beside them).
 CUTS = {
     f"cut {way} {span}": (way, seconds)
     for way in ("a-b", "b-a", "both")
@@ -113,7 +113,7 @@
     for span, seconds in (("short", SHORT_S), ("long", LONG_S))
 }
 FAULTS = (*CUTS, *RESETS, *KILLS, *TERMS, *FREEZES)
-#: How both backends treat the first request that they get; the rest they answer well.
+#: How both backends treat their first request; they answer all later ones normally.
 MANNERS = (
     "well",
     "turned away",
@@ -129,21 +129,21 @@
 
 
 class OrderBackend(ScriptedBackend):
-    """A backend that runs whatever comes whole, and answers in the manner of the schedule once."""
+    """A backend that runs every complete request; the first answer is in the schedule's manner."""
 
-    def __init__(self, host: Process, pair: Pair) -> None:
+    def __init__(self, host: Process, deployment: TwoSidecars) -> None:
         super().__init__(host)
-        self.pair, self.life = pair, f"i-{host.machine.ip}-{host.life}"
+        self.deployment, self.instance = deployment, f"i-{host.machine.ip}-{host.life}"
         self.serve = self._take
-        pair.tell_gate(host.machine.ip, self.life)
+        deployment.send_first_heartbeat(host.machine.ip, self.instance)
 
     def _take(self, scripted: ScriptedConnection, request: ReceivedRequest) -> None:
-        manner, self.pair.manner = self.pair.manner, "well"
+        manner, self.deployment.manner = self.deployment.manner, "well"
         attempt = request.attempt
         if manner == "turned away":
             scripted.send(answer(attempt, b"full", 503, False, b"X-Honeywharf-Not-Executed: 1\r\n"))
             return
-        self.pair.runs.append(attempt.decode())
+        self.deployment.runs.append(attempt.decode())
         self.host.after(WORK_S, lambda: self._answer(scripted, attempt, manner))
 
     def _answer(self, scripted: ScriptedConnection, attempt: bytes, manner: str) -> None:
@@ -170,12 +170,12 @@
             scripted.send(whole)
 
 
-class Proxy:
-    """One proxy put together from the program's classes; it knows both gates and never learns of others."""
+class SidecarUnderTest:
+    """A sidecar made of the program's classes; it knows both gates and learns of no others."""
 
-    def __init__(self, host: Process, pair: Pair) -> None:
+    def __init__(self, host: Process, deployment: TwoSidecars) -> None:
         own, ip = settings(host.machine.ip), host.machine.ip
-        self.host, self.pair = host, pair
+        self.host, self.deployment = host, deployment
         self.gate = Gate(host.now(), SERVICE, 1.5, 5.0)
         self.gate.set_slow_start(22.0)
         pool = BackendConnectionPool(host, (ip, APPLICATION), lambda: None)
@@ -184,7 +184,7 @@
         mesh_state = MeshStateReplica(host, RpcCaller(host), list, lambda: None)
         mesh_state.table, mesh_state.ready, mesh_state.revision = RoutingTable(TABLE), True, 7
         self.source = Source(host, own, mesh_state, self.inbound, lambda: 0.0)
-        self.source.retry_slack = 100.0  # the retry budget is no guard here: it never stands in the way
+        self.source.retry_slack = 100.0  # large, so that the retry budget prevents no retry
         answerer = RpcServer({}, self._streams)
         host.listen((ip, INTERNAL), answerer.accept)
         self.outbound = Outbound(host, (ip, OUTBOUND), mesh_state, self.source)
@@ -198,19 +198,19 @@
             ended=lambda: None,
         )
         host.on_signal(TERM, self.shutdown.begin)
-        for gate in pair.gates():
+        for gate in deployment.gates():
             self.source.update_backend(gate, {"s": SERVICE, "b": f"i-{gate}", "st": 1, "sl": 4}, ZONE)
-        life = pair.life(ip)
-        if life:
-            self.gate.heartbeat(host.now(), life, 1, False, 4, 0.0)
+        instance = deployment.instance(ip)
+        if instance:
+            self.gate.heartbeat(host.now(), instance, 1, False, 4, 0.0)
 
     def _streams(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
         reader.max_frame = MAX_FRAME
         return LinkServer(connection, reader, frames, self.inbound.begin)
 
 
-class Try:
-    """One request of the client: what it was answered. `message` is None where the connection ended."""
+class ClientAttempt:
+    """One request of the client and its answer. `message` is None where the connection ended."""
 
     def __init__(self, attempt: str) -> None:
         self.attempt, self.over = attempt, False
@@ -218,85 +218,89 @@
 
 
 class Client:
-    """Sends the order, and again where PROTOCOL lets it; reads each answer for the request it is due for."""
+    """Sends the order, and retries it where PROTOCOL allows; matches answers to requests."""
 
-    def __init__(self, host: Process, pair: Pair) -> None:
-        self.host, self.pair = host, pair
-        self.tries: list[Try] = []
-        self.other: Try | None = None
-        self.unread = False  # an answer has closed the connection: what was sent behind it was not read
+    def __init__(self, host: Process, deployment: TwoSidecars) -> None:
+        self.host, self.deployment = host, deployment
+        self.attempts: list[ClientAttempt] = []
+        self.other_attempt: ClientAttempt | None = None
+        self.unread = False  # whether an answer closed the connection before a pipelined request was read
         self.until = host.world.now + DEADLINE_S
-        before = pair.scene.before
+        before = deployment.scene.before
         if before:
-            self.other = Try("o1")
+            self.other_attempt = ClientAttempt("o1")
             caller = self._connect()
             within = GIVEN_UP_S if before == "given up" else DEADLINE_S
-            caller.ask(self.other, self._bytes(self.other, "GET", "read_only", 0, within))
+            caller.ask(self.other_attempt, self._bytes(self.other_attempt, "GET", "read_only", 0, within))
         if before in ("", "pipelined"):
             self._send(caller if before else None)
 
     def _connect(self) -> Caller:
-        return Caller(self.host, (SOURCE, OUTBOUND), self._told, self.pair.mixed)
+        return Caller(self.host, (SOURCE, OUTBOUND), self._answered, self.deployment.report_mixed)
 
     def _send(self, caller: Caller | None = None) -> None:
         left = self.until - self.host.world.now
-        if left <= 0 or len(self.tries) >= MAX_TRIES:
+        if left <= 0 or len(self.attempts) >= MAX_ATTEMPTS:
             return
-        scene, used = self.pair.scene, caller or self._connect()
-        made = Try(f"t{len(self.tries) + 1}")
-        self.tries.append(made)
+        scene, used = self.deployment.scene, caller or self._connect()
+        client_attempt = ClientAttempt(f"t{len(self.attempts) + 1}")
+        self.attempts.append(client_attempt)
         kind = "upload" if scene.size > SHORT_BYTES else "mutating"
-        used.ask(made, self._bytes(made, scene.method, kind, scene.size, left))
-        self.host.after(left, lambda: None if made.over else used.close())
+        used.ask(client_attempt, self._bytes(client_attempt, scene.method, kind, scene.size, left))
+        self.host.after(left, lambda: None if client_attempt.over else used.close())
 
-    def _bytes(self, made: Try, method: str, kind: str, size: int, left: float) -> bytes:
+    def _bytes(self, client_attempt: ClientAttempt, method: str, kind: str, size: int, left: float) -> bytes:
         headers = {
             "Host": "shop.example",
-            "X-Honeywharf-Attempt-Id": made.attempt,
+            "X-Honeywharf-Attempt-Id": client_attempt.attempt,
             "X-Honeywharf-Deadline-Remaining": max(1, round(left * 1000)),
         }
         return text(f"{method} /{kind}/x HTTP/1.1", headers, b"x" * size)
 
-    def _told(self, tag: Any, message: Message | None) -> None:
-        made = cast("Try", tag)
-        made.over, made.message = True, message
+    def _answered(self, tag: Any, message: Message | None) -> None:
+        client_attempt = cast("ClientAttempt", tag)
+        client_attempt.over, client_attempt.message = True, message
         if message is not None:
-            self._check(made, message)
-        if made is self.other:
+            self._check(client_attempt, message)
+        if client_attempt is self.other_attempt:
             closes = message is not None and message.headers.get("connection") == "close"
-            if self.pair.scene.before == "pipelined":
+            if self.deployment.scene.before == "pipelined":
                 self.unread = closes
             else:
                 self._send()
         elif message is None and self.unread:
             self.unread = False
             self._send()
-        elif message is not None and promised(message):
+        elif message is not None and promises_not_run(message):
             left = self.until - self.host.world.now
             wait = min(float(message.headers.get("retry-after", 0)), left / 3)
             self.host.after(max(0.0, wait) + 0.01, self._send)
 
-    def _check(self, made: Try, message: Message) -> None:
+    def _check(self, client_attempt: ClientAttempt, message: Message) -> None:
         sealed = "x-honeywharf-server-seal" in message.headers
-        if message.status < 300 and not (sealed and message.body == f"done {made.attempt}".encode()):
-            self.pair.mixed(f"{made.attempt} was answered {message.status} {message.body[:40]!r}")
+        if message.status < 300 and not (
+            sealed and message.body == f"done {client_attempt.attempt}".encode()
+        ):
+            self.deployment.report_mixed(
+                f"{client_attempt.attempt} was answered {message.status} {message.body[:40]!r}"
+            )
 
 
-def promised(message: Message) -> bool:
-    """Whether an answer says that its request has not run and never will."""
+def promises_not_run(message: Message) -> bool:
+    """Whether an answer promises that its request has not run and never will."""
     return "x-honeywharf-server-seal" not in message.headers and message.status in PROMISES
 
 
-class PairWorld(World):
-    """The virtual time of one `Pair`."""
+class TwoSidecarsWorld(World):
+    """The simulation of one `TwoSidecars`."""
 
-    def __init__(self, seed: int, pair: Pair) -> None:
+    def __init__(self, seed: int, deployment: TwoSidecars) -> None:
         super().__init__(seed)
-        self.pair = pair
+        self.deployment = deployment
 
 
-class Pair:
-    """The deployment of one schedule, and what its backends and its client have seen."""
+class TwoSidecars:
+    """The deployment of one schedule, with what its backends ran and what was wrong."""
 
     def __init__(self, scene: Scene, manner: str = "well", faults: tuple[Fault, ...] = ()) -> None:
         self.scene, self.manner = scene, manner
@@ -306,12 +310,13 @@
         self.begun = False
         self.runs: list[str] = []
         self.wrong: list[str] = []
-        self.world = PairWorld(1, self)
+        self.world = TwoSidecarsWorld(1, self)
         self.world.strict = True
         self.network = Network(self.world)
         machines = [Machine(self.network, ip, ZONE) for ip in (SOURCE, DESTINATION)]
         proxies = [
-            Process(machine, f"proxy-{machine.ip}", lambda host: Proxy(host, self)) for machine in machines
+            Process(machine, f"proxy-{machine.ip}", lambda host: SidecarUnderTest(host, self))
+            for machine in machines
         ]
         backends = [
             Process(machine, f"backend-{machine.ip}", lambda host: OrderBackend(host, self))
@@ -323,38 +328,38 @@
             process.start()
 
     def gates(self) -> tuple[str, ...]:
-        """The proxies' addresses, the one that is asked first in front."""
+        """Returns the sidecars' addresses, the one tried first in front."""
         return (SOURCE, DESTINATION) if self.scene.local else (DESTINATION, SOURCE)
 
-    def life(self, ip: str) -> str:
-        """The backend that lives beside a proxy now."""
+    def instance(self, ip: str) -> str:
+        """Returns the instance of the backend beside a sidecar; empty without one."""
         process = self.processes["x" if ip == SOURCE else "y"]
-        return process.program.life if isinstance(process.program, OrderBackend) else ""
+        return process.program.instance if isinstance(process.program, OrderBackend) else ""
 
-    def tell_gate(self, ip: str, life: str) -> None:
-        """A backend's first beat."""
+    def send_first_heartbeat(self, ip: str, instance: str) -> None:
+        """Sends a backend's first heartbeat."""
         program = self.processes["a" if ip == SOURCE else "b"].program
-        if isinstance(program, Proxy):
-            program.gate.heartbeat(program.host.now(), life, 1, False, 4, 0.0)
+        if isinstance(program, SidecarUnderTest):
+            program.gate.heartbeat(program.host.now(), instance, 1, False, 4, 0.0)
 
-    def mixed(self, what: str) -> None:
-        """The client read what it must not."""
+    def report_mixed(self, what: str) -> None:
+        """Notes an answer that the client must not have read."""
         self.wrong.append(f"MIXED: {what}")
 
     # Faults.
 
     def deliver(self, end: End, item: bytes | int | str, go_on: Callable[[End, Any], None]) -> None:
-        """One delivery, and the fault that is due before it."""
+        """Applies the fault due before a delivery, then makes the delivery."""
         if not self.begun or isinstance(item, int):
             go_on(end, item)
             return
         self.last = next(self.steps)
         what = self.due.pop(self.last, "")
         if what:
-            self._strike(what, end)
+            self._apply_fault(what, end)
         go_on(end, item)
 
-    def _strike(self, what: str, end: End) -> None:
+    def _apply_fault(self, what: str, end: End) -> None:
         world, other = self.world, end.other
         if what in CUTS:
             way, seconds = CUTS[what]
@@ -381,13 +386,16 @@
     # The run.
 
     def statuses(self) -> list[int]:
-        """What the client's tries were answered; 0 where a connection ended."""
+        """Returns the statuses of the client's attempts; 0 where a connection ended."""
         program = self.client.program
         assert isinstance(program, Client)
-        return [0 if made.message is None else made.message.status for made in program.tries]
+        return [
+            0 if client_attempt.message is None else client_attempt.message.status
+            for client_attempt in program.attempts
+        ]
 
     def run(self) -> None:
-        """Run it to its end; what is wrong is in `wrong` then."""
+        """Runs the schedule to its end and fills `wrong`."""
         self.world.run(START_S)
         self.begun = True
         self.client.start()
@@ -398,21 +406,25 @@
         order = [run for run in self.runs if run != "o1"]
         if len(order) > 1:
             self.wrong.append(f"TWICE: {order}")
-        for made in client.tries:
-            status = 0 if made.message is None else made.message.status
-            if made.message is not None and promised(made.message) and made.attempt in self.runs:
-                self.wrong.append(f"REFUSED: {made.attempt} got {status} and ran")
+        for client_attempt in client.attempts:
+            status = 0 if client_attempt.message is None else client_attempt.message.status
+            if (
+                client_attempt.message is not None
+                and promises_not_run(client_attempt.message)
+                and client_attempt.attempt in self.runs
+            ):
+                self.wrong.append(f"REFUSED: {client_attempt.attempt} got {status} and ran")
 
 
 @contextmanager
 def watched() -> Iterator[None]:
-    """Have each delivery of a `Pair` pass through it."""
+    """Passes each delivery of a `TwoSidecars` through its `deliver`."""
     was = End._arrive
 
     def arrive(end: End, item: bytes | int | str) -> None:
         world = end.process.world
-        if isinstance(world, PairWorld):
-            world.pair.deliver(end, item, was)
+        if isinstance(world, TwoSidecarsWorld):
+            world.deployment.deliver(end, item, was)
         else:
             was(end, item)
 
@@ -420,15 +432,15 @@
         yield
 
 
-def play(scene: Scene, manner: str = "well", faults: tuple[Fault, ...] = ()) -> Pair:
-    """One schedule, played to its end."""
-    pair = Pair(scene, manner, faults)
-    pair.run()
-    return pair
+def play(scene: Scene, manner: str = "well", faults: tuple[Fault, ...] = ()) -> TwoSidecars:
+    """Plays one schedule to its end."""
+    deployment = TwoSidecars(scene, manner, faults)
+    deployment.run()
+    return deployment
 
 
 def singles(scene: Scene, manner: str) -> Iterator[tuple[Fault, ...]]:
-    """No fault, and each fault at each step that a run without one has."""
+    """Yields no fault, and each fault at each step of a run without faults."""
     yield ()
     for step in range(play(scene, manner).last + 1):
         for what in FAULTS:
@@ -436,7 +448,7 @@
 
 
 def pairs(scene: Scene, manner: str, first: Fault) -> Iterator[tuple[Fault, ...]]:
-    """A first fault, with each further one at each later step that a run with the first has."""
+    """Yields a first fault with each further one at each later step of a run with the first."""
     for step in range(first.step + 1, play(scene, manner, (first,)).last + 1):
         for what in FAULTS:
             yield (first, Fault(step, what))
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -441,7 +441,7 @@
     setup.backend.serve = lambda scripted, request: scripted.send(answer(request.attempt, bytes(72_000)))
     inbound_request, told = setup.begin(
         forwarded_request()
-    )  # its last bytes arrive in the read that uses up the window
+    )  # the last bytes arrive in the read that uses up the window
     setup.run(1.0)
     inbound_request.window(10_000)
     assert told.ends == 1
@@ -490,7 +490,7 @@
     setup.run(0.15)
     assert hasty.events == [("fail", NOT_RUN, FULL, False)], "it waited past its patience"
     assert patient.events == []
-    setup.run(0.7)  # it is next to run, so its wait is extended once
+    setup.run(0.7)  # the wait of the next to run is extended once
     assert patient.events == []
     setup.run(0.7)
     assert patient.events == [("fail", NOT_RUN, FULL, False)]
@@ -711,7 +711,7 @@
     setup = InboundSetup()
     inbound_request, told = setup.begin(forwarded_request(kind=2, length=40_000, remaining_s=5.0))
     inbound_request.data(bytes(40_000))
-    setup.gate.heartbeat(setup.inbound.host.now(), INSTANCE, 2, True, 4, 0.0)  # it drains
+    setup.gate.heartbeat(setup.inbound.host.now(), INSTANCE, 2, True, 4, 0.0)  # the backend drains
     inbound_request.end()
     setup.run()
     assert told.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
--- a/tests/sidecar/test_order_explored.py
+++ b/tests/sidecar/test_order_explored.py
@@ -25,9 +25,9 @@
 def test_an_order_without_a_fault_runs_once_and_is_answered() -> None:
     with watched():
         for scene in SCENES:
-            pair = play(scene)
-            assert [run for run in pair.runs if run != "o1"] == ["t1"]
-            assert pair.statuses() == [200]
+            deployment = play(scene)
+            assert [run for run in deployment.runs if run != "o1"] == ["t1"]
+            assert deployment.statuses() == [200]
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -438,7 +438,7 @@
     setup = OutboundSetup()
     caller = setup.call(request() + request(attempt=b"a2"))
     setup.outbound.drain()
-    give(setup, setup.channels[1], b"two")  # it is held, and closes the connection
+    give(setup, setup.channels[1], b"two")  # the answer is held, and closes the connection
     caller.send(request("mutating", b"a3") + request("mutating", b"a4", body=b"abc"))
     setup.run()
     assert len(setup.channels) == 2
@@ -469,7 +469,7 @@
     setup.outbound.finish()
     setup.run(0.1)
     assert held.statuses() == [503]  # read_only
-    assert at_work.statuses() == [503]  # its body was not asked for, so it has not run
+    assert at_work.statuses() == [503]  # no gate asked for the body, so it has not run
     assert not setup.source.active_requests
 
 
--- a/tests/sidecar/test_outbound_request.py
+++ b/tests/sidecar/test_outbound_request.py
@@ -460,8 +460,8 @@
 @pytest.mark.parametrize(
     ("kind", "length", "went", "ran", "told"),
     [
-        ("read_only", 0, True, True, 503),  # it may run twice
-        ("mutating", 0, False, False, 502),  # without a body a gate may have begun it at once
+        ("read_only", 0, True, True, 503),  # idempotent
+        ("mutating", 0, False, False, 502),  # a gate may have begun a request without a body at once
         ("mutating", 5, True, False, 502),
         ("mutating", 5, False, False, 503),  # no byte of its body was sent, so it has not run
         ("mutating", 5, False, True, 502),  # another gate may have run it before
--- a/tests/sidecar/test_source.py
+++ b/tests/sidecar/test_source.py
@@ -31,7 +31,7 @@
     source.update_backend("b", {"s": "another", "b": "i", "st": 1, "sl": 8}, ZONE)
     assert usable_backends(source) == {"c"}
     assert usable_backends(source, "another") == {"b"}
-    source.update_backend("b", {"rev": 3}, ZONE)  # it has no backend any more
+    source.update_backend("b", {"rev": 3}, ZONE)  # the sidecar has no backend any more
     assert usable_backends(source, "another") == set()
     assert set(source.backends) == {"c"}
 
