--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -8,7 +8,7 @@
 new connection the request is written once it is up, so a connection that is refused proves that nothing ran.
 
 A backend may have dropped an idle connection, which shows only by a reset of what is sent next. So one that
-was idle for more than `MAX_REST_UNPROBED_S` is probed: the bytes of the method are sent alone, which no
+was idle for more than `MAX_IDLE_UNPROBED_S` is probed: the bytes of the method are sent alone, which no
 backend can take for a request, and the rest `PROBE_WAIT_S` later. A connection that breaks in between is
 replaced by a new one, and its request has not run.
 Source: PROTOCOL, "Backends"; LATER, "New on the wire".
@@ -62,7 +62,7 @@
 KEEP_ALIVE_MARGIN_S = 1.0  # an idle connection is not used any more this long before the backend closes it
 DEFAULT_KEEP_ALIVE_S = 2.0  # where the backend sends no Keep-Alive header
 CONNECT_TIMEOUT_S = 0.6
-MAX_REST_UNPROBED_S = 0.1  # a connection idle for longer is probed before a whole request is sent on it
+MAX_IDLE_UNPROBED_S = 0.1  # a connection idle for longer is probed before a whole request is sent on it
 PROBE_WAIT_S = 0.002  # enough for a reset to come back on the same machine
 
 
@@ -73,16 +73,16 @@
         "answering",
         "connection",
         "idle_since",
-        "idle_until",
         "is_probing",
         "is_up",
+        "max_idle_s",
         "must_close",
         "pool",
         "reader",
         "request_complete",
         "sent",
         "sent_ahead",
-        "skipping",
+        "skipping_answer",
         "user",
     )
 
@@ -92,8 +92,8 @@
         self.sent_ahead = b""  # bytes of the request that were sent as a probe
         self.is_probing = False  # while the probe may still be answered by a reset
         self.request_complete = False  # whether the user has written its whole request
-        self.is_up = self.sent = self.must_close = self.skipping = self.answering = False
-        self.idle_since = self.idle_until = 0.0
+        self.is_up = self.sent = self.must_close = self.skipping_answer = self.answering = False
+        self.idle_since = self.max_idle_s = 0.0
         self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
         self.connection: Connection = pool.host.connect(pool.address, self._made, CONNECT_TIMEOUT_S)
 
@@ -107,10 +107,10 @@
             self.user.ready()
 
     def reuse(self, user: ConnectionUser, now: float) -> None:
-        """Serves one more request: at once after a short rest, else after a probe."""
+        """Serves one more request: at once after a short idle time, else after a probe."""
         self.user, self.sent, self.sent_ahead = user, False, b""
         self.request_complete = False
-        if now - self.idle_since <= MAX_REST_UNPROBED_S:
+        if now - self.idle_since <= MAX_IDLE_UNPROBED_S:
             self.pool.host.after(0.0, partial(_notify_ready, self, user))
             return
         self.is_probing, self.sent_ahead = True, user.method
@@ -126,7 +126,7 @@
         """Replaces a connection that the backend had closed; nothing has run."""
         self.is_probing, self.is_up, self.sent_ahead = False, False, b""
         self.request_complete = False
-        self.must_close = self.skipping = self.answering = False
+        self.must_close = self.skipping_answer = self.answering = False
         self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
         self.pool.stale_found += 1
         self.pool.on_connect()
@@ -185,14 +185,14 @@
             self.must_close = True
             return
         if answer.attempt != user.attempt:
-            self.skipping = self.must_close = True
+            self.skipping_answer = self.must_close = True
             return
-        self.skipping, self.answering = False, True
+        self.skipping_answer, self.answering = False, True
         if not answer.keep or answer.refuses:
             # A rejected request may come here again under the same id: a late repeat of this rejection must
             # not be taken for its answer.
             self.must_close = True
-        self.idle_until = (answer.idle_s - KEEP_ALIVE_MARGIN_S) if answer.idle_s else DEFAULT_KEEP_ALIVE_S
+        self.max_idle_s = (answer.idle_s - KEEP_ALIVE_MARGIN_S) if answer.idle_s else DEFAULT_KEEP_ALIVE_S
         user.answered(answer)
         if user.bodiless:  # the parser waits for a body that does not come
             self.must_close = True
@@ -200,13 +200,13 @@
 
     def data(self, data: bytes) -> None:
         """Takes a part of an answer's body."""
-        if self.user is not None and not self.skipping:
+        if self.user is not None and not self.skipping_answer:
             self.user.data(data)
 
     def whole(self) -> None:
         """Ends the request: its answer is complete."""
-        if self.skipping:
-            self.skipping = False
+        if self.skipping_answer:
+            self.skipping_answer = False
             return
         user, self.user = self.user, None
         self.answering = False
@@ -263,7 +263,7 @@
     def __init__(self, host: Host, address: Address, made: Callable[[], None]) -> None:
         self.host, self.address, self.on_connect = host, address, made
         self.open_connections: dict[BackendConnection, None] = {}
-        self.idle: list[BackendConnection] = []  # the one that rests for longest first
+        self.idle: list[BackendConnection] = []  # longest idle first
         self.most = 100
         self.stale_found = 0  # connections closed by the backend, found by a probe
 
@@ -278,7 +278,7 @@
         now = self.host.now()
         while self.idle:
             connection = self.idle.pop()
-            if now - connection.idle_since < connection.idle_until * (0.5 if fresh else 1.0):
+            if now - connection.idle_since < connection.max_idle_s * (0.5 if fresh else 1.0):
                 connection.reuse(user, now)
                 return connection
             connection.release()
@@ -292,11 +292,11 @@
     def add_idle(self, connection: BackendConnection) -> None:
         """Takes a connection that is free again, and closes those idle for too long."""
         now = connection.idle_since = self.host.now()
-        if connection.idle_until <= 0:
+        if connection.max_idle_s <= 0:
             connection.release()
             return
         self.idle.append(connection)
-        while self.idle and now - self.idle[0].idle_since >= self.idle[0].idle_until:
+        while self.idle and now - self.idle[0].idle_since >= self.idle[0].max_idle_s:
             self.idle.pop(0).release()
 
     def discard(self, connection: BackendConnection) -> None:
--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -262,7 +262,7 @@
             self.exchanges.append(exchange)
         elif exchange.request is not None and not exchange.request.is_over:
             request = exchange.request
-            if status == 408 and (request.ran or request.bytes_sent):
+            if status == 408 and (request.may_have_run or request.bytes_sent):
                 status = 502  # 408 promises that nothing has run, but a part of the request was sent on
             request.cancel()
             if request.answering:  # no second answer may follow one that has begun
--- a/honeywharf/sidecar/delegation.py
+++ b/honeywharf/sidecar/delegation.py
@@ -73,15 +73,15 @@
 
     def reject(self, why: int, retry_after_s: float) -> None:
         """Tells the delegating sidecar that the request has not run and is not decided here."""
-        self._over()
+        self._finish()
         self.responder.fail(Verdict(NOT_RUN, why, False, retry_after_s), NO_LOAD)
 
-    def _over(self) -> None:
+    def _finish(self) -> None:
         self.source.accepted_delegations.pop(self, None)
 
     def cancel(self) -> None:
         """Gives the request up: the delegating sidecar wants no answer any more."""
-        self._over()
+        self._finish()
         if self.request is not None:
             self.request.cancel()
 
@@ -93,7 +93,7 @@
         if status == 503:
             self.reject(FULL, retry_after_s)
             return
-        self._over()
+        self._finish()
         if status in (502, 504):
             why = TIMED_OUT if status == 504 else CONNECTION_BROKEN
             self.responder.fail(Verdict(MAY_HAVE_RUN, why, True), NO_LOAD)
@@ -105,12 +105,12 @@
     ) -> None:
         """Passes on a backend's answer: complete, or its head where `body` is None."""
         if body is not None:
-            self._over()
+            self._finish()
         self.responder.answer(status, fields, length, NO_LOAD, body)
 
     def broken(self, request: OutboundRequest) -> None:
         """Tells that an answer that has begun can't be completed."""
-        self._over()
+        self._finish()
         self.responder.fail(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True), NO_LOAD)
 
     def data(self, request: OutboundRequest, data: bytes) -> None:
@@ -119,7 +119,7 @@
 
     def whole(self, request: OutboundRequest) -> None:
         """Tells that the answer is complete."""
-        self._over()
+        self._finish()
         self.responder.complete()
 
     def body_forwarded(self, request: OutboundRequest) -> None:
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -80,7 +80,7 @@
         if slots > 0:
             self.admission.slots = slots
         self._set_cold(now, cold_s)
-        self._become(DRAINING if draining else READY)
+        self._set_state(DRAINING if draining else READY)
         return True
 
     def health_answer(
@@ -105,20 +105,20 @@
         if asked_at >= self.restored_at:
             self._set_cold(now, cold_s or 0.0)
         if self.state == UNKNOWN and is_healthy:
-            self._become(READY)
+            self._set_state(READY)
 
     def deregister(self, instance: str) -> None:
         """Notes that an instance has ended."""
-        self._end(instance)
+        self._mark_ended(instance)
         if instance == self.instance:
-            self._become(ENDED)
+            self._set_state(ENDED)
 
     def backend_missing(self) -> None:
         """Notes that no backend, or another one than expected, was found: which one is there is not known."""
         if self.state != UNKNOWN:
             self.cold_unknown = True
         if self.state == READY:
-            self._become(UNKNOWN)
+            self._set_state(UNKNOWN)
 
     def set_evacuated(self, now: float, on: bool) -> None:
         """Notes that the zone is evacuated, or that its evacuation has ended."""
@@ -137,12 +137,12 @@
         if instance == self.instance:
             return
         if self.instance:
-            self._end(self.instance)
+            self._mark_ended(self.instance)
         self.instance, self.sequence, self.cold_unknown = instance, -1, True
         self.state = UNKNOWN
         self.changes += 1
 
-    def _end(self, instance: str) -> None:
+    def _mark_ended(self, instance: str) -> None:
         self.ended_instances[instance] = None
         while len(self.ended_instances) > MAX_ENDED_INSTANCES:
             del self.ended_instances[next(iter(self.ended_instances))]
@@ -153,7 +153,7 @@
         if cold_s > 0 and self.cold_start_s - cold_s <= now - self.started_at + MIN_RESTART_S:
             self.cold.unused()  # the backend started after the previous process of this program had ended
 
-    def _become(self, state: int) -> None:
+    def _set_state(self, state: int) -> None:
         if state != self.state:
             self.state = state
             self.changes += 1
--- a/honeywharf/sidecar/outbound_request.py
+++ b/honeywharf/sidecar/outbound_request.py
@@ -133,8 +133,8 @@
         "is_over",
         "is_sending",
         "kind",
+        "may_have_run",
         "queue_tried",
-        "ran",
         "rejected_for_drift",
         "retained",
         "retained_bytes",
@@ -165,7 +165,7 @@
         self.gate = ""  # the gate of the attempt under way
         self.channel: Channel | None = None
         self.backends_reached = 0  # attempts that reached a backend's socket
-        self.ran = False  # whether an attempt may have run
+        self.may_have_run = False  # whether an attempt may have run
         self.attempts = 0
         self.is_admitted = self.body_sent = self.answering = self.body_complete = self.is_over = (
             self.body_dropped
@@ -328,7 +328,7 @@
 
     def _give_up(self, retry_after_s: float) -> None:
         """Gives the final answer of a request that is not tried again."""
-        if self.ran and self.kind != 0:
+        if self.may_have_run and self.kind != 0:
             self._answer_locally(
                 504 if self.source.host.now() >= self.deadline - 2 * ANSWER_MARGIN_S else 502, 0.0
             )
@@ -348,7 +348,7 @@
             self.client.broken(self)
         elif channel is None or (not self.is_admitted and self.head.length != 0):
             self.source.attempt_abandoned(self.service, self.gate)
-            self._answer_locally(503 if not self.ran or self.kind == 0 else 504, 0.0)
+            self._answer_locally(503 if not self.may_have_run or self.kind == 0 else 504, 0.0)
         else:
             self.source.attempt_failed(self.service, self.gate, False)
             self._answer_locally(504, 0.0)
@@ -359,7 +359,7 @@
             return
         channel, self.channel = self.channel, None
         # 503 promises that nothing has run; a request that a gate has received whole may have run there.
-        unproven = self.ran or (channel is not None and (self.is_admitted or self.head.length == 0))
+        unproven = self.may_have_run or (channel is not None and (self.is_admitted or self.head.length == 0))
         if channel is not None:
             channel.cancel()
             self.source.attempt_abandoned(self.service, self.gate)
@@ -564,7 +564,7 @@
             return
         self.backends_reached += 1
         if verdict.ran == MAY_HAVE_RUN:
-            self.ran = True
+            self.may_have_run = True
             self.source.attempt_failed(self.service, self.gate, False)
         else:
             self.source.attempt_rejected(self.service, self.gate, verdict)
--- a/honeywharf/sidecar/probe.py
+++ b/honeywharf/sidecar/probe.py
@@ -81,7 +81,7 @@
     def __init__(self, probe: Probe) -> None:
         self.probe, self.asked_at = probe, probe.host.now()
         self.answered: Answer | None = None
-        self.over = False
+        self.is_over = False
         self.reader = AnswerReader(self, MAX_ANSWER_BYTES)
         self.connection = probe.host.connect(probe.address, self._made, TIMEOUT_S)
         self.timer = probe.host.after(TIMEOUT_S, self._end)
@@ -127,8 +127,8 @@
         self._end()
 
     def _end(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.timer.cancel()
             self.connection.abort()
             answered = self.answered
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -54,7 +54,7 @@
     """Requests that no gate has answered in time count as not run."""
 
     def late(self: OutboundRequest) -> None:
-        self.is_admitted, self.ran = False, False
+        self.is_admitted, self.may_have_run = False, False
         self.head.length = self.head.length or 1
         was(self)
 
@@ -66,7 +66,7 @@
     """Requests under way when the process ends count as not run."""
 
     def finish(self: OutboundRequest, retry_after_s: float) -> None:
-        self.is_admitted, self.ran = False, False
+        self.is_admitted, self.may_have_run = False, False
         self.head.length = self.head.length or 1
         was(self, retry_after_s)
 
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.codecs.heads import UNKNOWN
-from honeywharf.sidecar.backend import MAX_REST_UNPROBED_S, PROBE_WAIT_S
+from honeywharf.sidecar.backend import MAX_IDLE_UNPROBED_S, PROBE_WAIT_S
 from honeywharf.sidecar.gate import READY, UNKNOWN as NOT_KNOWN
 from honeywharf.sidecar.inbound import InboundRequest
 from honeywharf.transport.stream import WINDOW_SIZE
@@ -172,7 +172,7 @@
 def test_no_whole_request_is_sent_on_an_idle_connection_before_it_is_probed() -> None:
     setup = InboundSetup()
     setup.begin(forwarded_request())
-    setup.run(MAX_REST_UNPROBED_S + 0.1)
+    setup.run(MAX_IDLE_UNPROBED_S + 0.1)
     (scripted,) = setup.backend.accepted
     before = scripted.bytes
     inbound_request, told = setup.begin(forwarded_request())
--- a/tests/sidecar/test_outbound_request.py
+++ b/tests/sidecar/test_outbound_request.py
@@ -473,7 +473,7 @@
 ) -> None:
     scenario = Scenario(kind, length=length)
     gate = scenario.start(b"x" * length)
-    scenario.request.ran = ran
+    scenario.request.may_have_run = ran
     if went and length:
         scenario.request.gate_admitted()
     scenario.request.finish(1.25)
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -475,7 +475,7 @@
 
 def refuses_what_may_have_run(put: Put) -> None:
     def give_up(self: OutboundRequest, again_s: float) -> None:
-        self.ran = False
+        self.may_have_run = False
         was(self, again_s)
 
     was = OutboundRequest._give_up
@@ -486,7 +486,7 @@
     """A source forgets that a request may have run once it is given to another gate."""
 
     def ask(self: OutboundRequest, key: str, patience_s: float) -> None:
-        self.ran = False
+        self.may_have_run = False
         was(self, key, patience_s)
 
     was = OutboundRequest._send_to
