--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -33,7 +33,7 @@
         """The request that uses a connection."""
 
         attempt: bytes
-        bodiless: bool  # the answer has no body, whatever its head says of one
+        bodiless: bool  # the answer has no body, whatever its head announces
         method: bytes  # the first bytes of the request's head
 
         def ready(self) -> None:
@@ -226,7 +226,7 @@
             self._discard()
 
     def drained(self) -> None:
-        """Passes on that the backend has taken all that was written."""
+        """Tells the user that the backend has taken all that was written."""
         if self.user is not None:
             self.user.drained()
 
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -620,7 +620,7 @@
         return request
 
     def finish(self) -> None:
-        """Ends every request because this process ends; each source is told what is known."""
+        """Ends every request because this process ends; each source gets what is known."""
         for request in list(self.pending_requests):
             request.finish()
 
@@ -663,7 +663,7 @@
                 self.gate.admission.slots = slots
 
     def connection_refused(self) -> None:
-        """Notes that the backend refused a connection: nobody is there."""
+        """Notes that the backend refused a connection, so that none is there."""
         self.backend_mismatches += 1
         self.gate.backend_missing()
         self.pool.close_idle()
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -5,7 +5,7 @@
 read it from a majority ("word.read"); after that, any higher revision that any node holds ("word.known") is
 taken, as control nodes announce only settled ones. Each holder gives its mesh state to others, so control
 nodes need not serve all. Without a majority, a sidecar that starts stays not ready, however long: the state
-of a control node that is cut off may be old, and nobody beside it can tell. Source: RULES, CONFIG and EVAC.
+of a control node that is cut off may be old, and no node can tell. Source: RULES, CONFIG and EVAC.
 """
 
 from __future__ import annotations
@@ -140,7 +140,7 @@
                 self.host.after(RETRY_S, lambda: self.revision_announced(self.newest, control_node))
 
     def restore(self, value: dict[str, Any], table: RoutingTable, packed: bytes) -> None:
-        """Takes over what a majority told, whatever is in force here; used only to repair drift."""
+        """Takes a mesh state read from a majority over, even an older one; used only to repair drift."""
         self.newest = value["rev"]
         self._apply(value, table, packed)
 
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -249,7 +249,7 @@
         self.levels_of(service).served(key)
 
     def attempt_failed(self, service: str, key: str, certain: bool) -> None:
-        """Notes that an attempt failed; `certain` where nobody is there."""
+        """Notes that an attempt failed; `certain` where no sidecar is there (refused, link lost)."""
         self.levels_of(service).failed(self.host.now(), key, certain)
 
     def attempt_rejected(self, service: str, key: str, verdict: Verdict) -> None:
@@ -263,7 +263,7 @@
             self.levels_of(service).refused(self.host.now(), key, verdict.retry_after_s)
 
     def saturated_gates(self) -> set[str]:
-        """Returns the gates whose links have no room for a large body, as far as they told."""
+        """Returns the gates whose links have no room for a large body, as they last announced."""
         now = self.host.now()
         self.saturated_until = {key: until for key, until in self.saturated_until.items() if until > now}
         return set(self.saturated_until)
--- a/tests/sidecar/fixtures.py
+++ b/tests/sidecar/fixtures.py
@@ -185,7 +185,7 @@
     def __init__(self, host: Process, to: Address) -> None:
         self.host = host
         self.data = b""
-        self.gone: str | None = None
+        self.close_reason: str | None = None
         self.closed_at = 0.0
         self.half = False
         self.connection = host.connect(to, lambda connection: self)
@@ -235,7 +235,7 @@
 
     def closed(self, why: str) -> None:
         """Notes the end of the connection."""
-        self.gone, self.closed_at = why, self.host.world.now
+        self.close_reason, self.closed_at = why, self.host.world.now
 
 
 class OutboundSetup:
@@ -400,7 +400,7 @@
         self.raw = b""
         self.bytes = 0
         self.requests: list[ReceivedRequest] = []
-        self.gone: str | None = None
+        self.close_reason: str | None = None
 
     def opened(self) -> None:
         """Does nothing."""
@@ -466,7 +466,7 @@
 
     def closed(self, why: str) -> None:
         """Notes the end of the connection."""
-        self.gone = why
+        self.close_reason = why
 
 
 def answer(
@@ -512,7 +512,7 @@
     @property
     def open(self) -> int:
         """The number of open connections."""
-        return sum(scripted.gone is None for scripted in self.accepted)
+        return sum(scripted.close_reason is None for scripted in self.accepted)
 
 
 class RecordingResponder:
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -147,7 +147,7 @@
         self.host.after(WORK_S, lambda: self._answer(scripted, attempt, manner))
 
     def _answer(self, scripted: ScriptedConnection, attempt: bytes, manner: str) -> None:
-        if scripted.gone is not None:
+        if scripted.close_reason is not None:
             return
         whole = answer(attempt, b"done " + attempt)
         if manner == "failed":
--- a/tests/sidecar/test_disconnects.py
+++ b/tests/sidecar/test_disconnects.py
@@ -74,7 +74,7 @@
     setup.run(3 * MAX_INTERVAL_S)
     assert caller.data.count(INTERIM_RESPONSE) == 4
     assert caller.data.endswith(b"ok")
-    assert caller.gone is not None
+    assert caller.close_reason is not None
 
 
 def test_no_interim_response_is_sent_within_an_answer() -> None:
@@ -144,4 +144,4 @@
     assert caller.data.count(b"HTTP/1.1 200") == MAX_PIPELINED + 1
     assert caller.data.startswith(INTERIM_RESPONSE + b"HTTP/1.1 200")
     assert caller.data.count(INTERIM_RESPONSE) == 1
-    assert caller.gone is not None
+    assert caller.close_reason is not None
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -44,54 +44,54 @@
     "missing": (send_heartbeat(sequence=1), lambda gate: gate.backend_missing()),
 }
 TRANSITIONS: list[tuple[str, str, Do, int]] = [
-    ("unknown", "beat", send_heartbeat(), READY),
-    ("unknown", "last beat", send_heartbeat(draining=True), DRAINING),
-    ("unknown", "health", send_health_answer(), READY),
-    ("unknown", "ill", send_health_answer(is_healthy=False), UNKNOWN),
+    ("unknown", "heartbeat", send_heartbeat(), READY),
+    ("unknown", "last heartbeat", send_heartbeat(draining=True), DRAINING),
+    ("unknown", "healthy", send_health_answer(), READY),
+    ("unknown", "unhealthy", send_health_answer(is_healthy=False), UNKNOWN),
     ("unknown", "no id", send_health_answer(instance=""), UNKNOWN),
     ("unknown", "deregister", lambda g: g.deregister("i-1"), UNKNOWN),
     ("unknown", "missing", lambda g: g.backend_missing(), UNKNOWN),
-    ("ready", "beat", send_heartbeat(), READY),
-    ("ready", "last beat", send_heartbeat(draining=True), DRAINING),
-    ("ready", "late beat", send_heartbeat(sequence=1, draining=True), READY),
-    ("ready", "health", send_health_answer(), READY),
-    ("ready", "ill", send_health_answer(is_healthy=False), READY),
+    ("ready", "heartbeat", send_heartbeat(), READY),
+    ("ready", "last heartbeat", send_heartbeat(draining=True), DRAINING),
+    ("ready", "late heartbeat", send_heartbeat(sequence=1, draining=True), READY),
+    ("ready", "healthy", send_health_answer(), READY),
+    ("ready", "unhealthy", send_health_answer(is_healthy=False), READY),
     ("ready", "deregister", lambda g: g.deregister("i-1"), ENDED),
     ("ready", "another's end", lambda g: g.deregister("i-0"), READY),
     ("ready", "missing", lambda g: g.backend_missing(), UNKNOWN),
-    ("ready", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
-    ("ready", "new life, ill", send_health_answer(instance="i-2", is_healthy=False), UNKNOWN),
-    ("draining", "late beat", send_heartbeat(sequence=1), DRAINING),
-    ("draining", "health", send_health_answer(), DRAINING),
-    ("draining", "taken back", send_heartbeat(), READY),
+    ("ready", "new instance", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ready", "new instance, unhealthy", send_health_answer(instance="i-2", is_healthy=False), UNKNOWN),
+    ("draining", "late heartbeat", send_heartbeat(sequence=1), DRAINING),
+    ("draining", "healthy", send_health_answer(), DRAINING),
+    ("draining", "ready again", send_heartbeat(), READY),
     ("draining", "missing", lambda g: g.backend_missing(), DRAINING),
     ("draining", "deregister", lambda g: g.deregister("i-1"), ENDED),
-    ("draining", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
-    ("ended", "beat", send_heartbeat(sequence=9), ENDED),
-    ("ended", "health", send_health_answer(), ENDED),
+    ("draining", "new instance", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ended", "heartbeat", send_heartbeat(sequence=9), ENDED),
+    ("ended", "healthy", send_health_answer(), ENDED),
     ("ended", "missing", lambda g: g.backend_missing(), ENDED),
-    ("ended", "new life", send_heartbeat(instance="i-2", sequence=0), READY),
-    ("ended", "new life's health", send_health_answer(instance="i-2"), READY),
-    ("missing", "late beat", send_heartbeat(sequence=1), UNKNOWN),
-    ("missing", "beat", send_heartbeat(), READY),
-    ("missing", "health", send_health_answer(), READY),
-    ("missing", "last beat", send_heartbeat(draining=True), DRAINING),
+    ("ended", "new instance", send_heartbeat(instance="i-2", sequence=0), READY),
+    ("ended", "new instance, healthy", send_health_answer(instance="i-2"), READY),
+    ("missing", "late heartbeat", send_heartbeat(sequence=1), UNKNOWN),
+    ("missing", "heartbeat", send_heartbeat(), READY),
+    ("missing", "healthy", send_health_answer(), READY),
+    ("missing", "last heartbeat", send_heartbeat(draining=True), DRAINING),
 ]
 
 
 @pytest.mark.parametrize(
-    ("start", "word", "do", "after"), TRANSITIONS, ids=lambda v: v if isinstance(v, str) else ""
+    ("start", "event", "do", "after"), TRANSITIONS, ids=lambda v: v if isinstance(v, str) else ""
 )
-def test_transitions(start: str, word: str, do: Do, after: int) -> None:
+def test_transitions(start: str, event: str, do: Do, after: int) -> None:
     gate = gate_of_order_desk()
     for each in FIRST_EVENTS[start]:
         each(gate)
-    state, life, changes = gate.state, gate.instance, gate.changes
+    state, instance_before, changes = gate.state, gate.instance, gate.changes
     do(gate)
     assert gate.state == after
-    assert (gate.changes > changes) == ((gate.state, gate.instance) != (state, life))
+    assert (gate.changes > changes) == ((gate.state, gate.instance) != (state, instance_before))
     assert (gate.rejection(20.0, SERVICE) is None) == (
-        after == READY and (not gate.cold_unknown or "life" in word)
+        after == READY and (not gate.cold_unknown or "new instance" in event)
     )
 
 
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -46,13 +46,13 @@
     assert setup.gate.admission.running == 0
     assert setup.gate.admission.waiting == 0
     assert not setup.inbound.pending_requests
-    assert all(tap.user is None for tap in setup.inbound.pool.open_connections)
+    assert all(one.user is None for one in setup.inbound.pool.open_connections)
     assert setup.backend.open == len(setup.inbound.pool.open_connections) == len(setup.inbound.pool.idle)
 
 
 def test_a_request_reaches_the_backend_unchanged_with_the_added_header_lines() -> None:
     setup = InboundSetup()
-    _, told = setup.begin(forwarded_request(remaining_s=1.5))
+    _, responder = setup.begin(forwarded_request(remaining_s=1.5))
     setup.run()
     (request,) = setup.backend.requests
     assert request.line == b"GET /orders/2f?a=1 HTTP/1.1"
@@ -61,19 +61,19 @@
     assert request.headers[b"x-honeywharf-caller-service"] == b"tile-vault"
     assert 1400 < int(request.headers[b"x-honeywharf-deadline-remaining"]) <= 1500
     assert b"content-length" not in request.headers
-    assert told.events == [("answer", 200, 4, True)]
-    assert told.body == b"done"
+    assert responder.events == [("answer", 200, 4, True)]
+    assert responder.body == b"done"
     idle(setup)
 
 
 @pytest.mark.parametrize(("length", "size"), [(5, 5), (40_000, 40_000), (UNKNOWN, 0), (UNKNOWN, 300_000)])
 def test_bodies_are_forwarded_whole_and_within_the_window(length: int, size: int) -> None:
     setup, body, sent = InboundSetup(), Random(2).randbytes(size), 0
-    inbound_request, told = setup.begin(forwarded_request(kind=2, length=length, remaining_s=5.0))
-    assert told.events == [("go",)]
+    inbound_request, responder = setup.begin(forwarded_request(kind=2, length=length, remaining_s=5.0))
+    assert responder.events == [("go",)]
     window = WINDOW_SIZE
     while sent < size:
-        piece = body[sent : sent + min(window + told.windows - sent, 16_384)]
+        piece = body[sent : sent + min(window + responder.windows - sent, 16_384)]
         assert piece, "the window was not opened again"
         inbound_request.data(piece)
         sent += len(piece)
@@ -83,14 +83,14 @@
     (request,) = setup.backend.requests
     assert request.body == body
     assert (b"transfer-encoding" in request.headers) == (length == UNKNOWN)
-    assert told.events[1:] == [("answer", 200, 4, True)]
+    assert responder.events[1:] == [("answer", 200, 4, True)]
     idle(setup)
 
 
 @pytest.mark.parametrize("length", [2000, 40_000, UNKNOWN])
 def test_a_head_is_not_written_before_its_body_has_come(length: int) -> None:
     setup = InboundSetup()
-    inbound_request, told = setup.begin(forwarded_request(kind=1, length=length, remaining_s=1.0))
+    inbound_request, responder = setup.begin(forwarded_request(kind=1, length=length, remaining_s=1.0))
     setup.run(0.5)
     assert not setup.backend.accepted
     if length == 2000:
@@ -98,7 +98,7 @@
         setup.run(0.2)
         assert not setup.backend.accepted
     setup.run(1.0)
-    assert told.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
+    assert responder.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
     assert not setup.backend.accepted
     idle(setup)
 
@@ -113,10 +113,10 @@
 
     setup.backend.serve = serve
     for n in range(3):
-        _, told = setup.begin(forwarded_request(method=method))
+        _, responder = setup.begin(forwarded_request(method=method))
         setup.run()
-        assert told.events == [("answer", 200, 4, True)], f"request {n}"
-        assert told.body == (b"" if method == b"HEAD" else b"done")
+        assert responder.events == [("answer", 200, 4, True)], f"request {n}"
+        assert responder.body == (b"" if method == b"HEAD" else b"done")
     assert len(setup.backend.accepted) == (1 if method == b"GET" else 3)
     idle(setup)
 
@@ -144,7 +144,7 @@
 def test_a_connection_that_the_backend_forgot_costs_no_request(kind: int, way: str) -> None:
     setup = InboundSetup()
     size = 3000 if kind else 0
-    first, told = setup.begin(forwarded_request(kind=kind, length=size))
+    first, responder = setup.begin(forwarded_request(kind=kind, length=size))
     first.data(bytes(size))
     first.end()
     setup.run()
@@ -158,11 +158,11 @@
 
     scripted.received = forgotten  # type: ignore[method-assign]
     setup.run(0.3)
-    inbound_request, told = setup.begin(forwarded_request(kind=kind, length=size))
+    inbound_request, responder = setup.begin(forwarded_request(kind=kind, length=size))
     inbound_request.data(b"x" * size)
     inbound_request.end()
     setup.run()
-    assert told.events[-1] == ("answer", 200, 4, True)
+    assert responder.events[-1] == ("answer", 200, 4, True)
     assert len(setup.backend.accepted) == 2
     assert [len(request.body) for request in setup.backend.requests] == [size, size]
     assert setup.inbound.pool.stale_found == 1
@@ -175,14 +175,14 @@
     setup.run(MAX_IDLE_UNPROBED_S + 0.1)
     (scripted,) = setup.backend.accepted
     before = scripted.bytes
-    inbound_request, told = setup.begin(forwarded_request())
+    inbound_request, responder = setup.begin(forwarded_request())
     setup.run(PROBE_WAIT_S / 2)
     assert scripted.bytes - before == len(b"GET")
     inbound_request.cancel()
     setup.run()
     assert len(setup.backend.requests) == 1
     assert setup.inbound.pool.stale_found == 0
-    assert not told.events
+    assert not responder.events
     idle(setup)
 
 
@@ -190,11 +190,11 @@
     setup = InboundSetup()
     setup.begin(forwarded_request())
     setup.run(0.3)
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run(PROBE_WAIT_S / 4)
     setup.app.kill()
     setup.run()
-    assert told.events == [("fail", NOT_RUN, NO_BACKEND, False)]
+    assert responder.events == [("fail", NOT_RUN, NO_BACKEND, False)]
     assert setup.gate.state == NOT_KNOWN
 
 
@@ -203,10 +203,10 @@
     setup.backend.serve = lambda scripted, request: scripted.send(
         answer(request.attempt, more=b"Connection: close\r\n")
     )
-    _, told = setup.begin(forwarded_request())
+    _, responder = setup.begin(forwarded_request())
     setup.run()
-    assert told.events == [("answer", 200, 4, True)]
-    assert setup.backend.accepted[0].gone is not None
+    assert responder.events == [("answer", 200, 4, True)]
+    assert setup.backend.accepted[0].close_reason is not None
     idle(setup)
 
 
@@ -217,11 +217,11 @@
     setup = InboundSetup()
     excess = answer(b"old", b"not yours") + answer(b"older", b"x" * 90_000, chunked=True)
     setup.backend.serve = lambda scripted, request: scripted.send(excess + answer(request.attempt))
-    _, told = setup.begin(forwarded_request())
+    _, responder = setup.begin(forwarded_request())
     setup.run()
-    assert told.events == [("answer", 200, 4, True)]
-    assert told.body == b"done"
-    assert setup.backend.accepted[0].gone is not None
+    assert responder.events == [("answer", 200, 4, True)]
+    assert responder.body == b"done"
+    assert setup.backend.accepted[0].close_reason is not None
     idle(setup)
 
 
@@ -241,10 +241,10 @@
 
     setup.backend.serve = serve
     for n in range(3):
-        _, told = setup.begin(forwarded_request(attempt=b"a%d" % n))
+        _, responder = setup.begin(forwarded_request(attempt=b"a%d" % n))
         setup.run(0.2)
-        assert told.events == [("answer", 200, 4, True)]
-        assert told.body == b"done"
+        assert responder.events == [("answer", 200, 4, True)]
+        assert responder.body == b"done"
     assert len(setup.backend.accepted) == 3
     idle(setup)
 
@@ -258,11 +258,14 @@
 
     setup.backend.serve = serve
     for n in range(50):
-        _, told = setup.begin(forwarded_request(attempt=b"a%d" % n))
+        _, responder = setup.begin(forwarded_request(attempt=b"a%d" % n))
         setup.run(0.001 if n % 2 else 0.01)
         setup.run(0.01)
-        assert told.events in ([("answer", 200, 4, True)], [("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, True)])
-        assert told.body in (b"done", b"")
+        assert responder.events in (
+            [("answer", 200, 4, True)],
+            [("fail", MAY_HAVE_RUN, CONNECTION_BROKEN, True)],
+        )
+        assert responder.body in (b"done", b"")
 
 
 # Verdicts.
@@ -275,9 +278,9 @@
     setup.backend.serve = lambda scripted, request: scripted.send(
         answer(request.attempt, b"no", status, seal=False, more=more)
     )
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run()
-    assert told.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
+    assert responder.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
     assert (setup.gate.state == NOT_KNOWN) == (status == 421)
     assert setup.gate.cold_unknown == (status == 421)
     idle(setup)
@@ -287,9 +290,9 @@
 def test_what_the_backend_ran_is_its_answer(status: int) -> None:
     setup = InboundSetup()
     setup.backend.serve = lambda scripted, request: scripted.send(answer(request.attempt, b"own", status))
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run()
-    assert told.events == [("answer", status, 3, True)]
+    assert responder.events == [("answer", status, 3, True)]
     idle(setup)
 
 
@@ -308,12 +311,12 @@
     setup = InboundSetup()
     data, why = WRONG[name]
     setup.backend.serve = lambda scripted, request: scripted.send(data)
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run(0.5)
-    assert [e[:2] for e in told.events] == [("fail", MAY_HAVE_RUN)]
-    assert told.verdict is not None
-    assert told.verdict.reached_backend
-    assert told.verdict.why in (why, CONNECTION_BROKEN)
+    assert [e[:2] for e in responder.events] == [("fail", MAY_HAVE_RUN)]
+    assert responder.verdict is not None
+    assert responder.verdict.reached_backend
+    assert responder.verdict.why in (why, CONNECTION_BROKEN)
     idle(setup)
 
 
@@ -321,7 +324,7 @@
     setup = InboundSetup()
 
     def pour(scripted: ScriptedConnection, left: int) -> None:
-        if left and scripted.gone is None:
+        if left and scripted.close_reason is None:
             scripted.send(bytes(50_000))
             setup.app.after(0.005, lambda: pour(scripted, left - 1))
 
@@ -333,10 +336,10 @@
         pour(scripted, 40)
 
     setup.backend.serve = serve
-    inbound_request, told = setup.begin(forwarded_request(kind=1, remaining_s=5.0))
+    inbound_request, responder = setup.begin(forwarded_request(kind=1, remaining_s=5.0))
     setup.run(1.0)
     assert sum(map(len, inbound_request.answer_parts)) <= 200_000
-    assert [e[:2] for e in told.events] == [("fail", MAY_HAVE_RUN)]
+    assert [e[:2] for e in responder.events] == [("fail", MAY_HAVE_RUN)]
     idle(setup)
 
 
@@ -351,9 +354,9 @@
         setup.app.after(0.01, scripted.connection.abort if reset else scripted.connection.close)
 
     setup.backend.serve = serve
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run()
-    assert told.events == [
+    assert responder.events == [
         ("fail", MAY_HAVE_RUN, MALFORMED_ANSWER if cut == "body" else CONNECTION_BROKEN, True)
     ]
     idle(setup)
@@ -367,22 +370,22 @@
         setup.app.after(0.05, scripted.connection.close)
 
     setup.backend.serve = serve
-    inbound_request, told = setup.begin(forwarded_request())
+    inbound_request, responder = setup.begin(forwarded_request())
     setup.run(0.02)
     inbound_request.window(1 << 20)
     setup.run(1.0)
-    assert [e[0] for e in told.events] == ["answer", "fail"]
-    assert told.verdict is not None
-    assert told.verdict.ran == MAY_HAVE_RUN
+    assert [e[0] for e in responder.events] == ["answer", "fail"]
+    assert responder.verdict is not None
+    assert responder.verdict.ran == MAY_HAVE_RUN
     idle(setup)
 
 
 def test_a_refused_connection_proves_that_nothing_ran_and_that_nobody_is_there() -> None:
     setup = InboundSetup()
     setup.app.end()
-    _, told = setup.begin(forwarded_request(kind=1))
+    _, responder = setup.begin(forwarded_request(kind=1))
     setup.run()
-    assert told.events == [("fail", NOT_RUN, NO_BACKEND, False)]
+    assert responder.events == [("fail", NOT_RUN, NO_BACKEND, False)]
     assert setup.gate.state == NOT_KNOWN
     assert setup.gate.cold_unknown
     assert setup.gate.admission.running == 0
@@ -391,12 +394,12 @@
 def test_a_backend_that_says_nothing_is_given_up_after_its_deadline_and_not_before() -> None:
     setup = InboundSetup()
     setup.backend.serve = lambda scripted, request: None
-    _, told = setup.begin(forwarded_request(kind=1, remaining_s=0.5))
+    _, responder = setup.begin(forwarded_request(kind=1, remaining_s=0.5))
     setup.run(0.5)
-    assert told.events == []
+    assert responder.events == []
     setup.run(0.1)
-    assert told.events == [("fail", MAY_HAVE_RUN, TIMED_OUT, True)]
-    assert setup.backend.accepted[0].gone is not None
+    assert responder.events == [("fail", MAY_HAVE_RUN, TIMED_OUT, True)]
+    assert setup.backend.accepted[0].close_reason is not None
     idle(setup)
 
 
@@ -404,14 +407,14 @@
 def test_a_cancelled_request_gives_everything_back_and_reports_nothing(when: str) -> None:
     setup = InboundSetup()
     setup.backend.serve = lambda scripted, request: None
-    inbound_request, told = setup.begin(forwarded_request())
+    inbound_request, responder = setup.begin(forwarded_request())
     setup.run({"at once": 0.0, "connecting": 0.00005, "at work": 0.1}[when])
     inbound_request.cancel()
     inbound_request.cancel()
     setup.run()
-    assert told.events == []
+    assert responder.events == []
     assert setup.inbound.cancelled == 1
-    assert [v.gone is None for v in setup.backend.accepted] in ([], [False])
+    assert [v.close_reason is None for v in setup.backend.accepted] in ([], [False])
     idle(setup)
 
 
@@ -421,36 +424,36 @@
 def test_a_long_answer_is_forwarded_as_the_window_allows_and_reading_is_paused() -> None:
     setup, body = InboundSetup(), Random(5).randbytes(1_000_000)
     setup.backend.serve = lambda scripted, request: scripted.send(answer(request.attempt, body))
-    inbound_request, told = setup.begin(forwarded_request(remaining_s=60.0))
+    inbound_request, responder = setup.begin(forwarded_request(remaining_s=60.0))
     setup.run(1.0)
-    assert told.events == [("answer", 200, 1_000_000, False)]
-    assert len(told.body) == WINDOW_SIZE
+    assert responder.events == [("answer", 200, 1_000_000, False)]
+    assert len(responder.body) == WINDOW_SIZE
     assert sum(map(len, inbound_request.answer_parts)) <= 2 * WINDOW_SIZE
     assert setup.backend.accepted[0].connection.unsent > 700_000
-    while not told.ends:
-        passed = len(told.body)
+    while not responder.ends:
+        passed = len(responder.body)
         inbound_request.window(50_000)
         setup.run(0.05)
-        assert len(told.body) > passed
-    assert told.body == body
+        assert len(responder.body) > passed
+    assert responder.body == body
     idle(setup)
 
 
 def test_a_connection_whose_last_answer_exceeded_its_window_serves_the_next_request() -> None:
     setup = InboundSetup()
     setup.backend.serve = lambda scripted, request: scripted.send(answer(request.attempt, bytes(72_000)))
-    inbound_request, told = setup.begin(
+    inbound_request, responder = setup.begin(
         forwarded_request()
     )  # the last bytes arrive in the read that uses up the window
     setup.run(1.0)
     inbound_request.window(10_000)
-    assert told.ends == 1
-    assert len(told.body) == 72_000
-    _, told = setup.begin(forwarded_request())
+    assert responder.ends == 1
+    assert len(responder.body) == 72_000
+    _, responder = setup.begin(forwarded_request())
     setup.run(1.0)
-    assert told.ends == 1
-    assert told.verdict is None
-    assert len(told.body) == 72_000
+    assert responder.ends == 1
+    assert responder.verdict is None
+    assert len(responder.body) == 72_000
 
 
 # Admission.
@@ -516,17 +519,17 @@
 def test_no_more_connections_are_opened_than_configured() -> None:
     setup = InboundSetup(slots=30, connections=5)
     setup.backend.serve = lambda scripted, request: None
-    told = [setup.begin(forwarded_request(remaining_s=0.3))[1] for _ in range(12)]
+    responder = [setup.begin(forwarded_request(remaining_s=0.3))[1] for _ in range(12)]
     setup.run(0.1)
     assert len(setup.backend.accepted) == 5
-    assert [t.events for t in told[5:]] == [[("fail", NOT_RUN, FULL, False)]] * 7
+    assert [t.events for t in responder[5:]] == [[("fail", NOT_RUN, FULL, False)]] * 7
     setup.run(1.0)
     idle(setup)
 
 
 def test_a_backend_that_drains_while_a_body_is_awaited_gets_no_request() -> None:
     setup = InboundSetup()
-    inbound_request, told = setup.begin(forwarded_request(kind=1, length=2000, remaining_s=9.0))
+    inbound_request, responder = setup.begin(forwarded_request(kind=1, length=2000, remaining_s=9.0))
     setup.run(0.5)
     setup.gate.heartbeat(setup.sidecar.now(), INSTANCE, 2, True, 4, 0.0)
     setup.run(2.5)  # a slow client: `drain-timeout` is over
@@ -534,7 +537,7 @@
     inbound_request.end()
     setup.run()
     assert not setup.backend.requests
-    assert told.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
+    assert responder.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
     idle(setup)
 
 
@@ -542,15 +545,15 @@
     setup = InboundSetup(slots=60, connections=80)
     now = setup.sidecar.now()
     setup.gate.heartbeat(now, INSTANCE, 2, False, 60, 30.0)
-    jobs = []
+    begun = []
     for _ in range(3):
         while (inbound_request := setup.begin(forwarded_request(kind=1, length=100, remaining_s=9.0)))[
             1
         ].events == [("go",)]:
-            jobs.append(inbound_request[0])
+            begun.append(inbound_request[0])
         setup.run(1.2)
-    assert 40 < len(jobs) <= 60
-    for waiting in jobs:
+    assert 40 < len(begun) <= 60
+    for waiting in begun:
         waiting.data(bytes(100))
         waiting.end()
     setup.run(0.5)
@@ -585,7 +588,7 @@
             setup.app.after(rng.expovariate(50.0), lambda: scripted.send(whole))
 
     setup.backend.serve = serve
-    jobs: list[tuple[InboundRequest, RecordingResponder, int]] = []
+    begun: list[tuple[InboundRequest, RecordingResponder, int]] = []
     cancelled: set[InboundRequest] = set()
     for n in range(400):
         if rng.random() < 0.01 and setup.app.alive:
@@ -593,7 +596,7 @@
         if rng.random() < 0.03:
             setup.gate.heartbeat(setup.sidecar.now(), INSTANCE, 10 + n, False, 5, 0.0)
         length = rng.choice((0, 0, 300, 50_000, UNKNOWN))
-        inbound_request, told = setup.begin(
+        inbound_request, responder = setup.begin(
             forwarded_request(
                 kind=rng.randrange(3),
                 length=length,
@@ -602,15 +605,15 @@
                 attempt=b"a%d" % n,
             )
         )
-        jobs.append((inbound_request, told, length))
+        begun.append((inbound_request, responder, length))
         for _ in range(3):
-            inbound_request, told, length = rng.choice(jobs[-8:])
+            inbound_request, responder, length = rng.choice(begun[-8:])
             if inbound_request.is_over:
                 continue
             if rng.random() < 0.15:
                 inbound_request.cancel()
                 cancelled.add(inbound_request)
-            elif length and ("go",) in told.events and not inbound_request.body_complete:
+            elif length and ("go",) in responder.events and not inbound_request.body_complete:
                 left = (length if length > 0 else 70_000) - inbound_request.bytes_received
                 inbound_request.data(bytes(min(left, 16_384)))
                 if left <= 16_384:
@@ -623,13 +626,13 @@
             setup.backend.serve = serve
     setup.run(3.0)
     assert setup.inbound.served > 10
-    for inbound_request, told, _ in jobs:
+    for inbound_request, responder, _ in begun:
         assert inbound_request.is_over
-        assert told.ends == (0 if inbound_request in cancelled else 1)
+        assert responder.ends == (0 if inbound_request in cancelled else 1)
     assert setup.gate.admission.running == 0
     assert setup.gate.admission.waiting == 0
     assert not setup.inbound.pending_requests
-    assert all(tap.user is None for tap in setup.inbound.pool.open_connections)
+    assert all(one.user is None for one in setup.inbound.pool.open_connections)
     assert set(setup.inbound.pool.open_connections) == set(setup.inbound.pool.idle)
     assert setup.gate.state in (READY, NOT_KNOWN)
 
@@ -653,8 +656,8 @@
     setup.inbound.set_link_rate(2.7)
     far = forwarded_request(kind=2, length=40_000, remaining_s=5.0)
     far.peer = "10.1.0.9"
-    inbound_request, told = setup.begin(far)
-    assert told.events == [("go",)]
+    inbound_request, responder = setup.begin(far)
+    assert responder.events == [("go",)]
     inbound_request.data(bytes(8192))
     _, lookup = setup.begin(forwarded_request())
     setup.run(0.1)
@@ -662,14 +665,14 @@
     assert setup.gate.admission.running == 0
     sent = 8192
     while sent < 40_000:
-        assert told.windows + 8192 > sent, "the window was not opened again"
-        piece = min(told.windows + 8192, 40_000) - sent
+        assert responder.windows + 8192 > sent, "the window was not opened again"
+        piece = min(responder.windows + 8192, 40_000) - sent
         inbound_request.data(bytes(piece))
         sent += piece
     assert not any(b"POST" in request.line for request in setup.backend.requests)
     inbound_request.end()
     setup.run()
-    assert told.events[1:] == [("answer", 200, 4, True)]
+    assert responder.events[1:] == [("answer", 200, 4, True)]
     assert (setup.inbound.receiving, setup.inbound.intake.held) == (0, 0)
     idle(setup)
 
@@ -677,20 +680,22 @@
 def test_a_saturated_link_rejects_only_large_bodies_before_their_first_byte() -> None:
     setup = InboundSetup(slots=50)
     setup.inbound.set_link_rate(2.7)
-    jobs = []
+    begun = []
     for n in range(12):
         far = forwarded_request(kind=2, length=60_000, remaining_s=5.0, attempt=b"%016x" % n)
         far.peer = "10.1.0.9"
-        jobs.append(setup.begin(far))
-    refused = [told for _, told in jobs if told.verdict is not None]
-    assert [told.events for told in refused] == [[("fail", NOT_RUN, LINK_SATURATED, False)]] * len(refused)
-    assert 12 - len(refused) == 1  # the next one's first byte would wait 0.18 s of a latency target of 0.5 s
-    assert refused[0].verdict is not None
-    assert refused[0].verdict.retry_after_s > 0.15
+        begun.append(setup.begin(far))
+    rejected = [responder for _, responder in begun if responder.verdict is not None]
+    assert [responder.events for responder in rejected] == [[("fail", NOT_RUN, LINK_SATURATED, False)]] * len(
+        rejected
+    )
+    assert 12 - len(rejected) == 1  # the next one's first byte would wait 0.18 s of a latency target of 0.5 s
+    assert rejected[0].verdict is not None
+    assert rejected[0].verdict.retry_after_s > 0.15
     _, lookup = setup.begin(forwarded_request())
     setup.run(0.1)
     assert lookup.events == [("answer", 200, 4, True)]
-    jobs[0][0].cancel()
+    begun[0][0].cancel()
     setup.run(0.1)
     assert (setup.inbound.receiving, setup.inbound.intake.held) == (0, 0)
 
@@ -699,22 +704,22 @@
     setup = InboundSetup()
     far = forwarded_request(kind=2, length=40_000, remaining_s=1.0)
     far.peer = "10.1.0.9"
-    inbound_request, told = setup.begin(far)
+    inbound_request, responder = setup.begin(far)
     inbound_request.data(bytes(8192))
     setup.run(1.2)
-    assert told.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
+    assert responder.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
     assert not setup.backend.accepted
     assert (setup.inbound.receiving, setup.inbound.intake.held) == (0, 0)
 
 
 def test_the_gate_is_asked_again_when_the_body_is_received() -> None:
     setup = InboundSetup()
-    inbound_request, told = setup.begin(forwarded_request(kind=2, length=40_000, remaining_s=5.0))
+    inbound_request, responder = setup.begin(forwarded_request(kind=2, length=40_000, remaining_s=5.0))
     inbound_request.data(bytes(40_000))
     setup.gate.heartbeat(setup.inbound.host.now(), INSTANCE, 2, True, 4, 0.0)  # the backend drains
     inbound_request.end()
     setup.run()
-    assert told.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
+    assert responder.events == [("go",), ("fail", NOT_RUN, DRAINING, False)]
     assert not setup.backend.accepted
     idle(setup)
 
@@ -747,19 +752,19 @@
             scripted.send(answer(b"a1", b"", 503, False, NOT_EXECUTED))
 
     setup.backend.read = early
-    inbound_request, told = setup.begin(forwarded_request(kind=2, length=1 << 20, attempt=b"a1"))
+    inbound_request, responder = setup.begin(forwarded_request(kind=2, length=1 << 20, attempt=b"a1"))
     inbound_request.data(b"x" * 40_000)
     setup.run(0.05)
-    assert told.events[-1] == ("fail", NOT_RUN, REJECTED_BY_BACKEND, True)
+    assert responder.events[-1] == ("fail", NOT_RUN, REJECTED_BY_BACKEND, True)
     assert len(heads) == 1
     assert setup.backend.open == 0
     setup.backend.read = None
-    inbound_request, told = setup.begin(forwarded_request(kind=1, length=3, attempt=b"a2"))
+    inbound_request, responder = setup.begin(forwarded_request(kind=1, length=3, attempt=b"a2"))
     inbound_request.data(b"abc")
     inbound_request.end()
     setup.run(0.05)
     assert [request.attempt for request in setup.backend.requests] == [b"a2"]
-    assert told.body == b"done"
+    assert responder.body == b"done"
 
 
 def test_a_late_repeat_of_a_refusal_is_no_proof_for_the_next_try_of_the_same_request() -> None:
@@ -772,9 +777,9 @@
             setup.app.after(0.01, lambda: scripted.send(refusal))
 
     setup.backend.serve = twice
-    _, told = setup.begin(forwarded_request(kind=1, attempt=b"a1"))
+    _, responder = setup.begin(forwarded_request(kind=1, attempt=b"a1"))
     setup.run(0.005)
-    assert told.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
+    assert responder.events == [("fail", NOT_RUN, REJECTED_BY_BACKEND, True)]
     _, again = setup.begin(forwarded_request(kind=1, attempt=b"a1"))
     setup.run(0.05)
     assert len(setup.backend.requests) == 2
--- a/tests/sidecar/test_mesh_state.py
+++ b/tests/sidecar/test_mesh_state.py
@@ -67,8 +67,8 @@
 
 
 def test_version_0_is_taken_over() -> None:
-    told = {"word.read": state(1, 0, "zero"), "word.body": zlib.compress(configuration(0))}
-    mesh_state, _ = started(told, 3.0)
+    answers = {"word.read": state(1, 0, "zero"), "word.body": zlib.compress(configuration(0))}
+    mesh_state, _ = started(answers, 3.0)
     assert mesh_state.ready
     assert mesh_state.version == 0
     assert mesh_state.find(HOST.encode(), PREFIX.encode()) is not None
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -57,7 +57,7 @@
     ((status, top, body),) = caller.answers()
     assert (status, body) == (200, b"done")
     assert b"X-Honeywharf-Server-Seal: s" in top
-    assert caller.gone is None
+    assert caller.close_reason is None
 
 
 def test_answers_to_pipelined_requests_come_in_their_order() -> None:
@@ -139,7 +139,7 @@
     (first, _, _), (second, top, _) = caller.answers()
     assert (first, second) == (200, status)
     assert b"Connection: close" in top
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert not setup.outbound.clients
 
 
@@ -151,7 +151,7 @@
     setup.run(0.3)
     assert caller.statuses() == [408]
     assert b"Connection: close" in caller.data
-    assert caller.gone is not None
+    assert caller.close_reason is not None
 
 
 @pytest.mark.parametrize(("went", "status"), [(False, 408), (True, 502)])
@@ -164,7 +164,7 @@
     assert caller.data == b""
     setup.run(0.2)
     assert caller.statuses() == [status]
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert setup.channels[0].cancelled
 
 
@@ -173,9 +173,9 @@
     caller = setup.call(request())
     give(setup, setup.channels[0], b"ok")
     setup.run(1.8)
-    assert caller.gone is None
+    assert caller.close_reason is None
     setup.run(0.4)
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert caller.statuses() == [200]
 
 
@@ -227,7 +227,7 @@
     setup.channels[0].outbound_request.failed(REJECTED)
     setup.channels[1].outbound_request.failed(REJECTED)
     setup.run(1.0)
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert not setup.outbound.clients
 
 
@@ -268,7 +268,7 @@
         setup.run()
         setup.channels[0].outbound_request.failed(MAYBE_RUN)
         setup.run()
-        assert caller.gone is not None
+        assert caller.close_reason is not None
         assert not caller.data.endswith(b"0\r\n\r\n")
         assert caller.data.count(b"HTTP/1.1") == 1
         assert setup.channels[1].cancelled
@@ -283,11 +283,11 @@
     second.outbound_request.answer_data(b"abc")
     second.outbound_request.failed(MAYBE_RUN)
     setup.run()
-    assert caller.gone is None
+    assert caller.close_reason is None
     give(setup, setup.channels[0], b"first")
     setup.run(0.1)
     assert caller.statuses() == [200]
-    assert caller.gone is not None
+    assert caller.close_reason is not None
 
 
 @pytest.mark.parametrize("rest", [b"zz\r\n", b""])
@@ -306,7 +306,7 @@
         caller.send(rest)
     setup.run(5.0)
     assert caller.data.count(b"HTTP/1.1") == 1
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert setup.channels[0].cancelled
 
 
@@ -333,7 +333,7 @@
         give(setup, channel, b"ok")
     setup.run()
     assert caller.statuses() == [200, 200]
-    assert caller.gone is not None
+    assert caller.close_reason is not None
 
 
 # Shutdown.
@@ -341,27 +341,27 @@
 
 def test_a_sidecar_that_shuts_down_answers_what_is_under_way_and_closes() -> None:
     setup = OutboundSetup()
-    at_work, idle, begun = setup.call(request()), setup.call(), setup.call(request()[:30])
+    with_request, idle, begun = setup.call(request()), setup.call(), setup.call(request()[:30])
     setup.outbound.drain()
     setup.outbound.close_idle()
     setup.run(0.1)
-    assert idle.gone is not None
-    assert begun.gone is None
-    assert at_work.gone is None
+    assert idle.close_reason is not None
+    assert begun.close_reason is None
+    assert with_request.close_reason is None
     give(setup, setup.channels[0], b"ok")
     setup.run(0.1)
-    assert at_work.statuses() == [200]
-    assert b"Connection: close" in at_work.data
-    assert at_work.gone is not None
+    assert with_request.statuses() == [200]
+    assert b"Connection: close" in with_request.data
+    assert with_request.close_reason is not None
     begun.send(request()[30:])
     setup.run()
     give(setup, setup.channels[1], b"ok")
     setup.run(0.1)
     assert begun.statuses() == [200]
-    assert begun.gone is not None
+    assert begun.close_reason is not None
     setup.outbound.close()
     late = setup.call(request())
-    assert late.gone == "refused"
+    assert late.close_reason == "refused"
     assert not setup.outbound.clients
 
 
@@ -431,7 +431,7 @@
     setup.run(0.1)
     assert [body for _, _, body in caller.answers()] == [b"one", b"two", b"three"]
     assert [b"Connection: close" in top for _, top, _ in caller.answers()] == [False, False, True]
-    assert caller.gone is not None
+    assert caller.close_reason is not None
 
 
 def test_what_comes_behind_an_answer_that_closes_is_not_begun() -> None:
@@ -445,16 +445,16 @@
     give(setup, setup.channels[0], b"one")
     setup.run(0.1)
     assert [body for _, _, body in caller.answers()] == [b"one", b"two"]
-    assert caller.gone is not None
+    assert caller.close_reason is not None
     assert not setup.source.active_requests
 
 
 def test_what_can_not_be_answered_before_the_end_is_refused_with_a_time_to_return() -> None:
     setup = OutboundSetup()
-    held = setup.call(request(attempt=b"a0"))
+    pipelined = setup.call(request(attempt=b"a0"))
     setup.outbound.drain(setup.sidecar.now() + 2.0)
     setup.run(1.4)  # the routes' latency target is 0.5 s
-    at_work = setup.call(request("mutating", b"a1", body=b"abc"))
+    with_request = setup.call(request("mutating", b"a1", body=b"abc"))
     assert len(setup.channels) == 2
     setup.run(0.15)
     late = setup.call(request("mutating", b"a2", body=b"abc"))
@@ -465,11 +465,11 @@
     retry_after_s = float(top.partition(b"Retry-After: ")[2].partition(b"\r\n")[0])
     assert 0.4 < retry_after_s - RESTART_S <= 0.45
     setup.run(0.1)
-    assert late.gone is not None
+    assert late.close_reason is not None
     setup.outbound.finish()
     setup.run(0.1)
-    assert held.statuses() == [503]  # read_only
-    assert at_work.statuses() == [503]  # no gate asked for the body, so it has not run
+    assert pipelined.statuses() == [503]  # read_only
+    assert with_request.statuses() == [503]  # no gate asked for the body, so it has not run
     assert not setup.source.active_requests
 
 
--- a/tests/sidecar/test_outbound_request.py
+++ b/tests/sidecar/test_outbound_request.py
@@ -347,13 +347,13 @@
     rng, parts = Random(seed), pieces(seed, 900_000)
     scenario = Scenario("upload", length=UNKNOWN, within=100.0)
     scenario.request.start()
-    channel, owed = scenario.last, 0
+    channel, unacknowledged = scenario.last, 0
 
     def take(data: bytes) -> None:
-        nonlocal owed
-        owed += len(data)
+        nonlocal unacknowledged
+        unacknowledged += len(data)
         if rng.random() < 0.7:
-            size, owed = owed, 0
+            size, unacknowledged = unacknowledged, 0
             scenario.request.window(size)
 
     channel.on_data = take
@@ -365,8 +365,8 @@
     scenario.request.end()
     if late == len(parts):
         scenario.request.gate_admitted()
-    while owed:
-        size, owed = owed, 0
+    while unacknowledged:
+        size, unacknowledged = unacknowledged, 0
         scenario.request.window(size)
     assert bytes(channel.body) == b"".join(parts)
     assert channel.ends == 1
