--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -2,9 +2,9 @@
 
 Theory of operation. Each request on a connection is an `Exchange`. Several may be under way (pipelining); the
 first one's answer is written, the others' answers are held, which the windows of their requests bound.
-Reading stops while `MAX_PIPELINED` requests are under way, or while more of a body than `MAX_HELD_BODY` waits
-to be sent. A request that breaks the protocol or a configured limit is answered (400, 408, 413, 431) after
-the answers due before it, and ends the connection. A client that sends a FIN is probed (`disconnects`).
+Reading stops while `MAX_PIPELINED` requests are under way, or while more of a body than `MAX_HELD_BODY_BYTES`
+waits to be sent. A request that breaks the protocol or a configured limit is answered (400, 408, 413, 431)
+after the answers due before it, and ends the connection. A client that sends a FIN is probed (`disconnects`).
 Source: PROTOCOL, "Requests"; RULES, LOST, MIXED and GONE.
 """
 
@@ -46,8 +46,8 @@
 
 MAX_PIPELINED = 16
 NO_CONFIGURATION_RETRY_S = 0.2  # Retry-After of a sidecar that has no configuration yet
-MAX_HELD_BODY = 64 * 1024  # bytes of a body that wait to be sent
-MAX_DISCARDED_BODY = 4 << 20  # bytes; a longer body is not read to its end once its request is answered
+MAX_HELD_BODY_BYTES = 64 * 1024  # bounds the part of a body that waits to be sent
+MAX_DISCARDED_BODY_BYTES = 4 << 20  # a longer body is not read to its end once its request is answered
 SLOW_BODY = b"the body was too slow"
 
 
@@ -167,7 +167,10 @@
     def head(self, head: Head) -> None:
         """Takes the head of a request: routes it, and begins or rejects it."""
         exchange = Exchange(head.keep, head.method == b"HEAD", head.interim)
-        exchange.request_complete, exchange.has_long_body = head.length == 0, head.length > MAX_DISCARDED_BODY
+        exchange.request_complete, exchange.has_long_body = (
+            head.length == 0,
+            head.length > MAX_DISCARDED_BODY_BYTES,
+        )
         follows_last = self.exchanges[-1].closes if self.exchanges else False
         self.exchanges.append(exchange)
         if self.closing or follows_last:
@@ -244,7 +247,7 @@
         """Pauses or resumes reading, by the requests under way and the bytes that wait to be sent."""
         request = self.exchange.request if self.exchange is not None else None
         full = len(self.exchanges) >= MAX_PIPELINED or (
-            request is not None and not request.is_over and request.pending_bytes > MAX_HELD_BODY
+            request is not None and not request.is_over and request.pending_bytes > MAX_HELD_BODY_BYTES
         )
         if full != self.paused and not self.is_closed:
             self.paused = full
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -4,15 +4,15 @@
 request holds its slot until it is over. Its head is written to the backend only when its body has begun to
 arrive, or is complete where it is short: a source that has sent no byte of a body knows that nothing has run.
 Where that took longer than `RECHECK_AFTER_S`, the gate is asked again, as a request that was admitted earlier
-may be forbidden by now. An answer up to `MAX_WHOLE_ANSWER` is forwarded only when it is complete, so that a
-connection that breaks earlier has shown the client nothing.
+may be forbidden by now. An answer up to `MAX_WHOLE_ANSWER_BYTES` is forwarded only when it is complete, so
+that a connection that breaks earlier has shown the client nothing.
 
     begun -> receiving -> queued -> started -> sent -> answering -> over
       \\________\\__________\\________ rejected (not run)   \\_______ failed (may have run)
 
-A body over `MAX_SHORT_BODY` and up to `MAX_HELD_BODY` is received before a slot is taken: over a slow link it
-takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how much of it is asked for
-at a time. A longer body takes its slot first and is forwarded as it arrives.
+A body over `MAX_SHORT_BODY_BYTES` and up to `MAX_HELD_BODY_BYTES` is received before a slot is taken: over a
+slow link it takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how much of it
+is asked for at a time. A longer body takes its slot first and is forwarded as it arrives.
 
 Each `InboundRequest` reports its end once. `_release` is the only place that gives slot and connection back.
 """
@@ -76,10 +76,9 @@
             """Tells that no answer comes, or none further."""
 
 
-# Sizes are in bytes.
-MAX_SHORT_BODY = INITIAL_WINDOW  # received whole before the head is sent to the backend
-MAX_WHOLE_ANSWER = 64 * 1024  # forwarded only when it is complete
-MAX_HELD_BODY = 512 * 1024  # received before a slot is taken
+MAX_SHORT_BODY_BYTES = INITIAL_WINDOW  # received whole before the head is sent to the backend
+MAX_WHOLE_ANSWER_BYTES = 64 * 1024  # forwarded only when it is complete
+MAX_HELD_BODY_BYTES = 512 * 1024  # received before a slot is taken
 # Shares of the request's latency target.
 MAX_BACKLOG_SHARE = 0.3  # wait of a body's first byte for the link
 MAX_SLOT_WAIT_SHARE = 0.5  # wait for a slot once the body is received
@@ -159,7 +158,7 @@
             return
         self.short = inbound.gate.admission.is_short(forwarded.latency_target_s)
         if not self.body_complete and (
-            MAX_SHORT_BODY < forwarded.length <= MAX_HELD_BODY or forwarded.length == UNKNOWN
+            MAX_SHORT_BODY_BYTES < forwarded.length <= MAX_HELD_BODY_BYTES or forwarded.length == UNKNOWN
         ):
             self._receive_body(now)
         else:
@@ -231,7 +230,7 @@
     def _body_part_received(self, size: int) -> None:
         """Accounts for a part of a body that is received before a slot is taken."""
         inbound, now = self.inbound, self.inbound.host.now()
-        if self.bytes_received > MAX_HELD_BODY:  # a body of unknown length is forwarded from here on
+        if self.bytes_received > MAX_HELD_BODY_BYTES:  # a body of unknown length is forwarded from here on
             self._stop_receiving(now)
             self.forwarded.max_queue_wait_s = max(
                 self.forwarded.max_queue_wait_s, MAX_SLOT_WAIT_SHARE * self.forwarded.latency_target_s
@@ -322,7 +321,7 @@
         if not self.started or self.is_over:
             return
         if self.backend_connection is None:
-            short = 0 <= self.forwarded.length <= MAX_SHORT_BODY
+            short = 0 <= self.forwarded.length <= MAX_SHORT_BODY_BYTES
             if not self.body_complete and self.forwarded.length != 0 and (short or not self.bytes_received):
                 return
             if not self._passes_gate_again():
@@ -467,7 +466,7 @@
         self.answer_parts.append(data)
         if self.streaming:
             self._forward_answer()
-        elif sum(map(len, self.answer_parts)) > MAX_WHOLE_ANSWER:
+        elif sum(map(len, self.answer_parts)) > MAX_WHOLE_ANSWER_BYTES:
             head = self.head
             assert head is not None
             if not self._may_reach_client():
--- a/honeywharf/sidecar/outbound_request.py
+++ b/honeywharf/sidecar/outbound_request.py
@@ -75,7 +75,7 @@
 
 # A share of the latency target, counted from the request's arrival.
 MAX_QUEUE_WAIT_SHARE = 0.22
-MAX_RETAINED_BODY = 512 * 1024  # bytes of a body retained for a further attempt
+MAX_RETAINED_BODY_BYTES = 512 * 1024  # retained for a further attempt
 MAX_GATES_TRIED = 6
 MAX_ROUTE_LOOKUPS = 3  # bounds the lookups of a request whose gates decide by another rule
 DEFAULT_DEADLINE_S = 10.0  # applies to a request without a deadline header
@@ -435,10 +435,10 @@
         return b""
 
     def _trim_retained(self) -> None:
-        """Drops sent parts of the body beyond `MAX_RETAINED_BODY`, after which no retry is possible."""
+        """Drops sent parts of the body beyond `MAX_RETAINED_BODY_BYTES`, after which no retry is possible."""
         while (
             self.retained
-            and self.retained_bytes > MAX_RETAINED_BODY
+            and self.retained_bytes > MAX_RETAINED_BODY_BYTES
             and (self.bytes_received - self.retained_bytes + len(self.retained[0]) <= self.bytes_sent)
         ):
             self.retained_bytes -= len(self.retained.pop(0))
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.codecs.mesh import INTERIM_RESPONSE
-from honeywharf.sidecar.client_connection import MAX_HELD_BODY, MAX_PIPELINED
+from honeywharf.sidecar.client_connection import MAX_HELD_BODY_BYTES, MAX_PIPELINED
 from honeywharf.sidecar.outbound import RESTART_S
 from honeywharf.transport.stream import WINDOW_SIZE
 from honeywharf.verdict import CONNECTION_BROKEN, DRAINING, MAY_HAVE_RUN, NOT_RUN, Verdict
@@ -186,13 +186,13 @@
     setup = OutboundSetup()
     caller = setup.call(request("upload", body=bytes(1_000_000)), seconds=0.5)
     outbound_request = setup.channels[0].outbound_request
-    assert MAX_HELD_BODY < outbound_request.pending_bytes <= MAX_HELD_BODY + 64 * 1024
+    assert MAX_HELD_BODY_BYTES < outbound_request.pending_bytes <= MAX_HELD_BODY_BYTES + 64 * 1024
     assert caller.connection.unsent > 500_000
     outbound_request.gate_admitted()
     while not setup.channels[0].ends:
         outbound_request.window(30_000)
         setup.run()
-        assert outbound_request.pending_bytes <= MAX_HELD_BODY + 64 * 1024
+        assert outbound_request.pending_bytes <= MAX_HELD_BODY_BYTES + 64 * 1024
     assert len(setup.channels[0].body) == 1_000_000
     give(setup, setup.channels[0], b"ok")
     assert caller.statuses() == [200]
--- a/tests/sidecar/test_outbound_request.py
+++ b/tests/sidecar/test_outbound_request.py
@@ -11,7 +11,7 @@
     MAX_GATES_TRIED,
     MAX_QUEUE_WAIT_SHARE,
     MAX_QUEUES_TRIED,
-    MAX_RETAINED_BODY,
+    MAX_RETAINED_BODY_BYTES,
     OutboundRequest,
 )
 from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
@@ -379,7 +379,7 @@
     for part in pieces(4, 3 << 20):
         scenario.request.data(part)
         scenario.request.window(len(part))
-        assert scenario.request.retained_bytes <= MAX_RETAINED_BODY + 30_000 + WINDOW_SIZE
+        assert scenario.request.retained_bytes <= MAX_RETAINED_BODY_BYTES + 30_000 + WINDOW_SIZE
     assert scenario.request.body_dropped
     scenario.request.failed(REJECTED_AT_BACKEND)
     assert [e[:2] for e in scenario.client.events] == [("final", 503)]
