--- a/honeywharf/sessions/destination.py
+++ b/honeywharf/sessions/destination.py
@@ -7,7 +7,7 @@
 from honeywharf.sessions.receiver import FINISHED, Receiver, Receivers
 from honeywharf.sessions.send_scheduler import LINK_MBPS, SendScheduler
 from honeywharf.transport.stream import ForwardedRequest
-from honeywharf.verdict import GARBLED, NOT_RUN, Verdict
+from honeywharf.verdict import MALFORMED_ANSWER, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -127,7 +127,7 @@
         try:
             forwarded = self._forwarded_request(receiver, receiver.head, len(body))
         except (TypeError, ValueError):
-            self.receivers.failed(receiver, Verdict(NOT_RUN, GARBLED))
+            self.receivers.failed(receiver, Verdict(NOT_RUN, MALFORMED_ANSWER))
             return
         answers = AnswerWriter(self, receiver)
         handler = self.begin(forwarded, answers)
--- a/honeywharf/sessions/receiver.py
+++ b/honeywharf/sessions/receiver.py
@@ -43,14 +43,14 @@
     WINDOW_BYTES,
 )
 from honeywharf.verdict import (
-    BROKEN_OFF,
     CANCELLED,
+    CONNECTION_BROKEN,
     FULL,
-    LATE,
-    LOST,
+    LINK_LOST,
     MAY_HAVE_RUN,
     NOT_RUN,
     OTHER_SERVICE,
+    TOO_LATE,
     Verdict,
 )
 
@@ -241,7 +241,7 @@
     def _rejection_reason(self, wall_ms: int, expires: int, allowed_regions: list[str]) -> int | None:
         """Why a new session is rejected, or None."""
         if wall_ms > expires + EXPIRY_TOLERANCE_S * 1000.0:
-            return LATE
+            return TOO_LATE
         if allowed_regions and self.region not in allowed_regions:
             return OTHER_SERVICE
         return FULL if len(self.sessions) >= self.max_sessions else None
@@ -277,7 +277,7 @@
         )
         if not same or len(first.joined) >= MAX_JOINED:
             self.rejected += 1
-            self.send(link, [VERDICT, receiver.session_id, epoch, MAY_HAVE_RUN, LOST, 0, 0])
+            self.send(link, [VERDICT, receiver.session_id, epoch, MAY_HAVE_RUN, LINK_LOST, 0, 0])
             return
         self.joined_sessions += 1
         receiver.state, receiver.deadline = (
@@ -300,7 +300,7 @@
         if first.verdict is not None:
             self._finish(receiver, first.verdict)
         elif first.answer_start or not first.answer_complete:
-            self._finish(receiver, Verdict(MAY_HAVE_RUN, LOST, True))
+            self._finish(receiver, Verdict(MAY_HAVE_RUN, LINK_LOST, True))
         else:
             receiver.answer_head, receiver.kept_answer, receiver.answer_received = (
                 first.answer_head,
@@ -386,7 +386,7 @@
             self._send_have(receiver, 1)
             return
         if receiver.length >= 0 and total != receiver.length:
-            self._finish(receiver, Verdict(NOT_RUN, BROKEN_OFF))
+            self._finish(receiver, Verdict(NOT_RUN, CONNECTION_BROKEN))
             return
         receiver.last_progress_at = now
         self._start(receiver)
@@ -440,7 +440,7 @@
             self._release_acked(receiver, received)
             self._send_answer(receiver, received)
         elif receiver.link is not None:  # The bytes that it lacks have been discarded.
-            self._send_verdict(receiver, Verdict(MAY_HAVE_RUN, LOST, True))
+            self._send_verdict(receiver, Verdict(MAY_HAVE_RUN, LINK_LOST, True))
 
     def _send_answer_data(self, receiver: Receiver) -> None:
         link = receiver.link
@@ -497,7 +497,7 @@
         receiver = self.sessions.get(session_id)
         if receiver is not None:
             receiver.kept_answer = bytearray()
-            receiver.verdict = Verdict(MAY_HAVE_RUN, LOST, True)
+            receiver.verdict = Verdict(MAY_HAVE_RUN, LINK_LOST, True)
 
     # Outcomes.
 
@@ -537,8 +537,8 @@
                     receiver.epoch,
                     verdict.ran,
                     verdict.why,
-                    int(verdict.again_s * 1000.0),
-                    int(verdict.arrived),
+                    int(verdict.retry_after_s * 1000.0),
+                    int(verdict.reached_backend),
                 ],
             )
 
@@ -555,7 +555,7 @@
             if receiver.state == RECEIVING and (
                 now >= receiver.deadline or now - receiver.last_progress_at >= DETACHED_TIMEOUT_S
             ):
-                self._finish(receiver, Verdict(NOT_RUN, LATE if now >= receiver.deadline else LOST))
+                self._finish(receiver, Verdict(NOT_RUN, TOO_LATE if now >= receiver.deadline else LINK_LOST))
             if now >= receiver.deadline:
                 self._on_close(receiver)  # The client has given up at its deadline.
             if now >= receiver.deadline + IDEMPOTENCY_RETENTION_S and receiver.handler is None:
--- a/honeywharf/sessions/relay.py
+++ b/honeywharf/sessions/relay.py
@@ -33,7 +33,7 @@
     VERDICT,
     WINDOW_BYTES,
 )
-from honeywharf.verdict import DRAINING, FULL, LOST, OTHER_SERVICE
+from honeywharf.verdict import DRAINING, FULL, LINK_LOST, OTHER_SERVICE
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -155,7 +155,7 @@
         destination = link_to(to, priority_class) if why is None else None
         if destination is None:
             self.rejected += 1
-            self.send(source, [GONE, session_id, epoch, LOST if why is None else why])
+            self.send(source, [GONE, session_id, epoch, LINK_LOST if why is None else why])
             return
         session = RelayedSession(
             session_id,
@@ -330,7 +330,7 @@
                 self.remove(session)
                 self.send(
                     session.destination if session.source is link else session.source,
-                    [GONE, session.session_id, session.epoch, LOST],
+                    [GONE, session.session_id, session.epoch, LINK_LOST],
                 )
 
     def ask_to_leave(self, session: RelayedSession) -> None:
--- a/honeywharf/sessions/sender.py
+++ b/honeywharf/sessions/sender.py
@@ -42,7 +42,7 @@
     WHOLE,
     WINDOW_BYTES,
 )
-from honeywharf.verdict import LOST, MAY_HAVE_RUN, NOT_RUN, TIMED_OUT, Verdict
+from honeywharf.verdict import LINK_LOST, MAY_HAVE_RUN, NOT_RUN, TIMED_OUT, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -313,7 +313,9 @@
         elif kind == UNKNOWN:
             # All frames of this path have reached the new incarnation: an earlier one can have run the
             # request only if END was sent on an earlier path.
-            self._fail(Verdict(MAY_HAVE_RUN if self.end_sent_before else NOT_RUN, LOST, self.end_sent_before))
+            self._fail(
+                Verdict(MAY_HAVE_RUN if self.end_sent_before else NOT_RUN, LINK_LOST, self.end_sent_before)
+            )
         elif kind == LEAVE:
             self.state = LEAVING if self.state == STREAMING else IDLE
         elif kind == GONE:
--- a/honeywharf/sessions/session_client.py
+++ b/honeywharf/sessions/session_client.py
@@ -36,7 +36,7 @@
     Sender,
 )
 from honeywharf.transport.stream import WINDOW_SIZE, ForwardedRequest
-from honeywharf.verdict import DRAINING, LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
+from honeywharf.verdict import DRAINING, LINK_LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -302,7 +302,7 @@
         last = session.path.gateway.node if session.path is not None else ""
         self._release_path(session)
         if self._should_give_up(session, now):
-            sender.give_up(LOST)
+            sender.give_up(LINK_LOST)
             self._finish(session)
             return
         gateway = choose(
@@ -360,7 +360,7 @@
             ran = MAY_HAVE_RUN if sender.end_sent else NOT_RUN
             sender.cancel()
             self._finish(session)
-            session.response_handler.failed(Verdict(ran, LOST, sender.end_sent))
+            session.response_handler.failed(Verdict(ran, LINK_LOST, sender.end_sent))
             return
         sender.detach()
         self.host.after(0.0, lambda: self._choose_path(session))
@@ -369,7 +369,7 @@
         """Handles a frame of a session."""
         sender, kind = session.sender, frame[0]
         if kind == GONE and frame[2] == sender.epoch and session.path is not None:
-            if frame[3] == LOST:
+            if frame[3] == LINK_LOST:
                 session.unreached_gateways += 1
             if frame[3] != DRAINING:
                 session.path.gateway.suspect_until = self.host.now() + SUSPECT_S
--- a/tests/control/test_mechanisms.py
+++ b/tests/control/test_mechanisms.py
@@ -15,7 +15,7 @@
 from honeywharf.control.operator_api import OperatorApi
 from honeywharf.control.register_queues import ReadQueue
 from honeywharf.control.standby import Handover
-from honeywharf.sidecar.mesh_state import Word
+from honeywharf.sidecar.mesh_state import MeshStateReplica
 from tests.control import test_cut_off, test_history, test_one_content, test_second_loss
 from tests.sidecar import test_mesh_state
 
@@ -66,14 +66,16 @@
 
 def starts_without_majority(patch: Patch) -> None:
     """A sidecar starts with the state that one control node knows."""
-    original = Word.start
+    original = MeshStateReplica.start
 
-    def start(self: Word) -> None:
-        core = self.cores()[0]
-        self.caller.call(core, "word.known", None, 0.7, lambda value: self._started(core, value))
+    def start(self: MeshStateReplica) -> None:
+        core = self.control_nodes()[0]
+        self.rpc_client.call(
+            core, "word.known", None, 0.7, lambda value: self._majority_answered(core, value)
+        )
         original(self)
 
-    patch.setattr(Word, "start", start)
+    patch.setattr(MeshStateReplica, "start", start)
 
 
 def keeps_no_version_history(patch: Patch) -> None:
--- a/tests/sessions/test_idempotency.py
+++ b/tests/sessions/test_idempotency.py
@@ -20,7 +20,7 @@
     Receivers,
 )
 from honeywharf.sessions.sender import FINISHED, Request
-from honeywharf.verdict import BROKEN_OFF, FULL, MAY_HAVE_RUN, NAMES, NOT_RUN, Verdict
+from honeywharf.verdict import CONNECTION_BROKEN, FULL, MAY_HAVE_RUN, NOT_RUN, RAN_NAMES, Verdict
 from tests.sessions.network import SessionNetwork
 
 NOTE = Path(__file__).parents[2] / "docs" / "design" / "gateway.md"
@@ -182,7 +182,7 @@
     ("answer half way", "destination restarted"): lambda: partial_answer(SessionNetwork.restart),
     ("refused by the gate", "same life"): lambda: verdict_lost_with_gateway(Verdict(NOT_RUN, FULL)),
     ("failed at the backend", "same life"): lambda: verdict_lost_with_gateway(
-        Verdict(MAY_HAVE_RUN, BROKEN_OFF, True)
+        Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True)
     ),
     ("attempt comes again, first at work", "same request"): lambda: repeat_attempt(
         run_until_executing(SessionNetwork(BODY))
@@ -219,7 +219,7 @@
     network, which = CASES[row]()
     outcomes = network.sources[which][1].outcomes
     assert len(outcomes) == 1
-    outcome = "answer" if outcomes[0] == 200 else NAMES[getattr(outcomes[0], "ran")]  # noqa: B009
+    outcome = "answer" if outcomes[0] == 200 else RAN_NAMES[getattr(outcomes[0], "ran")]  # noqa: B009
     assert (str(len(network.executions)), outcome) == table()[row]
 
 
