--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -104,7 +104,7 @@
         assert self.process.stderr is not None
         self.early: list[str] = []  # a store may be there before the listener is: its line comes first then
         line = self.process.stderr.readline()
-        while line.startswith("order keys: "):
+        while line.startswith("order_keys: "):
             self.early.append(line)
             line = self.process.stderr.readline()
         assert line.startswith("n listens on 127.0.0.1:")
