--- a/honeywharf/failure_detector/__init__.py
+++ b/honeywharf/failure_detector/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are down: heartbeats to a few watchers on rings, suspicions, and the verdict when two agree."""
+"""The failure detector: decides which nodes are down from heartbeats to watchers and shared suspicions."""
--- a/honeywharf/failure_detector/detector.py
+++ b/honeywharf/failure_detector/detector.py
@@ -1,20 +1,22 @@
-"""Who is down: heartbeats to a few watchers, suspicions, and the verdict when two share one. Without I/O.
+"""The failure detector: heartbeats to watchers, suspicions, and the decision that a node is down.
 
 Theory of operation. Each node sends a heartbeat of a few bytes to its watchers on the rings of live nodes
-(`ring`): two in its zone every 0.4 s, two elsewhere every 0.8 s. A watcher that has heard nothing from a
-node for 1 s (1.5 s from elsewhere) probes it, and after 1.6 s (2.4 s) suspects it, under the version of the
-entry that it knows. A watcher elsewhere also inquires of the node's other watcher elsewhere, and counts
-what that one heard of the node itself as if it had heard it at that time: where two zones lose each other,
-nobody is suspected whom a third zone hears. Its suspicions are an attribute of its own gossip entry, so
-gossip carries and repairs them, and its end ends them. A node is down when two live nodes suspect its
-present version, or one where all its other watchers are suspected too (their zones are unreachable); it
-stays down until it is heard of under a newer version. Who is suspected refutes it by a new version of its
-entry, which ends all suspicions of it.
-
-A watcher that itself woke late or hears nobody suspects nobody until it has run well for 1.6 s. A watcher
-whose suspicion was refuted although it still hears nothing (a link that is cut one way) waits twice as long
-the next time, up to 25 s. Whoever follows a down node on the rings takes over the suspicion of it, so that
-those who arrive later learn it too.
+(`ring`): to two in its zone every 0.4 s and to two in other zones every 0.8 s. A watcher that has received
+nothing from a node for 1 s (1.5 s across zones) probes it, and after 1.6 s (2.4 s) suspects it, under the
+version of the entry that it knows. A watcher in another zone also asks the node's other watcher outside the
+node's zone, and treats a contact which that watcher reports as its own contact at that time. When two zones
+lose contact with each other, nodes that a third zone can reach are therefore not suspected.
+
+A node publishes its suspicions as an attribute of its own gossip entry, so gossip spreads and repairs them,
+and they end with the node. A node is down when two live nodes suspect its current version, or when one does
+and all its other watchers are suspected too (their zones are unreachable). It stays down until a newer
+version of its entry arrives. A suspected node refutes the suspicion by publishing a new version, which ends
+all suspicions of it.
+
+A watcher whose own tick was late, or that receives nothing from any node, suspects nobody until it has run
+normally for 1.6 s. A watcher whose suspicion was refuted although it still receives nothing (a link broken
+in one direction) doubles its time-out for that node, up to 25 s. The nodes that follow a down node on the
+rings take over the suspicion of it, so that nodes that join later learn of it.
 """
 
 from __future__ import annotations
@@ -28,36 +30,37 @@
 
     from honeywharf.gossip.entry import Entry
 
-    Version = tuple[int, int]  # incarnation and sequence of an entry
+    Version = tuple[int, int]  # Incarnation and sequence of an entry.
     Datagrams = list[tuple[str, bytes]]
 
-HEARTBEAT = b"t"  # and the revision that the sender holds, in as few bytes as it takes (none for 0)
-PROBE = b"p"  # answered with a heartbeat
-INQUIRY = b"q"  # and the key, 4 bytes, of a node that the sender does not hear: has the receiver heard it?
-TESTIMONY = b"v"  # the key, and how many milliseconds ago the sender heard the node itself, 2 bytes
-SUSPICIONS = "doubts"  # the attribute: a list of [key, incarnation, sequence]
-HEARTBEAT_S = 0.4  # to watchers elsewhere every second time
-PROBE_S, SUSPECT_S = 1.0, 1.6  # without a sign until a node is probed, and suspected
-FAR_FACTOR = 1.5  # times as long for nodes of other zones, nearly
-LATE_S = 0.3  # that a tick may come late
-SUSPECTS_NEEDED = 2  # nodes that share a suspicion
-MAX_FACTOR = 16  # times as long, after suspicions that were refuted
-MAX_SUSPICIONS = 16  # published by one node
-MAX_HEARTBEAT = 8  # bytes
-AGE_SIZE = 2  # bytes in a testimony
+HEARTBEAT = b"t"  # The sender's revision, in as few bytes as possible (none for 0).
+PROBE = b"p"  # Answered with a heartbeat.
+CONTACT_QUERY = b"q"  # The key, 4 bytes, of a node from which the sender receives nothing.
+CONTACT_REPORT = b"v"  # The key, and the age in ms, 2 bytes, of the sender's last datagram from the node.
+SUSPICIONS = "doubts"  # The attribute, a list of [key, incarnation, sequence].
+HEARTBEAT_INTERVAL_S = 0.4  # Watchers in other zones get every second heartbeat.
+PROBE_TIMEOUT_S, SUSPICION_TIMEOUT_S = 1.0, 1.6  # Time without contact.
+CROSS_ZONE_TIMEOUT_FACTOR = 1.5
+LATE_TICK_S = 0.3  # A tick later than this means that this node itself was stalled.
+MIN_SUSPECTING_NODES = 2
+MAX_TIMEOUT_FACTOR = 16
+MAX_SUSPICIONS = 16  # Suspicions published by one node.
+MAX_HEARTBEAT = 8  # Bytes.
+AGE_SIZE = 2  # Bytes of the age in a contact report.
 
 
 class FailureDetector:
-    """One node's part. `entries`: of the gossip table, by node. Times are seconds on the steady clock.
+    """One node's failure detector. `entries` are those of the gossip table, by node.
 
-    `on_down(node)`, `on_up(node)`: a node is held down, or alive again; `on_suspected()`: somebody suspects
-    this node; `on_suspicions(suspicions)`: what this node is to tell, as (key, incarnation, sequence).
+    `on_down(node)`, `on_up(node)`: a node is marked down, or alive again; `on_suspected()`: another node
+    suspects this one; `on_suspicions(suspicions)`: the suspicions that this node has to publish, as (key,
+    incarnation, sequence). Times are seconds on the steady clock.
     """
 
     __slots__ = (
-        "_due_at", "_entries", "_heard_any_at", "_heard_at", "_is_odd_tick", "_local_node", "_signs_at",
-        "_suspected_by", "_suspicions", "_timeout_factor", "_unwell_until", "_zone", "down", "missing",
-        "on_down", "on_suspected", "on_suspicions", "on_up", "revision", "rings",
+        "_any_contact_at", "_direct_contact_at", "_due_at", "_entries", "_is_odd_tick", "_last_contact_at",
+        "_local_node", "_suspected_by", "_suspicion_paused_until", "_suspicions", "_timeout_factor", "_zone",
+        "down", "missing", "on_down", "on_suspected", "on_suspicions", "on_up", "revision", "rings",
     )  # fmt: skip
 
     def __init__(self, local_node: str, zone: str, entries: Mapping[str, Entry]) -> None:
@@ -66,150 +69,152 @@
         self._entries = entries
         self.rings = Rings()
         self.rings.add(local_node, zone)
-        self.down: dict[str, float] = {}  # since when
-        self.missing: dict[str, float] = {}  # those watched that owe a sign, and when they last gave one
+        self.down: dict[str, float] = {}  # Time at which each was marked down.
+        self.missing: dict[str, float] = {}  # Watched nodes that are overdue, and their last contact.
         self.on_down: Callable[[str], None] | None = None
         self.on_up: Callable[[str], None] | None = None
         self.on_suspected: Callable[[], None] | None = None
         self.on_suspicions: Callable[[list[tuple[int, int, int]]], None] | None = None
-        self.revision = 0  # sent with each heartbeat
-        self._suspected_by: dict[str, dict[str, Version]] = {}  # suspected: by whom: version
-        self._suspicions: dict[str, Version] = {}  # the own ones
-        # Of those watched only:
-        self._heard_at: dict[str, float] = {}  # by a datagram or a testimony
-        self._signs_at: dict[str, float] = {}  # by a datagram
-        self._timeout_factor: dict[str, int] = {}  # after refuted suspicions
-        self._heard_any_at = 0.0
+        self.revision = 0  # Sent with each heartbeat.
+        self._suspected_by: dict[str, dict[str, Version]] = {}  # By suspected and by suspecting node.
+        self._suspicions: dict[str, Version] = {}  # Suspicions of this node.
+        # The next three hold watched nodes only.
+        self._last_contact_at: dict[str, float] = {}  # By a datagram or a contact report.
+        self._direct_contact_at: dict[str, float] = {}  # By a datagram only.
+        self._timeout_factor: dict[str, int] = {}  # Above 1 after refuted suspicions.
+        self._any_contact_at = 0.0
         self._due_at = 0.0
         self._is_odd_tick = False
-        self._unwell_until = 0.0
+        self._suspicion_paused_until = 0.0
 
     def next(self, now: float) -> float:
-        """When `tick` is due."""
+        """Returns the time at which `tick` is due."""
         return self._due_at
 
     def record_contact(self, now: float, node: str) -> None:
-        """A datagram came from a node."""
-        self._heard_any_at = now
-        if node in self._heard_at:
-            self._heard_at[node] = self._signs_at[node] = now
+        """Records that a datagram from a node has arrived."""
+        self._any_contact_at = now
+        if node in self._last_contact_at:
+            self._last_contact_at[node] = self._direct_contact_at[node] = now
             self._timeout_factor.pop(node, None)
             self.missing.pop(node, None)
 
-    def answer_inquiry(self, now: float, asker: str, about: bytes) -> Datagrams:
-        """The answer to an inquiry: none where this node has heard nothing lately either."""
-        node = node_of(int.from_bytes(about, "big"))
-        if len(about) != KEY_SIZE or node not in self._signs_at:
+    def answer_contact_query(self, now: float, requester: str, key: bytes) -> Datagrams:
+        """Answers a contact query, unless this node has no recent contact either."""
+        node = node_of(int.from_bytes(key, "big"))
+        if len(key) != KEY_SIZE or node not in self._direct_contact_at:
             return []
-        age = now - self._signs_at[node]
-        if age > PROBE_S * FAR_FACTOR:
+        age = now - self._direct_contact_at[node]
+        if age > PROBE_TIMEOUT_S * CROSS_ZONE_TIMEOUT_FACTOR:
             return []
-        return [(asker, TESTIMONY + about + round(1000.0 * age).to_bytes(AGE_SIZE, "big"))]
+        return [(requester, CONTACT_REPORT + key + round(1000.0 * age).to_bytes(AGE_SIZE, "big"))]
 
-    def receive_testimony(self, now: float, testimony: bytes) -> None:
-        """Another watcher has heard a node: as good as a sign of that time. What is malformed is ignored."""
-        if len(testimony) != KEY_SIZE + AGE_SIZE:
+    def receive_contact_report(self, now: float, contact_report: bytes) -> None:
+        """Counts another watcher's contact as a contact at that time. Ignores a malformed report."""
+        if len(contact_report) != KEY_SIZE + AGE_SIZE:
             return
-        node = node_of(int.from_bytes(testimony[:KEY_SIZE], "big"))
-        heard_at = now - int.from_bytes(testimony[KEY_SIZE:], "big") / 1000.0
-        if node in self._heard_at and node not in self.down:
-            self._heard_at[node] = max(self._heard_at[node], heard_at)
+        node = node_of(int.from_bytes(contact_report[:KEY_SIZE], "big"))
+        contact_at = now - int.from_bytes(contact_report[KEY_SIZE:], "big") / 1000.0
+        if node in self._last_contact_at and node not in self.down:
+            self._last_contact_at[node] = max(self._last_contact_at[node], contact_at)
 
     def heartbeat(self) -> bytes:
-        """What is sent to each watcher, and to who probes."""
+        """Returns the datagram that is sent to each watcher and in answer to a probe."""
         return HEARTBEAT + self.revision.to_bytes((self.revision.bit_length() + 7) // 8, "big")
 
     def tick(self, now: float) -> Datagrams:
-        """Heartbeats, probes and inquiries that are due; suspicions are given to `on_suspicions`."""
+        """Returns the heartbeats, probes and contact queries that are due; passes on changed suspicions."""
         if now < self._due_at:
             return []
-        if (self._due_at and now - self._due_at > LATE_S) or now - self._heard_any_at > SUSPECT_S:
-            self._unwell_until = now + SUSPECT_S
-        self._due_at = now + HEARTBEAT_S
+        if (
+            self._due_at and now - self._due_at > LATE_TICK_S
+        ) or now - self._any_contact_at > SUSPICION_TIMEOUT_S:
+            self._suspicion_paused_until = now + SUSPICION_TIMEOUT_S
+        self._due_at = now + HEARTBEAT_INTERVAL_S
         self._is_odd_tick = not self._is_odd_tick
         heartbeat = self.heartbeat()
         near, far = self.rings.watchers(self._local_node, self._zone)
-        silent = self._check_watched(now)
-        out = [(node, PROBE) for node in silent] + self._inquiries(silent)
+        overdue = self._check_watched(now)
+        out = [(node, PROBE) for node in overdue] + self._contact_queries(overdue)
         return out + [(node, heartbeat) for node in (near + far if self._is_odd_tick else near)]
 
-    def _inquiries(self, silent: list[str]) -> Datagrams:
-        """Inquiries of the other watchers elsewhere of nodes of other zones that are silent here."""
+    def _contact_queries(self, overdue: list[str]) -> Datagrams:
+        """Asks the other cross-zone watchers about the overdue nodes of other zones."""
         out: Datagrams = []
-        for node in silent:
+        for node in overdue:
             zone = self._entries[node].zone
             if zone != self._zone:
-                inquiry = INQUIRY + key_of(node).to_bytes(KEY_SIZE, "big")
-                witnesses = self.rings.watchers(node, zone)[1]
-                out += [(witness, inquiry) for witness in witnesses if witness != self._local_node]
+                contact_query = CONTACT_QUERY + key_of(node).to_bytes(KEY_SIZE, "big")
+                other_watchers = self.rings.watchers(node, zone)[1]
+                out += [(watcher, contact_query) for watcher in other_watchers if watcher != self._local_node]
         return out
 
     def _check_watched(self, now: float) -> list[str]:
-        """Judge those watched, the down ones that fall to this node included. Returns those to be probed."""
+        """Updates the suspicions of watched nodes, down ones included. Returns the nodes to probe."""
         near, far = self.rings.watched(self._local_node, self._zone)
         taken_over = [node for node in self.down if self._is_watcher_of(node)]
         self._forget_unwatched({*near, *far, *taken_over})
         suspicions: dict[str, Version] = {}
-        silent: list[str] = []
+        overdue: list[str] = []
         for node in near + far + taken_over:
             is_down = node in self.down
-            silence = self._silence(now, node, is_down)
-            factor = FAR_FACTOR if node in far else 1.0
-            if silence > PROBE_S * factor:
-                self.missing.setdefault(node, now - silence)
+            silent_s = self._time_since_contact_s(now, node, is_down)
+            factor = CROSS_ZONE_TIMEOUT_FACTOR if node in far else 1.0
+            if silent_s > PROBE_TIMEOUT_S * factor:
+                self.missing.setdefault(node, now - silent_s)
                 if not is_down:
-                    silent.append(node)
-            timeout = SUSPECT_S * factor * self._timeout_factor.get(node, 1)
-            if silence > timeout and len(suspicions) < MAX_SUSPICIONS:
+                    overdue.append(node)
+            timeout = SUSPICION_TIMEOUT_S * factor * self._timeout_factor.get(node, 1)
+            if silent_s > timeout and len(suspicions) < MAX_SUSPICIONS:
                 entry = self._entries[node]
                 suspicions[node] = (entry.incarnation, entry.sequence)
         if suspicions != self._suspicions:
             self._set_own_suspicions(now, suspicions)
-        for node in list(self._suspected_by):  # the rings may have changed
-            self._judge(now, node)
-        return silent
+        for node in list(self._suspected_by):  # The rings may have changed.
+            self._evaluate_suspicions(now, node)
+        return overdue
 
-    def _silence(self, now: float, node: str, is_down: bool) -> float:
-        """Seconds for which a watched node was not heard; 0 while this node is unwell itself."""
-        if now < self._unwell_until and not is_down:
-            self._heard_at[node] = now
-        return now - self._heard_at.setdefault(node, now - PROBE_S if is_down else now)
+    def _time_since_contact_s(self, now: float, node: str, is_down: bool) -> float:
+        """Returns the seconds since the last contact with a node; 0 while suspicions are paused."""
+        if now < self._suspicion_paused_until and not is_down:
+            self._last_contact_at[node] = now
+        return now - self._last_contact_at.setdefault(node, now - PROBE_TIMEOUT_S if is_down else now)
 
     def _is_watcher_of(self, node: str) -> bool:
         near, far = self.rings.watchers(node, self._entries[node].zone)
         return self._local_node in near or self._local_node in far
 
     def _forget_unwatched(self, watched: set[str]) -> None:
-        for node in [node for node in self._heard_at if node not in watched]:
-            del self._heard_at[node]
-            self._signs_at.pop(node, None)
+        for node in [node for node in self._last_contact_at if node not in watched]:
+            del self._last_contact_at[node]
+            self._direct_contact_at.pop(node, None)
             self._timeout_factor.pop(node, None)
             self.missing.pop(node, None)
 
     def is_first_watcher(self, node: str, zone: str) -> bool:
-        """Whether this node is the first of a node's live watchers in its zone, or the first elsewhere."""
+        """Returns whether this node is the first of a node's watchers in its zone or in other zones."""
         near, far = self.rings.watchers(node, zone)
         return self._local_node in near[:1] + far[:1]
 
     def _set_own_suspicions(self, now: float, suspicions: dict[str, Version]) -> None:
-        self._count(self._local_node, self._suspicions, suspicions)
+        self._update_suspected_by(self._local_node, self._suspicions, suspicions)
         changed = {*self._suspicions, *suspicions}
         self._suspicions = suspicions
         if self.on_suspicions:
             self.on_suspicions([(key_of(node), *version) for node, version in suspicions.items()])
         for node in changed:
-            self._judge(now, node)
+            self._evaluate_suspicions(now, node)
 
     def entry_changed(self, now: float, node: str, entry: Entry | None, old: Entry | None) -> None:
-        """The gossip entry of another node has changed; None: it was dropped."""
+        """Takes account of a changed gossip entry of another node; `entry` is None if it was dropped."""
         before, after = _suspicions_in(old), _suspicions_in(entry)
-        self._count(node, before, after)
+        self._update_suspected_by(node, before, after)
         if entry is None or entry.attributes is None:
             self._forget(node)
         else:
-            self._is_alive(now, node, entry)
+            self._mark_alive(now, node, entry)
         for suspected in {*before, *after}:
-            self._judge(now, suspected)
+            self._evaluate_suspicions(now, suspected)
 
     def _forget(self, node: str) -> None:
         self.rings.remove(node)
@@ -217,19 +222,19 @@
         self.down.pop(node, None)
         self._suspected_by.pop(node, None)
 
-    def _is_alive(self, now: float, node: str, entry: Entry) -> None:
-        if node in self._heard_at:
+    def _mark_alive(self, now: float, node: str, entry: Entry) -> None:
+        if node in self._last_contact_at:
             if node in self._suspicions:
                 factor = 2 * self._timeout_factor.get(node, 1)
-                self._timeout_factor[node] = min(MAX_FACTOR, factor)
-            self._heard_at[node] = now
+                self._timeout_factor[node] = min(MAX_TIMEOUT_FACTOR, factor)
+            self._last_contact_at[node] = now
         self.rings.add(node, entry.zone)
         if self.down.pop(node, None) is not None and self.on_up:
             self.on_up(node)
-        self._judge(now, node)
+        self._evaluate_suspicions(now, node)
 
-    def _count(self, by: str, old: dict[str, Version], new: dict[str, Version]) -> None:
-        """One node's suspicions have changed."""
+    def _update_suspected_by(self, by: str, old: dict[str, Version], new: dict[str, Version]) -> None:
+        """Updates the index of suspicions after those of one node have changed."""
         for node in old:
             suspects = self._suspected_by.get(node)
             if suspects and node not in new:
@@ -240,25 +245,29 @@
             if node in self._entries:
                 self._suspected_by.setdefault(node, {})[by] = version
 
-    def _judge(self, now: float, node: str) -> None:
-        """Hold a node down where enough live nodes suspect it."""
-        suspecting = self._who_suspects(node)
-        if not suspecting or node in self.down:
+    def _evaluate_suspicions(self, now: float, node: str) -> None:
+        """Marks a node down if enough live nodes suspect it."""
+        suspecting_nodes = self._suspecting_nodes(node)
+        if not suspecting_nodes or node in self.down:
             return
         if node == self._local_node:
             if self.on_suspected:
                 self.on_suspected()
             return
         near, far = self.rings.watchers(node, self._entries[node].zone)
-        able = [by for by in near + far if by not in suspecting and not self._who_suspects(by)]
-        if len(suspecting) >= min(SUSPECTS_NEEDED, len(suspecting) + len(able)):
+        available_watchers = [
+            by for by in near + far if by not in suspecting_nodes and not self._suspecting_nodes(by)
+        ]
+        if len(suspecting_nodes) >= min(
+            MIN_SUSPECTING_NODES, len(suspecting_nodes) + len(available_watchers)
+        ):
             self.rings.remove(node)
             self.down[node] = now
             if self.on_down:
                 self.on_down(node)
 
-    def _who_suspects(self, node: str) -> list[str]:
-        """Which live nodes suspect the present version of a node."""
+    def _suspecting_nodes(self, node: str) -> list[str]:
+        """Returns the live nodes that suspect the current version of a node."""
         suspected_by = self._suspected_by.get(node)
         entry = self._entries.get(node)
         if not suspected_by or entry is None or entry.attributes is None:
@@ -268,12 +277,12 @@
 
 
 def _suspicions_in(entry: Entry | None) -> dict[str, Version]:
-    """Whom an entry suspects; what is not understood is left out."""
-    told = entry.attributes.get(SUSPICIONS) if entry and entry.attributes else None
+    """Returns the suspicions in an entry, without malformed ones."""
+    suspicion_list = entry.attributes.get(SUSPICIONS) if entry and entry.attributes else None
     suspicions: dict[str, Version] = {}
-    if not isinstance(told, (list, tuple)):
+    if not isinstance(suspicion_list, (list, tuple)):
         return suspicions
-    for one in told[:MAX_SUSPICIONS]:
+    for one in suspicion_list[:MAX_SUSPICIONS]:
         if isinstance(one, (list, tuple)) and len(one) == 3 and all(is_number(value) for value in one):
             suspicions[node_of(one[0] & 0xFFFFFFFF)] = (one[1], one[2])
     return suspicions
--- a/honeywharf/gossip/__init__.py
+++ b/honeywharf/gossip/__init__.py
@@ -1,7 +1,7 @@
-"""Gossip: what each node reports about itself, spread by rumours, repaired by anti-entropy. No I/O.
+"""Gossip of node state: rumours spread changes, and anti-entropy repairs what the rumours missed.
 
-`entry` is what one node tells, and its form in datagrams; `table` keeps the newest entry of each node;
-`peers` chooses whom to send to; `dissemination` spreads what is new; `anti_entropy` finds and repairs what
-rumours missed; `gossip` joins these for one node; `membership` runs it on a host beside the failure
-detector.
+`entry` holds the state that one node publishes and its encoding in datagrams; `table` keeps the newest entry
+of each node; `peers` selects the nodes to send to; `dissemination` spreads changes; `anti_entropy` finds and
+repairs missed changes; `gossip` combines these for one node; `membership` runs gossip on a host together with
+the failure detector. Only `membership` performs I/O.
 """
--- a/honeywharf/gossip/anti_entropy.py
+++ b/honeywharf/gossip/anti_entropy.py
@@ -1,8 +1,9 @@
-"""Finds and repairs what rumours missed, by comparing tables with one peer at a time. No I/O, no clock.
+"""Anti-entropy: repairs changes that rumours missed, by comparing tables with one peer at a time.
 
-Every `DIGEST_INTERVAL_S` a node sends a summary of its table (16 bytes) to one peer. Where that differs
-from the peer's own, the peer answers with a digest, and both send each other what the other lacks. Tables
-of more than `MAX_DIGEST_NODES` compare sums by bucket first.
+Every `DIGEST_INTERVAL_S` a node sends a summary of its table (16 bytes) to one peer. If the summary differs
+from the peer's own, the peer answers with a digest, and each side sends the other the entries that it lacks.
+Tables of more than `MAX_DIGEST_NODES` nodes compare sums by bucket first. The module performs no I/O and
+reads no clock.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     pack_keys,
     pack_stamps,
 )
-from honeywharf.gossip.table import FINAL_HOPS, REPAIR_HOPS
+from honeywharf.gossip.table import NO_FORWARD_HOPS, REPAIR_HOPS
 
 TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
@@ -36,17 +37,17 @@
     from honeywharf.gossip.table import GossipTable
 
 DIGEST_INTERVAL_S = 0.5
-NEAR_SHARE = 0.75  # of the digests that go to a peer of the own zone
-STRAY_INTERVAL = 4  # digests between two to a node that is missing
-MAX_DIGEST_NODES = 120  # whose digest fits one datagram
-MAX_DIGEST_BUCKETS = 24  # in one digest
-MAX_REPAIR_DATAGRAMS = 16  # of entries in answer to one datagram
-MAX_REQUESTED = 300  # entries in one request
-FRESH_S = 2.0  # within which the own entry is taken for the newer one of two
+SAME_ZONE_FRACTION = 0.75  # Fraction of summaries that go to a peer in the same zone.
+MISSING_PEER_INTERVAL = 4  # Every fourth summary also goes to a missing node.
+MAX_DIGEST_NODES = 120  # A digest of this many nodes fits one datagram.
+MAX_DIGEST_BUCKETS = 24
+MAX_REPAIR_DATAGRAMS = 16  # Datagrams sent in answer to one datagram.
+MAX_REQUESTED = 300  # Entries in one request.
+RECENT_ENTRY_S = 2.0  # An entry received within this time is taken for the newer of two that differ.
 
 
 class AntiEntropy:
-    """One node's comparisons. `seeds`: nodes to look for though nothing is known of them."""
+    """One node's table comparisons. `seeds` are contacted even if the table holds no entry for them."""
 
     __slots__ = ("_due_at", "_peers", "_random", "_rounds", "_seeds", "_table")
 
@@ -59,15 +60,15 @@
         peers.on_first_peer = self.compare_now
 
     def compare_now(self) -> None:
-        """Send the next summary at the next tick."""
+        """Makes the next summary due at the next tick."""
         self._due_at = 0.0
 
     def next(self) -> float:
-        """When `tick` is due."""
+        """Returns the time at which `tick` is due."""
         return self._due_at
 
     def tick(self, now: float) -> Datagrams:
-        """The summaries that are due."""
+        """Returns the summaries that are due."""
         if now < self._due_at:
             return []
         self._due_at = now + DIGEST_INTERVAL_S * (0.75 + 0.5 * self._random.random())
@@ -76,30 +77,32 @@
     def _partners(self) -> list[str]:
         self._rounds += 1
         peers = self._peers
-        preferred = peers.near if self._random.random() < NEAR_SHARE else peers.far
+        preferred = peers.near if self._random.random() < SAME_ZONE_FRACTION else peers.far
         chosen = peers.choose(preferred or peers.near or peers.far, 1)
-        if self._rounds % STRAY_INTERVAL == 0:
-            chosen += peers.choose(self._strays(), 1)
+        if self._rounds % MISSING_PEER_INTERVAL == 0:
+            chosen += peers.choose(self._missing_nodes(), 1)
         return chosen
 
-    def _strays(self) -> list[str]:
-        """Those that are missing: held down, dropped, or seeds that nothing is known of."""
+    def _missing_nodes(self) -> list[str]:
+        """Returns the nodes that are down or dropped, and the seeds without an entry."""
         entries = self._table.entries
-        down = [node for node, entry in entries.items() if entry.gone_at is not None and entry.attributes]
+        down = [
+            node for node, entry in entries.items() if entry.inactive_since is not None and entry.attributes
+        ]
         seeds = [seed for seed in self._seeds if seed not in entries]
         return down + seeds + [node for node in self._table.dropped if node not in entries]
 
     def summary(self) -> bytes:
-        """The datagram that begins a comparison."""
+        """Returns the datagram that starts a comparison."""
         packed: bytes = msgpack.packb((self._table.revision, self._table.checksum))
         return SUMMARY + packed
 
     def answer_summary(self, sender: str, checksum: object) -> Datagrams:
-        """What a peer's summary is answered with: nothing where the tables are equal."""
+        """Answers a peer's summary: with a digest, or with nothing if the tables are equal."""
         return [] if checksum == self._table.checksum else self.digest_for(sender)
 
     def digest_for(self, sender: str) -> Datagrams:
-        """A digest of the whole table, or sums by bucket where that is too large."""
+        """Returns a digest of the whole table, or sums by bucket if the table is too large."""
         offered = self._table.offered()
         if len(offered) <= MAX_DIGEST_NODES:
             return [(sender, self._digest(None, offered))]
@@ -110,59 +113,61 @@
         packed: bytes = msgpack.packb((self._table.revision, buckets, pack_stamps(entries)))
         return DIGEST + packed
 
-    def compare_sums(self, sender: str, theirs: list[int]) -> Datagrams:
-        """Digests of the buckets in which two tables differ. ValueError where these are no sums."""
+    def compare_sums(self, sender: str, peer_stamps: list[int]) -> Datagrams:
+        """Returns digests of the buckets in which two tables differ.
+
+        Raises ValueError if the number of sums is not the number of buckets.
+        """
         offered = self._table.offered()
         own = _bucket_sums(offered)
-        if len(theirs) != len(own):
-            raise ValueError("not sums")
-        differing = {bucket for bucket, total in enumerate(own) if total != theirs[bucket]}
+        if len(peer_stamps) != len(own):
+            raise ValueError(f"bucket sums: expected {len(own)}, got {len(peer_stamps)}")
+        differing = {bucket for bucket, total in enumerate(own) if total != peer_stamps[bucket]}
         out: Datagrams = []
         while differing and len(out) < MAX_REPAIR_DATAGRAMS:
             step = 1 + len(differing) // MAX_DIGEST_BUCKETS
-            some = sorted(differing)[::step][:MAX_DIGEST_BUCKETS]
-            entries = [entry for entry in offered if bucket_of(entry.key) in some]
-            while len(entries) > MAX_DIGEST_NODES and len(some) > 1:
-                some = some[: len(some) // 2]
-                entries = [entry for entry in offered if bucket_of(entry.key) in some]
-            differing -= set(some)
-            out.append((sender, self._digest(bytes(some), entries[:MAX_DIGEST_NODES])))
+            batch_buckets = sorted(differing)[::step][:MAX_DIGEST_BUCKETS]
+            entries = [entry for entry in offered if bucket_of(entry.key) in batch_buckets]
+            while len(entries) > MAX_DIGEST_NODES and len(batch_buckets) > 1:
+                batch_buckets = batch_buckets[: len(batch_buckets) // 2]
+                entries = [entry for entry in offered if bucket_of(entry.key) in batch_buckets]
+            differing -= set(batch_buckets)
+            out.append((sender, self._digest(bytes(batch_buckets), entries[:MAX_DIGEST_NODES])))
         return out
 
-    def compare(self, now: float, sender: str, buckets: bytes | None, theirs: dict[int, int]) -> Datagrams:
-        """Send a peer what it lacks, and ask for what it has newer. `theirs`: its stamps by key."""
-        newer_here: list[Entry] = []
-        wanted: list[int] = []
+    def compare(
+        self, now: float, sender: str, buckets: bytes | None, peer_stamps: dict[int, int]
+    ) -> Datagrams:
+        """Sends a peer the entries that it lacks and requests the newer ones. `peer_stamps` is by key."""
+        newer_entries: list[Entry] = []
+        requested_keys: list[int] = []
         for entry in self._table.entries.values():
             if buckets is not None and bucket_of(entry.key) not in buckets:
                 continue
-            stamp = theirs.pop(entry.key, None)
+            stamp = peer_stamps.pop(entry.key, None)
             if stamp is None:
                 if not entry.is_hidden:
-                    newer_here.append(entry)
+                    newer_entries.append(entry)
             elif stamp != entry.stamp:
-                if now - entry.received_at < FRESH_S:
-                    newer_here.append(entry)
+                if now - entry.received_at < RECENT_ENTRY_S:
+                    newer_entries.append(entry)
                 else:
-                    wanted.append(entry.key)
-        wanted += theirs
-        out = self.repair(sender, newer_here)
-        if wanted:
-            out.append((sender, ENTRY_REQUEST + pack_keys(wanted[:MAX_REQUESTED])))
+                    requested_keys.append(entry.key)
+        requested_keys += peer_stamps
+        out = self.repair(sender, newer_entries)
+        if requested_keys:
+            out.append((sender, ENTRY_REQUEST + pack_keys(requested_keys[:MAX_REQUESTED])))
         return out
 
     def repair(self, node: str, entries: Iterable[Entry]) -> Datagrams:
-        """Send entries to a node that lacks them."""
+        """Sends entries to a node that lacks them."""
         known = self._table.entries.get(node)
-        hops = FINAL_HOPS if known is None or known.zone == self._table.zone else REPAIR_HOPS
+        hops = NO_FORWARD_HOPS if known is None or known.zone == self._table.zone else REPAIR_HOPS
         packed = [entry.pack(hops) for entry in entries]
         return [(node, data) for data in pack_datagrams(RUMOUR, packed, MAX_REPAIR_DATAGRAMS)]
 
     def hand_over(self, node: str, names: Iterable[str], has_newer_revision: bool) -> Datagrams:
-        """What a node that was missing should have had.
-
-        Entries by name, and that there is a newer revision.
-        """
+        """Sends a returning node the entries that it missed, and the newer revision if there is one."""
         table = self._table
         missed = [table.entries[name] for name in names if name in table.entries and name != node]
         out = self.repair(node, missed)
@@ -173,7 +178,7 @@
 
 
 def _bucket_sums(entries: Iterable[Entry]) -> list[int]:
-    """Sums of stamps by bucket."""
+    """Returns the XOR of the stamps in each bucket."""
     sums = [0] * BUCKETS
     for entry in entries:
         sums[bucket_of(entry.key)] ^= entry.stamp
--- a/honeywharf/gossip/entry.py
+++ b/honeywharf/gossip/entry.py
@@ -1,7 +1,7 @@
-"""What one node reports about itself, and how that is written in datagrams of at most 1,400 bytes.
+"""The entry that a node publishes about itself, and its encoding in datagrams of at most 1,400 bytes.
 
 A datagram is one byte for its kind, then a body in msgpack or in fixed records. Kinds and bodies are on the
-wire between builds and never change.
+wire between nodes of different builds and never change.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
     from typing import Any, TypeGuard
 
 MAX_DATAGRAM = 1400  # bytes
-MAX_ENTRY = 1200  # bytes that one entry may take
-MAX_NUMBER = 1 << 62  # incarnations, sequence numbers and revisions lie below
+MAX_ENTRY = 1200  # Bytes of one packed entry.
+MAX_NUMBER = 1 << 62  # Exclusive bound of incarnations, sequence numbers and revisions.
 KEY_SIZE = 4  # bytes
 BUCKETS = 256
 
-RUMOUR = b"r"  # array of entries
-HELLO = b"h"  # array of one entry, the sender's
+RUMOUR = b"r"  # Array of entries.
+HELLO = b"h"  # Array of one entry, the sender's.
 SUMMARY = b"s"  # [revision, checksum of the table]
 DIGEST = b"d"  # [revision, buckets or nil for all, (key, stamp) of 8 bytes each]
 BUCKET_SUMS = b"b"  # [revision, 4 bytes a bucket]
-ENTRY_REQUEST = b"a"  # keys of 4 bytes each
+ENTRY_REQUEST = b"a"  # Keys of 4 bytes each.
 REVISION_RUMOUR = b"w"  # [revision, key of a node that holds it]
 
-ARRAY_HEADER = b"\xdc"  # msgpack's array of 16-bit length
-ARRAY_HEADER_SIZE = 4  # bytes, the datagram's kind included
+ARRAY_HEADER = b"\xdc"  # The msgpack header of an array with a 16-bit length.
+ARRAY_HEADER_SIZE = 4  # Bytes, including the datagram's kind.
 _stamp_record = struct.Struct(">II")
 
 
 class Entry:
-    """What one node told last. `attributes` is None once it has left (a tombstone).
+    """The state that a node published last. `attributes` is None once the node has left (a tombstone).
 
-    `key`: its IPv4 address as a number; the entry with the higher (`incarnation`, `sequence`) is the newer
-    one.
+    `key` is the node's IPv4 address as a number. The entry with the higher (`incarnation`, `sequence`) is
+    the newer one.
     """
 
     __slots__ = (
-        "attributes", "gone_at", "incarnation", "is_hidden", "key", "received_at", "sequence", "stamp",
+        "attributes", "inactive_since", "incarnation", "is_hidden", "key", "received_at", "sequence", "stamp",
         "zone",
     )  # fmt: skip
 
@@ -55,33 +55,36 @@
         self.sequence = sequence
         self.zone = zone
         self.attributes = attributes
-        self.received_at = 0.0  # seconds, steady clock
-        self.gone_at: float | None = None  # since when it has left or is held down
-        self.is_hidden = False  # gone for so long that it is no more offered
+        self.received_at = 0.0  # Seconds on the steady clock.
+        self.inactive_since: float | None = None  # Time at which it left or was marked down.
+        self.is_hidden = False  # Inactive for so long that it is no longer sent to others.
         self.stamp = hash32(b"%d %d %d" % (key, incarnation, sequence))
 
     @property
     def version(self) -> tuple[int, int, bool]:
-        """The higher one is the newer one; of equals, the tombstone."""
+        """Orders entries by age: the highest is the newest; a tombstone wins over an equal entry."""
         return self.incarnation, self.sequence, self.attributes is None
 
     def pack(self, hops: int) -> bytes:
-        """As one element of a datagram. `hops`: times that it was passed on."""
+        """Encodes the entry as one element of a datagram. `hops` counts how often it was forwarded."""
         fields = (self.key, self.incarnation, self.sequence, self.zone, self.attributes, hops)
         packed: bytes = msgpack.packb(fields)
         return packed
 
 
 def hash32(data: bytes) -> int:
-    """A hash below 2**32. Not a bare checksum: that is linear, and like changes of two nodes would cancel."""
+    """Returns a hash below 2**32.
+
+    A bare CRC is linear, so the same change of two nodes would cancel out in the table's checksum.
+    """
     value = crc32(data)
-    for factor in (0x85EBCA6B, 0xC2B2AE35):  # the finalizer of MurmurHash3
+    for factor in (0x85EBCA6B, 0xC2B2AE35):  # The finalizer of MurmurHash3.
         value = (value ^ value >> 15) * factor & 0xFFFFFFFF
     return value ^ value >> 16
 
 
 def key_of(node: str) -> int:
-    """A node's IPv4 address as a number. ValueError where it is none."""
+    """Returns a node's IPv4 address as a number. Raises ValueError if it is not an address."""
     parts = node.split(".")
     key = 0
     for part in parts:
@@ -94,17 +97,17 @@
 
 
 def node_of(key: int) -> str:
-    """The address in dots."""
+    """Returns the address in dotted notation."""
     return f"{key >> 24}.{key >> 16 & 255}.{key >> 8 & 255}.{key & 255}"
 
 
 def bucket_of(key: int) -> int:
-    """Which of 256 buckets a node falls into."""
+    """Returns the node's bucket, 0 to 255."""
     return (key * 0x9E3779B1 & 0xFFFFFFFF) >> 24
 
 
 def pack_datagrams(kind: bytes, elements: Iterable[bytes], limit: int) -> list[bytes]:
-    """Arrays of packed elements, each in one datagram; what does not fit `limit` of them is left out."""
+    """Packs elements into arrays of one datagram each. Elements beyond `limit` datagrams are left out."""
     datagrams: list[bytes] = []
     pending: list[bytes] = []
     size = ARRAY_HEADER_SIZE
@@ -126,41 +129,41 @@
 
 
 def pack_stamps(entries: Iterable[Entry]) -> bytes:
-    """(key, stamp) of each entry, 8 bytes each."""
+    """Encodes the (key, stamp) of each entry in 8 bytes."""
     return b"".join([_stamp_record.pack(entry.key, entry.stamp) for entry in entries])
 
 
 def unpack_stamps(data: bytes) -> dict[int, int]:
-    """Stamps by key. ValueError where the size is wrong."""
+    """Returns stamps by key. Raises ValueError if the size is not a multiple of 8."""
     if len(data) % _stamp_record.size:
-        raise ValueError("not pairs")
+        raise ValueError(f"stamps: expected a multiple of {_stamp_record.size} bytes, got {len(data)}")
     return dict(_stamp_record.iter_unpack(data))
 
 
 def pack_keys(keys: Iterable[int]) -> bytes:
-    """Keys of 4 bytes each."""
+    """Encodes each key in 4 bytes."""
     return b"".join([key.to_bytes(KEY_SIZE, "big") for key in keys])
 
 
 def unpack_keys(data: bytes) -> list[int]:
-    """Keys, or sums, of 4 bytes each. ValueError where the size is wrong."""
+    """Decodes keys or sums of 4 bytes each. Raises ValueError if the size is not a multiple of 4."""
     if len(data) % KEY_SIZE:
-        raise ValueError("not keys")
+        raise ValueError(f"keys: expected a multiple of {KEY_SIZE} bytes, got {len(data)}")
     return [int.from_bytes(data[at : at + KEY_SIZE], "big") for at in range(0, len(data), KEY_SIZE)]
 
 
 def is_number(value: object) -> TypeGuard[int]:
-    """Whether it is a whole number that may be an incarnation, a sequence number or a revision."""
+    """Returns whether the value is a valid incarnation, sequence number or revision."""
     return type(value) is int and 0 <= value < MAX_NUMBER
 
 
 def unpack_entry(value: object) -> tuple[Entry, int]:
-    """An entry and its hops from one element of an array. ValueError where it is none."""
+    """Decodes an entry and its hops. Raises ValueError if the element is not an entry."""
     if not isinstance(value, list) or len(value) != 6:
-        raise ValueError("not an entry")
+        raise ValueError(f"entry: expected an array of 6, got {type(value).__name__}")
     key, incarnation, sequence, zone, attributes, hops = value
     if not (is_number(key) and is_number(incarnation) and is_number(sequence) and is_number(hops)):
-        raise ValueError("not numbers")
+        raise ValueError("entry: expected numbers for key, incarnation, sequence and hops")
     if key >> 32 or not isinstance(zone, str) or not (attributes is None or isinstance(attributes, dict)):
-        raise ValueError("not an entry")
+        raise ValueError("entry: expected a 32-bit key, a zone name, and a map of attributes or nil")
     return Entry(key, incarnation, sequence, zone, attributes), hops
--- a/honeywharf/gossip/gossip.py
+++ b/honeywharf/gossip/gossip.py
@@ -1,10 +1,11 @@
-"""Gossip of one node: what it publishes, what it passes on and what it compares. No I/O, no clock.
-
-Theory of operation. Each node owns one entry in everybody's `table`. Changes are spread by rumours
-(`dissemination`); what those miss is repaired by comparing tables (`anti_entropy`). One attribute is quiet,
-the revision of the mesh state: it has no part in the sequence number, is not passed on, and travels in the
-heads of summaries and digests. A node that commits a new state broadcasts its revision, a rumour of its
-own. A node that knows nobody sends HELLO to the seeds, which answer with their tables.
+"""The gossip protocol of one node: publishing, rumours and anti-entropy. No I/O, no clock.
+
+Theory of operation. Each node owns one entry in the `table` of every node. Rumours spread changes
+(`dissemination`), and table comparisons repair what the rumours miss (`anti_entropy`). One attribute is
+unsequenced, the revision of the mesh state: a change of it does not advance the sequence number and is not
+forwarded as a rumour of the entry; summaries, digests and heartbeats carry it. A node that commits a new
+state broadcasts the revision in a rumour of its own kind. A node without live peers sends HELLO to the
+seeds, which answer with their tables.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     unpack_stamps,
 )
 from honeywharf.gossip.peers import LivePeers
-from honeywharf.gossip.table import FINAL_HOPS, REVISION, GossipTable, is_quiet, keep_revision
+from honeywharf.gossip.table import NO_FORWARD_HOPS, REVISION, GossipTable, is_unsequenced, keep_revision
 
 TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
 if TYPE_CHECKING:
@@ -45,14 +46,15 @@
 
 
 class Gossip:
-    """One node's gossip. Calls get the time, in seconds on the steady clock, and return what to send.
+    """One node's gossip. Methods take the time, in seconds on the steady clock, and return datagrams to send.
 
-    `on_newer_revision(revision, holder)` is called while a revision above the own one is known.
+    `on_newer_revision(revision, holder)` is called on each message that reports a revision above the local
+    one.
     """
 
     __slots__ = (
         "_anti_entropy", "_hello_at", "_peers", "_revision_rumours", "_rumours", "_seeds", "_sweep_at",
-        "ignored", "on_newer_revision", "table",
+        "malformed_datagrams", "on_newer_revision", "table",
     )  # fmt: skip
 
     def __init__(
@@ -64,76 +66,76 @@
         incarnation: int,
         seeds: Sequence[str] = (),
     ) -> None:
-        """`local_node`: the IPv4 address in dots. `incarnation`: higher with each start, if clocks allow."""
+        """`local_node` is an IPv4 address. `incarnation` rises with each start unless the clock went back."""
         self.table = GossipTable(local_node, zone)
-        self.ignored = 0  # datagrams that made no sense
+        self.malformed_datagrams = 0
         self.on_newer_revision: Callable[[int, str], None] | None = None
         self._seeds = tuple(seed for seed in seeds if seed != local_node)
         self._peers = LivePeers(self.table, random_source)
         self._rumours = EntryRumours(self.table, self._peers)
         self._revision_rumours = RevisionRumours(self._peers)
         self._anti_entropy = AntiEntropy(self.table, self._peers, random_source, self._seeds)
-        self._hello_at = self._sweep_at = 0.0  # when each is due
+        self._hello_at = self._sweep_at = 0.0  # Times at which each is due.
         self.table.put_own(0.0, incarnation, 1, attributes)
 
-    # What the node itself publishes.
+    # Publishing.
 
     def publish(self, now: float, **attributes: object) -> None:
-        """Change what this node publishes; other attributes stay. ValueError where it grows too large."""
+        """Updates some of this node's attributes. Raises ValueError if the entry becomes too large."""
         table = self.table
-        if table.has_left:
+        if table.has_local_node_left:
             return
         own = table.own
         changed = {**(own.attributes or {}), **attributes}
-        if all(is_quiet(name) for name in attributes):
+        if all(is_unsequenced(name) for name in attributes):
             own.attributes = changed
             table.revision = changed.get(REVISION, 0)
             return
         table.put_own(now, own.incarnation, own.sequence + 1, changed)
 
     def refute(self, now: float) -> None:
-        """Tell the same under a new sequence number, as a sign of life."""
+        """Publishes the same attributes under a new sequence number, to refute suspicions of this node."""
         own = self.table.own
-        if not self.table.has_left:
+        if not self.table.has_local_node_left:
             self.table.put_own(now, own.incarnation, own.sequence + 1, own.attributes)
 
     def leave(self, now: float) -> None:
-        """Tell that this node leaves; nothing more is told after the rumour is passed on."""
+        """Publishes that this node leaves. Nothing more is published after that rumour."""
         own = self.table.own
-        if not self.table.has_left:
+        if not self.table.has_local_node_left:
             self.table.put_own(now, own.incarnation, own.sequence + 1, None)
-            self.table.has_left = True
+            self.table.has_local_node_left = True
             self._rumours.flush_now(now)
 
     def broadcast_revision(self, now: float, revision: int) -> None:
-        """Tell of a revision that this node is among the first to hold. It is above all earlier ones."""
+        """Spreads a revision that this node is among the first to hold. It is above all earlier ones."""
         self.publish(now, **{REVISION: revision})
         self._revision_rumours.add(revision, self.table.local_node)
 
-    # Time.
+    # Timers.
 
     def next(self, now: float) -> float:
-        """When `tick` is due at the latest."""
+        """Returns the time at which `tick` is due at the latest."""
         due = min(
             self._anti_entropy.next(), self._sweep_at, self._revision_rumours.next(), self._rumours.next()
         )
-        if not self.table.has_left and not self._peers.refresh():
+        if not self.table.has_local_node_left and not self._peers.refresh():
             due = min(due, self._hello_at)
         return due
 
     def tick(self, now: float) -> Datagrams:
-        """Everything that is due."""
+        """Returns all datagrams that are due."""
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL_S
             self.table.sweep(now)
         out = self._revision_rumours.tick(now) + self._rumours.tick(now)
-        if not self.table.has_left:
-            out += self._greet(now)
+        if not self.table.has_local_node_left:
+            out += self._send_hello(now)
             out += self._anti_entropy.tick(now)
         return out
 
-    def _greet(self, now: float) -> Datagrams:
-        """HELLO to the seeds, while nobody else is known."""
+    def _send_hello(self, now: float) -> Datagrams:
+        """Sends HELLO to the seeds while there are no live peers."""
         if self._peers.refresh() or now < self._hello_at:
             return []
         self._hello_at = now + HELLO_INTERVAL_S
@@ -143,11 +145,11 @@
     # Datagrams.
 
     def received(self, now: float, sender: str, data: bytes) -> Datagrams:
-        """Answers to one datagram. What makes no sense is counted and has no effect."""
+        """Returns the answers to one datagram. A malformed datagram is counted and has no effect."""
         try:
             return self._received(now, sender, data[:1], data[1:])
         except (ValueError, TypeError, LookupError, ArithmeticError, RecursionError, msgpack.UnpackException):
-            self.ignored += 1
+            self.malformed_datagrams += 1
             return []
 
     def _received(self, now: float, sender: str, kind: bytes, body: bytes) -> Datagrams:
@@ -161,7 +163,7 @@
         if kind == REVISION_RUMOUR:
             revision, key = msgpack.unpackb(body)
             if not is_number(revision) or not is_number(key):
-                raise ValueError("not a revision and a key")
+                raise ValueError("revision rumour: expected a revision and a key")
             return self._receive_revision(now, revision, node_of(key))
         if kind == SUMMARY:
             revision, checksum = msgpack.unpackb(body)
@@ -175,35 +177,35 @@
             revision, buckets, stamps = msgpack.unpackb(body)
             self.note_revision(sender, revision)
             return self._anti_entropy.compare(now, sender, buckets, unpack_stamps(stamps))
-        raise ValueError("unknown kind")
+        raise ValueError(f"datagram kind: expected a known one, got {kind!r}")
 
     def _receive_entries(self, now: float, sender: str, body: bytes) -> Datagrams:
-        newer_here: list[Entry] = []
+        newer_entries: list[Entry] = []
         for value in msgpack.unpackb(body):
             entry, hops = unpack_entry(value)
             newer = self.table.receive(now, sender, entry, hops)
             if newer:
-                newer_here.append(newer)
-        return self._anti_entropy.repair(sender, newer_here)
+                newer_entries.append(newer)
+        return self._anti_entropy.repair(sender, newer_entries)
 
     def _answer_hello(self, now: float, sender: str, body: bytes) -> Datagrams:
-        """A node of the own zone is sent the table, another one as many entries as one datagram holds."""
+        """Sends a node of the same zone the table, and another node as many entries as fit one datagram."""
         out = self._receive_entries(now, sender, body)
         table = self.table
-        asker = table.entries.get(sender)
-        if asker is None or table.has_left:
+        requester = table.entries.get(sender)
+        if requester is None or table.has_local_node_left:
             return out
-        zone = asker.zone
-        shown = [entry for entry in table.offered() if entry is not asker]
-        shown.sort(key=lambda entry: (entry.zone != zone, entry.key != key_of(table.local_node)))
+        zone = requester.zone
+        reply_entries = [entry for entry in table.offered() if entry is not requester]
+        reply_entries.sort(key=lambda entry: (entry.zone != zone, entry.key != key_of(table.local_node)))
         limit = MAX_REPAIR_DATAGRAMS if zone == table.zone else 1
-        packed = [entry.pack(FINAL_HOPS) for entry in shown]
+        packed = [entry.pack(NO_FORWARD_HOPS) for entry in reply_entries]
         return out + [(sender, data) for data in pack_datagrams(RUMOUR, packed, limit)]
 
     def note_revision(self, sender: str, revision: object) -> None:
-        """Take note of the revision that the sender holds. ValueError where it is none."""
+        """Records the revision that the sender holds. Raises ValueError if it is not a revision."""
         if not is_number(revision):
-            raise ValueError("not a revision")
+            raise ValueError(f"revision: expected a number, got {type(revision).__name__}")
         table = self.table
         entry = table.entries.get(sender)
         if entry and entry.attributes is not None and sender != table.local_node and revision:
@@ -212,13 +214,13 @@
             self.on_newer_revision(revision, sender)
 
     def _receive_revision(self, now: float, revision: int, holder: str) -> Datagrams:
-        if revision <= max(self._revision_rumours.highest, self.table.revision):
+        if revision <= max(self._revision_rumours.highest_revision, self.table.revision):
             return []
-        out = self._revision_rumours.hear(now, revision, holder)
+        out = self._revision_rumours.receive_rumour(now, revision, holder)
         if self.on_newer_revision:
             self.on_newer_revision(revision, holder)
         return out
 
     def hand_over(self, node: str, names: Sequence[str], has_newer_revision: bool) -> Datagrams:
-        """What a node that was missing should have had, see `AntiEntropy.hand_over`."""
+        """Sends a returning node what it missed, see `AntiEntropy.hand_over`."""
         return self._anti_entropy.hand_over(node, names, has_newer_revision)
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -1,14 +1,14 @@
-"""Gossip and the failure detector joined on one host: what a program uses to know the other nodes."""
+"""Membership: runs gossip and the failure detector on one host, and tells a program about other nodes."""
 
 from __future__ import annotations
 
 from honeywharf.failure_detector.detector import (
+    CONTACT_QUERY,
+    CONTACT_REPORT,
     HEARTBEAT,
-    INQUIRY,
     MAX_HEARTBEAT,
     PROBE,
     SUSPICIONS,
-    TESTIMONY,
     FailureDetector,
 )
 from honeywharf.gossip.gossip import Gossip
@@ -21,12 +21,13 @@
     from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
     from honeywharf.transport.host import Address, Host, Timer
 
-MIN_DELAY_S = 0.001  # to the next tick: timers and sums of times round differently
+# Timers and sums of times round differently, so a shorter delay could end before the tick is due.
+MIN_DELAY_S = 0.001
 SEED_BYTES = 8
 
 
 class XorShift:
-    """A small random generator (xorshift, 64 bits), so that the standard library's need not be loaded."""
+    """A small random generator (xorshift, 64 bits), which saves loading the standard library's."""
 
     __slots__ = ("_state",)
 
@@ -34,7 +35,7 @@
         self._state = int.from_bytes(seed[:SEED_BYTES], "big") | 1
 
     def random(self) -> float:
-        """Uniform in [0, 1)."""
+        """Returns a number uniform in [0, 1)."""
         state = self._state
         state ^= state << 13 & 0xFFFFFFFFFFFFFFFF
         state ^= state >> 7
@@ -44,12 +45,12 @@
 
 
 class Membership:
-    """All nodes, as one of them knows them. Callbacks are attributes, to be set before the first datagram.
+    """One node's view of all nodes. Callbacks are attributes, to be set before the first datagram.
 
-    on_change(node, entry, old): another node's entry has changed; entry None: dropped; entry.attributes
-    None: it has left. on_newer_revision(revision, holder): somebody holds a revision above the one that
-    this node tells; called until it tells it. on_down(node), on_up(node): another node is held down, or
-    alive again.
+    `on_change(node, entry, old)`: another node's entry has changed; `entry` is None once it is dropped, and
+    `entry.attributes` is None once the node has left. `on_newer_revision(revision, holder)`: a node holds a
+    revision above the one that this node publishes; repeated until this node publishes it. `on_down(node)`,
+    `on_up(node)`: another node is marked down, or alive again.
     """
 
     __slots__ = (
@@ -67,18 +68,17 @@
         attributes: dict[str, object],
         incarnation: int,
     ) -> None:
-        """Listen on (ip, port), and send HELLO to `seeds` (IPv4 addresses in dots) at the next tick.
+        """Listens on (ip, port) and sends HELLO to `seeds` (IPv4 addresses) at the next tick.
 
-        `attributes`: what this node reports about itself; `incarnation`: higher with each start, if clocks
-        allow.
+        `attributes` is the state that this node publishes. `incarnation` rises with each start unless the
+        clock went back.
         """
         self._host = host
         self._port = port
         self._is_stopped = False
-        self.hints: GossipHintStore | None = (
-            None  # for missing nodes that this one watches, once there was one
-        )
-        self.keeps_hints = True  # False: leave it to anti-entropy
+        # Hints for the missing nodes that this one watches; created when the first one is missing.
+        self.hints: GossipHintStore | None = None
+        self.keeps_hints = True  # If False, only anti-entropy repairs a returning node.
         self.on_change: Callable[[str, Entry | None, Entry | None], None] | None = None
         self.on_newer_revision: Callable[[int, str], None] | None = None
         self.on_down: Callable[[str], None] | None = None
@@ -96,44 +96,44 @@
         self._timer: Timer = host.after(0.0, self._tick)
 
     def publish(self, **attributes: object) -> None:
-        """Change what this node publishes; other attributes stay.
+        """Updates some of this node's attributes.
 
-        `doubts` is taken. ValueError above 1,200 bytes.
+        The name `doubts` is reserved. Raises ValueError above 1,200 bytes.
         """
         self.gossip.publish(self._host.now(), **attributes)
         self._rearm()
 
     def broadcast_revision(self, revision: int) -> None:
-        """Tell all of a revision of the mesh state that is held here now; sets `rev` too."""
+        """Spreads a revision of the mesh state that this node now holds, and sets `rev`."""
         self.gossip.broadcast_revision(self._host.now(), revision)
         self._rearm()
 
     @property
     def local_node(self) -> str:
-        """This node's IPv4 address in dots."""
+        """Returns this node's IPv4 address."""
         return self.gossip.table.local_node
 
     def entries(self) -> dict[str, Entry]:
-        """All entries by node, with the own one and tombstones. Not to be changed."""
+        """Returns all entries by node, including the local one and tombstones. Callers must not change it."""
         return self.gossip.table.entries
 
     def is_alive(self, node: str) -> bool:
-        """Whether a node is known, has not left and is not held down."""
+        """Returns whether a node is known, has not left and is not marked down."""
         entry = self.gossip.table.entries.get(node)
         return entry is not None and entry.attributes is not None and node not in self.failure_detector.down
 
     def leave(self) -> None:
-        """Tell all that this node leaves. It goes on answering until `stop`."""
+        """Publishes that this node leaves. It still answers datagrams until `stop`."""
         now = self._host.now()
         self.gossip.leave(now)
         self._send(self.gossip.tick(now))
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Stops sending and ignores all further datagrams."""
         self._is_stopped = True
         self._timer.cancel()
 
-    # From the host.
+    # Datagrams and timers.
 
     def _received(self, sender: Address, data: bytes) -> None:
         if self._is_stopped or sender[1] != self._port or not data:
@@ -148,10 +148,10 @@
             self.gossip.note_revision(node, int.from_bytes(data[1:], "big"))
         elif kind == PROBE:
             self._send([(node, detector.heartbeat())])
-        elif kind == INQUIRY:
-            self._send(detector.answer_inquiry(now, node, data[1:]))
-        elif kind == TESTIMONY:
-            detector.receive_testimony(now, data[1:])
+        elif kind == CONTACT_QUERY:
+            self._send(detector.answer_contact_query(now, node, data[1:]))
+        elif kind == CONTACT_REPORT:
+            detector.receive_contact_report(now, data[1:])
         else:
             self._send(self.gossip.received(now, node, data))
         self._rearm()
@@ -186,11 +186,11 @@
     # Hinted handoff.
 
     def _keep_hints(self, now: float) -> None:
-        """Keep what the missing nodes should have had."""
+        """Records which changes the missing nodes have not received."""
         if self.hints is None:
             if not self.keeps_hints:
                 return
-            # Loaded late: most nodes watch no missing one.
+            # Imported here, because most nodes never need it.
             from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
 
             self.hints = GossipHintStore(self._host.log)
@@ -203,9 +203,9 @@
         )
 
     def _hand_over(self, node: str) -> list[tuple[str, bytes]]:
-        """A missing node is back.
+        """Returns the entries that a returning node missed, so that it need not wait for its first digest.
 
-        What it should have had, if this node is to send it, before its first digest.
+        Only the first of its watchers sends them.
         """
         assert self.hints is not None
         table = self.gossip.table
@@ -215,7 +215,7 @@
             return []
         return self.gossip.hand_over(node, names, has_newer_revision)
 
-    # From gossip and the failure detector.
+    # Callbacks of gossip and the failure detector.
 
     def _entry_changed(self, node: str, entry: Entry | None, old: Entry | None) -> None:
         self.failure_detector.entry_changed(self._host.now(), node, entry, old)
--- a/honeywharf/gossip/peers.py
+++ b/honeywharf/gossip/peers.py
@@ -1,4 +1,4 @@
-"""The live nodes that a node may send to, near ones and far ones, and random choices among them."""
+"""The live nodes that a node may send to, in its own zone and in other zones, and random selection."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
     from honeywharf.gossip.table import GossipTable
 
     class RandomSource(Protocol):
-        """Where randomness comes from."""
+        """A source of random numbers."""
 
         def random(self) -> float:
-            """Uniform in [0, 1)."""
+            """Returns a number uniform in [0, 1)."""
 
 
-MAX_FAR_ZONES = 4  # other zones that a node tells its own changes to, one peer each
+MAX_FAR_ZONES = 4  # A node sends its own changes to one peer in each of at most four other zones.
 
 
 class LivePeers:
-    """Peers by zone, sorted anew after a change. `on_first_peer()` is called when there were none before."""
+    """Live peers by zone. `on_first_peer()` is called when peers appear where there were none."""
 
     __slots__ = ("_is_current", "_random", "_table", "far", "near", "on_first_peer")
 
     def __init__(self, table: GossipTable, random_source: RandomSource) -> None:
         self._table, self._random = table, random_source
         self._is_current = False
-        self.near: list[str] = []  # in the own zone
-        self.far: list[str] = []
+        self.near: list[str] = []  # Peers in the own zone.
+        self.far: list[str] = []  # Peers in other zones.
         self.on_first_peer: Callable[[], None] = lambda: None
         table.on_peers_changed = self.invalidate
 
     def invalidate(self) -> None:
-        """The set of live nodes may have changed."""
+        """Notes that the set of live nodes may have changed."""
         self._is_current = False
 
     def refresh(self) -> bool:
-        """Whether there is any live peer; sorts them by zone after a change."""
+        """Updates the lists after a change. Returns whether there is a live peer."""
         if not self._is_current:
             self._is_current = True
             had_peers = bool(self.near or self.far)
             table = self._table
-            live = [entry for entry in table.entries.values() if entry.gone_at is None]
+            live = [entry for entry in table.entries.values() if entry.inactive_since is None]
             self.near = [node_of(entry.key) for entry in live if entry.zone == table.zone]
             self.far = [node_of(entry.key) for entry in live if entry.zone != table.zone]
             if table.local_node in self.near:
@@ -54,7 +54,7 @@
         return bool(self.near or self.far)
 
     def choose(self, nodes: list[str], count: int) -> list[str]:
-        """Different ones at random."""
+        """Returns up to `count` different nodes at random."""
         if len(nodes) <= count:
             return list(nodes)
         chosen: list[str] = []
@@ -65,7 +65,7 @@
         return chosen
 
     def one_of_each_far_zone(self) -> list[str]:
-        """One node of each other zone, of `MAX_FAR_ZONES` at most."""
+        """Returns one node from each of at most `MAX_FAR_ZONES` other zones."""
         by_zone: dict[str, list[str]] = {}
         for node in self.far:
             by_zone.setdefault(self._table.entries[node].zone, []).append(node)
--- a/honeywharf/gossip/table.py
+++ b/honeywharf/gossip/table.py
@@ -1,9 +1,10 @@
-"""The newest entry that is known of each node, and which nodes have gone. No I/O, no clock.
+"""The newest known entry of each node, and the nodes that have left or are down. No I/O, no clock.
 
 Each node owns one entry and is the only one to number it; the highest (incarnation, sequence) wins
-everywhere. A node that left is a tombstone. Tombstones and nodes held down are no more offered to others
-after `OFFERED_S` and dropped after `KEPT_S`; for `DROPPED_S` more nothing as old is accepted again, and a
-node that so offers itself is sent its tombstone, which it refutes.
+everywhere. The entry of a node that left is a tombstone. Tombstones and nodes that are down are no longer
+sent to others after `INACTIVE_OFFER_S` and are dropped after `INACTIVE_RETENTION_S`. For a further
+`DROPPED_RETENTION_S` no entry that is as old as the dropped one is accepted again. A node that sends such an
+entry of its own is sent its tombstone, which it refutes.
 """
 
 from __future__ import annotations
@@ -18,42 +19,42 @@
     from typing import Any
 
 MAX_NODES = 4096
-REVISION = "rev"  # the attribute that has no part in the sequence number, see `is_quiet`
-OFFERED_S = 15.0  # for which a node that has gone is offered to others
-KEPT_S = 30.0  # for which it is kept
-DROPPED_S = 60.0  # for which it is remembered as dropped
-REPAIR_HOPS = 14  # of an entry that a zone learns late: it is passed on within the zone
-FINAL_HOPS = 15  # of an entry that is not passed on
+REVISION = "rev"  # The attribute whose changes keep the sequence number, see `is_unsequenced`.
+INACTIVE_OFFER_S = 15.0
+INACTIVE_RETENTION_S = 30.0
+DROPPED_RETENTION_S = 60.0
+REPAIR_HOPS = 14  # Hops of a repaired entry from another zone: it is forwarded within the zone.
+NO_FORWARD_HOPS = 15  # Hops of an entry that is not forwarded.
 
 
-def is_quiet(name: str) -> bool:
-    """Whether an attribute changes without a new sequence number: it travels in the heads of datagrams."""
+def is_unsequenced(name: str) -> bool:
+    """Returns whether an attribute changes without a new sequence number. Other datagrams carry it."""
     return name == REVISION
 
 
 class GossipTable:
     """One node's table, at most `MAX_NODES` entries. Times are seconds on the steady clock.
 
-    `on_accepted(now, node, hops)` is called with each entry that was taken over, `on_dropped(node)` with each
-    that is forgotten, `on_change(node, entry, old)` with both for other nodes (`entry` is None once dropped).
+    `on_accepted(now, node, hops)` is called for each accepted entry and `on_dropped(node)` for each dropped
+    one; `on_change(node, entry, old)` is called for both, for other nodes only (`entry` is None if dropped).
     `on_peers_changed()` is called when the set of live nodes may have changed.
     """
 
     __slots__ = (
-        "checksum", "dropped", "entries", "has_left", "local_node", "on_accepted", "on_change", "on_dropped",
-        "on_peers_changed", "rejected", "revision", "zone",
+        "checksum", "dropped", "entries", "has_local_node_left", "local_node", "on_accepted", "on_change",
+        "on_dropped", "on_peers_changed", "rejected", "revision", "zone",
     )  # fmt: skip
 
     def __init__(self, local_node: str, zone: str) -> None:
-        """`local_node`: the own IPv4 address in dots."""
+        """`local_node` is this node's IPv4 address."""
         self.local_node = local_node
         self.zone = zone
         self.entries: dict[str, Entry] = {}
-        self.checksum = 0  # of the offered entries' stamps: equal tables have equal ones
-        self.revision = 0  # of the mesh state that this node publishes
-        self.rejected = 0  # nodes that the table was too full for
-        self.has_left = False  # this node
-        self.dropped: dict[str, tuple[int, int, float]] = {}  # incarnation and sequence, and when
+        self.checksum = 0  # XOR of the offered entries' stamps; equal tables have equal checksums.
+        self.revision = 0  # Revision of the mesh state that this node publishes.
+        self.rejected = 0  # Entries of new nodes rejected by a full table.
+        self.has_local_node_left = False
+        self.dropped: dict[str, tuple[int, int, float]] = {}  # Incarnation, sequence and time.
         self.on_accepted: Callable[[float, str, int], None] = lambda now, node, hops: None
         self.on_dropped: Callable[[str], None] = lambda node: None
         self.on_peers_changed: Callable[[], None] = lambda: None
@@ -61,20 +62,20 @@
 
     @property
     def own(self) -> Entry:
-        """This node's own entry."""
+        """Returns this node's own entry."""
         return self.entries[self.local_node]
 
     def put_own(self, now: float, incarnation: int, sequence: int, attributes: dict[str, Any] | None) -> None:
-        """Replace the own entry. ValueError where it is too large for a datagram; nothing is changed then."""
-        attributes = msgpack.unpackb(msgpack.packb(attributes))  # as it will come back: a tuple as a list
+        """Replaces the own entry. Raises ValueError, without a change, if it is too large for a datagram."""
+        attributes = msgpack.unpackb(msgpack.packb(attributes))  # Peers return a tuple as a list.
         entry = Entry(key_of(self.local_node), incarnation, sequence, self.zone, attributes)
         if len(entry.pack(0)) > MAX_ENTRY:
-            raise ValueError(f"what {self.local_node} says is over {MAX_ENTRY} bytes")
+            raise ValueError(f"entry of {self.local_node} is over {MAX_ENTRY} bytes")
         self.revision = (attributes or {}).get(REVISION, 0) or self.revision
         self._put(now, self.local_node, entry, 0)
 
     def receive(self, now: float, sender: str, entry: Entry, hops: int) -> Entry | None:
-        """Take an entry over if it is newer. Returns the newer one where the sender is behind."""
+        """Accepts an entry if it is newer. Returns the local entry if the sender's is older."""
         node = node_of(entry.key)
         if node == self.local_node:
             return self._receive_own(now, entry)
@@ -94,15 +95,16 @@
         return None
 
     def _receive_own(self, now: float, entry: Entry) -> Entry | None:
-        """Somebody tells what this node has told, or not: it was restarted with a clock that is behind.
+        """Handles a received entry of this node itself.
 
-        What it has not told it refutes, by a sequence number above that one.
+        An entry that this node has not published is from before a restart, after which the clock was behind.
+        This node refutes it by publishing its own attributes under a higher sequence number.
         """
         own = self.own
         if entry.version < own.version:
             return own
-        is_echo = entry.version == own.version and _travels_as(entry.attributes, own.attributes)
-        if self.has_left or is_echo:
+        is_echo = entry.version == own.version and _has_same_encoding(entry.attributes, own.attributes)
+        if self.has_local_node_left or is_echo:
             return None
         self.put_own(now, entry.incarnation, entry.sequence + 1, own.attributes)
         return None
@@ -110,50 +112,51 @@
     def _put(self, now: float, node: str, entry: Entry, hops: int) -> None:
         old = self.entries.get(node)
         if old is not None:
-            entry.zone = old.zone if entry.zone == old.zone else entry.zone  # one string for equal zones
+            # Entries of one zone share one string object.
+            entry.zone = old.zone if entry.zone == old.zone else entry.zone
             if not old.is_hidden:
                 self.checksum ^= old.stamp
             is_same_start = old.incarnation == entry.incarnation and node != self.local_node
             if old.attributes and entry.attributes and is_same_start:
                 keep_revision(old.attributes, entry.attributes)
         entry.received_at = now
-        entry.gone_at = now if entry.attributes is None else None
+        entry.inactive_since = now if entry.attributes is None else None
         self.checksum ^= entry.stamp
         self.entries[node] = entry
         self.dropped.pop(node, None)
-        if old is None or old.gone_at != entry.gone_at or old.zone != entry.zone:
+        if old is None or old.inactive_since != entry.inactive_since or old.zone != entry.zone:
             self.on_peers_changed()
         self.on_accepted(now, node, hops)
         if self.on_change and node != self.local_node:
             self.on_change(node, entry, old)
 
     def set_down(self, now: float, node: str, is_down: bool) -> None:
-        """Hold a node down, or alive again. A node that is down is no peer, and is dropped in time."""
+        """Marks a node down, or alive again. A node that is down is not a peer, and is dropped later."""
         entry = self.entries.get(node)
-        if entry is None or entry.attributes is None or is_down == (entry.gone_at is not None):
+        if entry is None or entry.attributes is None or is_down == (entry.inactive_since is not None):
             return
         self.on_peers_changed()
         if is_down:
-            entry.gone_at = now
+            entry.inactive_since = now
             return
         if entry.is_hidden:
             entry.is_hidden = False
             self.checksum ^= entry.stamp
-        entry.gone_at = None
+        entry.inactive_since = None
 
     def sweep(self, now: float) -> None:
-        """Hide and drop what has gone for long."""
+        """Hides and drops entries that have been inactive for long."""
         for node, entry in list(self.entries.items()):
-            if entry.gone_at is None or node == self.local_node:
+            if entry.inactive_since is None or node == self.local_node:
                 continue
-            gone_for = now - entry.gone_at
-            if gone_for > KEPT_S:
+            inactive_s = now - entry.inactive_since
+            if inactive_s > INACTIVE_RETENTION_S:
                 self._drop(now, node, entry)
-            elif gone_for > OFFERED_S and not entry.is_hidden:
+            elif inactive_s > INACTIVE_OFFER_S and not entry.is_hidden:
                 entry.is_hidden = True
                 self.checksum ^= entry.stamp
         for node, (_, _, dropped_at) in list(self.dropped.items()):
-            if now - dropped_at > DROPPED_S:
+            if now - dropped_at > DROPPED_RETENTION_S:
                 del self.dropped[node]
 
     def _drop(self, now: float, node: str, entry: Entry) -> None:
@@ -168,24 +171,26 @@
             self.on_change(node, None, entry)
 
     def offered(self) -> list[Entry]:
-        """The entries that are sent to others."""
+        """Returns the entries that are sent to others."""
         return [entry for entry in self.entries.values() if not entry.is_hidden]
 
 
 def keep_revision(old: dict[str, Any], new: dict[str, Any]) -> None:
-    """What was told since in heads of datagrams is newer than what came with an entry."""
+    """Keeps the revision of `old` if it is higher: other datagrams may have carried a newer one since."""
     known = old.get(REVISION, 0)
     if is_number(known) and known and not (is_number(new.get(REVISION)) and new[REVISION] >= known):
         new[REVISION] = known
 
 
-def _travels_as(told: dict[str, Any] | None, own: dict[str, Any] | None) -> bool:
-    """Whether both would travel as the same bytes: a tuple comes back as a list, and is no change."""
-    return bool(msgpack.packb(_numbered(told)) == msgpack.packb(_numbered(own)))
+def _has_same_encoding(received_attributes: dict[str, Any] | None, own: dict[str, Any] | None) -> bool:
+    """Returns whether both have the same encoding. A tuple that comes back as a list is not a change."""
+    return bool(
+        msgpack.packb(_sequenced_attributes(received_attributes)) == msgpack.packb(_sequenced_attributes(own))
+    )
 
 
-def _numbered(attributes: dict[str, Any] | None) -> dict[str, Any] | None:
-    """The attributes that change only with the sequence number."""
+def _sequenced_attributes(attributes: dict[str, Any] | None) -> dict[str, Any] | None:
+    """Returns the attributes whose changes advance the sequence number."""
     if attributes is None:
         return None
-    return {name: value for name, value in attributes.items() if not is_quiet(name)}
+    return {name: value for name, value in attributes.items() if not is_unsequenced(name)}
--- a/tests/failure_detector/test_detector.py
+++ b/tests/failure_detector/test_detector.py
@@ -145,13 +145,20 @@
     one.record_contact(0.0, nodes[2])
     one.tick(0.0)  # watches both; has heard neither since
     about = key_of(nodes[1]).to_bytes(4, "big")
-    assert one.answer_inquiry(0.2, nodes[2], about) == []
+    assert one.answer_contact_query(0.2, nodes[2], about) == []
     one.record_contact(0.5, nodes[1])
-    assert one.answer_inquiry(0.75, nodes[2], about) == [(nodes[2], detector.TESTIMONY + about + b"\x00\xfa")]
-    assert one.answer_inquiry(0.5 + detector.PROBE_S * detector.FAR_FACTOR + 0.01, nodes[2], about) == []
+    assert one.answer_contact_query(0.75, nodes[2], about) == [
+        (nodes[2], detector.CONTACT_REPORT + about + b"\x00\xfa")
+    ]
+    assert (
+        one.answer_contact_query(
+            0.5 + detector.PROBE_TIMEOUT_S * detector.CROSS_ZONE_TIMEOUT_FACTOR + 0.01, nodes[2], about
+        )
+        == []
+    )
     for malformed in (b"", about[:3], about + b"\0", b"\xff" * 4):
-        assert one.answer_inquiry(0.6, nodes[2], malformed) == []
-        one.receive_testimony(0.6, malformed)
+        assert one.answer_contact_query(0.6, nodes[2], malformed) == []
+        one.receive_contact_report(0.6, malformed)
 
 
 def test_a_testimony_counts_from_when_the_node_was_heard() -> None:
@@ -167,13 +174,13 @@
     for at in range(1, 5):
         one.record_contact(0.4 * at, nodes[2])
         questions += one.tick(0.4 * at)
-    assert (nodes[2], detector.INQUIRY + about) not in questions
+    assert (nodes[2], detector.CONTACT_QUERY + about) not in questions
     one.record_contact(2.0, nodes[2])
-    assert (nodes[2], detector.INQUIRY + about) in one.tick(2.0)
-    one.receive_testimony(2.1, about + (300).to_bytes(2, "big"))
-    assert one._heard_at[nodes[1]] == pytest.approx(1.8)
-    one.receive_testimony(2.2, about + (2000).to_bytes(2, "big"))
-    assert one._heard_at[nodes[1]] == pytest.approx(1.8), "an older sign changes nothing"
+    assert (nodes[2], detector.CONTACT_QUERY + about) in one.tick(2.0)
+    one.receive_contact_report(2.1, about + (300).to_bytes(2, "big"))
+    assert one._last_contact_at[nodes[1]] == pytest.approx(1.8)
+    one.receive_contact_report(2.2, about + (2000).to_bytes(2, "big"))
+    assert one._last_contact_at[nodes[1]] == pytest.approx(1.8), "an older sign changes nothing"
 
 
 def test_two_nodes_alone_blame_nobody_and_three_hold_one_down() -> None:
@@ -215,8 +222,8 @@
         one.tick(at * 0.41)
     assert one._suspicions
     assert max(map(len, told)) <= detector.MAX_SUSPICIONS
-    assert len(one._heard_at) <= detector.MAX_SUSPICIONS + len(one.down) + 4
-    assert "10.7.7.7" not in one._heard_at
+    assert len(one._last_contact_at) <= detector.MAX_SUSPICIONS + len(one.down) + 4
+    assert "10.7.7.7" not in one._last_contact_at
 
 
 def test_doubts_that_are_not_understood_or_of_strangers_are_left_out() -> None:
--- a/tests/gossip/network.py
+++ b/tests/gossip/network.py
@@ -10,7 +10,7 @@
 
 from honeywharf.gossip.entry import Entry
 from honeywharf.gossip.membership import Membership
-from honeywharf.gossip.table import DROPPED_S, KEPT_S
+from honeywharf.gossip.table import DROPPED_RETENTION_S, INACTIVE_RETENTION_S
 from honeywharf.transport.host import Address, Host
 
 PORT = 7620
@@ -140,7 +140,8 @@
         if entry is None:
             return
         seen, at = self.seen.get((name, node), ((-1, -1, False), 0.0))
-        if old or self.now - at < KEPT_S + DROPPED_S:  # then the dropped one is forgotten
+        # After this time the node has forgotten the dropped entry and may accept an older one.
+        if old or self.now - at < INACTIVE_RETENTION_S + DROPPED_RETENTION_S:
             assert entry.version > seen, f"{name} took over {entry.version} of {node} after {seen}"
         self.seen[name, node] = entry.version, self.now
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -25,7 +25,7 @@
     return Entry(key_of(node), 1, sequence, zone, {"kind": "sidecar"} if attributes is None else attributes)
 
 
-def rumour(*entries: Entry, hops: int = table.FINAL_HOPS) -> list[bytes]:
+def rumour(*entries: Entry, hops: int = table.NO_FORWARD_HOPS) -> list[bytes]:
     return pack_datagrams(b"r", [one.pack(hops) for one in entries], 10000)
 
 
@@ -101,9 +101,9 @@
         held.received(1.0, OTHER, data)
     held.next(1.0)
     sent = [data for _, data in held.tick(1.1) if data[:1] == b"r"]
-    peers = dissemination.PEERS + 1
-    assert sum(len(msgpack.unpackb(data[1:])) for data in sent) == peers * dissemination.MAX_BATCH
-    assert held.next(1.1) <= 1.1 + dissemination.GATHER_S
+    peers = dissemination.FANOUT + 1
+    assert sum(len(msgpack.unpackb(data[1:])) for data in sent) == peers * dissemination.MAX_BATCH_ENTRIES
+    assert held.next(1.1) <= 1.1 + dissemination.BATCH_DELAY_S
 
 
 def test_what_is_too_large_is_not_said() -> None:
@@ -130,13 +130,13 @@
     foreign = [b"", b"x", b"r", b"d\x00", b"a\x00", b"w\x93\x01\x02\x03", wrong, b"GET / HTTP/1.1"]
     for data in foreign:
         assert held.received(1.0, OTHER, data) == []
-    assert held.ignored == len(foreign)
+    assert held.malformed_datagrams == len(foreign)
     for _ in range(3000):
         data = bytearray(rng.choice(good))
         data[rng.randrange(1, len(data))] = rng.randrange(256)
         held.received(1.0, "10.8.0.1", bytes(data[: rng.randrange(1, len(data) + 1)]))
     held.tick(2.0)
-    assert held.ignored > 1000
+    assert held.malformed_datagrams > 1000
     assert held.table.entries[ME].attributes == {}
     assert all(held.table.entries[node].version >= was for node, was in version.items())
 
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -18,11 +18,11 @@
     membership._received((network.names[1], PORT), b"")
     membership._received(("8.8.8.8", 53), b"p")
     membership._received(("no address", PORT), b"t\x01")
-    ignored = membership.gossip.ignored
-    assert ignored > 1000
+    malformed = membership.gossip.malformed_datagrams
+    assert malformed > 1000
     network.run(4.0)
     assert network.all_know()
-    assert membership.gossip.ignored == ignored
+    assert membership.gossip.malformed_datagrams == malformed
     assert network.downs == []
 
 
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -534,7 +534,7 @@
     """Nor any head that tells of a revision, nor rumours of the word."""
     put(AntiEntropy, "summary", lambda self: b"")
     put(Gossip, "note_revision", lambda self, sender, revision: None)
-    put(RevisionRumours, "pass_on", lambda self, now, rumour: [])
+    put(RevisionRumours, "forward", lambda self, now, rumour: [])
 
 
 def slots_never_given_back(put: Put) -> None:
