--- a/bench/scale/counted_loop.py
+++ b/bench/scale/counted_loop.py
@@ -96,7 +96,7 @@
 
         super().listen(at, accept_counted)
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         """Take datagrams, counted."""
 
         def received_counted(sender: Address, data: bytes) -> None:
@@ -104,7 +104,7 @@
                 self.traffic.received_datagram(len(data))
                 received(sender, data)
 
-        super().datagrams(at, received_counted)
+        super().listen_datagrams(at, received_counted)
 
     def send_datagram(self, to: Address, data: bytes) -> None:
         """Send, counted."""
--- a/bench/scale/node_host.py
+++ b/bench/scale/node_host.py
@@ -27,7 +27,7 @@
         self._socket: socket.socket | None = None
         self._listening: list[Address] = []
         self._wires: dict[TcpConnection, Address] = {}  # open connections that this node asked for
-        self.now, self.wall, self.random = loop.now, loop.wall, loop.random
+        self.now, self.wall_time, self.random = loop.now, loop.wall_time, loop.random
 
     def after(self, seconds: float, call: Callable[[], None]) -> EventLoopTimer:
         """Call once, so much later, unless the node has stopped by then."""
@@ -62,11 +62,11 @@
         self.loop.listen(at, accept_counted)
         self._listening.append(at)
 
-    def unlisten(self, at: Address) -> None:
+    def stop_listening(self, at: Address) -> None:
         """Take no further connections."""
-        self.loop.unlisten(at)
+        self.loop.stop_listening(at)
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         """Take datagrams."""
 
         def received_counted(sender: Address, data: bytes) -> None:
@@ -75,7 +75,7 @@
             self.traffic.received_datagram(len(data))
             received(sender, data)
 
-        self.loop.datagrams(at, received_counted)
+        self.loop.listen_datagrams(at, received_counted)
         self._socket = self.loop.send_socket
 
     def send_datagram(self, to: Address, data: bytes) -> None:
@@ -107,7 +107,7 @@
             return
         self.stopped = True
         for at in self._listening:
-            self.loop.unlisten(at)
+            self.loop.stop_listening(at)
         if self._socket is not None:
             self.loop.epoll.unregister(self._socket.fileno())
             del self.loop.datagram_sockets[self._socket.fileno()]
--- a/bench/scale/reach.py
+++ b/bench/scale/reach.py
@@ -70,5 +70,5 @@
     def resume(self) -> None:
         """Nothing comes anyway."""
 
-    def watch_end(self, call: Callable[[], None]) -> None:
+    def watch_half_close(self, call: Callable[[], None]) -> None:
         """Nothing ever comes."""
--- a/honeywharf/drift/history.py
+++ b/honeywharf/drift/history.py
@@ -60,7 +60,7 @@
     def word(self, state: MeshState, packed: bytes | None) -> None:
         """A word is settled. `packed`: its text, compressed, where it is here."""
         evacuated = sorted(zone for zone, on in state.evacuations.items() if on)
-        row = [self.host.wall(), state.revision, state.version, state.digest, evacuated]
+        row = [self.host.wall_time(), state.revision, state.version, state.digest, evacuated]
         self.words = [*self.words[1 - MAX_WORDS :], row]
         if packed is not None and all(state.digest != text[1] for text in self.texts):
             self.new = [*self.new[1 - MAX_TEXTS :], (state, packed)]
@@ -79,7 +79,13 @@
 
     def slip(self, node: object, by: object, cause: object, revision: object) -> None:
         """A sidecar tells of a slip."""
-        row = [self.host.wall(), str(node)[:64], str(by)[:16], str(cause)[:MAX_CAUSE], int(str(revision))]
+        row = [
+            self.host.wall_time(),
+            str(node)[:64],
+            str(by)[:16],
+            str(cause)[:MAX_CAUSE],
+            int(str(revision)),
+        ]
         self.slips = [*self.slips[1 - MAX_SLIPS :], row]
         self._soon()
 
--- a/honeywharf/drift/watch.py
+++ b/honeywharf/drift/watch.py
@@ -120,7 +120,7 @@
             self.stubborn = min(MAX_STUBBORN, 2 * self.stubborn)
             self.relapses = MAX_RELAPSES + self.stubborn
         self.caught[by] = self.caught.get(by, 0) + 1
-        self.slips = [*self.slips[1 - MAX_SLIPS :], [round(self.host.wall(), 3), by, what]]
+        self.slips = [*self.slips[1 - MAX_SLIPS :], [round(self.host.wall_time(), 3), by, what]]
         self._event(states.SLIPPED, f"{by}: {what}")
         self._tell(by, what)
         if not renew and self.relapses < MAX_RELAPSES and self.rebuild():
@@ -321,7 +321,7 @@
 
     def _tell(self, by: str, what: str) -> None:
         """Tell the control nodes of a slip, for their histories; a flood of slips tells no more than one."""
-        record = [self.sidecar.settings.ip, self.host.wall(), by, what, self.word.revision]
+        record = [self.sidecar.settings.ip, self.host.wall_time(), by, what, self.word.revision]
         now = self.host.now()
         if now - self.told_at >= TELL_S:
             self.told_at = now
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -91,7 +91,7 @@
         self.failure_detector.on_suspected = self._refute
         self.failure_detector.on_down = self._down
         self.failure_detector.on_up = self._up
-        host.datagrams((ip, port), self._received)
+        host.listen_datagrams((ip, port), self._received)
         self._timer_at = host.now()
         self._timer: Timer = host.after(0.0, self._tick)
 
--- a/honeywharf/lease/acquisition.py
+++ b/honeywharf/lease/acquisition.py
@@ -107,7 +107,7 @@
         """Starts a round of a lease: requests the votes of all members."""
         epoch, members = self.membership()
         self.rounds += 1
-        grantors = lease.begin(self.host.now(), epoch, members, int(self.host.wall() * 1000))
+        grantors = lease.begin(self.host.now(), epoch, members, int(self.host.wall_time() * 1000))
         if not grantors:
             self._reject(self.done)
             return
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -101,7 +101,7 @@
             settings.zone,
             [ip for ip, _ in settings.seeds],
             {"core": True, "disk": self.replica.state.disk, "rev": revision},
-            int(host.wall() * 1000),
+            int(host.wall_time() * 1000),
         )
         membership.on_newer_revision = self._newer_revision
         return membership
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -103,7 +103,7 @@
         attributes = {**self.gate.say(), "rev": 0}
         seeds = [ip for ip, _ in settings.seeds]
         port = settings.internal_ports[0]
-        incarnation = int(host.wall() * 1000.0)
+        incarnation = int(host.wall_time() * 1000.0)
         return Membership(host, settings.ip, port, settings.zone, seeds, attributes, incarnation)
 
     def _make_source(self) -> Source:
--- a/honeywharf/sessions/destination.py
+++ b/honeywharf/sessions/destination.py
@@ -107,7 +107,7 @@
         return link
 
     def _on_frame(self, link: IncomingLink, frame: list[Any]) -> None:
-        self.receivers.receive(self.host.now(), int(self.host.wall() * 1000.0), link, frame)
+        self.receivers.receive(self.host.now(), int(self.host.wall_time() * 1000.0), link, frame)
         if self.timer is None:
             self.timer = self.host.after(EXPIRY_INTERVAL_S, self._expire)
 
--- a/honeywharf/sessions/session_client.py
+++ b/honeywharf/sessions/session_client.py
@@ -275,7 +275,7 @@
             forwarded.attempt_id,
             forwarded.length,
             deadline,
-            int((host.wall() + forwarded.remaining_s) * 1000.0),
+            int((host.wall_time() + forwarded.remaining_s) * 1000.0),
             tenant,
             self.region,
             allowed_regions,
--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -251,7 +251,7 @@
             self.outbound.disconnects.paused += full
             (self.connection.pause if full else self.connection.resume)()
             if full and self.probe is None:
-                self.connection.watch_end(self._start_probe)
+                self.connection.watch_half_close(self._start_probe)
 
     def _fault(self, status: int, text: bytes) -> None:
         """What came makes no sense, or not in time: it is answered last, and the connection ends."""
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -64,4 +64,4 @@
 
     def close(self) -> None:
         """Take no further connections."""
-        self.host.unlisten(self.address)
+        self.host.stop_listening(self.address)
--- a/honeywharf/simulation/machine.py
+++ b/honeywharf/simulation/machine.py
@@ -102,7 +102,7 @@
     """One end of a connection (`host.Connection`). Programs see the methods that the interface names."""
 
     __slots__ = (
-        "end_watcher",
+        "end_callback",
         "finished",
         "flying",
         "handler",
@@ -133,7 +133,7 @@
         self.finished = 0  # 1 when nothing more is to be sent, 2 when the far side has been told
         self.last = 0.0
         self.quiet: Event | None = None
-        self.end_watcher: Callable[[], None] | None = None
+        self.end_callback: Callable[[], None] | None = None
         process.machine.network.add(self)
         process.ends[self] = None
 
@@ -178,17 +178,17 @@
             self.paused = False
             self.process.world.at(self.process.now_here(), self.process.call, self.life, self._read)
 
-    def watch_end(self, call: Callable[[], None]) -> None:
+    def watch_half_close(self, call: Callable[[], None]) -> None:
         """Call once if the far side ends its bytes while reading is paused."""
-        self.end_watcher = call
+        self.end_callback = call
         self.process.world.at(self.process.now_here(), self.process.call, self.life, self._show_end)
 
     # What the network does.
 
     def _show_end(self) -> None:
         """Tell who watches that the end has come and is not read."""
-        if self.paused and self.state == "open" and self.end_watcher is not None and END in self.inbox:
-            call, self.end_watcher = self.end_watcher, None
+        if self.paused and self.state == "open" and self.end_callback is not None and END in self.inbox:
+            call, self.end_callback = self.end_callback, None
             call()
 
     def silent(self) -> bool:
@@ -556,7 +556,7 @@
         """Seconds on the steady clock."""
         return self.machine.steady + self.now_here()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Seconds of the time of day."""
         return 1.7e9 + self.machine.skew + self.now_here()
 
@@ -617,11 +617,11 @@
             raise OSError(f"address in use or not of this machine: {at}")
         self.machine.listeners[at[1]] = (self, accept)
 
-    def unlisten(self, at: Address) -> None:
+    def stop_listening(self, at: Address) -> None:
         """Take no further ones."""
         self.machine.listeners.pop(at[1], None)
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         """Take datagrams."""
         if at[1] in self.machine.ears or at[0] != self.machine.ip:
             raise OSError(f"address in use or not of this machine: {at}")
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -73,7 +73,11 @@
     def __init__(self, world: World, ip: str, zone: str) -> None:
         self.world, self.loop = world, world.loop
         self.machine = SimpleNamespace(ip=ip, zone=zone)
-        self.after, self.connect, self.unlisten = self.loop.after, self.loop.connect, self.loop.unlisten
+        self.after, self.connect, self.stop_listening = (
+            self.loop.after,
+            self.loop.connect,
+            self.loop.stop_listening,
+        )
 
     def random(self, size: int) -> bytes:
         """Random bytes, by the world's seed."""
@@ -162,7 +166,7 @@
         """Begin a life of the backend, in place of the last."""
         application, control = self.mesh.port(field.APPLICATION), self.mesh.port(field.CONTROL)
         if self.backend is not None:
-            self.mesh.loop.unlisten((self.ip, application))
+            self.mesh.loop.stop_listening((self.ip, application))
             for served in list(self.backend.connections):
                 served.connection.abort()
         self.backend = Backend(
--- a/honeywharf/transport/address.py
+++ b/honeywharf/transport/address.py
@@ -1,4 +1,4 @@
-"""Addresses as memberships and leases hold them: "ip:port"."""
+"""Addresses in the text form that memberships and leases use, "ip:port"."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def format_address(address: Address) -> str:
-    """An address as memberships hold it."""
+    """Formats an address as "ip:port"."""
     return f"{address[0]}:{address[1]}"
 
 
 def parse_address(text: str) -> Address:
-    """From `format_address`. ValueError where it is none."""
+    """Parses the result of `format_address`. Raises ValueError if the text is not an address."""
     ip, _, port = text.rpartition(":")
     return ip, int(port)
 
 
 def format_addresses(addresses: Iterable[Address]) -> list[str]:
-    """Several addresses as memberships hold them."""
+    """Formats several addresses as "ip:port"."""
     return [format_address(address) for address in addresses]
--- a/honeywharf/transport/disk.py
+++ b/honeywharf/transport/disk.py
@@ -1,4 +1,4 @@
-"""Files of one folder, written and synced as the mesh needs it: the disk of an `EventLoop`."""
+"""The disk of an `EventLoop`: files of one directory, written and synced for durability."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Disk:
-    """The disk's part of `host.Host`. `directory`: the folder; None where this machine has no disk.
+    """The disk methods of `host.Host`. `directory` is None if this machine has no disk.
 
-    Every method raises OSError where the disk fails, or there is none.
+    Every method raises OSError if the disk fails or there is none.
     """
 
     def __init__(self, directory: str | None = None) -> None:
@@ -22,7 +22,7 @@
         return os.path.join(self.directory, name)
 
     def read(self, name: str) -> bytes | None:
-        """A file's bytes; None where there is none."""
+        """Returns a file's bytes; None if it does not exist."""
         try:
             with open(self._file_path(name), "rb") as file:
                 return file.read()
@@ -30,7 +30,7 @@
             return None
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a file whole and sync it."""
+        """Writes a complete file and syncs it."""
         file = os.open(self._file_path(name), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
             rest = memoryview(data)
@@ -41,7 +41,7 @@
             os.close(file)
 
     def sync_names(self) -> None:
-        """Sync the folder."""
+        """Syncs the directory."""
         folder = os.open(self._file_path("."), os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -49,18 +49,18 @@
             os.close(folder)
 
     def rename(self, name: str, to: str) -> None:
-        """Give a file another name, and sync the folder."""
+        """Renames a file and syncs the directory."""
         os.rename(self._file_path(name), self._file_path(to))
         self.sync_names()
 
     def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Removes a file if it exists."""
         try:
             os.unlink(self._file_path(name))
         except FileNotFoundError:
             return
 
     def names(self) -> list[str]:
-        """All files."""
+        """Returns the names of all files."""
         os.makedirs(self._file_path("."), exist_ok=True)
         return os.listdir(self._file_path("."))
--- a/honeywharf/transport/event_loop.py
+++ b/honeywharf/transport/event_loop.py
@@ -1,10 +1,10 @@
 """A `host.Host` on sockets: one thread, one `epoll`, timers in a heap.
 
-Theory of operation. `run` waits for the next timer or the next ready descriptor, and calls what is due. A
-connection with unsent bytes waits until it is writable. A paused one does not wait for data; where
-`watch_end` asks for it, it waits for the end of the far side's bytes, which `epoll` tells before they are
-read. A peer that is unreachable is noticed by `TCP_USER_TIMEOUT` while bytes are unacknowledged, and by
-keep-alive probes while none are. Source of the options: tcp(7). The interface and its contracts: `host`.
+Theory of operation. `run` waits for the next timer or the next ready descriptor, and makes the calls that are
+due. A connection with unsent bytes waits until it is writable. A paused connection does not wait for data;
+after `watch_half_close` it waits for the peer's half-close, which `epoll` reports before the remaining bytes
+are read. `TCP_USER_TIMEOUT` detects an unreachable peer while bytes are unacknowledged, and keep-alive probes
+while none are. The socket options are described in tcp(7), the interface and its contracts in `host`.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
     from honeywharf.transport.host import Address, Connection, Handler
 
-READ_SIZE = 64 * 1024  # bytes of one read
-MAX_READS = 4  # reads of one connection before others have their turn
-BACKLOG = 512
-USER_TIMEOUT_MS = 3000  # without an acknowledgement, after which a peer is lost
-KEEPALIVE_S = 1  # between keep-alive probes of a connection that says nothing
-MAX_DATAGRAMS = 64  # read before others have their turn
+READ_SIZE = 64 * 1024  # Bytes.
+MAX_READS_PER_EVENT = 4  # Bounds the reads of one connection before others are served.
+LISTEN_BACKLOG = 512
+USER_TIMEOUT_MS = 3000
+KEEPALIVE_INTERVAL_S = 1
+MAX_DATAGRAMS_PER_EVENT = 64
 
-_IN, _OUT, _FAR_END = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
-_BROKEN = select.EPOLLHUP | select.EPOLLERR
+_IN, _OUT, _HALF_CLOSED = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
+_FAILED = select.EPOLLHUP | select.EPOLLERR
 
 
 class EventLoopTimer:
-    """A call that is due; `call` is None once it is cancelled or made."""
+    """A scheduled call; `call` is None once it has been cancelled or made."""
 
     __slots__ = ("call",)
 
@@ -47,12 +47,12 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Do not call."""
+        """Cancels the call."""
         self.call = None
 
 
 class EventLoop(Disk):
-    """A `host.Host` on sockets. `directory`: the disk's folder; None where there is no disk."""
+    """A `host.Host` on sockets. `directory` is that of the disk; None if there is no disk."""
 
     def __init__(self, directory: str | None = None) -> None:
         super().__init__(directory)
@@ -71,22 +71,22 @@
     # Clocks and timers.
 
     def now(self) -> float:
-        """Seconds on the steady clock."""
+        """Returns seconds on the steady clock."""
         return time.monotonic()
 
-    def wall(self) -> float:
-        """Seconds of the time of day."""
+    def wall_time(self) -> float:
+        """Returns the time of day in seconds since the epoch."""
         return time.time()
 
     def after(self, seconds: float, call: Callable[[], None]) -> EventLoopTimer:
-        """Call once, so much later."""
+        """Schedules one call after a delay."""
         timer = EventLoopTimer(call)
         self.timer_count += 1
         heappush(self.timers, (time.monotonic() + seconds, self.timer_count, timer))
         return timer
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call when what is under way has returned."""
+        """Schedules a call for after the current one returns."""
         self.ready.append(call)
 
     # Connections.
@@ -94,13 +94,13 @@
     def connect(
         self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0
     ) -> TcpConnection:
-        """Ask for a connection."""
+        """Opens a connection."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         connection = TcpConnection(self, sock, to, connecting=True)
         self._set_options(sock)
         connection.handler = handler(connection)
-        found = sock.connect_ex(to)
-        if found not in (0, EINPROGRESS):
+        error_number = sock.connect_ex(to)
+        if error_number not in (0, EINPROGRESS):
             self.soon(lambda: self.drop(connection, "refused"))
             return connection
         connection.connect_timer = self.after(
@@ -110,25 +110,25 @@
         return connection
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections."""
+        """Accepts connections at an address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind(at)
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         self.listeners[sock.fileno()] = (sock, at, accept)
         self.epoll.register(sock.fileno(), _IN)
 
-    def unlisten(self, at: Address) -> None:
-        """Take no further ones."""
+    def stop_listening(self, at: Address) -> None:
+        """Stops accepting connections at an address."""
         for number, (sock, where, _) in list(self.listeners.items()):
             if where == at:
                 self.epoll.unregister(number)
                 del self.listeners[number]
                 sock.close()
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
-        """Take datagrams at an address."""
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+        """Receives datagrams at an address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         sock.bind(at)
@@ -137,20 +137,20 @@
         self.epoll.register(sock.fileno(), _IN)
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        """Send; lost where that fails."""
+        """Sends a datagram, which is lost if the send fails."""
         if self.send_socket is not None:
             try:
                 self.send_socket.sendto(data, to)
             except OSError:
-                return  # a full queue, or nobody there: as if it had been lost on the way
+                return  # The queue is full or the peer is unreachable; the datagram counts as lost.
 
     @staticmethod
     def _set_options(sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
@@ -160,27 +160,27 @@
         self.epoll.register(connection.socket.fileno(), connection.mask)
 
     def update_interest(self, connection: TcpConnection) -> None:
-        """Have `epoll` wait for what the connection waits for."""
+        """Registers the events that the connection waits for."""
         if connection.socket.fileno() not in self.connections:
             return
-        wanted = 0 if connection.is_paused or connection.is_read_closed or connection.is_connecting else _IN
-        if connection.is_paused and connection.end_watcher is not None and not connection.is_read_closed:
-            wanted |= _FAR_END
+        interest = 0 if connection.is_paused or connection.is_read_closed or connection.is_connecting else _IN
+        if connection.is_paused and connection.end_callback is not None and not connection.is_read_closed:
+            interest |= _HALF_CLOSED
         if connection.buffer or connection.is_connecting:
-            wanted |= _OUT
-        if wanted != connection.mask:
-            connection.mask = wanted
-            self.epoll.modify(connection.socket.fileno(), wanted)
+            interest |= _OUT
+        if interest != connection.mask:
+            connection.mask = interest
+            self.epoll.modify(connection.socket.fileno(), interest)
 
     def fail(self, connection: TcpConnection, error: OSError) -> None:
-        """The connection broke off; its handler is told later, not from within a call of its own."""
-        why = "timeout" if isinstance(error, TimeoutError) else "reset"
+        """Ends a failed connection. Its handler is called later, not from within a call of its own."""
+        reason = "timeout" if isinstance(error, TimeoutError) else "reset"
         connection.buffer.clear()
         connection.unsent = 0
-        self.soon(lambda: self.drop(connection, why))
+        self.soon(lambda: self.drop(connection, reason))
 
-    def drop(self, connection: TcpConnection, why: str) -> None:
-        """Close the socket and tell, once."""
+    def drop(self, connection: TcpConnection, reason: str) -> None:
+        """Closes the socket and calls the handler's `closed`, once."""
         handler, connection.handler = connection.handler, None
         if handler is None:
             return
@@ -194,18 +194,18 @@
             del self.connections[number]
             self.epoll.unregister(number)
         connection.socket.close()
-        handler.closed(why)
+        handler.closed(reason)
 
     def _accept(self, number: int) -> None:
         listener = self.listeners.get(number)
-        for _ in range(BACKLOG):
+        for _ in range(LISTEN_BACKLOG):
             if listener is None:
                 return
             try:
                 sock, peer = listener[0].accept()
             except BlockingIOError:
                 return
-            except OSError as error:  # descriptors used up: they are tried again when some are free
+            except OSError as error:  # No free descriptor; the accept is retried on the next event.
                 self.log(f"a connection was not taken: {error}")
                 return
             self._set_options(sock)
@@ -220,17 +220,17 @@
             return
         if events & _OUT:
             self._write(connection)
-        if events & _FAR_END and connection.end_watcher is not None:
-            self._end_seen(connection, connection.end_watcher)
-        if connection.handler is not None and events & (_IN | _BROKEN):
+        if events & _HALF_CLOSED and connection.end_callback is not None:
+            self._half_closed(connection, connection.end_callback)
+        if connection.handler is not None and events & (_IN | _FAILED):
             if connection.mask & _IN:
                 self._read(connection)
-            elif events & _BROKEN:
+            elif events & _FAILED:
                 self.drop(connection, "reset")
 
-    def _end_seen(self, connection: TcpConnection, call: Callable[[], None]) -> None:
-        """The far side has ended its bytes, which are not read as the connection is paused."""
-        connection.end_watcher = None
+    def _half_closed(self, connection: TcpConnection, call: Callable[[], None]) -> None:
+        """Reports the peer's half-close on a paused connection; its remaining bytes stay unread."""
+        connection.end_callback = None
         self.update_interest(connection)
         call()
 
@@ -242,7 +242,7 @@
         try:
             connection.socket.getpeername()
         except OSError:
-            return  # an event of an earlier descriptor of the same number
+            return  # The event belongs to an earlier descriptor of the same number.
         connection.is_connecting = False
         if connection.connect_timer is not None:
             connection.connect_timer.cancel()
@@ -274,7 +274,7 @@
             connection.handler.drained()
 
     def _read(self, connection: TcpConnection) -> None:
-        for _ in range(MAX_READS):
+        for _ in range(MAX_READS_PER_EVENT):
             try:
                 data = connection.socket.recv(READ_SIZE)
             except BlockingIOError:
@@ -297,40 +297,40 @@
 
     def _datagrams_ready(self, number: int) -> None:
         sock, received = self.datagram_sockets[number]
-        for _ in range(MAX_DATAGRAMS):
+        for _ in range(MAX_DATAGRAMS_PER_EVENT):
             try:
                 data, sender = sock.recvfrom(2048)
-            except OSError:  # none left, or an answer that nobody listens where one was sent
+            except OSError:  # No datagram is left, or an ICMP error reports an unreachable peer.
                 return
             received(sender, data)
 
     # The process.
 
     def random(self, size: int) -> bytes:
-        """Random bytes."""
+        """Returns random bytes."""
         return os.urandom(size)
 
     def log(self, line: str) -> None:
-        """One line on standard error."""
+        """Writes one line to standard error."""
         try:
             sys.stderr.write(line + "\n")
             sys.stderr.flush()
         except OSError:
-            return  # nobody reads: the program goes on
+            return  # Standard error is closed; the program continues without logging.
 
     def exit(self, status: int) -> None:
-        """End `run` after this call."""
+        """Ends `run` after the current call."""
         self.status = status
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Call when the process is sent a signal."""
+        """Sets the call for a signal."""
         if self.signals is None:
             self.signals = SignalPipe()
             self.epoll.register(self.signals.reader, _IN)
         self.signals.on(number, call)
 
     def run(self) -> int:
-        """Serve until `exit`; the status."""
+        """Runs until `exit`, and returns its status."""
         poll = self.epoll.poll
         while self.status is None:
             for number, events in poll(self._wait()):
@@ -352,7 +352,7 @@
         return self.status
 
     def _failed(self, connection: TcpConnection | None) -> None:
-        """A call has raised, by an error of this program: log it, end its connection, go on."""
+        """Logs an unexpected exception of a call, closes the call's connection and continues."""
         import traceback
 
         self.errors += 1
@@ -373,9 +373,9 @@
             timer = heappop(self.timers)[2]
             call, timer.call = timer.call, None
             if call is not None:
-                self._guarded(call)
+                self._call_safely(call)
 
-    def _guarded(self, call: Callable[[], None]) -> None:
+    def _call_safely(self, call: Callable[[], None]) -> None:
         try:
             call()
         except Exception:  # noqa: BLE001 - one call's error must not end the process; it is logged
@@ -385,4 +385,4 @@
         while self.ready:
             ready, self.ready = self.ready, []
             for call in ready:
-                self._guarded(call)
+                self._call_safely(call)
--- a/honeywharf/transport/framing.py
+++ b/honeywharf/transport/framing.py
@@ -1,6 +1,6 @@
 """Frames between the mesh's processes: a length of four bytes, most significant first, and a msgpack body.
 
-A reader copies each byte at most twice, however small the pieces are in which a frame arrives.
+A reader copies each byte at most twice, even if a frame arrives in many small pieces.
 """
 
 from __future__ import annotations
@@ -11,41 +11,46 @@
 if TYPE_CHECKING:
     from typing import Any
 
-MAX_FRAME = 80 << 20  # bytes of one body
-LENGTH_SIZE = 4  # bytes of the length
+MAX_FRAME = 80 << 20  # Bytes of one body.
+LENGTH_SIZE = 4  # Bytes.
 
 
 def encode_frame(obj: object) -> bytes:
-    """One frame. TypeError or ValueError where msgpack can't hold the object, or it is 4 GiB or longer."""
+    """Encodes an object as one frame.
+
+    Raises TypeError or ValueError if msgpack cannot encode the object, OverflowError from 4 GiB on.
+    """
     body: bytes = msgpack.packb(obj)
     return len(body).to_bytes(LENGTH_SIZE, "big") + body
 
 
 def decode_body(body: bytes | bytearray | memoryview) -> Any:
-    """The object of one body; ValueError names what was found."""
+    """Decodes one body. Raises ValueError if it is not exactly one msgpack object."""
     try:
         return msgpack.unpackb(body, strict_map_key=False)
     except (ValueError, msgpack.exceptions.UnpackException) as error:
-        raise ValueError(f"found {error or type(error).__name__}, wanted one msgpack object") from None
+        raise ValueError(
+            f"frame body: expected one msgpack object, got {error or type(error).__name__}"
+        ) from None
 
 
 class FrameReader:
-    """Bytes as they come to objects."""
+    """Decodes frames from a stream of bytes."""
 
-    __slots__ = ("_buffer", "_wanted_size", "max_frame")
+    __slots__ = ("_buffer", "_next_parse_size", "max_frame")
 
-    def __init__(self, most: int = MAX_FRAME) -> None:
-        self.max_frame = most
-        self._buffer = bytearray()  # the beginning of a frame that is not whole
-        self._wanted_size = LENGTH_SIZE  # bytes from which it makes sense to look again
+    def __init__(self, max_size: int = MAX_FRAME) -> None:
+        self.max_frame = max_size
+        self._buffer = bytearray()  # The start of an incomplete frame.
+        self._next_parse_size = LENGTH_SIZE  # Buffered bytes at which the next frame may be complete.
 
     @property
     def buffered(self) -> int:
-        """Bytes of the frame that is not whole yet."""
+        """Returns the number of bytes of the incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that are now whole, in order; ValueError ("found .., wanted ..") ends it."""
+        """Returns the objects that are complete, in order. The reader is unusable after a ValueError."""
         held = self._buffer
         if not held:
             frames, at = self._split(data)
@@ -53,7 +58,7 @@
                 held += data[at:]
             return frames
         held += data
-        if len(held) < self._wanted_size:
+        if len(held) < self._next_parse_size:
             return []
         frames, at = self._split(held)
         if at:
@@ -61,17 +66,17 @@
         return frames
 
     def _split(self, data: bytes | bytearray) -> tuple[list[Any], int]:
-        """The whole frames in `data`, and where the first one that is not whole begins."""
+        """Returns the complete frames in `data` and the offset of the first incomplete one."""
         frames: list[Any] = []
-        at, end, most = 0, len(data), self.max_frame
-        self._wanted_size = LENGTH_SIZE
+        at, end, limit = 0, len(data), self.max_frame
+        self._next_parse_size = LENGTH_SIZE
         with memoryview(data) as view:
             while end - at >= LENGTH_SIZE:
                 size = int.from_bytes(data[at : at + LENGTH_SIZE], "big")
-                if size > most:
-                    raise ValueError(f"found a frame of {size} bytes, wanted at most {most}")
+                if size > limit:
+                    raise ValueError(f"frame: expected at most {limit} bytes, got {size}")
                 if end - at - LENGTH_SIZE < size:
-                    self._wanted_size = LENGTH_SIZE + size
+                    self._next_parse_size = LENGTH_SIZE + size
                     break
                 with view[at + LENGTH_SIZE : at + LENGTH_SIZE + size] as body:
                     frames.append(decode_body(body))
--- a/honeywharf/transport/host.py
+++ b/honeywharf/transport/host.py
@@ -1,10 +1,12 @@
-"""One machine as a program of the mesh sees it. `event_loop` is it on sockets, `simulation` in virtual time.
+"""The interface between a program and its machine.
+
+`event_loop` implements it on sockets, the `simulation` package in virtual time.
 
 Theory of operation. A program is one object, made with a `Host`; the host calls it, one call at a time on
-one thread, and nothing blocks but the disk. All times are seconds on the steady clock. Bytes given to
-`send` belong to the host; what the peer does not take yet is buffered, and `unsent` tells how much: who
-sends bounds it. After `closed` has been called nothing more is called on a connection, and `send` to a
-closed one does nothing.
+one thread, and only disk operations block. All times are seconds on the steady clock. The host owns the bytes
+given to `send`. It buffers the bytes that the peer does not yet accept, and `unsent` is their number: the
+sender bounds it. After `closed` no handler method is called for a connection, and `send` on a closed
+connection does nothing.
 """
 
 from __future__ import annotations
@@ -12,71 +14,71 @@
 from collections.abc import Callable
 from typing import Protocol
 
-Address = tuple[str, int]  # IPv4 address in dots, port
+Address = tuple[str, int]  # IPv4 address and port.
 
 
 class Timer(Protocol):
-    """A call that is due."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Do not call; harmless when it has been called."""
+        """Cancels the call; does nothing if it has been made."""
 
 
 class Handler(Protocol):
-    """What is called for one connection."""
+    """Receives the events of one connection."""
 
     def opened(self) -> None:
-        """It is up (only on connections that this side asked for)."""
+        """Called when the connection is established; only on the side that opened it."""
 
     def received(self, data: bytes) -> None:
-        """Bytes came; never empty."""
+        """Called with received bytes, never empty."""
 
     def ended(self) -> None:
-        """The far side sends nothing more (half close). The connection is still open for sending."""
+        """Called when the peer sends nothing more (half-close). Sending is still possible."""
 
     def drained(self) -> None:
-        """All that was held unsent has gone, after some was held."""
+        """Called when all buffered bytes have been sent, after some were buffered."""
 
-    def closed(self, why: str) -> None:
-        """It is gone: "" (closed here), "refused", "reset", "timeout", "lost". Called once, last."""
+    def closed(self, reason: str) -> None:
+        """Called once, last. Reasons: "" (closed here), "refused", "reset", "timeout", "lost"."""
 
 
 class Connection(Protocol):
     """One TCP connection."""
 
-    unsent: int  # bytes held
+    unsent: int  # Bytes buffered.
     peer: Address
 
     def send(self, data: bytes) -> None:
-        """Send, later if need be."""
+        """Sends bytes, or buffers those that the peer does not yet accept."""
 
     def close(self) -> None:
-        """Send what is held, then close. `closed("")` follows."""
+        """Sends the buffered bytes, then closes. `closed("")` follows."""
 
     def abort(self) -> None:
-        """Close at once and drop what is held. `closed("")` follows, not from within this call."""
+        """Closes at once and drops the buffered bytes. `closed("")` follows, not within this call."""
 
     def pause(self) -> None:
-        """Read nothing more."""
+        """Stops reading."""
 
     def resume(self) -> None:
-        """Read again."""
+        """Starts reading again."""
 
-    def watch_end(self, call: Callable[[], None]) -> None:
-        """Call once if the far side ends its bytes while reading is paused, though they are not read yet."""
+    def watch_half_close(self, call: Callable[[], None]) -> None:
+        """Calls `call` once if the peer half-closes while reading is paused, even with bytes unread."""
 
 
 class Host(Protocol):
-    """One machine, as one process sees it."""
+    """One machine, as seen by one process."""
 
     def now(self) -> float:
-        """Seconds on the steady clock."""
+        """Returns seconds on the steady clock."""
 
-    def wall(self) -> float:
-        """Seconds of the time of day; differs a little from machine to machine."""
+    def wall_time(self) -> float:
+        """Returns the time of day in seconds since the epoch, which differs between machines."""
 
     def after(self, seconds: float, call: Callable[[], None]) -> Timer:
-        """Call once, so much later."""
+        """Schedules one call after a delay."""
 
     def connect(
         self,
@@ -84,48 +86,49 @@
         handler: Callable[[Connection], Handler],
         within: float = 1.0,
     ) -> Connection:
-        """Ask for a connection; `closed("timeout")` when it is not up in time."""
+        """Opens a connection. `closed("timeout")` follows if it is not established within the time."""
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections. OSError where the address is taken."""
+        """Accepts connections at an address. Raises OSError if the address is in use."""
 
-    def unlisten(self, at: Address) -> None:
-        """Take no further ones."""
+    def stop_listening(self, at: Address) -> None:
+        """Stops accepting connections at an address."""
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
-        """Take datagrams at an address; those sent from here carry it."""
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+        """Receives datagrams at an address, which is also the source address of sent ones."""
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        """Send at most 1,400 bytes; they may be lost."""
+        """Sends at most 1,400 bytes, which may be lost."""
 
-    # The disk. Paths are names within the data directory. Each call may block; OSError where the disk fails.
+    # The disk. Names are those of files in the data directory. Each call may block, and raises OSError if the
+    # disk fails.
 
     def read(self, name: str) -> bytes | None:
-        """A file's bytes; None where there is none."""
+        """Returns a file's bytes; None if it does not exist."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a new file whole, or write over an old one, and sync it.
+        """Writes a complete file, or overwrites an existing one, and syncs it.
 
-        The name of a new file is safe once the folder has been synced: by `sync_names`, or a rename.
+        The name of a new file is durable once the directory has been synced, by `sync_names` or `rename`.
         """
 
     def sync_names(self) -> None:
-        """Sync the folder: names that were made, changed or removed are safe from then on."""
+        """Syncs the directory: earlier creations, renames and removals are durable afterwards."""
 
     def rename(self, name: str, to: str) -> None:
-        """Give a file another name, over what was there, and sync the folder."""
+        """Renames a file, replacing an existing one, and syncs the directory."""
 
     def remove(self, name: str) -> None:
-        """Remove a file if it is there. Not synced."""
+        """Removes a file if it exists. The directory is not synced."""
 
     def names(self) -> list[str]:
-        """All files."""
+        """Returns the names of all files."""
 
     def random(self, size: int) -> bytes:
-        """Random bytes."""
+        """Returns random bytes."""
 
     def log(self, line: str) -> None:
-        """One line for the operator: a change of state, or counters."""
+        """Logs one line for the operator: a change of state, or counters."""
 
     def exit(self, status: int) -> None:
-        """End the process after this call."""
+        """Ends the process after the current call."""
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -1,9 +1,9 @@
-"""An HTTP/1.1 server for backends, operators and the platform: complete requests in, complete answers out.
+"""An HTTP/1.1 server for backends, operators and the platform, with complete requests and responses.
 
-Theory of operation. One request at a time on a connection; what is pipelined behind it waits unread. The
-process holds one body over `SMALL_BODY` at a time, and others wait unread, so that its memory is bounded.
-What breaks the protocol is answered with its status, after the answers that are owed, and the connection is
-closed.
+Theory of operation. Each connection serves one request at a time; pipelined requests wait unread. To bound
+memory, the process reads one body over `MAX_SMALL_BODY` at a time, and connections with other large bodies
+are paused. A malformed request is answered with its error status after the pending responses, and the
+connection is closed.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-SMALL_BODY = 256 * 1024  # bytes; there may be as many of these as connections
+MAX_SMALL_BODY = 256 * 1024  # Bytes. Every connection may hold a body of this size.
 MAX_CONNECTIONS = 1024
-IDLE_TIMEOUT_S = 30.0  # without a whole call, after which a connection is closed
-MAX_HEAD = 16 * 1024
+IDLE_TIMEOUT_S = 30.0  # A connection without a complete request for this time is closed.
+MAX_HEAD = 16 * 1024  # Bytes.
 
 
 class HttpRequest:
@@ -35,7 +35,7 @@
         self.method, self.path, self.peer = head.method, head.path, http_connection.connection.peer
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
-        """Answer it; `lines`: further header lines, each with its line end."""
+        """Sends the response. `lines` holds further header lines, each with its line end."""
         http_connection, self._connection = self._connection, None
         if http_connection is not None:
             http_connection.answer(status, body, lines)
@@ -45,49 +45,49 @@
     """One connection of the server."""
 
     __slots__ = (
+        "body_parts",
+        "body_size",
         "connection",
         "error_answer",
         "has_long_body",
         "head",
         "is_busy",
         "is_closed",
-        "parts",
+        "pending_head",
         "pipelined",
         "reader",
-        "reading",
         "server",
-        "size",
         "timer",
         "unread",
     )
 
     def __init__(self, server: HttpServer, connection: Connection) -> None:
         self.server, self.connection = server, connection
-        self.reader = RequestReader(_Reading(self), server.max_body, MAX_HEAD)
-        self.head: Head | None = None  # of the call at work
-        self.reading: Head | None = None  # of the one that is read
-        self.pipelined: list[tuple[Head, bytes]] = []  # calls of the same read as the one at work
-        self.parts: list[bytes] = []
-        self.unread: list[bytes] = []  # unread bytes while a call is at work, one read at most
-        self.error_answer = b""  # the answer to what made no sense; it comes after those that are owed
-        self.size = 0
+        self.reader = RequestReader(_RequestSink(self), server.max_body, MAX_HEAD)
+        self.head: Head | None = None  # Head of the request in progress.
+        self.pending_head: Head | None = None  # Head of the request that is being read.
+        self.pipelined: list[tuple[Head, bytes]] = []  # Requests read together with the one in progress.
+        self.body_parts: list[bytes] = []
+        self.unread: list[bytes] = []  # Bytes of at most one read during a request.
+        self.error_answer = b""  # The response to a malformed request.
+        self.body_size = 0
         self.is_busy = self.has_long_body = self.is_closed = False
-        self.timer = server.host.after(IDLE_TIMEOUT_S, self._idle)
+        self.timer = server.host.after(IDLE_TIMEOUT_S, self._close_if_idle)
 
-    def _idle(self) -> None:
+    def _close_if_idle(self) -> None:
         if not self.is_busy:
             self.connection.abort()
 
     def current_head(self) -> Head:
-        """The head of the call at work."""
+        """Returns the head of the request in progress."""
         assert self.head is not None
         return self.head
 
     def opened(self) -> None:
-        """Not called on connections that came in."""
+        """Does nothing: the host calls it only for outgoing connections."""
 
     def received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Parses received bytes, or keeps them while a request is in progress."""
         if self.is_busy:
             self.unread.append(data)
             self.connection.pause()
@@ -100,44 +100,44 @@
                 self._reject()
 
     def _reject(self) -> None:
-        """Answer what made no sense, and close."""
+        """Answers a malformed request and closes the connection."""
         self.connection.send(self.error_answer)
         self.connection.close()
 
     def data(self, data: bytes) -> None:
-        """A part of a body."""
-        self.parts.append(data)
-        self.size += len(data)
-        if self.size > SMALL_BODY and not self.has_long_body:
+        """Takes a part of a request body."""
+        self.body_parts.append(data)
+        self.body_size += len(data)
+        if self.body_size > MAX_SMALL_BODY and not self.has_long_body:
             self.has_long_body = True
             self.server.reserve_long_body(self)
 
     def whole(self) -> None:
-        """A call is whole."""
-        head, body = self.reading, b"".join(self.parts)
+        """Takes a complete request: handles it, or queues it behind the one in progress."""
+        head, body = self.pending_head, b"".join(self.body_parts)
         assert head is not None
-        self.parts, self.size = [], 0
+        self.body_parts, self.body_size = [], 0
         if self.is_busy:
             self.pipelined.append((head, body))
         else:
-            self._take(head, body)
+            self._handle_request(head, body)
 
-    def _take(self, head: Head, body: bytes) -> None:
+    def _handle_request(self, head: Head, body: bytes) -> None:
         self.head, self.is_busy = head, True
         self.timer.cancel()
         self.server.calls += 1
         self.server.handle(HttpRequest(self, head, body))
 
-    def _next(self) -> None:
+    def _handle_pipelined(self) -> None:
         if self.pipelined:
-            self._take(*self.pipelined.pop(0))
+            self._handle_request(*self.pipelined.pop(0))
 
     def answer(self, status: int, body: bytes, lines: bytes) -> None:
-        """Answer the call at work, and read on."""
+        """Sends the response to the request in progress, and resumes reading."""
         keep = self.current_head().keep and not self.server.is_closing
-        bare = self.current_head().method == b"HEAD"
+        is_head_request = self.current_head().method == b"HEAD"
         kind = b"application/json" if body[:1] in (b"{", b"[") else b"text/plain" if body else b""
-        self.connection.send(final(status, body, keep=keep, lines=lines, kind=kind, bare=bare))
+        self.connection.send(final(status, body, keep=keep, lines=lines, kind=kind, bare=is_head_request))
         self.is_busy = bool(self.pipelined)
         self.release_long_body()
         if not keep:
@@ -145,12 +145,12 @@
             self.connection.close()
             return
         if self.pipelined:
-            self.server.host.after(0.0, self._next)
+            self.server.host.after(0.0, self._handle_pipelined)
             return
         if self.error_answer:
             self._reject()
             return
-        self.timer = self.server.host.after(IDLE_TIMEOUT_S, self._idle)
+        self.timer = self.server.host.after(IDLE_TIMEOUT_S, self._close_if_idle)
         queue, self.unread = self.unread, []
         if queue:
             self.server.host.after(0.0, lambda: self._resume(queue))
@@ -165,21 +165,21 @@
             self.received(data)
 
     def release_long_body(self) -> None:
-        """Give the place of a long body back."""
+        """Releases the permission to read a long body."""
         if self.has_long_body:
             self.has_long_body = False
             self.server.release_long_body(self)
 
     def ended(self) -> None:
-        """The caller sends nothing more."""
+        """Closes the connection after the client's half-close, unless a request is in progress."""
         if not self.is_busy:
             self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing: responses need no flow control."""
 
-    def closed(self, why: str) -> None:
-        """It is gone."""
+    def closed(self, reason: str) -> None:
+        """Releases the connection's resources."""
         self.is_closed = True
         self.timer.cancel()
         self.release_long_body()
@@ -188,8 +188,8 @@
         self.reader.close()
 
 
-class _Reading:
-    """Ties a reader to its connection: a sink's `head` is a method, while a connection keeps the head."""
+class _RequestSink:
+    """Passes a reader's events to its connection, whose `head` is an attribute and not the sink's method."""
 
     __slots__ = ("http_connection",)
 
@@ -197,37 +197,42 @@
         self.http_connection = http_connection
 
     def head(self, head: Head) -> None:
-        """A head is whole."""
-        self.http_connection.reading = head
+        """Takes a complete head, and answers `Expect: 100-continue`."""
+        self.http_connection.pending_head = head
         if head.expects and not self.http_connection.is_busy:
             self.http_connection.connection.send(INTERIM_RESPONSE)
 
     def data(self, data: bytes) -> None:
-        """A part of its body."""
+        """Takes a part of the body."""
         self.http_connection.data(data)
 
     def whole(self) -> None:
-        """The call is whole."""
+        """Ends the request."""
         self.http_connection.whole()
 
 
 class HttpServer:
-    """Listens at an address; `take` is given each whole call.
+    """Listens at an address and passes each complete request to `on_request`.
 
-    `most_body`: bytes, longer ones are answered 413.
+    A body of more than `max_body_size` bytes is answered with 413.
     """
 
     def __init__(
         self,
         host: Host,
         address: Address,
-        take: Callable[[HttpRequest], None],
-        most_body: int = 65 << 20,
+        on_request: Callable[[HttpRequest], None],
+        max_body_size: int = 65 << 20,
     ) -> None:
-        self.host, self.address, self.handle, self.max_body = host, address, take, most_body
+        self.host, self.address, self.handle, self.max_body = (
+            host,
+            address,
+            on_request,
+            max_body_size,
+        )
         self.connections = self.calls = 0
         self.is_closing = False
-        self.long_bodies: list[_HttpConnection] = []  # with long bodies; the first reads, the others wait
+        self.long_bodies: list[_HttpConnection] = []  # Only the first one reads its long body.
         host.listen(address, self._accept)
 
     def _accept(self, connection: Connection) -> Handler:
@@ -238,18 +243,18 @@
         return http_connection
 
     def reserve_long_body(self, http_connection: _HttpConnection) -> None:
-        """A long body is coming; it waits where another one has the place."""
+        """Queues a connection with a long body, and pauses it unless it is the first."""
         self.long_bodies.append(http_connection)
         if self.long_bodies[0] is not http_connection:
             http_connection.connection.pause()
 
     def release_long_body(self, http_connection: _HttpConnection) -> None:
-        """A long body is done with, or its caller has gone."""
+        """Removes a connection from the queue of long bodies, and resumes the first one."""
         self.long_bodies.remove(http_connection)
         if self.long_bodies:
             self.long_bodies[0].connection.resume()
 
     def close(self) -> None:
-        """Take no further connections; answers close those that are open."""
+        """Stops accepting connections. Each open one is closed after its next response."""
         self.is_closing = True
-        self.host.unlisten(self.address)
+        self.host.stop_listening(self.address)
--- a/honeywharf/transport/link.py
+++ b/honeywharf/transport/link.py
@@ -1,8 +1,8 @@
-"""The source's end of links: streams to the sidecar beside a backend, one connection a peer.
+"""The source's end of links: streams to the sidecar beside a backend, with one connection per peer.
 
-A link on which nothing is received for `LINK_TIMEOUT_S` while streams wait is lost: what was opened on it may
-have run, except a request whose body was not asked for, which has not. Idempotent requests are given up on it
-sooner, after `STREAM_TIMEOUT_S`. The frames are in `stream`; the destination's end is `link_server`.
+A link is lost if nothing is received on it for `LINK_TIMEOUT_S` while streams are open. Its requests may have
+run, except those whose body the destination had not asked for. An idempotent request fails sooner, after
+`STREAM_TIMEOUT_S`. The frames are described in `stream`; the destination's end is `link_server`.
 """
 
 from __future__ import annotations
@@ -35,10 +35,11 @@
     from honeywharf.transport.stream import ForwardedRequest, ResponseHandler
 
 PING_INTERVAL_S = 0.25
-STREAM_TIMEOUT_S = 1.2  # without a byte, after which an idempotent request is given up on a link
-LINK_TIMEOUT_S = 2.6  # without a byte; a congested link carries little for a second and more
-IDLE_TIMEOUT_S = 60.0  # without a stream, after which a link is closed
-MAX_UNSENT_BYTES = 4 << 20  # bytes held for one link, after which no stream is opened on it
+STREAM_TIMEOUT_S = 1.2  # Time without a received byte after which idempotent requests fail.
+# Time without a received byte. A congested link may carry little for more than a second.
+LINK_TIMEOUT_S = 2.6
+IDLE_TIMEOUT_S = 60.0  # A link without a stream for this time is closed.
+MAX_UNSENT_BYTES = 4 << 20  # No stream is opened on a link with more buffered bytes.
 
 
 class ClientStream:
@@ -70,34 +71,34 @@
         self.is_idempotent, self.opened_at = is_idempotent, now
 
     def head_received(self) -> None:
-        """The head of the answer has come; ValueError where it is the second."""
+        """Records the response head. Raises ValueError for a second one."""
         if self.has_head:
-            raise ValueError(f"found a second answer of stream {self.number}, wanted one")
+            raise ValueError(f"stream {self.number}: expected one response head, got a second")
         self.has_head = True
 
     def part_received(self) -> None:
-        """More of the answer has come; ValueError where it has not begun."""
+        """Checks a part of the response. Raises ValueError if it precedes the head."""
         if not self.has_head:
-            raise ValueError(f"found a part of an answer of stream {self.number}, wanted its head first")
+            raise ValueError(f"stream {self.number}: expected a response head, got a part of the body")
 
     def data(self, data: bytes) -> None:
-        """Send a part of the body, at most what the window allows."""
+        """Sends a part of the body. The caller keeps within the window."""
         if self.link is not None:
             for at in range(0, len(data), MAX_CHUNK):
                 self.link.send([DATA, self.number, data[at : at + MAX_CHUNK]])
 
     def end(self) -> None:
-        """The body is complete."""
+        """Ends the body."""
         if self.link is not None:
             self.link.send([END, self.number])
 
     def window(self, size: int) -> None:
-        """So many bytes of the answer have gone on."""
+        """Allows the destination to send `size` further bytes of the response."""
         if self.link is not None:
             self.link.send([WINDOW, self.number, size])
 
     def cancel(self) -> None:
-        """Nobody waits any more; `handler` is not called after this."""
+        """Cancels the request. `handler` is not called afterwards."""
         link, self.link = self.link, None
         if link is not None and link.streams.pop(self.number, None) is not None:
             link.send([CANCEL, self.number])
@@ -121,11 +122,11 @@
         self._check()
 
     def open(self, request: ForwardedRequest, handler: ResponseHandler) -> ClientStream | None:
-        """Open a stream; None where the link has no room. `handler` is called later, never from within."""
+        """Opens a stream; None if the link is full. `handler` is never called within this call."""
         if self.is_closed or len(self.streams) >= MAX_STREAMS or self.connection.unsent > MAX_UNSENT_BYTES:
             return None
         if not self.streams:
-            self.last_received_at = max(self.last_received_at, self.host.now())  # the timeout begins here
+            self.last_received_at = max(self.last_received_at, self.host.now())  # The time-out starts here.
         self.number += 1
         now = self.host.now()
         stream = self.streams[self.number] = ClientStream(
@@ -136,12 +137,12 @@
         return stream
 
     def send(self, frame: list[Any]) -> None:
-        """Send one frame."""
+        """Sends one frame."""
         if not self.is_closed:
             self.connection.send(encode_frame(frame))
 
     def _check(self) -> None:
-        """Ping a peer that says nothing; close a lost or an unused link."""
+        """Pings a peer that sends nothing; closes a lost or an idle link."""
         now = self.host.now()
         if self.streams and now - self.last_received_at > LINK_TIMEOUT_S:
             self.fail()
@@ -157,7 +158,7 @@
         self.timer = self.host.after(PING_INTERVAL_S, self._check)
 
     def _fail_stalled_streams(self, now: float) -> None:
-        """Fail the idempotent streams that have waited without a byte; the rest may yet be answered."""
+        """Fails the idempotent streams after their time-out; the others wait for the link's."""
         for stream in [
             s for s in self.streams.values() if s.is_idempotent and now - s.opened_at > STREAM_TIMEOUT_S
         ]:
@@ -165,7 +166,7 @@
             stream.handler.failed(Verdict(MAY_HAVE_RUN, LOST))
 
     def fail(self) -> None:
-        """Close the link: whatever was open on it has failed."""
+        """Closes the link and fails its streams."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -176,18 +177,18 @@
         streams, self.streams = list(self.streams.values()), {}
         for stream in streams:
             stream.link = None
-            # Guards what must not run twice: only a body that was never asked for proves anything, or a link
-            # that was never up.
-            proof = not self.is_up or (stream.has_body and not stream.is_admitted)
-            stream.handler.failed(Verdict(NOT_RUN if proof else MAY_HAVE_RUN, LOST))
+            # Guards against running a request twice: it has certainly not run only if its body was never
+            # asked for, or if the link was never established.
+            is_proven_not_run = not self.is_up or (stream.has_body and not stream.is_admitted)
+            stream.handler.failed(Verdict(NOT_RUN if is_proven_not_run else MAY_HAVE_RUN, LOST))
 
     def opened(self) -> None:
-        """It is up."""
+        """Marks the link as established."""
         self.is_up = True
         self.last_received_at = self.host.now()
 
     def received(self, data: bytes) -> None:
-        """Frames came."""
+        """Handles received frames; a malformed one fails the link."""
         self.last_received_at = self.host.now()
         try:
             for frame in self.reader.feed(data):
@@ -202,7 +203,7 @@
             return
         stream = self.streams.get(number)
         if stream is None:
-            return  # cancelled meanwhile
+            return  # The stream has been cancelled.
         handler = stream.handler
         if kind == GO:
             stream.is_admitted = True
@@ -234,19 +235,19 @@
         self.last_used_at = self.last_received_at
 
     def ended(self) -> None:
-        """The far side has closed."""
+        """Fails the link after the peer's half-close."""
         self.fail()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing: windows bound the bytes of each stream."""
 
     def closed(self, why: str) -> None:
-        """It is gone."""
+        """Fails the link after its connection has closed."""
         self.fail()
 
 
 class LinkPool:
-    """The source's links, one a peer, opened on demand. `port`: of the peers' internal listener."""
+    """The source's links, one per peer, opened on demand. `port` is the peers' internal port."""
 
     def __init__(self, host: Host, port: int) -> None:
         self.host, self.port = host, port
@@ -254,7 +255,7 @@
         self.lost = 0
 
     def link_to(self, node: str) -> Link:
-        """The link to the sidecar at an IP address."""
+        """Returns the link to the sidecar at an IP address."""
         link = self.links.get(node)
         if link is None or link.is_closed:
             link = self.links[node] = Link(self.host, (node, self.port), self._link_closed)
--- a/honeywharf/transport/link_server.py
+++ b/honeywharf/transport/link_server.py
@@ -1,4 +1,4 @@
-"""The destination's end of links: requests that come from other sidecars, and the way back of each."""
+"""The destination's end of links: receives requests from other sidecars and sends the responses."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 class LinkServer:
     """The destination's end of a link.
 
-    `on_request(request, responder)` gives what handles a stream, or None where it is over already.
+    `on_request(request, responder)` returns the handler of a stream, or None if the stream has ended already.
     """
 
     def __init__(
@@ -47,15 +47,15 @@
     ) -> None:
         self.connection, self.reader, self.on_request = connection, reader, on_request
         self.handlers: dict[int, RequestHandler] = {}
-        self.highest_number = 0  # the highest number of a stream so far
+        self.highest_number = 0  # Of all streams so far.
         for frame in frames:
             self._handle_frame(frame)
 
     def opened(self) -> None:
-        """Not called on connections that came in."""
+        """Does nothing: the host calls it only for outgoing connections."""
 
     def received(self, data: bytes) -> None:
-        """Frames came."""
+        """Handles received frames; a malformed one closes the link."""
         try:
             for frame in self.reader.feed(data):
                 self._handle_frame(frame)
@@ -84,9 +84,9 @@
 
     def _open(self, number: int, request: ForwardedRequest) -> None:
         if len(self.handlers) >= MAX_STREAMS:
-            raise ValueError(f"found more than {MAX_STREAMS} streams on one link, wanted at most that")
-        if number <= self.highest_number:  # guards against an answer to one request that is read as another's
-            raise ValueError(f"found stream {number} after {self.highest_number}, wanted a higher number")
+            raise ValueError(f"link: expected at most {MAX_STREAMS} streams, got one more")
+        if number <= self.highest_number:  # Guards against a response that is matched to another request.
+            raise ValueError(f"stream number: expected above {self.highest_number}, got {number}")
         self.highest_number = number
         request.peer = self.connection.peer[0]
         responder = StreamResponder(self, number)
@@ -95,41 +95,41 @@
             self.handlers[number] = handler
 
     def send(self, frame: list[Any]) -> None:
-        """Send one frame."""
+        """Sends one frame."""
         self.connection.send(encode_frame(frame))
 
     def ended(self) -> None:
-        """The far side has closed."""
+        """Closes the connection after the peer's half-close."""
         self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing: windows bound the bytes of each stream."""
 
-    def closed(self, why: str) -> None:
-        """It is gone: nobody waits for the streams that are open."""
+    def closed(self, reason: str) -> None:
+        """Cancels the open streams."""
         for handler in list(self.handlers.values()):
             handler.cancel()
         self.handlers.clear()
 
 
 class StreamResponder:
-    """Sends the destination's side of one stream, as frames. `is_over`: nothing more may be sent."""
+    """Sends the destination's frames of one stream. After `is_over` nothing more may be sent."""
 
     __slots__ = ("is_over", "link", "number")
 
-    def __init__(self, reception: LinkServer, number: int) -> None:
-        self.link, self.number, self.is_over = reception, number, False
+    def __init__(self, server: LinkServer, number: int) -> None:
+        self.link, self.number, self.is_over = server, number, False
 
     def _end(self) -> None:
         self.is_over = True
         self.link.handlers.pop(self.number, None)
 
     def admit(self) -> None:
-        """The request is admitted."""
+        """Reports that the request is admitted, and asks for its body."""
         self.link.send([GO, self.number])
 
     def window(self, size: int) -> None:
-        """So many further bytes of the request's body may be sent."""
+        """Allows the source to send `size` further bytes of the request body."""
         self.link.send([WINDOW, self.number, size])
 
     def answer(
@@ -140,23 +140,23 @@
         load: tuple[int, int, int],
         body: bytes | None,
     ) -> None:
-        """The complete answer, or its head where `body` is None. `load`: running, queued and slots here."""
+        """Sends the complete response, or its head if `body` is None. `load`: running, queued and slots."""
         self.link.send([ANSWER, self.number, status, fields, length, load, body])
         if body is not None:
             self._end()
 
     def data(self, data: bytes) -> None:
-        """A part of the answer's body."""
+        """Sends a part of the response body."""
         for at in range(0, len(data), MAX_CHUNK):
             self.link.send([DATA, self.number, data[at : at + MAX_CHUNK]])
 
     def complete(self) -> None:
-        """The answer is complete."""
+        """Ends the response."""
         self.link.send([END, self.number])
         self._end()
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-        """No answer comes, or none further."""
+        """Fails the request, or the rest of its response."""
         kind = REFUSE if verdict.ran == NOT_RUN else FAIL
         self.link.send(
             [
--- a/honeywharf/transport/rpc_server.py
+++ b/honeywharf/transport/rpc_server.py
@@ -1,4 +1,4 @@
-"""Answers the remote calls of the mesh's other processes; the protocol is in `rpc_client`."""
+"""Serves remote procedure calls of other processes; the protocol is described in `rpc_client`."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class _ServerConnection:
-    """One connection that came in."""
+    """One accepted connection."""
 
     __slots__ = ("connection", "is_greeted", "reader", "server", "stream_handler")
 
-    def __init__(self, answerer: RpcServer, connection: Connection) -> None:
-        self.server = answerer
+    def __init__(self, rpc_server: RpcServer, connection: Connection) -> None:
+        self.server = rpc_server
         self.connection = connection
-        self.reader = FrameReader(answerer.max_frame)
-        self.is_greeted = False  # the first frame was "calls"
-        self.stream_handler: Handler | None = None  # who has it instead
+        self.reader = FrameReader(rpc_server.max_frame)
+        self.is_greeted = False  # The first frame was "calls".
+        self.stream_handler: Handler | None = None  # Handles a connection that greeted with "streams".
 
     def opened(self) -> None:
-        """Not called on connections that came in."""
+        """Does nothing: the host calls it only for outgoing connections."""
 
     def received(self, data: bytes) -> None:
-        """Calls; what is none ends the connection."""
+        """Handles received calls; a malformed one closes the connection."""
         if self.stream_handler is not None:
             self.stream_handler.received(data)
             return
@@ -45,7 +45,7 @@
                     self.stream_handler = self.server.streams(self.connection, self.reader, frames)
                     return
                 if first != CALLS_GREETING:
-                    raise ValueError(f"found {str(first)[:40]!r}, wanted 'calls'")
+                    raise ValueError(f"greeting: expected 'calls', got {str(first)[:40]!r}")
                 self.is_greeted = True
             for number, method, args in frames:
                 self.server.answer(self.connection, number, method, args)
@@ -55,25 +55,25 @@
             self.connection.abort()
 
     def ended(self) -> None:
-        """The peer calls nothing more."""
+        """Closes the connection after the peer's half-close, or passes it on."""
         if self.stream_handler is not None:
             self.stream_handler.ended()
         else:
             self.connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Passes the event on to the handler of streams."""
         if self.stream_handler is not None:
             self.stream_handler.drained()
 
-    def closed(self, why: str) -> None:
-        """It is gone."""
+    def closed(self, reason: str) -> None:
+        """Passes the event on to the handler of streams."""
         if self.stream_handler is not None:
-            self.stream_handler.closed(why)
+            self.stream_handler.closed(reason)
 
 
 class RpcServer:
-    """Answers the calls of peers; where a method raises ValueError, TypeError or LookupError, with None."""
+    """Answers calls; with None if the method raises ValueError, TypeError or LookupError."""
 
     __slots__ = ("log", "malformed", "max_frame", "methods", "streams")
 
@@ -88,14 +88,14 @@
         self.streams = streams
         self.max_frame = most
         self.log = log
-        self.malformed = 0  # connections and calls that made no sense
+        self.malformed = 0  # Malformed connections and calls.
 
     def accept(self, connection: Connection) -> Handler:
-        """What `Host.listen` wants."""
+        """Accepts a connection, as `Host.listen` requires."""
         return _ServerConnection(self, connection)
 
     def answer(self, connection: Connection, number: object, name: object, args: object) -> None:
-        """Run one call; its method replies when it likes, once."""
+        """Runs one call. Its method may reply later, once."""
         method = self.methods.get(name) if isinstance(name, str) else None
         if method is None:
             connection.send(encode_frame([number, False, None]))
@@ -109,7 +109,7 @@
 
 
 class _Reply:
-    """The way back of one call; further answers are dropped."""
+    """Sends the answer of one call; further answers are dropped."""
 
     __slots__ = ("connection", "number")
 
--- a/honeywharf/transport/signal_pipe.py
+++ b/honeywharf/transport/signal_pipe.py
@@ -1,4 +1,4 @@
-"""Signals of the process as bytes of a pipe, so that an event loop handles each in its turn."""
+"""Delivers the signals of the process through a pipe, so that an event loop handles them in order."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_PENDING = 64  # signals read at once
+MAX_PENDING = 64  # Signals read at once.
 
 
 class SignalPipe:
-    """Which call is made for which signal. `reader`: a descriptor that is readable when a signal has come."""
+    """Maps signals to calls. `reader` is a descriptor that is readable when a signal has arrived."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -23,12 +23,12 @@
         signal.set_wakeup_fd(self.writer, warn_on_full_buffer=False)
 
     def on(self, number: int, call: Callable[[], None]) -> None:
-        """Have `handle` make this call after the process was sent the signal."""
+        """Sets the call that `handle` makes after this signal."""
         self.calls[number] = call
-        signal.signal(number, lambda *_: None)  # what is to be done is done in its turn
+        signal.signal(number, lambda *_: None)  # `handle` makes the call.
 
     def handle(self) -> None:
-        """Make the calls of the signals that have come."""
+        """Makes the calls for the signals that have arrived."""
         try:
             numbers = os.read(self.reader, MAX_PENDING)
         except BlockingIOError:
@@ -38,7 +38,7 @@
                 self.calls[number]()
 
     def close(self) -> None:
-        """Give the descriptors back."""
+        """Closes the descriptors."""
         signal.set_wakeup_fd(-1)
         os.close(self.reader)
         os.close(self.writer)
--- a/honeywharf/transport/stream.py
+++ b/honeywharf/transport/stream.py
@@ -1,24 +1,24 @@
 """Frames of the links that carry requests between sidecars: many streams on one connection, bounded windows.
 
-Theory of operation. The source opens a link to the sidecar beside a backend and keeps it (`link`); the
-destination serves it (`link_server`). Each request is a stream with a number of the source's. Frames are
-msgpack arrays `[kind, number, ...]`:
+Theory of operation. The source opens a link to the sidecar beside a backend and keeps it open (`link`); the
+destination serves it (`link_server`). Each request is a stream with a number that the source assigns. Frames
+are msgpack arrays `[kind, number, ...]`:
 
     OPEN    service, attempt id, kind, remaining ms, longest queue wait ms, priority, latency target ms,
             caller, method, target, fields, length, revision, digest of the rule that decided (8 bytes)
-    GO      it is admitted: send the body
+    GO      the request is admitted; the source sends the body
     DATA    either way: bytes of a body
     END     either way: the body is complete
-    WINDOW  either way: how many further bytes may be sent
-    ANSWER  status, fields, length, load, complete body or nil (then it follows)
-    FAIL    why, retry-after ms, arrived, load, whether it ran
+    WINDOW  either way: the number of further bytes that may be sent
+    ANSWER  status, fields, length, load, complete body or nil (then the body follows)
+    FAIL    reason, retry-after ms, whether the request arrived, load, whether it ran
     REFUSE  the same; proves that the request has not run
-    CANCEL  the source wants no answer any more
-    PING    where streams wait and nothing was received for a while
+    CANCEL  the source no longer wants the response
+    PING    sent while streams are open and nothing has been received for a while
     PONG    the answer to a PING
 
-No more than `WINDOW_SIZE` bytes of a body are on the way unacknowledged (`INITIAL_WINDOW` of a request's at
-first), so that a slow one holds up nobody else on the link.
+At most `WINDOW_SIZE` bytes of a body are in flight unacknowledged (`INITIAL_WINDOW` of a request's body at
+first), so that a slow stream does not block the others on the link.
 """
 
 from __future__ import annotations
@@ -32,61 +32,62 @@
     from honeywharf.verdict import Verdict
 
     class ResponseHandler(Protocol):
-        """The source's side of a stream: called with what the destination sends."""
+        """The source's side of a stream: receives the destination's frames."""
 
         def admitted(self) -> None:
-            """The request is admitted; its body may be sent."""
+            """Called when the request is admitted and its body may be sent."""
 
         def answered(self, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-            """The answer's head, and its complete body, or None where that follows in parts."""
+            """Called with the response head and the complete body, or None if the body follows in parts."""
 
         def data(self, data: bytes) -> None:
-            """A part of the answer's body."""
+            """Called with a part of the response body."""
 
         def completed(self) -> None:
-            """The answer is complete."""
+            """Called when the response is complete."""
 
         def window(self, size: int) -> None:
-            """So many further bytes of the request's body may be sent."""
+            """Called when `size` further bytes of the request body may be sent."""
 
         def failed(self, verdict: Verdict) -> None:
-            """No answer comes, or none further; nothing follows."""
+            """Called when no response, or no further part of it, will come. Nothing follows."""
 
         def load(self, load: tuple[int, int, int]) -> None:
-            """Running, queued and slots there, which come with an answer, a rejection or a failure."""
+            """Called with running, queued and slots at the destination, before a response or failure."""
 
     class RequestHandler(Protocol):
-        """The destination's side of a stream: called with what the source sends."""
+        """The destination's side of a stream: receives the source's frames."""
 
         def data(self, data: bytes) -> None:
-            """A part of the request's body."""
+            """Called with a part of the request body."""
 
         def end(self) -> None:
-            """The body is complete."""
+            """Called when the body is complete."""
 
         def window(self, size: int) -> None:
-            """So many further bytes of the answer may be sent."""
+            """Called when `size` further bytes of the response may be sent."""
 
         def cancel(self) -> None:
-            """Nobody waits any more."""
+            """Called when the source no longer wants the response."""
 
 
-#: Kinds of frames. Plain integers, as each frame of the data plane is told apart by them.
+#: Kinds of frames. Plain integers keep the dispatch of each frame cheap.
 OPEN, GO, DATA, END, WINDOW, ANSWER, REFUSE, FAIL, CANCEL, PING, PONG = range(11)
-DELEGATED = 3  # a request whose source decides nothing: the sidecar that is asked does, by its own rules
+DELEGATED = 3  # Kind of a request that the receiving sidecar routes by its own rules.
 WINDOW_SIZE = 64 * 1024
-INITIAL_WINDOW = 8 * 1024  # bytes of a request's body that GO asks for; its gate asks for more
-MAX_CHUNK = 16 * 1024  # bytes of one DATA frame: other streams have their turn between
-MAX_STREAMS = 2048  # on one link
+INITIAL_WINDOW = 8 * 1024  # Bytes of a request body that GO asks for; WINDOW asks for more.
+MAX_CHUNK = 16 * 1024  # Bytes of one DATA frame, so that other streams can send in between.
+MAX_STREAMS = 2048  # Streams of one link.
 MAX_FRAME = 1 << 20
 
 
 class ForwardedRequest:
-    """What a source asks of the destination's gate. Times are seconds from now.
+    """A request that a source forwards to a destination. Times are seconds from now.
 
-    `kind`: 0 for an idempotent request, else how it may run, `DELEGATED` for one that the callee decides;
-    `caller`: the service that sent it; `length`: as in `codecs.mesh.Head`; `revision`: of the mesh state that
-    the source decided by; `rule`: the digest of the route that it chose, 8 bytes.
+    `kind` is 0 for an idempotent request, `DELEGATED` for one that the receiver routes, and otherwise states
+    how the request may run. `caller` is the service that sent it, `length` is as in `codecs.mesh.Head`,
+    `revision` is that of the mesh state used for the decision, and `rule` is the digest of the chosen route,
+    8 bytes.
     """
 
     __slots__ = (
@@ -107,7 +108,7 @@
         "target",
     )
 
-    def __init__(  # noqa: PLR0913 - one parameter a field of the frame, all by keyword
+    def __init__(  # noqa: PLR0913 - one parameter per field of the frame, all by keyword
         self,
         *,
         service: str,
@@ -139,10 +140,10 @@
         self.length = length
         self.revision = revision
         self.rule = rule
-        self.peer = ""  # the source's address, where it came over a link
+        self.peer = ""  # The source's IP address if the request came over a link.
 
     def pack(self, number: int) -> bytes:
-        """Its OPEN frame."""
+        """Encodes the OPEN frame."""
         return encode_frame(
             [
                 OPEN,
@@ -166,7 +167,7 @@
 
     @classmethod
     def unpack(cls, frame: list[Any]) -> ForwardedRequest:
-        """From an OPEN frame. ValueError or TypeError where it is none."""
+        """Decodes an OPEN frame. Raises ValueError or TypeError if it is malformed."""
         (
             service,
             attempt_id,
--- a/honeywharf/transport/tcp_connection.py
+++ b/honeywharf/transport/tcp_connection.py
@@ -11,28 +11,28 @@
     from honeywharf.transport.host import Address, Handler, Timer
 
     class ConnectionOwner(Protocol):
-        """What a connection needs of its event loop."""
+        """The methods of an event loop that a connection uses."""
 
         def soon(self, call: Callable[[], None]) -> None:
-            """Call when what is under way has returned."""
+            """Schedules a call for after the current one returns."""
 
         def update_interest(self, connection: TcpConnection) -> None:
-            """Wait for what the connection waits for."""
+            """Registers the events that the connection waits for."""
 
         def fail(self, connection: TcpConnection, error: OSError) -> None:
-            """The connection broke off."""
+            """Ends a failed connection."""
 
-        def drop(self, connection: TcpConnection, why: str) -> None:
-            """Close the socket and tell the handler, once."""
+        def drop(self, connection: TcpConnection, reason: str) -> None:
+            """Closes the socket and calls the handler's `closed`, once."""
 
 
 class TcpConnection:
-    """One TCP connection of a loop (`host.Connection`)."""
+    """One TCP connection of an event loop (`host.Connection`)."""
 
     __slots__ = (
         "buffer",
         "connect_timer",
-        "end_watcher",
+        "end_callback",
         "handler",
         "is_closing",
         "is_connecting",
@@ -53,10 +53,10 @@
         self.is_closing = self.is_paused = self.is_read_closed = False
         self.mask = 0
         self.connect_timer: Timer | None = None
-        self.end_watcher: Callable[[], None] | None = None
+        self.end_callback: Callable[[], None] | None = None
 
     def send(self, data: bytes) -> None:
-        """Send, later if need be."""
+        """Sends bytes, or buffers those that the socket does not yet accept."""
         if self.is_closing or (self.handler is None and not self.is_connecting):
             return
         if not self.buffer and not self.is_connecting:
@@ -77,7 +77,7 @@
         self.loop.update_interest(self)
 
     def close(self) -> None:
-        """Send what is held, then close."""
+        """Sends the buffered bytes, then closes."""
         if self.is_closing:
             return
         self.is_closing = True
@@ -85,7 +85,7 @@
             self.loop.soon(self._close_now)
 
     def abort(self) -> None:
-        """Close at once and drop what is held."""
+        """Closes at once and drops the buffered bytes."""
         self.is_closing = True
         self.buffer.clear()
         self.unsent = 0
@@ -95,18 +95,18 @@
         self.loop.drop(self, "")
 
     def pause(self) -> None:
-        """Read nothing more."""
+        """Stops reading."""
         if not self.is_paused:
             self.is_paused = True
             self.loop.update_interest(self)
 
     def resume(self) -> None:
-        """Read again."""
+        """Starts reading again."""
         if self.is_paused:
             self.is_paused = False
             self.loop.update_interest(self)
 
-    def watch_end(self, call: Callable[[], None]) -> None:
-        """Call once if the far side ends its bytes while reading is paused."""
-        self.end_watcher = call
+    def watch_half_close(self, call: Callable[[], None]) -> None:
+        """Calls `call` once if the peer half-closes while reading is paused."""
+        self.end_callback = call
         self.loop.update_interest(self)
--- a/tests/control/virtual_network.py
+++ b/tests/control/virtual_network.py
@@ -72,7 +72,7 @@
     def resume(self) -> None:
         pass
 
-    def watch_end(self, call: Callable[[], None]) -> None:
+    def watch_half_close(self, call: Callable[[], None]) -> None:
         pass
 
 
@@ -113,7 +113,7 @@
     def now(self) -> float:
         return self.network.time
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return 1.7e9 + self.network.time + self.clock_step
 
     def after(self, seconds: float, call: Callable[[], None]) -> VirtualTimer:
@@ -154,10 +154,10 @@
             raise OSError("address in use")
         self.listening[at] = accept
 
-    def unlisten(self, at: Address) -> None:
+    def stop_listening(self, at: Address) -> None:
         self.listening.pop(at, None)
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         self.datagram_handlers[at] = received
 
     def send_datagram(self, to: Address, data: bytes) -> None:
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -38,7 +38,7 @@
     def remove(self, name: str) -> None:
         self.files.pop(name, None)
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return 1.7e9
 
     def after(self, seconds: float, call: Any) -> None:
--- a/tests/gossip/network.py
+++ b/tests/gossip/network.py
@@ -60,7 +60,7 @@
         for call in late:
             self.network.at(0.0, lambda call=call: self.run(call))  # type: ignore[misc]
 
-    def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
+    def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
         self.take = received
 
     def send_datagram(self, to: Address, data: bytes) -> None:
--- a/tests/lease/cluster.py
+++ b/tests/lease/cluster.py
@@ -58,7 +58,7 @@
     def now(self) -> float:
         return self.offset + self.rate * self.cluster.time
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return 1.7e9 + self.step + self.cluster.time
 
     def after(self, seconds: float, call: Callable[[], None]) -> ScheduledCall:
--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -90,7 +90,7 @@
     two.world.run(0.1)
     there, seen = two.taken[0], list[bytes]()
     two.on(two.there, there.connection.pause)
-    two.on(two.there, lambda: there.connection.watch_end(lambda: seen.append(there.data)))
+    two.on(two.there, lambda: there.connection.watch_half_close(lambda: seen.append(there.data)))
     two.on(two.here, lambda: log.connection.send(b"late"))
     two.on(two.here, log.connection.close)
     two.world.run(0.2)
@@ -202,7 +202,7 @@
     two.world.run(1.012)
     assert fired == ["kept"]
     assert two.here.now() != two.there.now()
-    assert abs(two.here.wall() - two.there.wall()) < 0.2
+    assert abs(two.here.wall_time() - two.there.wall_time()) < 0.2
 
 
 def test_datagrams_are_lost_overtaken_and_dropped_by_a_cut() -> None:
@@ -213,8 +213,8 @@
         assert sender == (HERE, 7)
         heard.append(int(data))
 
-    two.here.datagrams((HERE, 7), lambda sender, data: None)
-    two.there.datagrams((THERE, 7), ear)
+    two.here.listen_datagrams((HERE, 7), lambda sender, data: None)
+    two.there.listen_datagrams((THERE, 7), ear)
     for n in range(1000):
         two.here.send_datagram((THERE, 7), str(n).encode())
     two.world.run(1.0)
@@ -231,7 +231,7 @@
 
 def test_what_waits_for_a_frozen_process_is_bounded() -> None:
     two = Two()
-    two.there.datagrams((THERE, 7), lambda sender, data: None)
+    two.there.listen_datagrams((THERE, 7), lambda sender, data: None)
     two.there.freeze()
     for _ in range(1000):
         two.here.send_datagram((THERE, 7), b"x")
--- a/tests/simulation/toymesh.py
+++ b/tests/simulation/toymesh.py
@@ -128,7 +128,7 @@
             self.host.exit(0)
             return
         for port in (OUTBOUND, READINESS):
-            self.host.unlisten((self.ip, port))
+            self.host.stop_listening((self.ip, port))
         self.wait()
 
     def wait(self) -> None:
--- a/tests/transport/test_framing.py
+++ b/tests/transport/test_framing.py
@@ -25,9 +25,9 @@
 
 
 def test_a_frame_over_the_bound_is_refused_before_its_body_comes() -> None:
-    reader = FrameReader(most=100)
+    reader = FrameReader(max_size=100)
     assert reader.feed(encode_frame(b"x" * 97)) == [b"x" * 97]
-    with pytest.raises(ValueError, match="found a frame of 101 bytes, wanted at most 100"):
+    with pytest.raises(ValueError, match="frame: expected at most 100 bytes, got 101"):
         reader.feed(b"\0\0\0\x65")
 
 
@@ -35,7 +35,7 @@
     "body", [b"\xc1", b"\x01\x02", b"\x92\x01", b"\xa2\xff\xff", b"\xdd\xff\xff\xff\xff", b""]
 )
 def test_garbage_names_what_was_found(body: bytes) -> None:
-    with pytest.raises(ValueError, match=r"found .*, wanted one msgpack object"):
+    with pytest.raises(ValueError, match=r"frame body: expected one msgpack object, got .*"):
         FrameReader().feed(len(body).to_bytes(4, "big") + body)
 
 
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -9,7 +9,7 @@
 from honeywharf.transport.http_server import (
     IDLE_TIMEOUT_S,
     MAX_CONNECTIONS,
-    SMALL_BODY,
+    MAX_SMALL_BODY,
     HttpRequest,
     HttpServer,
 )
@@ -156,14 +156,14 @@
 
 def test_long_bodies_are_held_one_at_a_time() -> None:
     hall = Hall()
-    size = 8 * SMALL_BODY
+    size = 8 * MAX_SMALL_BODY
     first = hall.visit(post(body=b"a" * size)[:-1], seconds=0.5)
     second = hall.visit(post(body=b"b" * size), seconds=0.5)
     third = hall.visit(post(body=b"c" * size), seconds=0.5)
     assert not hall.calls
     for waiting in (second, third):
-        assert waiting.connection.unsent > size - SMALL_BODY - 300_000
-    short = hall.visit(post(body=b"s" * SMALL_BODY), seconds=0.5)
+        assert waiting.connection.unsent > size - MAX_SMALL_BODY - 300_000
+    short = hall.visit(post(body=b"s" * MAX_SMALL_BODY), seconds=0.5)
     assert [call.body[:1] for call in hall.calls] == [b"s"]
     hall.calls.pop().answer(200)
     first.connection.send(b"a")
@@ -183,8 +183,8 @@
 
 def test_a_caller_that_goes_silent_in_a_long_body_does_not_keep_the_place() -> None:
     hall = Hall()
-    first = hall.visit(post(body=b"a" * 4 * SMALL_BODY)[:-1], seconds=0.5)
-    second = hall.visit(post(body=b"b" * 4 * SMALL_BODY), seconds=0.5)
+    first = hall.visit(post(body=b"a" * 4 * MAX_SMALL_BODY)[:-1], seconds=0.5)
+    second = hall.visit(post(body=b"b" * 4 * MAX_SMALL_BODY), seconds=0.5)
     hall.run(IDLE_TIMEOUT_S + 1.0)
     assert first.gone is not None
     hall.run(0.5)
@@ -215,7 +215,7 @@
 
 def test_a_caller_that_left_is_answered_in_vain() -> None:
     hall = Hall()
-    visitor = hall.visit(post(body=bytes(2 * SMALL_BODY)), seconds=0.5)
+    visitor = hall.visit(post(body=bytes(2 * MAX_SMALL_BODY)), seconds=0.5)
     visitor.connection.abort()
     hall.run()
     hall.calls[0].answer(200)
