--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -18,7 +18,7 @@
 from bench.scale.reach import Zones
 from honeywharf.cli.ending import WrongError
 from honeywharf.cli.mesh import call
-from honeywharf.programs.start import VARIABLE
+from honeywharf.programs.start import SETTINGS_VARIABLE
 from honeywharf.simulation import field
 from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.rpc_client import RpcClient
@@ -82,7 +82,7 @@
         file.write_text(settings)
         arguments = ["bench.scale.real_process", json.dumps(asdict(self.plan)), program, str(limit_s)]
         address = (ip, self.plan.port(MANAGEMENT))
-        return Spawned(self.folder, name, address, arguments, {VARIABLE: str(file)})
+        return Spawned(self.folder, name, address, arguments, {SETTINGS_VARIABLE: str(file)})
 
     def _control(self, index: int, limit_s: float) -> Spawned:
         disk = self.folder / f"disk-{index}"
--- a/bench/scale/real_process.py
+++ b/bench/scale/real_process.py
@@ -21,7 +21,7 @@
 from bench.scale.messages import NodeSample
 from bench.scale.plan import MANAGEMENT, Plan
 from bench.scale.reach import Reach
-from honeywharf.programs.start import VARIABLE
+from honeywharf.programs.start import SETTINGS_VARIABLE
 from honeywharf.transport import event_loop as loop_module
 from honeywharf.transport.rpc_server import RpcServer
 
@@ -29,7 +29,7 @@
 def main(arguments: list[str]) -> int:
     """Run the program; its exit status, or 0 when the time is over."""
     plan, program, limit_s = Plan(**json.loads(arguments[0])), arguments[1], float(arguments[2])
-    settings = json.loads(Path(os.environ[VARIABLE]).read_text("utf-8"))
+    settings = json.loads(Path(os.environ[SETTINGS_VARIABLE]).read_text("utf-8"))
     ip, internal_port = settings["ip-address"], settings["internal-port-range"][0]
 
     def counted(directory: str | None) -> CountedLoop:
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -1,7 +1,4 @@
-"""The control plane's program.
-
-The operator's HTTP API, the quorum register, and gossip of what it decides.
-"""
+"""The control plane's program: the operators' HTTP API, the quorum register, and gossip of its decisions."""
 
 from __future__ import annotations
 
@@ -28,16 +25,18 @@
     from honeywharf.mesh_config.settings import Settings
 
 DEFAULT_SETTINGS = "/etc/honeywharf/boot.yaml"
-MAX_BODY = 65 << 20  # bytes of a configuration
-SHUTDOWN_S = 0.9  # that pending calls have after SIGTERM
-HANDOVER_S = 2.0  # that a standby has to take this machine's place, and at most half of `grace-period`
-PRELOAD_S = 0.5  # after the start, when the HTTP API and the register have answered whoever waited
-DISK_RETRY_S = 0.2  # after which a disk that fails at the start is tried again
-EXIT_DELAY_S = 0.02  # in which the last answers leave
+MAX_BODY = 65 << 20  # Bytes of a configuration.
+SHUTDOWN_TIMEOUT_S = 0.9  # Time for pending calls after SIGTERM.
+# Time for a standby to take this machine's place; at most half of `grace-period` is used.
+HANDOVER_TIMEOUT_S = 2.0
+# The first requests after the start are answered before the preload.
+PRELOAD_DELAY_S = 0.5
+DISK_RETRY_INTERVAL_S = 0.2  # For a disk that fails at the start.
+EXIT_DELAY_S = 0.02  # Time for the last answers to be sent.
 
 
 class ControlNode:
-    """One control node on its host: puts the parts together, starts them, and ends them on SIGTERM."""
+    """One control node on its host: connects its parts, starts them, and stops them on SIGTERM."""
 
     def __init__(self, host: Host, settings: Settings) -> None:
         self.host, self.settings = host, settings
@@ -66,17 +65,17 @@
         self.gather = Gather(self)
         self.leases = ControlLeases(self)
         self.hinted_handoff = ControlHandoff(self)
-        self._begin()
+        self._start()
 
-    def _begin(self) -> None:
-        """Start once the disk can be read."""
+    def _start(self) -> None:
+        """Starts the parts once the disk can be read."""
         if self.is_stopping:
             return
         try:
             self.replica.start()
         except OSError as error:
             self.host.log(f"control node: the disk fails: {error}")
-            self.host.after(DISK_RETRY_S, self._begin)
+            self.host.after(DISK_RETRY_INTERVAL_S, self._start)
             return
         settings, host = self.settings, self.host
         self.gather.start()
@@ -85,7 +84,7 @@
         self.membership = self._start_gossip()
         control_plane = settings.listen_addresses["control-plane"]
         self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY)
-        host.after(PRELOAD_S, self.operator.preload)
+        host.after(PRELOAD_DELAY_S, self.operator.preload)
         state = self.replica.state
         host.log(
             f"control node: {settings.node_name} at {settings.ip}, disk {state.disk}, roster {state.epoch}"
@@ -107,7 +106,7 @@
         return membership
 
     def _state_changed(self, state: MeshState) -> None:
-        """There is a newer committed state, and its text is here."""
+        """Announces a newer committed state, whose text is present."""
         self.host.log(f"control node: revision {state.revision}, configuration r{state.version}")
         self.gather.word(state)
         self.hinted_handoff.state_changed(state)
@@ -115,12 +114,12 @@
             self.membership.broadcast_revision(state.revision)
 
     def _newer_revision(self, revision: int, node: str) -> None:
-        """Gossip tells of a node that holds a newer revision."""
+        """Fetches a newer revision from the node that gossip reports for it."""
         if revision > self.replica.committed.revision:
             self.replica.committed.fetch((node, self.local_address[1]))
 
     def _other_control_nodes(self) -> list[Address]:
-        """The other control nodes that gossip knows."""
+        """Returns the other control nodes known by gossip."""
         if self.membership is None:
             return []
         return [
@@ -130,7 +129,7 @@
         ]
 
     def stop(self) -> None:
-        """SIGTERM: take no further calls, hand over this machine's place, end pending calls, and exit."""
+        """Shuts down on SIGTERM: rejects new calls, hands over the place, ends pending calls, and exits."""
         if self.is_stopping:
             return
         self.is_stopping = True
@@ -141,15 +140,15 @@
             self.membership.leave()
             self.membership.stop()
         self.is_handing_over = True
-        timeout = min(HANDOVER_S, self.settings.bound("grace-period", 2 * HANDOVER_S) / 2)
-        self.host.after(max(SHUTDOWN_S, timeout), partial(self.host.exit, 0))
+        timeout = min(HANDOVER_TIMEOUT_S, self.settings.bound("grace-period", 2 * HANDOVER_TIMEOUT_S) / 2)
+        self.host.after(max(SHUTDOWN_TIMEOUT_S, timeout), partial(self.host.exit, 0))
         self.replica.hand_over(timeout, self._handed_over)
         self._exit_when_idle()
 
     def _handed_over(self) -> None:
-        """The place has been taken, or nobody can take it: pending calls have a while to end."""
+        """Gives pending calls time to end, once the place is taken or nobody can take it."""
         self.is_handing_over = False
-        self.host.after(SHUTDOWN_S, partial(self.host.exit, 0))
+        self.host.after(SHUTDOWN_TIMEOUT_S, partial(self.host.exit, 0))
 
     def _exit_when_idle(self) -> None:
         if self.operator.pending_calls or self.is_handing_over:
@@ -159,7 +158,7 @@
 
 
 def main() -> int:
-    """Run by the settings file that the platform names; 2 where it can't be used."""
+    """Runs a control node; 2 if its settings file cannot be used."""
     from honeywharf.transport.event_loop import EventLoop
 
     settings = load_settings(DEFAULT_SETTINGS)
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -1,11 +1,11 @@
-"""Hinted handoff between control nodes: what an unreachable member missed, handed over on its return.
-
-The `KEEPERS` members that follow an unreachable one on the ring keep a hint that the state has changed.
-When it is in contact again, they send it the newest committed state. It then knows that state at once, and
-fetches its text, instead of after its own first heartbeat. Its vote is not touched: it accepts what it
-missed by a write of its own after some heartbeats (`MembershipManager`). A write at once was tried and
-dropped: a register whose disk has gone back was then repaired before its peers had told three heartbeats of
-it (`drift.gather`).
+"""Hinted handoff between control nodes: sends a returning member the state that it missed.
+
+The `HINT_REPLICAS` members that follow an unreachable member on the ring keep a hint that the state has
+changed. When the member is in contact again, they send it the newest committed state. It then knows that
+state at once and fetches its text, instead of after its own first heartbeat. The handoff does not touch the
+member's vote: the member accepts what it missed by a write of its own after some heartbeats
+(`MembershipManager`). A write at once would be unsafe: it would repair a register whose disk has gone back
+before its peers have reported three heartbeats of it (`drift.gather`).
 """
 
 from __future__ import annotations
@@ -27,57 +27,59 @@
     from honeywharf.transport.host import Address
     from honeywharf.transport.rpc_server import Reply
 
-KEEPERS = 2  # members that keep hints for an unreachable one
-LOOK_S = 0.3  # between looks at who is unreachable
-STATE_BYTES = 512  # that a state takes, nearly
-STATE_HINT = "word"  # the one hint that there is: the state has changed
+HINT_REPLICAS = 2  # Members that keep hints for an unreachable member.
+CHECK_INTERVAL_S = 0.3
+STATE_HINT_BYTES = 512  # Approximate size of a state without its digest.
+STATE_HINT = "word"  # The only hint: the state has changed.
 
 
 class ControlHandoff:
-    """See the module. `is_enabled` is switched off to measure what it brings."""
+    """Keeps hints for unreachable members and hands them over. `is_enabled` set to False stops new hints."""
 
     def __init__(self, program: ControlProgram) -> None:
         self.program, self.host, self.replica = program, program.host, program.replica
         self.hints = HintStore(self.host.log)
         self.is_enabled = True
-        self.newer_received = 0  # states that were newer than this node's, on its own return
+        self.newer_received = 0  # States received after a return that were newer than this node's.
         self.replica.membership.contacts.on_restored = self._restored
         self.replica.methods[rpc_methods.HINTED_HANDOFF] = self._answer_handoff
 
     def start(self) -> None:
-        """Begin to look."""
-        self.host.after(LOOK_S, self._look)
+        """Starts to check for unreachable members."""
+        self.host.after(CHECK_INTERVAL_S, self._check_unreachable)
 
-    def keeps_for(self, address: str) -> bool:
-        """Whether this node keeps hints for a member, by its address."""
+    def keeps_hints_for(self, address: str) -> bool:
+        """Returns whether this node keeps hints for the member at an address."""
         ring = Ring()
         for member in mesh_state.member_ids(self.replica.state.members):
             ring.add(member.address)
-        return self.replica.local_address in ring.after(address, KEEPERS)
+        return self.replica.local_address in ring.after(address, HINT_REPLICAS)
 
-    def _look(self) -> None:
+    def _check_unreachable(self) -> None:
         now = self.host.now()
-        self.host.after(LOOK_S, self._look)
+        self.host.after(CHECK_INTERVAL_S, self._check_unreachable)
         self.hints.sweep(now)
         unreachable = [member.address for member in self.replica.unreachable_members(UNREACHABLE_AFTER_S)]
         for address in [one for one in self.hints.by_machine if one not in unreachable]:
-            self.hints.drop(address)  # it is no member any more
+            self.hints.drop(address)  # It is no longer a member.
         for address in unreachable:
-            is_new = self.is_enabled and address not in self.hints.by_machine and self.keeps_for(address)
+            is_new = (
+                self.is_enabled and address not in self.hints.by_machine and self.keeps_hints_for(address)
+            )
             if is_new and self.hints.begin(address, now):
                 self._add_hint([address])
 
     def state_changed(self, state: MeshState) -> None:
-        """A newer state is in force: those who are unreachable should have it."""
+        """Adds a hint about a newer state for the unreachable members."""
         self._add_hint(self.hints.by_machine)
 
     def _add_hint(self, addresses: Iterable[str]) -> None:
         state = self.replica.known_state
         if state is not None:
-            self.hints.add(STATE_HINT, STATE_BYTES + len(state.digest), addresses)
+            self.hints.add(STATE_HINT, STATE_HINT_BYTES + len(state.digest), addresses)
 
     def _restored(self, member: MemberId) -> None:
-        """A member is in contact again: hand over at once, before its own heartbeats ask."""
+        """Hands over to a member that is in contact again, before its own heartbeats ask."""
         state = self.replica.known_state
         if self.hints.take(member.address) and state is not None:
             self.program.caller.call(
@@ -89,14 +91,14 @@
             )
 
     def _answer_handoff(self, args: Any, reply: Reply, peer: Address) -> None:
-        """What this node should have had while it was away."""
+        """Takes the state that this node missed while it was unreachable."""
         known = self.replica.known_state
         self.newer_received += known is None or args["rev"] > known.revision
         self.replica.committed.adopt(args)
         reply(True)
 
     def view(self) -> dict[str, Any]:
-        """Figures for operators, as JSON (docs/operators/duties.md)."""
+        """Returns the counters for operators, as JSON (docs/operators/duties.md)."""
         hints = self.hints
         return {
             "missing": len(hints.by_machine),
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -1,4 +1,4 @@
-"""Leases in a control node: the votes that it grants, its own lease to remove members, and a view of both."""
+"""Leases in a control node: the votes that it grants, its own lease to remove members, and their view."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from honeywharf.transport.rpc_server import Reply
 
 REMOVAL_ROLE = Role(MEMBER_REMOVAL, "", 0)
-HOLDER_BYTES = 6  # of randomness in the name of this process as a holder
-MAX_NAME = 200  # characters of a name in a call
+HOLDER_ID_BYTES = 6  # Random bytes in the name of this process as a lease holder.
+MAX_NAME_LENGTH = 200  # Characters of a name in a call.
 
 
 class ControlLeases:
-    """See the module. It is the replica's `RemovalLease`."""
+    """The lease votes and the removal lease of a control node. Implements the replica's `RemovalLease`."""
 
     def __init__(self, program: ControlProgram) -> None:
         self.program, self.host, self.replica = program, program.host, program.replica
         self.grantor = Grantor(self.host.now(), self.slots)
-        self.holder = f"{self.replica.local_address}/{self.host.random(HOLDER_BYTES).hex()}"
+        self.holder = f"{self.replica.local_address}/{self.host.random(HOLDER_ID_BYTES).hex()}"
         self.acquisition: LeaseAcquisition | None = None
-        self.outcomes = {"granted": 0, "refused": 0, "lost": 0}  # of this node's own acquisitions
+        self.outcomes = {"granted": 0, "refused": 0, "lost": 0}  # Of this node's own acquisitions.
         self.replica.membership.removal.lease = self
         self.replica.methods[rpc_methods.LEASE_REQUEST] = self._answer_request
         self.replica.methods[rpc_methods.LEASE_RELEASE] = self._answer_release
@@ -42,14 +42,14 @@
     # Votes.
 
     def slots(self, kind: str, scope: str) -> int:
-        """How many may have a role at once, by the sidecars that gossip knows here."""
+        """Returns how many nodes may hold a role at once, from the sidecars known by gossip."""
         if kind == MEMBER_REMOVAL:
             return int(scope == "")
         zones = self._sidecar_zones()
         return states.zone_places(zones.count(scope)) if scope else states.all_places(len(zones))
 
     def _sidecar_zones(self) -> list[str]:
-        """The zone of each sidecar that gossip knows."""
+        """Returns the zone of each sidecar known by gossip."""
         membership = self.program.membership
         if membership is None:
             return []
@@ -62,7 +62,7 @@
         _check_numbers(slot, number, epoch)
         state = self.replica.state
         if disk != state.disk or not self.replica.is_member():
-            reply([VoteAnswer.OTHER_EPOCH, 0])  # the caller means another member
+            reply([VoteAnswer.OTHER_EPOCH, 0])  # The caller means another member.
             return
         accepted_epoch = state.value.epoch if state.value is not None else 0
         now = self.host.now()
@@ -80,14 +80,14 @@
     # This node's own lease.
 
     def _call(self, to: Address, method: str, args: Any, timeout: float, done: Callable[[Any], None]) -> None:
-        """As `Caller.call`, but to this machine without a connection."""
+        """Calls a method like `RpcClient.call`, but without a connection on this machine."""
         if to == self.program.local_address:
             self.host.after(0.0, lambda: self.replica.methods[method](args, done, to))
         else:
             self.program.caller.call(to, method, args, timeout, done)
 
     def begin(self, done: Callable[[bool], None]) -> None:
-        """Ask for the lease; False at once while there is another such acquisition."""
+        """Requests the lease. Reports False at once while another acquisition is in progress."""
         if self.acquisition is not None:
             done(False)
             return
@@ -106,7 +106,7 @@
         self.outcomes["granted" if granted else "refused"] += 1
         if granted and self.acquisition is not None:
             number = self.acquisition.numbers()[0]
-            # The words are those that docs/operators/duties.md names.
+            # docs/operators/duties.md documents this line.
             self.host.log(f"duties: upkeep of the roster is ours, number {number}")
         else:
             self.acquisition = None
@@ -116,11 +116,11 @@
         self.outcomes["lost"] += 1
 
     def holds(self) -> bool:
-        """Whether the lease is held now."""
+        """Returns whether the lease is held now."""
         return self.acquisition is not None and self.acquisition.holds()
 
     def end(self) -> None:
-        """Give it back."""
+        """Releases the lease."""
         acquisition, self.acquisition = self.acquisition, None
         if acquisition is not None:
             acquisition.end()
@@ -146,12 +146,14 @@
 
 
 def _check_names(*names: object) -> None:
-    """ValueError where a call holds something else."""
-    if not all(isinstance(name, str) and len(name) <= MAX_NAME for name in names):
-        raise ValueError("found something else, wanted names")
+    """Raises ValueError unless all are short strings."""
+    if not all(isinstance(name, str) and len(name) <= MAX_NAME_LENGTH for name in names):
+        raise ValueError(
+            f"lease call: expected names of at most {MAX_NAME_LENGTH} characters, got another value"
+        )
 
 
 def _check_numbers(*numbers: object) -> None:
-    """ValueError where a call holds something else."""
+    """Raises ValueError unless all are integers."""
     if not all(type(number) is int for number in numbers):
-        raise ValueError("found something else, wanted numbers")
+        raise ValueError("lease call: expected integers, got another value")
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -47,7 +47,7 @@
 MIN_BUFFERED_BYTES = 4 << 20  # The limit of bytes in flight on the smallest machine.
 SHORT_SESSIONS_S = 1.0  # A drain waits this long for short sessions before it asks them to move too.
 EXIT_MARGIN_S = 0.4  # The process exits this long before the end of `grace-period`.
-COUNTERS_S = 10.0
+COUNTERS_INTERVAL_S = 10.0
 MAX_LINKS = 2048
 MAX_OPERATOR_BODY = 1 << 16  # In bytes.
 BYTES_PER_MEGABIT = 125_000.0
@@ -115,7 +115,7 @@
             HttpServer(host, options.operator_address, self._answer_operator, MAX_OPERATOR_BODY)
         host.listen(location.address, self._accept)
         host.after(STATE_INTERVAL_S, self._broadcast_periodically)
-        host.after(COUNTERS_S, self._log_counters_periodically)
+        host.after(COUNTERS_INTERVAL_S, self._log_counters_periodically)
 
     # Links.
 
@@ -300,7 +300,7 @@
 
     def _log_counters_periodically(self) -> None:
         self.counters()
-        self.host.after(COUNTERS_S, self._log_counters_periodically)
+        self.host.after(COUNTERS_INTERVAL_S, self._log_counters_periodically)
 
 
 class OtherGateway:
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -1,11 +1,11 @@
-"""The data plane's program: put together here, and nowhere else."""
+"""The data plane's program: creates and connects the parts of a sidecar."""
 
 from __future__ import annotations
 
 import os
 import sys
 
-if __name__ == "__main__":  # run by its path: the folder above the package is where the package is found
+if __name__ == "__main__":  # Run by its path: the package is found in the directory above it.
     sys.path[0] = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from honeywharf.drift.judge import host_of
@@ -41,17 +41,17 @@
     from honeywharf.transport.host import Address, Connection, Handler, Host
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
-COUNTERS_S = 10.0  # between lines of counters in the log
-DEFAULT_GRACE_S = 5.0
-MAX_HEARTBEAT_BODY, MAX_READINESS_BODY = 1 << 20, 1 << 16  # bytes
+COUNTERS_INTERVAL_S = 10.0  # Interval of the counters in the log.
+DEFAULT_GRACE_PERIOD_S = 5.0
+MAX_HEARTBEAT_BODY, MAX_READINESS_BODY = 1 << 20, 1 << 16  # Bytes.
 NO_APPLICATION = ("127.0.0.1", 0)
 SEED_BYTES = 8
 
 
 class Sidecar:
-    """One running sidecar: puts the parts together and passes what one learns to the others.
+    """One running sidecar: creates its parts and passes events between them.
 
-    Order matters in `__init__`: parts that send at once come after those that answer.
+    The order in `__init__` matters: a part that sends at once is created after the parts that answer it.
     """
 
     def __init__(self, host: Host, settings: Settings) -> None:
@@ -79,7 +79,7 @@
         self.probe = Probe(host, application, self.gate, self._gate_changed)
         self.drift_monitor = self.source.drift_monitor = self.inbound.drift_monitor = DriftMonitor(self)
         self._listen_for_peers()
-        self.announced_changes = 0  # of the gate
+        self.announced_changes = 0  # Number of the gate's last announced change.
         self.logged_state = UNKNOWN
         self.heartbeats = Beats(host, self.gate, self._gate_changed)
         self.http_servers = self._start_http_servers()
@@ -87,7 +87,7 @@
         self.outbound = Outbound(host, outbound_address, self.mesh_state, self.source)
         self.shutdown = Shutdown(
             host,
-            settings.bound("grace-period", DEFAULT_GRACE_S),
+            settings.bound("grace-period", DEFAULT_GRACE_PERIOD_S),
             self.source,
             self.inbound,
             self.outbound,
@@ -96,7 +96,7 @@
         )
         self.source.told(settings.ip, self.gate.say(), settings.zone)
         self.mesh_state.start()
-        host.after(COUNTERS_S, self._log_counters_periodically)
+        host.after(COUNTERS_INTERVAL_S, self._log_counters_periodically)
 
     def _start_gossip(self) -> Membership:
         settings, host = self.settings, self.host
@@ -111,20 +111,20 @@
         source = Source(self.host, self.settings, self.mesh_state, self.inbound, draw)
         source.proxies, source.helper = self._count_sidecars, self.choose_delegate
         if self.settings.gateways:
-            # Imported here, so that a mesh of one region does not load it.
+            # Imported here, so that a mesh of one region does not load the module.
             from honeywharf.sessions.remote_regions import regions_from_settings
 
             source.remote_regions = regions_from_settings(self.host, self.settings, self.inbound.begin, draw)
         return source
 
     def _listen_for_peers(self) -> None:
-        """Answer the calls and links of other processes."""
+        """Accepts the calls and links of other processes."""
         methods = {**self.mesh_state.methods(), **self.drift_monitor.methods()}
         server = RpcServer(methods, self._serve_link, log=self.host.log)
         self.host.listen((self.settings.ip, self.settings.internal_ports[0]), server.accept)
 
     def _start_http_servers(self) -> list[HttpServer]:
-        """The backend's heartbeats, and the platform's readiness probe."""
+        """Starts the servers for the backend's heartbeats and the platform's readiness probe."""
         addresses = self.settings.listen_addresses
         return [
             HttpServer(self.host, addresses["control-plane"], self.heartbeats.take, MAX_HEARTBEAT_BODY),
@@ -137,9 +137,9 @@
         return max(1, len(self.source.list))
 
     def control_nodes(self) -> list[Address]:
-        """Control nodes' internal addresses, those of the own zone first.
+        """Returns the control nodes' internal addresses, those of the own zone first.
 
-        All that gossip knows, else the seeds.
+        These are the live control nodes known by gossip, or the seeds if there is none.
         """
         port = self.settings.internal_ports[0]
         known = [
@@ -167,7 +167,7 @@
         self.drift_monitor.word_changed()
 
     def apply(self) -> None:
-        """Have every part decide by the mesh state in force."""
+        """Applies the current mesh state to every part."""
         now, state = self.host.now(), self.mesh_state
         self.gate.evacuate(now, self.settings.zone in state.evacuated)
         if state.table is not None:
@@ -184,7 +184,7 @@
         self.handshakes += 1
 
     def _gate_changed(self) -> None:
-        """The gate's state may have changed: tell other nodes where it matters to them."""
+        """Publishes a changed state of the gate to other nodes."""
         gate = self.gate
         self.probe.look()
         if gate.changes == self.announced_changes and not self.inbound.leaving:
@@ -201,19 +201,21 @@
 
     def _serve_link(self, connection: Connection, reader: FrameReader, frames: list[Any]) -> Handler:
         reader.max_frame = MAX_FRAME
-        return LinkServer(connection, reader, frames, self._begin_request)
+        return LinkServer(connection, reader, frames, self._handle_forwarded_request)
 
-    def _begin_request(self, request: ForwardedRequest, responder: Responder) -> RequestHandler | None:
-        """A request of another sidecar: for the gate here, or to be decided here."""
+    def _handle_forwarded_request(
+        self, request: ForwardedRequest, responder: Responder
+    ) -> RequestHandler | None:
+        """Handles a request of another sidecar: for the backend here, or to be routed from here."""
         if request.kind != DELEGATED:
             return self.inbound.begin(request, responder)
-        # Imported here: needed only where another sidecar is suspected of drift.
+        # Imported here, because it is needed only if another sidecar is suspected of drift.
         from honeywharf.sidecar.bypass import take
 
         return take(self.source, request, host_of(request.fields), responder)
 
     def choose_delegate(self, excluded: Container[str]) -> str | None:
-        """A healthy sidecar of this region, of this zone where there is one; None without one."""
+        """Returns a healthy sidecar of this region, preferably of this zone; None if there is none."""
         settings, near, far = self.settings, [], []
         for node, entry in self.membership.entries().items():
             attributes = entry.attributes
@@ -243,10 +245,10 @@
             call.answer(503, b"leaving" if self.shutdown.begun else b"no word yet")
 
     def terminate(self) -> None:
-        """SIGTERM: a graceful shutdown.
+        """Starts a graceful shutdown on SIGTERM.
 
-        Clients are sent elsewhere from now on; the backend behind the gate stays in service until shortly
-        before the end, as a fleet that is rolled lacks each one for the time that its gate is closed.
+        Clients are sent elsewhere from now on. The backend stays in service until shortly
+        before the end, because a rolling restart loses each backend's capacity while its gate is closed.
         """
         self.shutdown.begin()
 
@@ -257,7 +259,7 @@
     # Counters.
 
     def counters(self) -> None:
-        """Log one line of what was done so far."""
+        """Logs one line with all counters."""
         inbound = self.inbound
         rejected = " ".join(
             f"{WORDS[why].replace(' ', '-')}={n}" for why, n in sorted(inbound.refused.items())
@@ -273,11 +275,11 @@
 
     def _log_counters_periodically(self) -> None:
         self.counters()
-        self.host.after(COUNTERS_S, self._log_counters_periodically)
+        self.host.after(COUNTERS_INTERVAL_S, self._log_counters_periodically)
 
 
 def main() -> int:
-    """Run until the platform ends it; the exit status."""
+    """Runs until the platform ends the process, and returns the exit status."""
     from signal import SIGHUP, SIGTERM
 
     from honeywharf.transport.event_loop import EventLoop
--- a/honeywharf/programs/start.py
+++ b/honeywharf/programs/start.py
@@ -1,4 +1,4 @@
-"""How a program of the mesh starts: the settings that its environment names, or a line on what is wrong."""
+"""Loads the settings of a program of the mesh from the file that its environment names."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from honeywharf.mesh_config.settings import Settings
 
-VARIABLE = "HONEYWHARF_SETTINGS"
+SETTINGS_VARIABLE = "HONEYWHARF_SETTINGS"
 
 
 def load_settings(default: str = "") -> Settings | None:
-    """The settings; None where they can't be used, after one line on standard error.
+    """Returns the settings; None, after one line on standard error, if they cannot be used.
 
-    `default`: the path where the environment names none; empty: it must name one.
+    `default` is the path to use if the environment names none. If it is empty, the environment must name one.
     """
     from honeywharf.mesh_config.settings import SettingsError, load
 
-    path = os.environ.get(VARIABLE, default)
+    path = os.environ.get(SETTINGS_VARIABLE, default)
     if not path:
-        sys.stderr.write(f"found no {VARIABLE}, wanted the path of a settings file\n")
+        sys.stderr.write(f"{SETTINGS_VARIABLE}: expected the path of a settings file, got nothing\n")
         return None
     try:
         return load(path)
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -224,12 +224,7 @@
         on_request: Callable[[HttpRequest], None],
         max_body_size: int = 65 << 20,
     ) -> None:
-        self.host, self.address, self.handle, self.max_body = (
-            host,
-            address,
-            on_request,
-            max_body_size,
-        )
+        self.host, self.address, self.handle, self.max_body = host, address, on_request, max_body_size
         self.connections = self.calls = 0
         self.is_closing = False
         self.long_bodies: list[_HttpConnection] = []  # Only the first one reads its long body.
