--- a/bench/hinted_handoff.py
+++ b/bench/hinted_handoff.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable
 
 from honeywharf.gossip.membership import Membership
-from tests.gossip.network import GossipNetwork, knows, sample
+from tests.gossip.network import GossipNetwork, knows, sample_attributes
 
 HOWS = ("freeze", "cut", "restart")
 
@@ -103,7 +103,7 @@
 def leave(network: GossipNetwork, gone: str, how: str, others: list[str]) -> Callable[[], object]:
     """Have a node go; what brings it back."""
     if how == "freeze":
-        network.machines[gone].frozen = True
+        network.machines[gone].is_frozen = True
         return network.machines[gone].resume
     if how == "cut":
         network.cut([gone], others)
@@ -114,7 +114,7 @@
 
 def restart(network: GossipNetwork, gone: str) -> Membership:
     """Start it anew, with a higher incarnation."""
-    return network.start(gone, 2, **sample(gone))
+    return network.start(gone, 2, **sample_attributes(gone))
 
 
 def trouble(network: GossipNetwork, others: list[str], changes: int, seed: int) -> None:
--- a/bench/mesh_membership.py
+++ b/bench/mesh_membership.py
@@ -151,13 +151,13 @@
     network: GossipNetwork, doubts: Doubts, trouble: Callable[[Troubles], Callable[[], None]], span: float
 ) -> dict[str, float]:
     """One trouble: what it showed."""
-    downs, raised, nodes = len(network.downs), len(doubts.raised), len(network.live())
+    downs, raised, nodes = len(network.down_reports), len(doubts.raised), len(network.live())
     network.bytes = dict.fromkeys(network.bytes, 0)
     began = network.now
     undo = trouble(Troubles(network))
     network.run(span / 3)
     ended = Troubles(network).some(0.0)[0]
-    while network.machines[ended].frozen:
+    while network.machines[ended].is_frozen:
         ended = Troubles(network).some(0.0)[0]
     network.kill(ended)
     at = network.now
@@ -170,7 +170,7 @@
     undo()
     return {
         "an end is known to all, s": took,
-        "held down in vain": sum(node != ended for _, _, node in network.downs[downs:]),
+        "held down in vain": sum(node != ended for _, _, node in network.down_reports[downs:]),
         "doubts in vain": sum(node != ended for _, node in doubts.raised[raised:]),
         "bytes/s within": spent["within"],
         "bytes/s between": spent["between"],
--- a/bench/mesh_news.py
+++ b/bench/mesh_news.py
@@ -19,7 +19,7 @@
 import tracemalloc
 
 from honeywharf.gossip.gossip import Gossip
-from tests.gossip.network import GossipNetwork, sample
+from tests.gossip.network import GossipNetwork, sample_attributes
 
 
 def main() -> int:
@@ -59,13 +59,13 @@
     out |= {f"idle, {name}/s": value / 10.0 for name, value in spent(network, "", nodes).items()}
     out |= reach(network, "change", nodes)
     out |= reach(network, "word", nodes)
-    vain = len(network.downs)
+    vain = len(network.down_reports)
     ended = network.names[nodes // 2]
     began = network.now
     network.kill(ended)
     network.run(20.0, lambda: all(not membership.is_alive(ended) for membership in network.live()))
     out["all hold an ended node down, s"] = network.now - began
-    out["held down in vain"] = vain + sum(node != ended for _, _, node in network.downs[vain:])
+    out["held down in vain"] = vain + sum(node != ended for _, _, node in network.down_reports[vain:])
     return out
 
 
@@ -119,7 +119,7 @@
     told: list[bytes] = []
     for at in range(1000):
         name = f"10.1.{at >> 8}.{at & 255}"
-        other = Gossip(name, "east", NoChance(), sample(name), 1, ["10.9.0.1"])
+        other = Gossip(name, "east", NoChance(), sample_attributes(name), 1, ["10.9.0.1"])
         told.append(next(data for _, data in other.tick(0.0) if data[:1] == b"h"))
     table = Gossip("10.9.0.1", "east", NoChance(), {}, 1)
     tracemalloc.start()
--- a/tests/failure_detector/test_ring.py
+++ b/tests/failure_detector/test_ring.py
@@ -1,4 +1,4 @@
-"""Who watches whom."""
+"""The assignment of watchers to nodes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert len(rings) == len(zone)
 
 
-def test_the_two_elsewhere_stand_in_two_zones() -> None:
+def test_watchers_in_other_zones_are_in_two_zones() -> None:
     rings = Rings()
     for at in range(30):
         rings.add(f"10.{at % 3}.0.{at}", f"z{at % 3}")
@@ -48,7 +48,7 @@
         assert len({by.split(".")[1] for by in far}) == FAR_WATCHERS
 
 
-def test_the_work_is_spread() -> None:
+def test_watchers_are_evenly_distributed() -> None:
     rings = Rings()
     nodes = [(f"10.{at % 3}.0.{at}", f"z{at % 3}") for at in range(90)]
     for node, zone in nodes:
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from tests.gossip.network import GossipNetwork, attribute, sample, settled
+from tests.gossip.network import GossipNetwork, attribute, converged_network, sample_attributes
 
 
 @pytest.mark.parametrize(("nodes", "seed"), [(3, 1), (13, 1), (13, 2), (100, 1), (100, 2)])
-def test_all_know_all_soon_after_the_first_start(nodes: int, seed: int) -> None:
+def test_all_nodes_know_each_other_soon_after_the_start(nodes: int, seed: int) -> None:
     network = GossipNetwork(seed, nodes)
     network.start_all(spread=0.5)
     network.run(0.6)
@@ -18,45 +18,47 @@
 
 
 @pytest.mark.parametrize("nodes", [13, 100])
-def test_a_change_reaches_all(nodes: int) -> None:
-    network = settled(nodes)
+def test_a_published_change_reaches_all_nodes(nodes: int) -> None:
+    network = converged_network(nodes)
     for name in network.names[5:8]:
         network.memberships[name].publish(state="draining")
         assert network.run(2.0, network.all_know)
         assert all(attribute(each, name, "state") == "draining" for each in network.live())
 
 
-def note(told: list[tuple[int, str]], revision: int, holder: str) -> None:
-    told.append((revision, holder))
+def record_revision(revisions: list[tuple[int, str]], revision: int, holder: str) -> None:
+    revisions.append((revision, holder))
 
 
-def test_a_word_reaches_all_and_is_told_until_it_is_taken() -> None:
-    network = settled(100)
-    told: dict[str, list[tuple[int, str]]] = {name: [] for name in network.names}
+def test_a_revision_reaches_all_nodes_and_is_reported_until_published() -> None:
+    network = converged_network(100)
+    revisions: dict[str, list[tuple[int, str]]] = {name: [] for name in network.names}
     for name, membership in network.memberships.items():
-        membership.on_newer_revision = partial(note, told[name])
+        membership.on_newer_revision = partial(record_revision, revisions[name])
     first = network.names[7]
     network.memberships[first].broadcast_revision(9)
-    assert network.run(1.0, lambda: all(told[name] for name in network.names if name != first))
-    assert not told[first]
-    assert told[network.names[8]][0] == (9, first)
+    assert network.run(1.0, lambda: all(revisions[name] for name in network.names if name != first))
+    assert not revisions[first]
+    assert revisions[network.names[8]][0] == (9, first)
     for name in network.names[50:]:
         network.memberships[name].publish(rev=9)
-    before = len(told[network.names[8]])
+    before = len(revisions[network.names[8]])
     network.run(2.0)
-    assert len(told[network.names[8]]) > before, "who has not taken it is told again"
+    assert len(revisions[network.names[8]]) > before, (
+        "the callback repeats until the node publishes the revision"
+    )
     for name in network.names:
         network.memberships[name].publish(rev=9)
-        told[name].clear()
+        revisions[name].clear()
     network.run(3.0)
-    assert not any(told.values())
+    assert not any(revisions.values())
     watched = network.memberships[first].failure_detector.rings.watched(first, network.machines[first].zone)
     for name in watched[0] + watched[1]:
         assert attribute(network.memberships[first], name, "rev") == 9, "heartbeats carry it"
 
 
-def test_a_revision_alone_costs_no_rumour() -> None:
-    network = settled(100, loss=0.0)
+def test_a_revision_without_other_changes_sends_no_rumour() -> None:
+    network = converged_network(100, loss=0.0)
     network.run(2.0)
     before = network.sent
     network.run(2.0)
@@ -67,8 +69,8 @@
     assert network.sent - before < 1.1 * idle
 
 
-def test_who_leaves_is_known_to_have_left_is_dropped_and_does_not_come_back() -> None:
-    network = settled(30)
+def test_a_node_that_leaves_is_dropped_and_does_not_reappear() -> None:
+    network = converged_network(30)
     name = network.names[11]
     network.memberships[name].leave()
     assert network.run(2.0, lambda: not any(membership.is_alive(name) for membership in network.live()))
@@ -78,24 +80,24 @@
     network.run(80.0)
     assert not any(name in membership.entries() for membership in network.live())
     assert all(not membership.gossip.table.dropped for membership in network.live())
-    assert network.downs == []
+    assert network.down_reports == []
 
 
 @pytest.mark.parametrize("incarnation", [0, 1, 2])
-def test_a_node_that_starts_again_is_heard_whatever_its_clock_says(incarnation: int) -> None:
-    network = settled(30)
+def test_a_restarted_node_is_accepted_with_any_incarnation(incarnation: int) -> None:
+    network = converged_network(30)
     name = network.names[11]
     network.memberships[name].publish(state="draining")
     network.run(2.0)
-    network.start(name, incarnation, **{**sample(name), "id": "i-new"})
+    network.start(name, incarnation, **{**sample_attributes(name), "id": "i-new"})
     network.run(0.2)
     assert network.run(4.0, network.all_know)
     assert all(attribute(each, name, "id") == "i-new" for each in network.live())
 
 
 @pytest.mark.parametrize("away", [8.0, 20.0, 60.0])
-def test_two_halves_that_were_cut_find_each_other(away: float) -> None:
-    network = settled(40)
+def test_partitioned_halves_merge_after_the_partition(away: float) -> None:
+    network = converged_network(40)
     near = [name for name in network.names if name.startswith("10.1.")]
     far = [name for name in network.names if name not in near]
     network.cut(near, far)
@@ -114,15 +116,15 @@
             network.all_know() and all(sum(map(s.is_alive, s.entries())) == everyone for s in network.live())
         ),
     )
-    network.downs.clear()
+    network.down_reports.clear()
     network.run(10.0)
-    assert network.downs == []
+    assert network.down_reports == []
 
 
-def test_who_was_frozen_until_it_was_dropped_comes_back() -> None:
-    network = settled(30)
+def test_a_node_frozen_until_it_was_dropped_returns() -> None:
+    network = converged_network(30)
     name = network.names[11]
-    network.machines[name].frozen = True
+    network.machines[name].is_frozen = True
     network.run(45.0)
     assert not any(
         name in membership.entries() for membership in network.live() if membership.local_node != name
@@ -134,11 +136,11 @@
     )
 
 
-def test_seeds_that_are_down_are_found_later() -> None:
+def test_a_seed_that_starts_late_is_found() -> None:
     network = GossipNetwork(1, 12)
     for name in network.names[1:]:
-        network.start(name, **sample(name))
+        network.start(name, **sample_attributes(name))
     network.run(10.0)
-    network.start(network.names[0], **sample(network.names[0]))
+    network.start(network.names[0], **sample_attributes(network.names[0]))
     network.run(0.1)
     assert network.run(3.0, network.all_know)
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -1,15 +1,15 @@
-"""Gossip and the failure detector joined on a host."""
+"""Membership: gossip and the failure detector on one host."""
 
 from __future__ import annotations
 
 import random
 
 from honeywharf.gossip.membership import XorShift
-from tests.gossip.network import PORT, attribute, settled
+from tests.gossip.network import PORT, attribute, converged_network
 
 
-def test_foreign_datagrams_of_every_first_byte_are_survived() -> None:
-    network = settled(5, loss=0.0)
+def test_random_datagrams_of_every_kind_have_no_effect() -> None:
+    network = converged_network(5, loss=0.0)
     rng = random.Random(5)
     membership = network.memberships[network.names[0]]
     for first in range(256):
@@ -23,25 +23,27 @@
     network.run(4.0)
     assert network.all_know()
     assert membership.gossip.malformed_datagrams == malformed
-    assert network.downs == []
+    assert network.down_reports == []
 
 
-def test_who_doubts_another_does_not_take_its_own_words_back_for_news() -> None:
-    network = settled(13)
-    gone = network.names[6]
-    network.machines[gone].frozen = True
+def test_published_suspicions_that_return_are_not_renumbered() -> None:
+    network = converged_network(13)
+    frozen_node = network.names[6]
+    network.machines[frozen_node].is_frozen = True
     network.run(3.0)
-    assert network.downs
-    others = [membership.gossip for membership in network.live() if membership.local_node != gone]
-    numbers = [one.table.own.sequence for one in others]
-    assert max(numbers) <= 4, "each doubt is told once; a storm renumbers with each echo"
-    held = network.sent
+    assert network.down_reports
+    datagrams_before = [
+        membership.gossip for membership in network.live() if membership.local_node != frozen_node
+    ]
+    sequences = [one.table.own.sequence for one in datagrams_before]
+    assert max(sequences) <= 4, "each suspicion is published once, not again with each copy that returns"
+    datagrams_before_quiet = network.sent
     network.run(3.0)
-    assert network.sent - held < 3 * 250, "a silent node costs the others no more than a quiet day"
+    assert network.sent - datagrams_before_quiet < 3 * 250, "a frozen node adds no traffic"
 
 
-def test_who_has_stopped_sends_nothing_and_calls_nobody() -> None:
-    network = settled(5)
+def test_a_stopped_membership_sends_nothing_and_calls_no_callback() -> None:
+    network = converged_network(5)
     membership = network.memberships[network.names[0]]
     membership.leave()
     membership.stop()
@@ -49,17 +51,17 @@
     membership.on_newer_revision = lambda *_: calls.append("word")
     membership.on_down = lambda *_: calls.append("down")
     calls: list[str] = []
-    others = network.sent
+    datagrams_before = network.sent
     network.run(0.0)
-    assert network.sent == others
+    assert network.sent == datagrams_before
     network.memberships[network.names[1]].broadcast_revision(4)
     network.run(5.0)
     assert calls == []
     assert not network.memberships[network.names[1]].is_alive(network.names[0])
 
 
-def test_a_program_that_tells_in_a_callback_is_heard() -> None:
-    network = settled(13)
+def test_an_attribute_published_in_a_callback_reaches_all_nodes() -> None:
+    network = converged_network(13)
     one, other = network.memberships[network.names[1]], network.memberships[network.names[2]]
     one.on_change = lambda node, entry, old: one.publish(seen=node) if node == network.names[2] else None
     other.publish(state="draining")
@@ -67,16 +69,16 @@
     assert network.run(2.0, network.all_know)
 
 
-def test_chance_is_even_enough() -> None:
+def test_xorshift_is_roughly_uniform() -> None:
     generator = XorShift(b"\x00" * 8)
-    drawn = [generator.random() for _ in range(4000)]
-    assert all(0.0 <= value < 1.0 for value in drawn)
-    tenths = [sum(at <= value * 10 < at + 1 for value in drawn[100:]) for at in range(10)]
+    values = [generator.random() for _ in range(4000)]
+    assert all(0.0 <= value < 1.0 for value in values)
+    tenths = [sum(at <= value * 10 < at + 1 for value in values[100:]) for at in range(10)]
     assert min(tenths) > 300
 
 
-def test_an_end_is_told_and_then_it_is_quiet_again() -> None:
-    network = settled(13)
+def test_traffic_returns_to_normal_after_a_node_fails() -> None:
+    network = converged_network(13)
     network.run(2.0)
     network.kill(network.names[6])
     network.run(3.0)
@@ -84,11 +86,11 @@
     assert max(entry.sequence for entry in network.live()[0].entries().values()) <= 6
     network.bytes = dict.fromkeys(network.bytes, 0)
     network.run(2.0)
-    assert sum(network.bytes.values()) / 2.0 / 12 < 500, "bytes a second of a node"
+    assert sum(network.bytes.values()) / 2.0 / 12 < 500, "bytes per second and node"
 
 
-def test_who_hears_its_own_words_again_does_not_take_them_for_others() -> None:
-    network = settled(4)
+def test_attributes_changed_by_encoding_are_not_refuted() -> None:
+    network = converged_network(4)
     first = network.memberships[network.names[3]]
     before = first.entries()[first.local_node].sequence
     first.publish(odd=(1, (2, b"x")), more=[(3,)], none=None)
--- a/tests/hinted_handoff/test_hints.py
+++ b/tests/hinted_handoff/test_hints.py
@@ -6,7 +6,7 @@
 from honeywharf.hinted_handoff.gossip_hints import GossipHintStore
 from honeywharf.hinted_handoff.hints import HintStore
 from tests.control.cluster import ControlCluster
-from tests.gossip.network import GossipNetwork, knows, settled
+from tests.gossip.network import GossipNetwork, converged_network, knows
 
 
 def test_the_newest_of_each_thing_is_handed_over_once() -> None:
@@ -80,7 +80,7 @@
 
 def returned(keeps: bool, seed: int) -> float:
     """Returns the seconds until a node knows all entries again after a partition."""
-    network = settled(13, seed, loss=0.0)
+    network = converged_network(13, seed, loss=0.0)
     for membership in network.live():
         membership.keeps_hints = keeps
     network.run(2.0)
@@ -111,7 +111,7 @@
 
 
 def test_only_the_first_watchers_hand_over() -> None:
-    network = settled(13, loss=0.0)
+    network = converged_network(13, loss=0.0)
     network.run(2.0)
     gone = network.names[6]
     network.cut([gone], [name for name in network.names if name != gone])
