--- a/tests/transport/test_event_loop.py
+++ b/tests/transport/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The loop on real sockets of this machine: what `transport/host.py` promises to programs."""
+"""The event loop on real sockets, against the contracts of `transport/host.py`."""
 
 from __future__ import annotations
 
@@ -15,222 +15,228 @@
 from honeywharf.transport.host import Address, Connection, Handler
 
 LOCAL = "127.0.0.1"
-GUARD_S = 20.0  # after which a test that waits for something has failed
+TEST_TIMEOUT_S = 20.0
 
 
-class Log:
-    """A handler that keeps what it is told; `on` is called after each event."""
+class RecordingHandler:
+    """A handler that records its events and calls `on_event` after each."""
 
-    def __init__(self, connection: Connection, on: Callable[[Log], None] | None = None) -> None:
-        self.connection, self.on = connection, on
+    def __init__(self, connection: Connection, on: Callable[[RecordingHandler], None] | None = None) -> None:
+        self.connection, self.on_event = connection, on
         self.data = bytearray()
-        self.told: list[str] = []
+        self.events: list[str] = []
 
-    def _tell(self, what: str) -> None:
-        assert not self.told or not self.told[-1].startswith("closed"), f"{what} after {self.told[-1]}"
-        self.told.append(what)
-        if self.on is not None:
-            self.on(self)
+    def _record(self, event: str) -> None:
+        assert not self.events or not self.events[-1].startswith("closed"), f"{event} after {self.events[-1]}"
+        self.events.append(event)
+        if self.on_event is not None:
+            self.on_event(self)
 
     def opened(self) -> None:
-        """Up."""
-        self._tell("opened")
+        """Records the opening."""
+        self._record("opened")
 
     def received(self, data: bytes) -> None:
-        """Bytes."""
+        """Records received bytes; consecutive ones count as one event."""
         assert data
         self.data += data
-        if self.told[-1:] == ["received"]:
-            self.told.pop()
-        self._tell("received")
+        if self.events[-1:] == ["received"]:
+            self.events.pop()
+        self._record("received")
 
     def ended(self) -> None:
-        """Half closed."""
-        self._tell("ended")
+        """Records the half-close."""
+        self._record("ended")
 
     def drained(self) -> None:
-        """All gone."""
-        self._tell("drained")
+        """Records that the buffer is empty."""
+        self._record("drained")
 
     def closed(self, why: str) -> None:
-        """Gone."""
-        self._tell(f"closed {why}")
+        """Records the close and its reason."""
+        self._record(f"closed {why}")
 
 
-class Bed:
-    """A loop with one listener on a free port, and a guard against tests that hang."""
+class LoopFixture:
+    """An event loop with one listener on a free port, and a time-out against hanging tests."""
 
     def __init__(self) -> None:
         self.loop = EventLoop()
-        self.taken: list[Log] = []
-        self.on: Callable[[Log], None] | None = None
+        self.accepted: list[RecordingHandler] = []
+        self.on_event: Callable[[RecordingHandler], None] | None = None
         self.loop.listen((LOCAL, 0), self._accept)
-        self.at = self.port()
+        self.address = self.port()
 
     def port(self) -> Address:
-        """Where it listens."""
+        """Returns the address of the listener."""
         sock = next(iter(self.loop.listeners.values()))[0]
         return LOCAL, int(sock.getsockname()[1])
 
     def _accept(self, connection: Connection) -> Handler:
-        log = Log(connection, self.on)
-        self.taken.append(log)
-        return log
+        client = RecordingHandler(connection, self.on_event)
+        self.accepted.append(client)
+        return client
 
-    def ask(
+    def connect_to_listener(
         self,
         to: Address | None = None,
-        on: Callable[[Log], None] | None = None,
+        on: Callable[[RecordingHandler], None] | None = None,
         within: float = 1.0,
-    ) -> Log:
-        """Connect."""
-        made: list[Log] = []
+    ) -> RecordingHandler:
+        """Opens a connection."""
+        made: list[RecordingHandler] = []
 
         def handler(connection: Connection) -> Handler:
-            made.append(Log(connection, on))
+            made.append(RecordingHandler(connection, on))
             return made[0]
 
-        self.loop.connect(to or self.at, handler, within)
+        self.loop.connect(to or self.address, handler, within)
         return made[0]
 
-    def until(self, done: Callable[[], bool]) -> None:
-        """Run until something is so."""
-        late: list[bool] = []
+    def run_until(self, done: Callable[[], bool]) -> None:
+        """Runs the loop until `done` is true."""
+        timed_out: list[bool] = []
 
-        def look() -> None:
+        def check() -> None:
             if done():
                 self.loop.exit(0)
             elif self.loop.now() > end:
-                late.append(True)
+                timed_out.append(True)
                 self.loop.exit(1)
             else:
-                self.loop.after(0.001, look)
+                self.loop.after(0.001, check)
 
-        end = self.loop.now() + GUARD_S
+        end = self.loop.now() + TEST_TIMEOUT_S
         self.loop.status = None
-        look()
+        check()
         self.loop.run()
-        assert not late, "it did not come"
+        assert not timed_out, "the condition did not become true in time"
         assert not self.loop.errors
 
 
 @pytest.fixture
-def bed() -> Iterator[Bed]:
-    made = Bed()
+def loop_fixture() -> Iterator[LoopFixture]:
+    made = LoopFixture()
     yield made
-    for wire in list(made.loop.connections.values()):
-        wire.socket.close()
+    for connection in list(made.loop.connections.values()):
+        connection.socket.close()
     for sock, _, _ in made.loop.listeners.values():
         sock.close()
-    for ear, _ in made.loop.datagram_sockets.values():
-        ear.close()
+    for datagram_socket, _ in made.loop.datagram_sockets.values():
+        datagram_socket.close()
     made.loop.epoll.close()
 
 
 def free_port() -> Address:
-    """A port at which nobody listens or will, but who is told of it."""
+    """Returns a free port that no other test uses."""
     (port,) = free_ports(1)
     return LOCAL, port
 
 
-def test_a_refused_connection_is_told_later_and_once(bed: Bed) -> None:
-    log = bed.ask(free_port())
-    log.connection.send(b"held")
-    assert log.told == []
-    bed.until(lambda: bool(log.told))
-    assert log.told == ["closed refused"]
-    log.connection.send(b"nothing")
-    log.connection.close()
-    log.connection.abort()
-    bed.until(lambda: not bed.loop.ready)
-    assert log.told == ["closed refused"]
+def test_a_refused_connection_is_reported_later_and_once(loop_fixture: LoopFixture) -> None:
+    client = loop_fixture.connect_to_listener(free_port())
+    client.connection.send(b"held")
+    assert client.events == []
+    loop_fixture.run_until(lambda: bool(client.events))
+    assert client.events == ["closed refused"]
+    client.connection.send(b"nothing")
+    client.connection.close()
+    client.connection.abort()
+    loop_fixture.run_until(lambda: not loop_fixture.loop.ready)
+    assert client.events == ["closed refused"]
 
 
-def test_a_connection_that_is_not_up_in_time_is_given_up(bed: Bed) -> None:
+def test_connecting_times_out(loop_fixture: LoopFixture) -> None:
     full = socket.socket()
     full.bind((LOCAL, 0))
     full.listen(0)
     at = (LOCAL, int(full.getsockname()[1]))
     fillers = [socket.socket() for _ in range(4)]
-    for filler in fillers:  # the queue of connections is full: opening packets are dropped
+    for filler in fillers:  # Fills the listen queue, so that further SYN packets are dropped.
         filler.setblocking(False)
         filler.connect_ex(at)
-    log = bed.ask(at, within=0.05)
-    begun = bed.loop.now()
-    bed.until(lambda: bool(log.told))
-    assert log.told == ["closed timeout"]
-    assert 0.04 < bed.loop.now() - begun < GUARD_S
+    client = loop_fixture.connect_to_listener(at, within=0.05)
+    begun = loop_fixture.loop.now()
+    loop_fixture.run_until(lambda: bool(client.events))
+    assert client.events == ["closed timeout"]
+    assert 0.04 < loop_fixture.loop.now() - begun < TEST_TIMEOUT_S
     for sock in (full, *fillers):
         sock.close()
 
 
-def test_megabytes_go_both_ways_at_once_whole_and_in_order(bed: Bed) -> None:
+def test_large_transfers_in_both_directions_keep_all_bytes_in_order(loop_fixture: LoopFixture) -> None:
     sent = os.urandom(1 << 20) * 6
-    answered: list[Log] = []
+    answered: list[RecordingHandler] = []
 
-    def there(log: Log) -> None:
+    def server(client: RecordingHandler) -> None:
         if not answered:
-            answered.append(log)
-            log.connection.send(sent[::-1])
+            answered.append(client)
+            client.connection.send(sent[::-1])
 
-    bed.on = there
-    log = bed.ask()
+    loop_fixture.on_event = server
+    client = loop_fixture.connect_to_listener()
     for at in range(0, len(sent), 300_000):
-        log.connection.send(sent[at : at + 300_000])
-    assert log.connection.unsent == len(sent)
-    bed.until(lambda: len(log.data) == len(sent) and bool(bed.taken) and len(bed.taken[0].data) == len(sent))
-    assert bytes(bed.taken[0].data) == sent
-    assert bytes(log.data) == sent[::-1]
-    assert log.connection.unsent == bed.taken[0].connection.unsent == 0
-    assert "drained" in log.told
-    assert "drained" in bed.taken[0].told
-
-
-def test_a_paused_reader_holds_the_writer_and_goes_on_when_resumed(bed: Bed) -> None:
-    log = bed.ask()
-    bed.until(lambda: bool(bed.taken))
-    there = bed.taken[0]
-    there.connection.pause()
-    log.connection.send(bytes(16 << 20))
+        client.connection.send(sent[at : at + 300_000])
+    assert client.connection.unsent == len(sent)
+    loop_fixture.run_until(
+        lambda: (
+            len(client.data) == len(sent)
+            and bool(loop_fixture.accepted)
+            and len(loop_fixture.accepted[0].data) == len(sent)
+        )
+    )
+    assert bytes(loop_fixture.accepted[0].data) == sent
+    assert bytes(client.data) == sent[::-1]
+    assert client.connection.unsent == loop_fixture.accepted[0].connection.unsent == 0
+    assert "drained" in client.events
+    assert "drained" in loop_fixture.accepted[0].events
+
+
+def test_a_paused_reader_stops_the_writer_until_it_resumes(loop_fixture: LoopFixture) -> None:
+    client = loop_fixture.connect_to_listener()
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
+    server = loop_fixture.accepted[0]
+    server.connection.pause()
+    client.connection.send(bytes(16 << 20))
     last = [-1, -1, -1]
 
     def still() -> bool:
-        last.append(log.connection.unsent)
+        last.append(client.connection.unsent)
         return len(set(last[-30:])) == 1 and len(last) > 30
 
-    bed.until(still)
-    held = log.connection.unsent
+    loop_fixture.run_until(still)
+    held = client.connection.unsent
     assert held > 4 << 20
-    assert there.data == b""
-    assert "drained" not in log.told
-    there.connection.resume()
-    bed.until(lambda: len(there.data) == 16 << 20)
-    bed.until(lambda: "drained" in log.told)
-    assert log.connection.unsent == 0
-
-
-def test_a_pause_from_within_a_read_is_heeded_at_once(bed: Bed) -> None:
-    bed.on = lambda log: log.connection.pause()
-    log = bed.ask()
-    log.connection.send(bytes(4 << 20))
-    bed.until(lambda: bool(bed.taken) and bool(bed.taken[0].data))
-    before = len(bed.taken[0].data)
-    turns = bed.loop.iterations
-    bed.until(lambda: bed.loop.iterations > turns + 20)
-    assert len(bed.taken[0].data) == before <= 64 * 1024
-
-
-def test_half_close_leaves_the_other_way_open(bed: Bed) -> None:
-    peer = socket.create_connection(bed.at)
+    assert server.data == b""
+    assert "drained" not in client.events
+    server.connection.resume()
+    loop_fixture.run_until(lambda: len(server.data) == 16 << 20)
+    loop_fixture.run_until(lambda: "drained" in client.events)
+    assert client.connection.unsent == 0
+
+
+def test_a_pause_within_a_read_takes_effect_at_once(loop_fixture: LoopFixture) -> None:
+    loop_fixture.on_event = lambda client: client.connection.pause()
+    client = loop_fixture.connect_to_listener()
+    client.connection.send(bytes(4 << 20))
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted) and bool(loop_fixture.accepted[0].data))
+    before = len(loop_fixture.accepted[0].data)
+    iterations_before = loop_fixture.loop.iterations
+    loop_fixture.run_until(lambda: loop_fixture.loop.iterations > iterations_before + 20)
+    assert len(loop_fixture.accepted[0].data) == before <= 64 * 1024
+
+
+def test_sending_continues_after_a_half_close(loop_fixture: LoopFixture) -> None:
+    peer = socket.create_connection(loop_fixture.address)
     peer.sendall(b"all of it")
     peer.shutdown(socket.SHUT_WR)
-    bed.until(lambda: bool(bed.taken) and "ended" in bed.taken[0].told)
-    there = bed.taken[0]
-    assert there.told == ["received", "ended"]
-    there.connection.send(b"answer" * 1000)
-    there.connection.close()
-    bed.until(lambda: there.told[-1] == "closed ")
-    peer.settimeout(GUARD_S)
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted) and "ended" in loop_fixture.accepted[0].events)
+    server = loop_fixture.accepted[0]
+    assert server.events == ["received", "ended"]
+    server.connection.send(b"answer" * 1000)
+    server.connection.close()
+    loop_fixture.run_until(lambda: server.events[-1] == "closed ")
+    peer.settimeout(TEST_TIMEOUT_S)
     got = b""
     while data := peer.recv(65_536):
         got += data
@@ -239,232 +245,238 @@
 
 
 @pytest.mark.parametrize("unread", [b"", b"not read yet"])
-def test_the_end_of_a_paused_connection_is_told_and_its_bytes_stay(bed: Bed, unread: bytes) -> None:
-    peer = socket.create_connection(bed.at)
+def test_a_half_close_on_a_paused_connection_is_reported_without_reading(
+    loop_fixture: LoopFixture, unread: bytes
+) -> None:
+    peer = socket.create_connection(loop_fixture.address)
     peer.sendall(b"first")
-    bed.until(lambda: bool(bed.taken) and bool(bed.taken[0].data))
-    there, seen = bed.taken[0], list[bytes]()
-    there.connection.pause()
-    there.connection.watch_half_close(lambda: seen.append(bytes(there.data)))
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted) and bool(loop_fixture.accepted[0].data))
+    server, seen = loop_fixture.accepted[0], list[bytes]()
+    server.connection.pause()
+    server.connection.watch_half_close(lambda: seen.append(bytes(server.data)))
     peer.sendall(unread)
     peer.shutdown(socket.SHUT_WR)
-    bed.until(lambda: bool(seen))
-    turns = bed.loop.iterations
-    bed.until(lambda: bed.loop.iterations > turns + 20)
-    assert seen == [b"first"], "it is told once, and nothing is read"
-    assert "ended" not in there.told
-    there.connection.resume()
-    bed.until(lambda: "ended" in there.told)
-    assert there.data == b"first" + unread
-    there.connection.close()
+    loop_fixture.run_until(lambda: bool(seen))
+    iterations_before = loop_fixture.loop.iterations
+    loop_fixture.run_until(lambda: loop_fixture.loop.iterations > iterations_before + 20)
+    assert seen == [b"first"], "it is reported once, and nothing is read"
+    assert "ended" not in server.events
+    server.connection.resume()
+    loop_fixture.run_until(lambda: "ended" in server.events)
+    assert server.data == b"first" + unread
+    server.connection.close()
     peer.close()
 
 
-def test_a_peer_that_has_closed_resets_what_is_sent_to_it_though_nothing_is_read(bed: Bed) -> None:
-    peer = socket.create_connection(bed.at)
+def test_sending_to_a_closed_peer_reports_a_reset_while_paused(loop_fixture: LoopFixture) -> None:
+    peer = socket.create_connection(loop_fixture.address)
     peer.sendall(b"first")
-    bed.until(lambda: bool(bed.taken) and bool(bed.taken[0].data))
-    there = bed.taken[0]
-    there.connection.pause()
-    there.connection.watch_half_close(lambda: there.connection.send(b"are you there?"))
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted) and bool(loop_fixture.accepted[0].data))
+    server = loop_fixture.accepted[0]
+    server.connection.pause()
+    server.connection.watch_half_close(lambda: server.connection.send(b"are you there?"))
     peer.sendall(b"not read yet")
     peer.close()
-    bed.until(lambda: there.told[-1].startswith("closed"))
-    assert there.told[-1] == "closed reset"
-    assert there.data == b"first"
+    loop_fixture.run_until(lambda: server.events[-1].startswith("closed"))
+    assert server.events[-1] == "closed reset"
+    assert server.data == b"first"
 
 
-def test_a_peer_that_has_closed_resets_what_is_sent_to_it_after_its_end(bed: Bed) -> None:
-    peer = socket.create_connection(bed.at)
+def test_sending_to_a_closed_peer_reports_a_reset_after_its_end(loop_fixture: LoopFixture) -> None:
+    peer = socket.create_connection(loop_fixture.address)
     peer.sendall(b"first")
     peer.close()
-    bed.until(lambda: bool(bed.taken) and "ended" in bed.taken[0].told)
-    there = bed.taken[0]
-    there.connection.send(b"are you there?")
-    bed.until(lambda: there.told[-1].startswith("closed"))
-    assert there.told == ["received", "ended", "closed reset"]
-
-
-def test_a_connection_that_is_read_has_no_watcher_called(bed: Bed) -> None:
-    peer = socket.create_connection(bed.at)
-    bed.until(lambda: bool(bed.taken))
-    there, seen = bed.taken[0], list[int]()
-    there.connection.watch_half_close(lambda: seen.append(1))
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted) and "ended" in loop_fixture.accepted[0].events)
+    server = loop_fixture.accepted[0]
+    server.connection.send(b"are you there?")
+    loop_fixture.run_until(lambda: server.events[-1].startswith("closed"))
+    assert server.events == ["received", "ended", "closed reset"]
+
+
+def test_a_half_close_is_not_watched_on_a_reading_connection(loop_fixture: LoopFixture) -> None:
+    peer = socket.create_connection(loop_fixture.address)
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
+    server, seen = loop_fixture.accepted[0], list[int]()
+    server.connection.watch_half_close(lambda: seen.append(1))
     peer.close()
-    bed.until(lambda: "ended" in there.told)
+    loop_fixture.run_until(lambda: "ended" in server.events)
     assert not seen
-    there.connection.close()
+    server.connection.close()
 
 
-def test_close_sends_what_is_held_and_abort_drops_it(bed: Bed) -> None:
+def test_close_sends_buffered_bytes_and_abort_drops_them(loop_fixture: LoopFixture) -> None:
     for end, whole in (("close", True), ("abort", False)):
-        bed.taken.clear()
-        log = bed.ask()
-        bed.until(lambda: bool(bed.taken))
-        there = bed.taken[0]
-        there.connection.pause()
-        log.connection.send(bytes(16 << 20))
+        loop_fixture.accepted.clear()
+        client = loop_fixture.connect_to_listener()
+        loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
+        server = loop_fixture.accepted[0]
+        server.connection.pause()
+        client.connection.send(bytes(16 << 20))
         if end == "close":
-            log.connection.close()
+            client.connection.close()
         else:
-            log.connection.abort()
-        assert not log.told[-1].startswith("closed"), "told from within the call"
-        log.connection.send(b"behind the end")
-        there.connection.resume()
-        bed.until(lambda: there.told[-1:] == ["ended"])  # noqa: B023
-        assert (len(there.data) == 16 << 20) == whole
-        assert log.told[-1] == "closed "
-        there.connection.close()
-        bed.until(lambda: there.told[-1] == "closed ")  # noqa: B023
+            client.connection.abort()
+        assert not client.events[-1].startswith("closed"), "reported within the call"
+        client.connection.send(b"behind the end")
+        server.connection.resume()
+        loop_fixture.run_until(lambda: server.events[-1:] == ["ended"])  # noqa: B023
+        assert (len(server.data) == 16 << 20) == whole
+        assert client.events[-1] == "closed "
+        server.connection.close()
+        loop_fixture.run_until(lambda: server.events[-1] == "closed ")  # noqa: B023
 
 
 @pytest.mark.parametrize("paused", [False, True])
-def test_a_reset_is_told_even_to_one_that_does_not_read(bed: Bed, paused: bool) -> None:
-    peer = socket.create_connection(bed.at)
-    bed.until(lambda: bool(bed.taken))
+def test_a_reset_is_reported_even_while_paused(loop_fixture: LoopFixture, paused: bool) -> None:
+    peer = socket.create_connection(loop_fixture.address)
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
     if paused:
-        bed.taken[0].connection.pause()
+        loop_fixture.accepted[0].connection.pause()
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     peer.close()
-    bed.until(lambda: bool(bed.taken[0].told))
-    assert bed.taken[0].told == ["closed reset"]
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted[0].events))
+    assert loop_fixture.accepted[0].events == ["closed reset"]
 
 
-def test_writing_to_one_that_is_gone_is_told_as_a_reset(bed: Bed) -> None:
-    peer = socket.create_connection(bed.at)
-    bed.until(lambda: bool(bed.taken))
-    there = bed.taken[0]
-    there.connection.pause()
+def test_repeated_sends_to_a_closed_peer_report_one_reset(loop_fixture: LoopFixture) -> None:
+    peer = socket.create_connection(loop_fixture.address)
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
+    server = loop_fixture.accepted[0]
+    server.connection.pause()
     peer.close()
     for _ in range(3):
-        there.connection.send(bytes(1000))
-        bed.until(lambda: not bed.loop.ready)
-    bed.until(lambda: bool(there.told))
-    assert there.told == ["closed reset"]
-
-
-def test_what_is_sent_before_it_is_up_goes_first_and_a_close_waits_for_it(bed: Bed) -> None:
-    log = bed.ask()
-    log.connection.send(b"one ")
-    log.connection.send(b"two")
-    log.connection.close()
-    bed.until(lambda: bool(bed.taken) and bed.taken[0].told[-1:] == ["ended"])
-    assert bytes(bed.taken[0].data) == b"one two"
-    assert log.told == ["opened", "closed "]
-
-
-def test_a_connection_may_be_aborted_before_it_is_up_and_from_within_opened(bed: Bed) -> None:
-    early = bed.ask()
+        server.connection.send(bytes(1000))
+        loop_fixture.run_until(lambda: not loop_fixture.loop.ready)
+    loop_fixture.run_until(lambda: bool(server.events))
+    assert server.events == ["closed reset"]
+
+
+def test_bytes_sent_before_the_connection_opens_arrive_before_a_close(loop_fixture: LoopFixture) -> None:
+    client = loop_fixture.connect_to_listener()
+    client.connection.send(b"one ")
+    client.connection.send(b"two")
+    client.connection.close()
+    loop_fixture.run_until(
+        lambda: bool(loop_fixture.accepted) and loop_fixture.accepted[0].events[-1:] == ["ended"]
+    )
+    assert bytes(loop_fixture.accepted[0].data) == b"one two"
+    assert client.events == ["opened", "closed "]
+
+
+def test_abort_works_before_and_within_opened(loop_fixture: LoopFixture) -> None:
+    early = loop_fixture.connect_to_listener()
     early.connection.abort()
-    within = bed.ask(on=lambda log: log.connection.abort() if log.told == ["opened"] else None)
-    bed.until(lambda: bool(early.told) and within.told[-1:] == ["closed "])
-    assert early.told == ["closed "]
-    assert within.told == ["opened", "closed "]
+    within = loop_fixture.connect_to_listener(
+        on=lambda client: client.connection.abort() if client.events == ["opened"] else None
+    )
+    loop_fixture.run_until(lambda: bool(early.events) and within.events[-1:] == ["closed "])
+    assert early.events == ["closed "]
+    assert within.events == ["opened", "closed "]
 
 
-def test_unlisten_takes_no_further_ones_and_keeps_those_that_are_there() -> None:
-    bed = Bed()
+def test_stop_listening_keeps_open_connections() -> None:
+    loop_fixture = LoopFixture()
     at = free_port()
-    bed.loop.listen(at, bed._accept)
+    loop_fixture.loop.listen(at, loop_fixture._accept)
     with pytest.raises(OSError, match="in use"):
-        bed.loop.listen(at, bed._accept)
-    first = bed.ask(at)
-    bed.until(lambda: bool(bed.taken))
-    bed.loop.stop_listening(at)
-    second = bed.ask(at)
+        loop_fixture.loop.listen(at, loop_fixture._accept)
+    first = loop_fixture.connect_to_listener(at)
+    loop_fixture.run_until(lambda: bool(loop_fixture.accepted))
+    loop_fixture.loop.stop_listening(at)
+    second = loop_fixture.connect_to_listener(at)
     first.connection.send(b"still")
-    bed.until(lambda: bool(second.told) and bool(bed.taken[0].data))
-    assert second.told == ["closed refused"]
-    assert bytes(bed.taken[0].data) == b"still"
+    loop_fixture.run_until(lambda: bool(second.events) and bool(loop_fixture.accepted[0].data))
+    assert second.events == ["closed refused"]
+    assert bytes(loop_fixture.accepted[0].data) == b"still"
 
 
-def test_timers_fire_in_their_order_once_and_not_when_cancelled(bed: Bed) -> None:
+def test_timers_fire_once_in_order_unless_cancelled(loop_fixture: LoopFixture) -> None:
     fired: list[str] = []
-    begun = bed.loop.now()
-    bed.loop.after(0.02, lambda: fired.append("late"))
-    bed.loop.after(0.01, lambda: fired.append("early"))
-    bed.loop.after(0.01, lambda: fired.append("second"))
-    cancelled = bed.loop.after(0.005, lambda: fired.append("cancelled"))
+    begun = loop_fixture.loop.now()
+    loop_fixture.loop.after(0.02, lambda: fired.append("late"))
+    loop_fixture.loop.after(0.01, lambda: fired.append("early"))
+    loop_fixture.loop.after(0.01, lambda: fired.append("second"))
+    cancelled = loop_fixture.loop.after(0.005, lambda: fired.append("cancelled"))
 
     def outer() -> None:
-        bed.loop.after(0.0, lambda: fired.append("inner"))
+        loop_fixture.loop.after(0.0, lambda: fired.append("inner"))
 
-    bed.loop.after(0.0, outer)
+    loop_fixture.loop.after(0.0, outer)
     cancelled.cancel()
     cancelled.cancel()
-    bed.until(lambda: len(fired) == 4)
+    loop_fixture.run_until(lambda: len(fired) == 4)
     assert fired == ["inner", "early", "second", "late"]
-    assert bed.loop.now() - begun >= 0.02
+    assert loop_fixture.loop.now() - begun >= 0.02
 
 
-def test_datagrams_carry_the_address_they_are_sent_from(bed: Bed) -> None:
-    heard: list[tuple[Address, bytes]] = []
-    mine, theirs = free_port(), free_port()
+def test_datagrams_carry_their_source_address(loop_fixture: LoopFixture) -> None:
+    datagrams: list[tuple[Address, bytes]] = []
+    local_address, peer_address = free_port(), free_port()
     other = EventLoop()
 
     def answer(sender: Address, data: bytes) -> None:
         other.send_datagram(sender, data[::-1])
         other.exit(0)
 
-    other.listen_datagrams(theirs, answer)
-    bed.loop.listen_datagrams(mine, lambda sender, data: heard.append((sender, data)))
-    bed.loop.send_datagram(theirs, b"abc")
-    bed.loop.send_datagram(free_port(), b"to nobody")
-    other.after(GUARD_S, lambda: other.exit(1))
+    other.listen_datagrams(peer_address, answer)
+    loop_fixture.loop.listen_datagrams(local_address, lambda sender, data: datagrams.append((sender, data)))
+    loop_fixture.loop.send_datagram(peer_address, b"abc")
+    loop_fixture.loop.send_datagram(free_port(), b"to nobody")
+    other.after(TEST_TIMEOUT_S, lambda: other.exit(1))
     other.run()
-    bed.until(lambda: bool(heard))
-    assert heard == [(theirs, b"cba")]
+    loop_fixture.run_until(lambda: bool(datagrams))
+    assert datagrams == [(peer_address, b"cba")]
     next(iter(other.datagram_sockets.values()))[0].close()
 
 
-def test_a_fault_in_a_call_ends_its_connection_and_the_process_goes_on(
-    bed: Bed, capfd: pytest.CaptureFixture[str]
+def test_an_exception_in_a_call_closes_only_its_connection(
+    loop_fixture: LoopFixture, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    def fail(log: Log) -> None:
-        if log.told == ["received"]:
+    def fail(client: RecordingHandler) -> None:
+        if client.events == ["received"]:
             raise RuntimeError("a fault of the program")
 
-    bed.on = fail
-    log = bed.ask()
-    log.connection.send(b"x")
+    loop_fixture.on_event = fail
+    client = loop_fixture.connect_to_listener()
+    client.connection.send(b"x")
     nothing: dict[str, None] = {}
-    bed.loop.after(0.0, lambda: nothing["none"])
+    loop_fixture.loop.after(0.0, lambda: nothing["none"])
     with pytest.raises(AssertionError, match="assert not 2"):
-        bed.until(lambda: log.told[-1:] == ["ended"])
-    said = capfd.readouterr().err
-    assert "a fault of the program" in said
-    assert "KeyError" in said
-    bed.loop.errors, bed.on = 0, None
-    again = bed.ask()
+        loop_fixture.run_until(lambda: client.events[-1:] == ["ended"])
+    error_output = capfd.readouterr().err
+    assert "a fault of the program" in error_output
+    assert "KeyError" in error_output
+    loop_fixture.loop.errors, loop_fixture.on_event = 0, None
+    again = loop_fixture.connect_to_listener()
     again.connection.send(b"y")
-    bed.until(lambda: bytes(bed.taken[-1].data) == b"y")
+    loop_fixture.run_until(lambda: bytes(loop_fixture.accepted[-1].data) == b"y")
 
 
-def test_signals_are_called_in_the_loops_own_turn(bed: Bed) -> None:
+def test_signals_are_handled_by_the_event_loop(loop_fixture: LoopFixture) -> None:
     before = {number: signal.getsignal(number) for number in (signal.SIGUSR1, signal.SIGHUP)}
-    told: list[int] = []
+    events: list[int] = []
     try:
         for number in before:
-            bed.loop.on_signal(number, lambda number=number: told.append(number))  # type: ignore[misc]
-        bed.loop.after(0.0, lambda: os.kill(os.getpid(), signal.SIGUSR1))
-        bed.loop.after(0.005, lambda: os.kill(os.getpid(), signal.SIGHUP))
-        bed.until(lambda: len(told) == 2)
-        assert told == [signal.SIGUSR1, signal.SIGHUP]
+            loop_fixture.loop.on_signal(number, lambda number=number: events.append(number))  # type: ignore[misc]
+        loop_fixture.loop.after(0.0, lambda: os.kill(os.getpid(), signal.SIGUSR1))
+        loop_fixture.loop.after(0.005, lambda: os.kill(os.getpid(), signal.SIGHUP))
+        loop_fixture.run_until(lambda: len(events) == 2)
+        assert events == [signal.SIGUSR1, signal.SIGHUP]
     finally:
         for number, handler in before.items():
             signal.signal(number, handler)
-        assert bed.loop.signals is not None
-        bed.loop.signals.close()
+        assert loop_fixture.loop.signals is not None
+        loop_fixture.loop.signals.close()
 
 
-def test_run_gives_the_status_it_was_ended_with() -> None:
+def test_run_returns_the_exit_status() -> None:
     loop = EventLoop()
     loop.after(0.0, lambda: loop.exit(7))
     assert loop.run() == 7
     loop.epoll.close()
 
 
-def test_files_are_written_whole_renamed_and_listed(tmp_path: Path) -> None:
+def test_files_are_written_renamed_and_listed(tmp_path: Path) -> None:
     loop = EventLoop(str(tmp_path / "data"))
     assert loop.names() == []
     assert loop.read("a") is None
--- a/tests/transport/test_url_matcher.py
+++ b/tests/transport/test_url_matcher.py
@@ -1,4 +1,4 @@
-"""Paths of calls to targets, params decoded, a missing path told from a wrong method."""
+"""URL matching: decoded parameters, unknown paths and wrong methods."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from honeywharf.transport.url_matcher import MethodNotAllowedError, UrlMatcher
 
 
-def tree() -> UrlMatcher:
-    made = UrlMatcher()
-    made.add("POST", "/api/instances/{id}/heartbeat", "beat")
-    made.add("POST", "/api/instances/{id}/deregister", "gone")
-    made.add("GET", "/api/instances/all/heartbeat", "all")
-    made.add("GET", "/api/readiness", "ready")
-    made.add("DELETE", "/api/{what}/x/y", "other")
-    return made
+def make_matcher() -> UrlMatcher:
+    matcher = UrlMatcher()
+    matcher.add("POST", "/api/instances/{id}/heartbeat", "beat")
+    matcher.add("POST", "/api/instances/{id}/deregister", "gone")
+    matcher.add("GET", "/api/instances/all/heartbeat", "all")
+    matcher.add("GET", "/api/readiness", "ready")
+    matcher.add("DELETE", "/api/{what}/x/y", "other")
+    return matcher
 
 
-def test_paths_and_params() -> None:
-    t = tree()
-    assert t.find(b"POST", b"/api/instances/i-7f/heartbeat") == ("beat", {"id": "i-7f"})
-    assert t.find(b"POST", b"/api/instances/a%20%C3%A9%zz/deregister") == ("gone", {"id": "a é%zz"})
-    assert t.find(b"GET", b"/api/instances/all/heartbeat") == ("all", {})
-    assert t.find(b"DELETE", b"/api/instances/x/y") == ("other", {"what": "instances"})  # steps back
+def test_paths_match_with_decoded_parameters() -> None:
+    matcher = make_matcher()
+    assert matcher.find(b"POST", b"/api/instances/i-7f/heartbeat") == ("beat", {"id": "i-7f"})
+    assert matcher.find(b"POST", b"/api/instances/a%20%C3%A9%zz/deregister") == ("gone", {"id": "a é%zz"})
+    assert matcher.find(b"GET", b"/api/instances/all/heartbeat") == ("all", {})
+    assert matcher.find(b"DELETE", b"/api/instances/x/y") == ("other", {"what": "instances"})  # Backtracks.
 
 
 @pytest.mark.parametrize(
@@ -37,13 +37,13 @@
         b"/api/instances/i/beat",
     ],
 )
-def test_what_is_not_there_is_not_found(path: bytes) -> None:
-    assert tree().find(b"POST", path) is None
+def test_unknown_paths_are_not_found(path: bytes) -> None:
+    assert make_matcher().find(b"POST", path) is None
 
 
-def test_another_method_is_told_apart() -> None:
-    with pytest.raises(MethodNotAllowedError) as told:
-        tree().find(b"GET", b"/api/instances/i-7f/heartbeat")
-    assert told.value.args[0] == [b"POST"]
+def test_a_wrong_method_and_a_duplicate_raise() -> None:
+    with pytest.raises(MethodNotAllowedError) as raised:
+        make_matcher().find(b"GET", b"/api/instances/i-7f/heartbeat")
+    assert raised.value.args[0] == [b"POST"]
     with pytest.raises(ValueError, match="twice"):
-        tree().add("GET", "/api/readiness", "again")
+        make_matcher().add("GET", "/api/readiness", "again")
