--- a/honeywharf/failure_detector/detector.py
+++ b/honeywharf/failure_detector/detector.py
@@ -1,5 +1,7 @@
 """The failure detector: heartbeats to watchers, suspicions, and the decision that a node is down.
 
+The module performs no I/O and reads no clock.
+
 Theory of operation. Each node sends a heartbeat of a few bytes to its watchers on the rings of live nodes
 (`ring`): to two in its zone every 0.4 s and to two in other zones every 0.8 s. A watcher that has received
 nothing from a node for 1 s (1.5 s across zones) probes it, and after 1.6 s (2.4 s) suspects it, under the
@@ -76,11 +78,11 @@
         self.on_suspected: Callable[[], None] | None = None
         self.on_suspicions: Callable[[list[tuple[int, int, int]]], None] | None = None
         self.revision = 0  # Sent with each heartbeat.
-        self._suspected_by: dict[str, dict[str, Version]] = {}  # By suspected and by suspecting node.
+        self._suspected_by: dict[str, dict[str, Version]] = {}  # Versions by suspected and suspecting node.
         self._suspicions: dict[str, Version] = {}  # Suspicions of this node.
         # The next three hold watched nodes only.
-        self._last_contact_at: dict[str, float] = {}  # By a datagram or a contact report.
-        self._direct_contact_at: dict[str, float] = {}  # By a datagram only.
+        self._last_contact_at: dict[str, float] = {}  # From a datagram or a contact report.
+        self._direct_contact_at: dict[str, float] = {}  # From a datagram only.
         self._timeout_factor: dict[str, int] = {}  # Above 1 after refuted suspicions.
         self._any_contact_at = 0.0
         self._due_at = 0.0
--- a/honeywharf/failure_detector/ring.py
+++ b/honeywharf/failure_detector/ring.py
@@ -73,8 +73,8 @@
     __slots__ = ("_rings", "_zones")
 
     def __init__(self) -> None:
-        self._rings: dict[str, Ring] = {}  # By zone; none is empty.
-        self._zones: dict[str, str] = {}  # By node.
+        self._rings: dict[str, Ring] = {}  # Non-empty rings by zone.
+        self._zones: dict[str, str] = {}  # Zones by node.
 
     def __len__(self) -> int:
         """Returns the number of nodes on all rings."""
--- a/honeywharf/gossip/dissemination.py
+++ b/honeywharf/gossip/dissemination.py
@@ -58,8 +58,8 @@
 
     def next(self) -> float:
         """Returns the time at which an entry is due to be forwarded; `NEVER` if none is pending."""
-        fresh_at = self._pending_due_at if self._pending else NEVER
-        return min(fresh_at, self._repeat_due_at) if self._pending_repeats else fresh_at
+        pending_due_at = self._pending_due_at if self._pending else NEVER
+        return min(pending_due_at, self._repeat_due_at) if self._pending_repeats else pending_due_at
 
     def tick(self, now: float) -> Datagrams:
         """Forwards the entries that are due."""
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -1,4 +1,4 @@
-"""Membership: runs gossip and the failure detector on one host, and tells a program about other nodes."""
+"""Membership: runs gossip and the failure detector on one host, and reports changes of other nodes."""
 
 from __future__ import annotations
 
--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -31,7 +31,7 @@
 HANDOVER_TIMEOUT_S = 2.0
 # The first requests after the start are answered before the preload.
 PRELOAD_DELAY_S = 0.5
-DISK_RETRY_INTERVAL_S = 0.2  # For a disk that fails at the start.
+DISK_RETRY_INTERVAL_S = 0.2  # A disk that fails at the start is retried.
 EXIT_DELAY_S = 0.02  # Time for the last answers to be sent.
 
 
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -61,7 +61,7 @@
         self.hints.sweep(now)
         unreachable = [member.address for member in self.replica.unreachable_members(UNREACHABLE_AFTER_S)]
         for address in [one for one in self.hints.by_machine if one not in unreachable]:
-            self.hints.drop(address)  # It is no longer a member.
+            self.hints.drop(address)  # The address belongs to no current member.
         for address in unreachable:
             is_new = (
                 self.is_enabled and address not in self.hints.by_machine and self.keeps_hints_for(address)
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -33,7 +33,7 @@
         self.grantor = Grantor(self.host.now(), self.slots)
         self.holder = f"{self.replica.local_address}/{self.host.random(HOLDER_ID_BYTES).hex()}"
         self.acquisition: LeaseAcquisition | None = None
-        self.outcomes = {"granted": 0, "refused": 0, "lost": 0}  # Of this node's own acquisitions.
+        self.outcomes = {"granted": 0, "refused": 0, "lost": 0}  # Outcomes of this node's own acquisitions.
         self.replica.membership.removal.lease = self
         self.replica.methods[rpc_methods.LEASE_REQUEST] = self._answer_request
         self.replica.methods[rpc_methods.LEASE_RELEASE] = self._answer_release
--- a/honeywharf/transport/link_server.py
+++ b/honeywharf/transport/link_server.py
@@ -47,7 +47,7 @@
     ) -> None:
         self.connection, self.reader, self.on_request = connection, reader, on_request
         self.handlers: dict[int, RequestHandler] = {}
-        self.highest_number = 0  # Of all streams so far.
+        self.highest_number = 0  # The highest stream number so far.
         for frame in frames:
             self._handle_frame(frame)
 
--- a/honeywharf/transport/url_matcher.py
+++ b/honeywharf/transport/url_matcher.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.by_segment: dict[bytes, _Node] = {}
         self.wildcard: _Node | None = None
-        self.targets: dict[bytes, Any] = {}  # By method.
+        self.targets: dict[bytes, Any] = {}  # Targets by method.
         self.parameters: dict[bytes, list[str]] = {}  # Names of the wildcards, by method.
 
 
