--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -254,7 +254,7 @@
             self.outbound.disconnects.paused += full
             (self.connection.pause if full else self.connection.resume)()
             if full and self.probe is None:
-                self.connection.watch_end(self._start_probe)
+                self.connection.watch_half_close(self._start_probe)
 
     def _answer_fault(self, status: int, text: bytes) -> None:
         """Answers a malformed or slow request after those before it, and ends the connection."""
--- a/honeywharf/sidecar/outbound.py
+++ b/honeywharf/sidecar/outbound.py
@@ -64,4 +64,4 @@
 
     def close(self) -> None:
         """Stops listening."""
-        self.host.unlisten(self.address)
+        self.host.stop_listening(self.address)
