--- a/honeywharf/drift/monitor.py
+++ b/honeywharf/drift/monitor.py
@@ -76,7 +76,7 @@
             route = self.configuration.find(host, path)
             if not self._parsers_agree(host, path, route):
                 return route, self._count_refusal()
-        if self.standing_aside and route is not None and not route.is_idempotent and self._may_refuse():
+        if self.quarantine_active and route is not None and not route.is_idempotent and self._may_refuse():
             return route, self._count_refusal()
         return route, 0.0
 
@@ -194,7 +194,7 @@
         host, path = destination_check.host_of(ask.fields), ask.target.partition(b"?")[0]
         route = self.configuration.find(host, path)
         strict = ask.kind != 0 or (route is not None and not route.is_idempotent)
-        if strict and self.standing_aside and self._may_refuse():
+        if strict and self.quarantine_active and self._may_refuse():
             return self._refuse_job(job, self.state.retry_delay_s())
         if strict and self.judging and not verified and now - self.last_alive_at > STALL_S:
             return self._hold(job, None)
--- a/honeywharf/drift/remediation.py
+++ b/honeywharf/drift/remediation.py
@@ -79,7 +79,7 @@
         self.applied_limits: tuple[object, ...] = ()  # As the configuration in force set them at the backend.
         self.full_scan_at = now - FULL_SCAN_INTERVAL_S
         self.relapses = 0
-        self.rebuilding = self.renewal_in_flight = self.standing_aside = False
+        self.rebuilding = self.renewal_in_flight = self.quarantine_active = False
         self.quarantine_lease: Any = None  # A `LeaseAcquisition` once quarantine was requested.
         self.lease_denials = 0  # Requests that no majority granted.
         self.lease_denied_at = now - LEASE_RETRY_S
@@ -150,8 +150,8 @@
             reason = f": {why}" if why else ""
             change = f"{states.STATE_NAMES[before]} -> {states.STATE_NAMES[self.state.current]}"
             self.host.log(f"drift monitor: {change}{reason}")
-        if not self.state.is_suspect and self.standing_aside:
-            self._leave_quarantine()
+        if not self.state.is_suspect and self.quarantine_active:
+            self._end_quarantine()
 
     # Quarantine.
 
@@ -162,7 +162,7 @@
         lease, 0.3 s at most.
         """
         if (
-            self.standing_aside
+            self.quarantine_active
             or self.host.now() - self.lease_denied_at < LEASE_RETRY_S
             or not self._has_quarantine_capacity()
         ):
@@ -179,7 +179,7 @@
                 for offset in range(min(count, MAX_LEASE_SLOTS))
             ]
 
-        self.standing_aside = True
+        self.quarantine_active = True
         ip, zone = self.sidecar.settings.ip, self.sidecar.settings.zone
         nodes, zone_nodes = self._node_counts()
         self.quarantine_lease = LeaseAcquisition(
@@ -191,7 +191,7 @@
                 slots(zone, states.zone_quarantine_limit(zone_nodes)),
                 slots("", states.total_quarantine_limit(nodes)),
             ],
-            self._leave_quarantine,
+            self._end_quarantine,
         )
         self.quarantine_lease.begin(self._on_lease_result)
 
@@ -205,11 +205,11 @@
             return
         if not granted:
             self.lease_denials, self.lease_denied_at = self.lease_denials + 1, self.host.now()
-        self._leave_quarantine()
+        self._end_quarantine()
 
-    def _leave_quarantine(self) -> None:
+    def _end_quarantine(self) -> None:
         """Ends the refusals once the node is healed, or its lease is denied or has expired."""
-        self.standing_aside = False
+        self.quarantine_active = False
         self.quarantine_lease.end()
         self.sidecar.membership.publish(q=0)
 
@@ -392,7 +392,7 @@
             "handed": self.sidecar.source.handed,
             "changes": state.transitions,
             "slips": self.drift_reports,
-            "standing": self.standing_aside,
+            "standing": self.quarantine_active,
             "leave-refused": self.lease_denials,
         }
 
--- a/tests/drift/test_gather.py
+++ b/tests/drift/test_gather.py
@@ -39,13 +39,13 @@
     lost: list[str] = []
     call = program.caller.call
 
-    def told(to: Any, name: str, *rest: Any) -> None:
+    def dropping_call(to: Any, name: str, *rest: Any) -> None:
         if name == "drift.older" and len(lost) < count:
             lost.append(name)
         else:
             call(to, name, *rest)
 
-    program.caller = cast(Any, SimpleNamespace(call=told))
+    program.caller = cast(Any, SimpleNamespace(call=dropping_call))
     return lost
 
 
@@ -121,8 +121,8 @@
             accepted = ProposalNumber(self.ballot, "n", 1)
             self.state = replace(self.state, accepted=accepted, promised=accepted)
         elif draw < 0.5:
-            key, told = MemberId("10.0.0.1:7620", self.state.disk), self.state.accepted
-            self.in_flight.append(lambda: self.peer_aggregator.check_accepted(key, told))
+            sender, reported = MemberId("10.0.0.1:7620", self.state.disk), self.state.accepted
+            self.in_flight.append(lambda: self.peer_aggregator.check_accepted(sender, reported))
         elif draw < 0.53:  # A new member with an empty disk takes over the address.
             self.state = AcceptorState(self.rng.randbytes(4).hex())
         elif self.in_flight:
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -166,7 +166,7 @@
     before = program(second).source.handed
     trial.play(14.0)
     drift_monitor = program(second).drift_monitor
-    assert (drift_monitor.state.current, drift_monitor.standing_aside, drift_monitor.is_quarantined) == (
+    assert (drift_monitor.state.current, drift_monitor.quarantine_active, drift_monitor.is_quarantined) == (
         states.DOUBTED,
         False,
         False,
--- a/tests/drift/test_judge.py
+++ b/tests/drift/test_judge.py
@@ -1,4 +1,4 @@
-"""What a destination does, and what a doubt leads to, as tables."""
+"""Outcomes at the destination, and the state machine of a node, as tables."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     ("source_revision", "digest", "kind", "service", "expected"),
     [
         (7, OWN, 1, SERVICE, RUN),
-        (6, OWN, 1, SERVICE, RUN),  # an equal part of an older word
+        (6, OWN, 1, SERVICE, RUN),  # An equal rule of an older revision.
         (8, OWN, 1, SERVICE, RUN),
         (6, OTHER, 1, SERVICE, SOURCE_STALE),
         (8, OTHER, 1, SERVICE, VERIFY_FIRST),
         (7, OTHER, 1, SERVICE, CONFLICT),
-        (7, OWN, 0, SERVICE, CONFLICT),  # the right digest, but held for read_only
-        (7, OWN, 1, "tile-vault", CONFLICT),  # the right digest, but another service drawn
-        (7, b"", 1, SERVICE, RUN),  # a source that tells no rule
+        (7, OWN, 0, SERVICE, CONFLICT),  # The digest matches, the kind does not.
+        (7, OWN, 1, "tile-vault", CONFLICT),  # The digest matches, the service does not.
+        (7, b"", 1, SERVICE, RUN),  # The source sends no rule digest.
         (7, b"", 0, SERVICE, CONFLICT),
     ],
 )
--- a/tests/lease/test_control_leases.py
+++ b/tests/lease/test_control_leases.py
@@ -119,7 +119,7 @@
     assert play(trial, 13.0) == 0
     drift_monitors = [cast(Any, side.proxy.program).drift_monitor for side in trial.field.sides[:3]]
     assert sum(one.lease_denials for one in drift_monitors) >= 1
-    assert [one.standing_aside for one in drift_monitors] == [False] * 3
+    assert [one.quarantine_active for one in drift_monitors] == [False] * 3
     assert not any(one.is_quarantined for one in drift_monitors)
 
 
@@ -132,11 +132,11 @@
     drift_monitor.rebuild = lambda: False
     drift_monitor.report_drift("scan", "a build that cannot heal")
     trial.world.run(9.2)
-    assert drift_monitor.standing_aside
+    assert drift_monitor.quarantine_active
     assert drift_monitor.quarantine_lease.holds()
     for core in trial.field.cores:
         core.freeze()
     trial.world.run(9.2 + TERMS[QUARANTINE] + 0.4)
-    assert not drift_monitor.standing_aside
+    assert not drift_monitor.quarantine_active
     assert not drift_monitor.quarantine_lease.holds()
     assert drift_monitor.state.is_suspect, "the drift is still reported"
