--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -192,7 +192,7 @@
         route = outbound.mesh_state.find(head.host, head.path)
         drift_monitor = outbound.source.drift_monitor
         if drift_monitor is not None:
-            route, retry_after_s = drift_monitor.look(head.host, head.path, route)
+            route, retry_after_s = drift_monitor.check_route(head.host, head.path, route)
         if retry_after_s and outbound.source.pick_delegate(()) is not None:
             return DELEGATED_ROUTE, 0.0
         return route, retry_after_s
--- a/honeywharf/sidecar/delegation.py
+++ b/honeywharf/sidecar/delegation.py
@@ -174,7 +174,7 @@
     head.fields, head.remaining_s, head.length = [forwarded.fields], forwarded.remaining_s, forwarded.length
     route, retry_after_s = source.mesh_state.find(host, head.path), 0.0
     if source.drift_monitor is not None:
-        route, retry_after_s = source.drift_monitor.look(host, head.path, route)
+        route, retry_after_s = source.drift_monitor.check_route(host, head.path, route)
     if retry_after_s:
         delegated.reject(DRIFT, retry_after_s)
     elif route is None:
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -46,7 +46,7 @@
 
     from honeywharf.admission.admission_queue import Waiter
     from honeywharf.admission.body_intake import PendingBody
-    from honeywharf.drift.requests import DriftMonitor
+    from honeywharf.drift.monitor import DriftMonitor
     from honeywharf.sidecar.backend import BackendConnection
     from honeywharf.sidecar.gate import Gate
     from honeywharf.transport.host import Host, Timer
@@ -284,7 +284,7 @@
     def _slot_granted(self) -> None:
         self.waiter = None
         now, drift_monitor = self.inbound.host.now(), self.inbound.drift_monitor
-        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.still(self)):
+        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.admits_after_wait(self)):
             self._start(now)
 
     def _queue_timed_out(self) -> None:
@@ -355,7 +355,7 @@
         if rejection is not None:
             self.reject(*rejection)
             return False
-        if self.inbound.drift_monitor is not None and not self.inbound.drift_monitor.still(self):
+        if self.inbound.drift_monitor is not None and not self.inbound.drift_monitor.admits_after_wait(self):
             return False
         self.gate.request_sent(now)
         return True
@@ -415,7 +415,7 @@
         self.forwarded.max_queue_wait_s = max(
             self.forwarded.max_queue_wait_s, MAX_SLOT_WAIT_SHARE * self.forwarded.latency_target_s
         )
-        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.still(self)):
+        if self._passes_gate(now) and (drift_monitor is None or drift_monitor.admits_after_wait(self)):
             self._take_slot(now)
 
     def window(self, size: int) -> None:
@@ -616,7 +616,7 @@
         """Takes a request from a source; `responder` gets its outcome, possibly from within this call."""
         request = InboundRequest(self, forwarded, responder)
         self.pending_requests[request] = None
-        if self.drift_monitor is None or self.drift_monitor.passes(request):
+        if self.drift_monitor is None or self.drift_monitor.admits(request):
             request.admit_or_reject()
         return request
 
--- a/honeywharf/sidecar/outbound_request.py
+++ b/honeywharf/sidecar/outbound_request.py
@@ -467,8 +467,8 @@
         """Takes a backend's answer: complete, or its head where `body` is None."""
         self.source.backend_answered(self.service, self.gate, status)
         drift_monitor = self.source.drift_monitor
-        if drift_monitor is not None and drift_monitor.accused and self.kind:
-            drift_monitor.agreed(drift_monitor.rule(self.route), self.gate)
+        if drift_monitor is not None and drift_monitor.disagreeing_peers and self.kind:
+            drift_monitor.confirm_rule(drift_monitor.rule_digest(self.route), self.gate)
         self.answering = True
         if body is not None:
             self.channel = None
@@ -536,7 +536,7 @@
         source.attempt_abandoned(self.service, self.gate)
         self.attempts += 1  # shows `_send_to` that a gate in this process has rejected from within
         if may_reroute:
-            drift_monitor.stale(self, self.gate)
+            drift_monitor.refresh_and_retry(self, self.gate)
         else:
             self.delegate()
         return True
--- a/tests/sidecar/test_delegation.py
+++ b/tests/sidecar/test_delegation.py
@@ -140,19 +140,19 @@
     """The part of the drift monitor that outbound requests call."""
 
     def __init__(self) -> None:
-        self.accused: dict[str, object] = {}
+        self.disagreeing_peers: dict[str, object] = {}
         self.retry_after_s = 0.0
 
-    def stale(self, request: OutboundRequest, key: str) -> None:
+    def refresh_and_retry(self, request: OutboundRequest, key: str) -> None:
         request.reroute()
 
-    def rule(self, route: object) -> bytes:
+    def rule_digest(self, route: object) -> bytes:
         return b"12345678"
 
-    def drawn(self, route: Any, draw: float, service: str) -> str:
+    def check_service(self, route: Any, draw: float, service: str) -> str:
         return service
 
-    def look(self, host: bytes, path: bytes, route: Any) -> tuple[Any, float]:
+    def check_route(self, host: bytes, path: bytes, route: Any) -> tuple[Any, float]:
         return route, self.retry_after_s
 
 
