--- a/honeywharf/flow/buffer_budget.py
+++ b/honeywharf/flow/buffer_budget.py
@@ -13,7 +13,7 @@
 
 from mypy_extensions import mypyc_attr
 
-# The most bytes of one read from a connection that carries a long body (`http.pieces`).
+# The most bytes of one read from a connection that carries a long body (`http.body_streams`).
 MAX_READ = 64 * 1024
 MIN_SHARE_BYTES, MAX_SHARE_BYTES = 16 * 1024, 256 * 1024
 MEMORY_SHARE = 0.3  # The part of the memory limit for all bodies; the rest is for the process and the kernel.
--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -29,7 +29,7 @@
     def adopt(self, made: socket.socket) -> None:
         """Go on with a connection that another process held."""
 
-    def room(self, part: float) -> None:
+    def scale_capacity(self, part: float) -> None:
         """Hold so much of the connections that this process may hold alone."""
 
 
@@ -163,7 +163,7 @@
 
     def _changed(self) -> None:
         """A process has come or gone: two share the bounds on memory and descriptors."""
-        self.front.room(0.5 if self.desk.lines else 1.0)
+        self.front.scale_capacity(0.5 if self.desk.lines else 1.0)
         if self.telling is None:
             self.told_calls = {}
             self._tell_calls()
--- a/honeywharf/http/__init__.py
+++ b/honeywharf/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: callers' connections (front) and connections to nodes (backend)."""
+"""HTTP/1.1: connections of clients (front) and connections to nodes (backend)."""
--- a/honeywharf/http/accept.py
+++ b/honeywharf/http/accept.py
@@ -1,6 +1,6 @@
-"""A listener whose accepting can be paced: connections wait in the kernel's queue, and none is turned away.
+"""A listener with a limited accept rate: connections wait in the kernel's queue, and none is rejected.
 
-Only where storms are watched: the event loop's own listener accepts as fast as it can, and has no rate.
+Used only with storm control: the event loop's own listener accepts as fast as it can.
 """
 
 from __future__ import annotations
@@ -12,113 +12,115 @@
 
 from honeywharf.core.transport import Address
 
-BURST_S = 0.05  # of accepting that may be saved up
-TCP_INFO_BYTES, CLOSE_WAIT = 60, 8  # Linux: struct tcp_info up to its times, and a state of it
-LAST_HEARD = slice(52, 56)  # of it: tcpi_last_data_recv, ms since bytes came, or since the connection did
-AT_ONCE = 64  # accepted in one turn of the loop: the others' requests are waiting
+MAX_BURST_S = 0.05  # the token bucket holds the tokens of this time
+TCP_INFO_BYTES, CLOSE_WAIT = 60, 8  # Linux: size of struct tcp_info up to its times; TCP_CLOSE_WAIT
+LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv: ms since the last data, or since the connection
+MAX_ACCEPTS_PER_TURN = 64  # per turn of the event loop, which also serves other connections
 
 
-def waited(made: socket.socket) -> tuple[float, bool]:
-    """For how many ms what came on a connection has waited to be accepted, and whether nothing more comes.
+def queue_wait(connection: socket.socket) -> tuple[float, bool]:
+    """Returns for how many ms received data has waited for the accept, and whether the client has closed.
 
-    (0, False) where the system does not tell. Guards against taking the time left, which its caller wrote
-    when it sent the request, for what is left when it is read.
+    (0, False) if the system does not tell. The time left in a request counts from when the client sent it:
+    this wait has to be subtracted.
     """
     try:
-        info = made.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0.0, False
     if len(info) < TCP_INFO_BYTES:
         return 0.0, False
-    return float(int.from_bytes(info[LAST_HEARD], sys.byteorder)), info[0] == CLOSE_WAIT
+    return float(int.from_bytes(info[LAST_DATA_RECEIVED], sys.byteorder)), info[0] == CLOSE_WAIT
 
 
 class Acceptor:
-    """One listening socket. Stands in for the loop's server: `sockets`, `close`."""
+    """One listening socket. Replaces `asyncio.Server` as far as it is used: `sockets`, `close`."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         factory: Callable[[float, bool], asyncio.Protocol],
-        where: Address,
+        listen_address: Address,
         backlog: int,
         inherited: socket.socket | None = None,
     ) -> None:
         self.loop, self.factory = loop, factory
-        family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
-        made = inherited or socket.socket(family, socket.SOCK_STREAM)
+        family = socket.AF_INET6 if ":" in listen_address[0] else socket.AF_INET
+        connection = inherited or socket.socket(family, socket.SOCK_STREAM)
         try:
-            made.setblocking(False)
+            connection.setblocking(False)
             if inherited is None:
-                made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                made.bind(where)
-            made.listen(backlog)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                connection.bind(listen_address)
+            connection.listen(backlog)
         except OSError:
-            made.close()
+            connection.close()
             raise
-        self.sockets = [made]
+        self.sockets = [connection]
         self.per_s = 0.0
-        self.tokens, self.filled_s = 0.0, 0.0
-        self.waits: asyncio.TimerHandle | None = None
-        self.joining: set[asyncio.Task[object]] = set()
-        loop.add_reader(made.fileno(), self._ready)
+        self.tokens, self.refilled_s = 0.0, 0.0
+        self.resume_timer: asyncio.TimerHandle | None = None
+        self.connecting: set[asyncio.Task[object]] = set()
+        loop.add_reader(connection.fileno(), self._accept_ready)
 
     def pace(self, per_s: float) -> None:
-        """So many connections a second from now on; 0 for no bound."""
-        self.per_s, self.tokens, self.filled_s = per_s, 1.0, self.loop.time()
-        if self.waits is not None:
-            self.waits.cancel()
+        """Limits the accept rate to `per_s` connections per second; 0 removes the limit."""
+        self.per_s, self.tokens, self.refilled_s = per_s, 1.0, self.loop.time()
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
             self._resume()
 
     def _resume(self) -> None:
-        self.waits = None
+        self.resume_timer = None
         if self.sockets:
-            self.loop.add_reader(self.sockets[0].fileno(), self._ready)
+            self.loop.add_reader(self.sockets[0].fileno(), self._accept_ready)
 
-    def _ready(self) -> None:
-        for _ in range(AT_ONCE):
-            if self.per_s and not self._token():
+    def _accept_ready(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self.per_s and not self._take_token():
                 return
             try:
-                made, _ = self.sockets[0].accept()
+                connection, _ = self.sockets[0].accept()
             except BlockingIOError:
                 return
-            except OSError:  # out of descriptors, or it has gone again; what waits stays in the queue
-                self._wait(BURST_S)
+            except OSError:  # no file descriptor left, or the connection is gone; the others stay queued
+                self._pause_accepting(MAX_BURST_S)
                 return
-            made.setblocking(False)
-            task = self.loop.create_task(self._join(made))
-            self.joining.add(task)
-            task.add_done_callback(self.joining.discard)
+            connection.setblocking(False)
+            task = self.loop.create_task(self._connect(connection))
+            self.connecting.add(task)
+            task.add_done_callback(self.connecting.discard)
 
-    def _token(self) -> bool:
-        """Whether one more may be accepted now; else it is waited for."""
+    def _take_token(self) -> bool:
+        """Takes a token; without one, pauses accepting until the next and returns False."""
         now = self.loop.time()
-        self.tokens = min(max(1.0, self.per_s * BURST_S), self.tokens + (now - self.filled_s) * self.per_s)
-        self.filled_s = now
+        self.tokens = min(
+            max(1.0, self.per_s * MAX_BURST_S), self.tokens + (now - self.refilled_s) * self.per_s
+        )
+        self.refilled_s = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return True
-        self._wait((1.0 - self.tokens) / self.per_s)
+        self._pause_accepting((1.0 - self.tokens) / self.per_s)
         return False
 
-    def _wait(self, seconds: float) -> None:
+    def _pause_accepting(self, seconds: float) -> None:
         self.loop.remove_reader(self.sockets[0].fileno())
-        self.waits = self.loop.call_later(seconds, self._resume)
+        self.resume_timer = self.loop.call_later(seconds, self._resume)
 
-    async def _join(self, made: socket.socket) -> None:
+    async def _connect(self, connection: socket.socket) -> None:
         try:
-            waited_ms, ended = waited(made)
-            await self.loop.connect_accepted_socket(lambda: self.factory(waited_ms, ended), made)
+            waited_ms, ended = queue_wait(connection)
+            await self.loop.connect_accepted_socket(lambda: self.factory(waited_ms, ended), connection)
         except OSError:
-            made.close()
+            connection.close()
 
     def close(self) -> None:
-        """Accept nothing more."""
-        if self.waits is not None:
-            self.waits.cancel()
-            self.waits = None
-        for one in self.sockets:
-            self.loop.remove_reader(one.fileno())
-            one.close()
+        """Stops accepting and closes the socket."""
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
+            self.resume_timer = None
+        for listener in self.sockets:
+            self.loop.remove_reader(listener.fileno())
+            listener.close()
         self.sockets = []
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -1,4 +1,4 @@
-"""Connections to backends: a pool for each, one call a connection, and the outcome of each call."""
+"""Connections to backends: a pool for each backend, one call at a time per connection, and call outcomes."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 from honeywharf.core.transport import Address, Clock, UpstreamRequest
 from honeywharf.flow.buffer_budget import BufferBudget
 from honeywharf.flow.pipe import Pipe
-from honeywharf.http.pieces import Reading, Writing, read_in_pieces
+from honeywharf.http.body_streams import ConnectionSink, ConnectionSource, bound_reads
 from honeywharf.policy import interface as api
 
-# A backend closes an idle connection at the latest after the time in the settings, counted from when it wrote
-# its last byte: a connection nearer to that than this is closed, as a request on it would end as a reset.
+# A backend closes an idle connection at the latest after the idle time in the settings, counted from its last
+# write. A connection closer to that than this margin is closed, as a request on it could end with a reset.
 IDLE_MARGIN_MS = 750.0
-IDLE_PART = 0.8  # of the shortest time after which a backend was seen to close one
-IDLE_LEAST_MS = 200.0  # under that it closes after an answer, not as idle
-EARLY_BACKENDS = 2  # that were seen to close early, and all are taken to: one alone may be odd
+EARLY_CLOSE_MARGIN = 0.8  # share of the shortest idle time after which a backend closed a connection
+MIN_EARLY_CLOSE_MS = 200.0  # a backend that closes sooner closes after each response, not for idleness
+MIN_EARLY_CLOSING_BACKENDS = 2  # backends closing early before the time applies to all backends
 SWEEP_S = 0.5
-# Between the pieces of an answer, and from its first to its last: a long one comes in many.
-# Guards against a head or a body that never ends, which would hold the attempt until the deadline.
-# Callers' time bounds it too; slow ones give a good answer in pieces for seconds.
-ANSWER_S = 0.5
-WHOLE_ANSWER_S = 5.0
-STREAM_S = 3.0  # between the pieces of a long answer that is passed on as it arrives
-ANSWERS_BYTES = 8 * 1024 * 1024  # of all answers that have begun and not ended: guards the memory
-LIVE, REPORT = b"/health/live", b"/stats"  # what a health check asks for
-OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+# Time-outs between two reads of a response, and from its first read to its last. They guard against an
+# endless head or body, which would keep the attempt in flight until the deadline. A slow backend may need
+# seconds.
+RESPONSE_STALL_TIMEOUT_S = 0.5
+RESPONSE_TIMEOUT_S = 5.0
+STREAM_STALL_TIMEOUT_S = 3.0  # between two reads of a streamed response
+MAX_RESPONSE_BYTES_IN_FLIGHT = 8 * 1024 * 1024  # buffered by all partly read responses
+LIVENESS_PATH, REPORT_PATH = b"/health/live", b"/stats"  # paths of health checks
+LOCAL_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 INFINITY = float("inf")
 O = api.Outcome  # noqa: E741
-# An answer that can't be read: the backend is up and has run the request. Guards against taking it for a
-# broken connection, which the module takes for the end of the backend's process.
-SPOILT = O.ERROR
+# A malformed response: the backend is up and has run the request. It must not count as a broken connection,
+# which the decision module takes for the end of the backend's process.
+UNREADABLE_RESPONSE = O.ERROR
 
 
 def outcome_of(response: http1.Response) -> api.Outcome:
-    """What a whole answer says of the attempt."""
+    """Returns the outcome of an attempt by its complete response."""
     if response.status == 200:
         return O.OK
     if response.status in (503, 504) and response.unprocessed:
@@ -53,110 +53,113 @@
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One address that discovery has named."""
+    """A backend at an address listed by discovery."""
 
     address: Address
     started_ms: float | None
     host: bytes
-    open_for_work: bool = True  # else its connections are not kept
-    idle_ms: float = float("inf")  # what it was seen to close idle connections after, less a margin
-    idle: deque[Connection] = field(default_factory=deque)  # the last used at the right
+    open_for_work: bool = True  # otherwise its connections are not kept idle
+    idle_ms: float = float("inf")  # idle time after which it closes connections, less a margin
+    idle: deque[Connection] = field(default_factory=deque)  # the last used at the right end
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a backend. It carries one call at a time, and writes each call once."""
+    """A connection to a backend. It carries one call at a time, and writes each call once."""
 
     __slots__ = (
         "backend",
-        "begun_ms",
-        "body",
         "bytes_read",
         "call",
         "closed",
-        "heard_ms",
-        "held",
-        "idle_since",
+        "has_unsent_bytes",
+        "idle_since_ms",
+        "last_read_ms",
         "poll",
         "pool",
+        "read_paused",
         "reader",
+        "request_pipe",
+        "response_began_ms",
+        "response_pipe",
         "sink",
-        "stream",
         "timer",
         "transport",
-        "unsent",
     )
 
     def __init__(self, pool: Pool, backend: Backend) -> None:
         self.pool, self.backend = pool, backend
         self.call: UpstreamRequest | None = None
         self.reader = http1.ResponseReader(buffer_budget=pool.buffer_budget)
-        self.body: Pipe | None = None  # of the call, while part of it is still to come
-        self.sink: Writing | None = None
-        self.stream: Pipe | None = None  # an answer that is passed on as it arrives
-        self.held = False  # which its caller takes more slowly than it comes
-        self.unsent = self.closed = False
-        self.idle_since = 0.0
-        self.timer: asyncio.TimerHandle | None = None  # while an answer has begun and not ended
-        self.begun_ms = self.heard_ms = 0.0  # when its first and its latest piece came
-        self.bytes_read = 0  # of it
+        self.request_pipe: Pipe | None = None  # body of the call, until it is completely written
+        self.sink: ConnectionSink | None = None
+        self.response_pipe: Pipe | None = None  # streamed response
+        self.read_paused = False  # whether reading of the streamed response is paused
+        self.has_unsent_bytes = self.closed = False
+        self.idle_since_ms = 0.0
+        self.timer: asyncio.TimerHandle | None = None  # while a response is partly read
+        self.response_began_ms = self.last_read_ms = 0.0  # times of its first and its latest read
+        self.bytes_read = 0  # of the response
         self.transport: asyncio.Transport
         self.poll: select.poll
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask to be told whenever a write does not leave at once."""
+        """Sets up the transport to report each write that is not sent at once."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         self.poll = select.poll()
         self.poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def pause_writing(self) -> None:
-        """Some of the request has not left yet: a break now proves that it never ran."""
-        self.unsent = True
-        if self.body is not None and self.transport.get_write_buffer_size() > self.pool.buffer_budget.share():
-            self.body.set_full(True)
+        """Notes that part of the request is unsent: if the connection breaks now, the request has not run."""
+        self.has_unsent_bytes = True
+        if (
+            self.request_pipe is not None
+            and self.transport.get_write_buffer_size() > self.pool.buffer_budget.share()
+        ):
+            self.request_pipe.set_full(True)
 
     def resume_writing(self) -> None:
-        """All that was written has left."""
-        self.unsent = self.body is not None
-        if self.body is not None:
-            self.body.set_full(False)
-
-    def take(self, data: bytes) -> None:
-        """Some more of the call's body."""
-        body = self.body
-        if body is not None:
-            self.transport.write(http1.chunk(data) if body.length is None else data)
+        """Notes that all written data is sent."""
+        self.has_unsent_bytes = self.request_pipe is not None
+        if self.request_pipe is not None:
+            self.request_pipe.set_full(False)
+
+    def write_body(self, data: bytes) -> None:
+        """Writes a part of the request body."""
+        request_pipe = self.request_pipe
+        if request_pipe is not None:
+            self.transport.write(http1.chunk(data) if request_pipe.length is None else data)
             if self.transport.get_write_buffer_size() > self.pool.buffer_budget.share():
-                body.set_full(True)
+                request_pipe.set_full(True)
 
-    def sent(self) -> None:
-        """All of the call's body has been written."""
-        body, self.body = self.body, None
-        if body is not None and body.length is None:
+    def body_completed(self) -> None:
+        """Ends the request body, which is completely written."""
+        request_pipe, self.request_pipe = self.request_pipe, None
+        if request_pipe is not None and request_pipe.length is None:
             self.transport.write(http1.LAST_CHUNK)
-        self.unsent = self.transport.get_write_buffer_size() > 0 or self.transport.is_closing()
+        self.has_unsent_bytes = self.transport.get_write_buffer_size() > 0 or self.transport.is_closing()
 
-    def cut(self) -> None:
-        """The rest of the call's body will not come: it can't have run."""
+    def body_aborted(self) -> None:
+        """Ends a call whose request body breaks off: the request cannot have run."""
         if not self.closed:
             self._end(O.CONNECT_FAILED, None)
 
-    def set_paused(self, held: bool) -> None:
-        """Read no more of an answer, or go on."""
-        self.held = held
+    def set_paused(self, paused: bool) -> None:
+        """Stops or resumes reading the response."""
+        self.read_paused = paused
         if not self.closed and not self.transport.is_closing():
-            if held:
+            if paused:
                 self.transport.pause_reading()
             elif not self.transport.is_reading():
-                self.heard_ms = self.pool.clock.now()
+                self.last_read_ms = self.pool.clock.now()
                 self.transport.resume_reading()
 
-    def carry(self, call: UpstreamRequest) -> None:
-        """Write the whole request, in one write."""
+    def write_call(self, call: UpstreamRequest) -> None:
+        """Writes the request in a single write; a streamed body follows through its pipe."""
         self.call, call.connection = call, self
         request, host = call.request, self.backend.host
         if request is None:
-            path = REPORT if call.report else LIVE
+            path = REPORT_PATH if call.report else LIVENESS_PATH
             self.transport.write(b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (path, host))
         else:
             pipe, until = request.pipe, call.until_ms
@@ -168,18 +171,18 @@
                 b"%b%b%b\r\n%b" % (http1.request_head(request, host), left, call.header_lines, request.body)
             )
             if pipe is not None:
-                self.body, self.sink, self.unsent = pipe, Writing(self), True
+                self.request_pipe, self.sink, self.has_unsent_bytes = pipe, ConnectionSink(self), True
                 pipe.attach(self.sink)
         if self.transport.is_closing():
-            # Guards against taking a write that failed for one that left: nothing of it did.
-            self.unsent = True
+            # The write failed: nothing of it was sent.
+            self.has_unsent_bytes = True
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer; bytes that nobody asked for end the connection."""
+        """Reads the response; bytes without a call in flight end the connection."""
         if self.closed:
             return
-        if self.stream is not None:
-            self._streamed(data)
+        if self.response_pipe is not None:
+            self._read_streamed(data)
             return
         if self.call is None:
             self.drop()
@@ -187,165 +190,174 @@
         try:
             response = self.reader.feed(data)
         except http1.MalformedError:
-            self._end(SPOILT, None)
+            self._end(UNREADABLE_RESPONSE, None)
             return
         if response is not None:
-            self._answered(response)
+            self._handle_response(response)
             return
-        self.heard_ms = self.pool.clock.now()
+        self.last_read_ms = self.pool.clock.now()
         self.bytes_read += len(data)
         self.pool.bytes_read += len(data)
-        if self.pool.bytes_read > ANSWERS_BYTES:
-            self._end(SPOILT, None)
+        if self.pool.bytes_read > MAX_RESPONSE_BYTES_IN_FLIGHT:
+            self._end(UNREADABLE_RESPONSE, None)
         elif self.timer is None:
-            self.begun_ms = self.heard_ms
-            self.timer = self.pool.loop.call_later(ANSWER_S, self._stalled)
+            self.response_began_ms = self.last_read_ms
+            self.timer = self.pool.loop.call_later(RESPONSE_STALL_TIMEOUT_S, self._check_response_stall)
 
-    def _answered(self, response: http1.Response) -> None:
-        """An answer is whole, or is passed on from now on."""
+    def _handle_response(self, response: http1.Response) -> None:
+        """Handles a response that is complete or to be streamed."""
         reader = self.reader
-        if self.body is not None and response.status != 200:
-            # Before the request's last byte has left: the backend has not begun it, whatever the answer says.
+        if self.request_pipe is not None and response.status != 200:
+            # Part of the request is unsent: the backend has not begun it, whatever the response says.
             self._end(O.REJECTED, response)
         elif response.pipe is None or response.pipe.is_finished:
-            reusable = response.keep and reader.idle and not reader.has_excess_bytes and not self.unsent
+            reusable = (
+                response.keep and reader.idle and not reader.has_excess_bytes and not self.has_unsent_bytes
+            )
             self._end(outcome_of(response), response, reusable=reusable)
         else:
-            self._stream(response, response.pipe)
+            self._stream_response(response, response.pipe)
 
-    def _stream(self, response: http1.Response, pipe: Pipe) -> None:
-        """Pass an answer on as it arrives; its call has ended with its first bytes."""
+    def _stream_response(self, response: http1.Response, pipe: Pipe) -> None:
+        """Starts to stream a response, which ends its call."""
         call, self.call = self.call, None
-        self._disarm()
-        self.stream, pipe.source = pipe, Reading(self)
-        self.heard_ms = self.pool.clock.now()
-        self.timer = self.pool.loop.call_later(STREAM_S, self._dried_up)
+        self._cancel_timer()
+        self.response_pipe, pipe.source = pipe, ConnectionSource(self)
+        self.last_read_ms = self.pool.clock.now()
+        self.timer = self.pool.loop.call_later(STREAM_STALL_TIMEOUT_S, self._check_stream_stall)
         self.pool.streams += 1
-        read_in_pieces(self.transport, self)
+        bound_reads(self.transport, self)
         if self.pool.buffer_budget.open_pipes >= self.pool.buffer_budget.max_pipes:
-            self.set_paused(True)  # until a place is free
-        pipe.slot_ticket = self.pool.buffer_budget.wait_for_slot(self._placed)
+            self.set_paused(True)  # until a slot is free
+        pipe.slot_ticket = self.pool.buffer_budget.wait_for_slot(self._slot_acquired)
         if call is not None:
             call.connection = None
             call.ended(O.OK, response)
 
-    def _placed(self) -> None:
-        """The answer has its place in the account."""
-        if self.stream is None:
+    def _slot_acquired(self) -> None:
+        """Called when the buffer budget grants the streamed response a slot."""
+        if self.response_pipe is None:
             self.pool.buffer_budget.release()
             return
-        self.stream.has_slot, self.stream.slot_ticket = True, 0
+        self.response_pipe.has_slot, self.response_pipe.slot_ticket = True, 0
         self.set_paused(False)
 
-    def _streamed(self, data: bytes) -> None:
-        """Read on; where the answer ends, the connection is free again."""
-        stream, reader, self.heard_ms = self.stream, self.reader, self.pool.clock.now()
-        assert stream is not None
+    def _read_streamed(self, data: bytes) -> None:
+        """Reads a streamed response; at its end the connection may be reused."""
+        response_pipe, reader, self.last_read_ms = self.response_pipe, self.reader, self.pool.clock.now()
+        assert response_pipe is not None
         try:
             reader.feed(data)
         except http1.MalformedError:
-            stream.fail()
-        if stream.ended:
-            self._stream_over(reusable=reader.idle and not reader.has_excess_bytes and not self.unsent)
-        elif stream.is_finished:
-            self._broke()
-
-    def _stream_over(self, *, reusable: bool) -> None:
-        self.stream = None
-        self._disarm()
+            response_pipe.fail()
+        if response_pipe.ended:
+            self._stream_ended(
+                reusable=reader.idle and not reader.has_excess_bytes and not self.has_unsent_bytes
+            )
+        elif response_pipe.is_finished:
+            self._fail_stream()
+
+    def _stream_ended(self, *, reusable: bool) -> None:
+        self.response_pipe = None
+        self._cancel_timer()
         if reusable and self.reader.is_reusable:
-            self.pool.rest(self)
+            self.pool.keep_idle(self)
         else:
             self.drop()
 
-    def _broke(self) -> None:
-        """An answer has broken off in the middle, by its backend's fault."""
-        stream, self.stream = self.stream, None
-        self._disarm()
-        if stream is not None:
-            stream.fail()
-        self.pool.broken(self.backend)
+    def _fail_stream(self) -> None:
+        """Fails a streamed response that its backend has not completed."""
+        response_pipe, self.response_pipe = self.response_pipe, None
+        self._cancel_timer()
+        if response_pipe is not None:
+            response_pipe.fail()
+        self.pool.record_broken_response(self.backend)
         self.drop()
 
     def body_cancelled(self) -> None:
-        """Nobody takes the rest of the answer."""
-        self.stream = None
-        self._disarm()
+        """Closes the connection, as nobody needs the rest of the response."""
+        self.response_pipe = None
+        self._cancel_timer()
         self.drop()
 
-    def _dried_up(self) -> None:
-        """Nothing more of an answer has come for long, though its caller would take it."""
+    def _check_stream_stall(self) -> None:
+        """Fails a streamed response that stalls although its client accepts more."""
         self.timer = None
-        if self.stream is None:
+        if self.response_pipe is None:
             return
-        left_s = STREAM_S - (self.pool.clock.now() - self.heard_ms) / 1000.0
-        if self.held or left_s > 0.001:
-            self.timer = self.pool.loop.call_later(STREAM_S if self.held else left_s, self._dried_up)
+        left_s = STREAM_STALL_TIMEOUT_S - (self.pool.clock.now() - self.last_read_ms) / 1000.0
+        if self.read_paused or left_s > 0.001:
+            self.timer = self.pool.loop.call_later(
+                STREAM_STALL_TIMEOUT_S if self.read_paused else left_s, self._check_stream_stall
+            )
         else:
-            self._broke()
+            self._fail_stream()
 
-    def _stalled(self) -> None:
-        """Nothing more of the answer has come for long, or it takes too long as a whole."""
+    def _check_response_stall(self) -> None:
+        """Ends a call whose response stalls or takes too long."""
         self.timer = None
-        due_ms = min(self.heard_ms + ANSWER_S * 1000.0, self.begun_ms + WHOLE_ANSWER_S * 1000.0)
+        due_ms = min(
+            self.last_read_ms + RESPONSE_STALL_TIMEOUT_S * 1000.0,
+            self.response_began_ms + RESPONSE_TIMEOUT_S * 1000.0,
+        )
         left_s = (due_ms - self.pool.clock.now()) / 1000.0
         if left_s > 0.001:
-            self.timer = self.pool.loop.call_later(left_s, self._stalled)
+            self.timer = self.pool.loop.call_later(left_s, self._check_response_stall)
         else:
-            self._end(SPOILT, None)
+            self._end(UNREADABLE_RESPONSE, None)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         self.pool.bytes_read -= self.bytes_read
         self.bytes_read = 0
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def stale(self) -> bool:
-        """Whether something has come on the idle connection that the loop has not read yet.
+    def has_unread_bytes(self) -> bool:
+        """Returns whether the idle connection has received data that the event loop has not yet read.
 
-        Guards against taking bytes that came before a request for its answer.
+        Bytes received before a request must not be taken for its response.
         """
         return bool(self.poll.poll(0))
 
     def eof_received(self) -> bool:
-        """The backend will say no more: the end of an answer of no told length, or a break."""
-        if self.stream is not None:
+        """Handles the end of the stream: it ends a response of unknown length or breaks the call."""
+        if self.response_pipe is not None:
             self.reader.end()
-            if self.stream is not None and self.stream.ended:
-                self._stream_over(reusable=False)
-            elif self.stream is not None:
-                self._broke()
+            if self.response_pipe is not None and self.response_pipe.ended:
+                self._stream_ended(reusable=False)
+            elif self.response_pipe is not None:
+                self._fail_stream()
             return False
         if self.call is not None and (response := self.reader.end()) is not None:
             self._end(outcome_of(response), response)
             return False
         if self.call is not None:
-            self._end(O.CONNECT_FAILED if self.unsent else O.RESET, None)
+            self._end(O.CONNECT_FAILED if self.has_unsent_bytes else O.RESET, None)
         elif not self.closed:
-            # Guards against writing to a connection in the moment in which the backend closes it as idle,
-            # which it may do sooner than the settings say: the request would end as a reset.
-            idle_for = self.pool.clock.now() - self.idle_since
-            if idle_for > IDLE_LEAST_MS:
-                self.pool.closes_early(self.backend, idle_for)
+            # The backend may close idle connections sooner than the settings say. Its idle time is
+            # learned, as a request written at that moment would end with a reset.
+            idle_for = self.pool.clock.now() - self.idle_since_ms
+            if idle_for > MIN_EARLY_CLOSE_MS:
+                self.pool.record_early_close(self.backend, idle_for)
             self.drop()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection broke, or was closed."""
-        if self.stream is not None:
-            self._broke()
+        """Ends a call in flight, as the connection broke or was closed."""
+        if self.response_pipe is not None:
+            self._fail_stream()
         if not self.closed:
-            self._end(O.CONNECT_FAILED if self.unsent else O.RESET, None)
+            self._end(O.CONNECT_FAILED if self.has_unsent_bytes else O.RESET, None)
 
     def _end(self, outcome: api.Outcome, response: http1.Response | None, *, reusable: bool = False) -> None:
         call, self.call = self.call, None
-        body, self.body = self.body, None
-        if body is not None and self.sink is not None:
-            body.detach(self.sink)
-        self._disarm()
+        request_pipe, self.request_pipe = self.request_pipe, None
+        if request_pipe is not None and self.sink is not None:
+            request_pipe.detach(self.sink)
+        self._cancel_timer()
         if reusable:
-            self.pool.rest(self)
+            self.pool.keep_idle(self)
         else:
             self.drop()
         if call is not None:
@@ -353,57 +365,57 @@
             call.ended(outcome, response)
 
     def drop(self) -> None:
-        """Close at once; what was not written stays unwritten."""
+        """Closes the connection at once and discards unsent data."""
         if not self.closed:
             self.closed = True
-            self._disarm()
-            body, self.body = self.body, None
-            if body is not None and self.sink is not None:
-                body.detach(self.sink)
+            self._cancel_timer()
+            request_pipe, self.request_pipe = self.request_pipe, None
+            if request_pipe is not None and self.sink is not None:
+                request_pipe.detach(self.sink)
             self.reader.close()
-            self.pool.dropped(self)
+            self.pool.connection_closed(self)
             self.transport.abort()
 
 
 class Pool:
-    """All connections to all backends, within one bound."""
+    """The connections to all backends, within one limit."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
         limits: api.Limits,
-        most: int,
+        max_connections: int,
         buffer_budget: BufferBudget | None = None,
     ) -> None:
         self.buffer_budget = buffer_budget or BufferBudget(http1.DEFAULT_BUFFER_BYTES)
-        self.streams = 0  # answers that were passed on as they arrived
-        self.broke = 0  # of them, those that broke off
-        self.on_broken: Callable[[str], None] | None = None  # told of the endpoint
-        self.loop, self.clock, self.most = loop, clock, most
+        self.streams = 0  # number of streamed responses
+        self.broken_responses = 0  # streamed responses that broke off
+        self.on_broken: Callable[[str], None] | None = None  # called with the name of the endpoint
+        self.loop, self.clock, self.max_connections = loop, clock, max_connections
         self.connect_timeout_s = self.idle_ms = 0.0
         self.retune(limits)
         self.backends: dict[str, Backend] = {}
-        self.count = 0  # connections open or opening
+        self.count = 0  # open connections and those being opened
         self.handshakes = 0
-        self.bytes_read = 0  # of answers that have begun and not ended
-        self.early_ms = float("inf")  # what every backend is taken to close idle connections after
+        self.bytes_read = 0  # of partly read responses
+        self.early_close_ms = float("inf")  # idle time after which any backend may close a connection
         self.tasks: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
 
     def retune(self, limits: api.Limits) -> None:
-        """Go by the site's limits, for connections that are open too."""
+        """Applies changed limits of the site, also to open connections."""
         self.connect_timeout_s = (limits.connect_timeout_ms or 1000.0) / 1000.0
         self.idle_ms = max(0.0, limits.idle_ms - IDLE_MARGIN_MS) if limits.idle_ms else 60000.0
 
-    # The list.
+    # Endpoints.
 
     def name(self, endpoint: str, address: Address, started_ms: float | None, *, open_for_work: bool) -> None:
-        """Take over an endpoint's address; another address or a new start drops its idle connections."""
+        """Adds or updates an endpoint; another address or start time closes its idle connections."""
         known = self.backends.get(endpoint)
         if known is None or known.address != address or known.started_ms != started_ms:
             if known is not None:
-                self._retire(known)
+                self._stop_reuse(known)
             host = f"{address[0]}:{address[1]}"
             self.backends[endpoint] = known = Backend(address, started_ms, host.encode())
         known.open_for_work = open_for_work
@@ -411,22 +423,22 @@
             self._close_idle(known)
 
     def forget(self, endpoint: str) -> None:
-        """The endpoint is gone: nothing can be sent there any more."""
+        """Removes an endpoint: no further call can be sent to it."""
         backend = self.backends.pop(endpoint, None)
         if backend is not None:
-            self._retire(backend)
+            self._stop_reuse(backend)
 
     def known(self, endpoint: str) -> bool:
-        """Whether a list has named the endpoint."""
+        """Returns whether discovery has listed the endpoint."""
         return endpoint in self.backends
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the idle connections to an endpoint."""
+        """Closes the idle connections to an endpoint."""
         backend = self.backends.get(endpoint)
         if backend is not None:
             self._close_idle(backend)
 
-    def _retire(self, backend: Backend) -> None:
+    def _stop_reuse(self, backend: Backend) -> None:
         backend.open_for_work = False
         self._close_idle(backend)
 
@@ -434,19 +446,20 @@
         while backend.idle:
             backend.idle[-1].drop()
 
-    def closes_early(self, backend: Backend, idle_ms: float) -> None:
-        """A backend has closed a connection that was idle so long; the second shortest time counts for all.
+    def record_early_close(self, backend: Backend, idle_ms: float) -> None:
+        """Notes that a backend closed a connection after `idle_ms` of idleness.
 
-        Guards against learning it of each by itself, at the price of a request that ends as a reset.
+        The second shortest such time applies to all backends: learning it of each one would cost a request
+        each that ends with a reset. A single early close may be an exception.
         """
-        backend.idle_ms = max(IDLE_LEAST_MS, min(backend.idle_ms, IDLE_PART * idle_ms))
+        backend.idle_ms = max(MIN_EARLY_CLOSE_MS, min(backend.idle_ms, EARLY_CLOSE_MARGIN * idle_ms))
         known = sorted(b.idle_ms for b in self.backends.values() if b.idle_ms < float("inf"))
-        if len(known) >= EARLY_BACKENDS:
-            self.early_ms = known[EARLY_BACKENDS - 1]
+        if len(known) >= MIN_EARLY_CLOSING_BACKENDS:
+            self.early_close_ms = known[MIN_EARLY_CLOSING_BACKENDS - 1]
 
-    def broken(self, backend: Backend) -> None:
-        """An answer of that backend has broken off in the middle."""
-        self.broke += 1
+    def record_broken_response(self, backend: Backend) -> None:
+        """Counts and reports a streamed response of that backend that broke off."""
+        self.broken_responses += 1
         if self.on_broken is not None:
             for name, known in self.backends.items():
                 if known is backend:
@@ -456,22 +469,22 @@
     # Calls.
 
     def start(self, call: UpstreamRequest) -> None:
-        """Put the call on the connection used last, or on a new one."""
+        """Starts the call on the most recently used idle connection, or on a new one."""
         backend = self.backends[call.endpoint]
-        oldest = self.clock.now() - min(self.idle_ms, backend.idle_ms, self.early_ms)
+        idle_after_ms = self.clock.now() - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
         while backend.idle:
             connection = backend.idle.pop()
             if (
-                connection.idle_since > oldest
+                connection.idle_since_ms > idle_after_ms
                 and not connection.transport.is_closing()
-                and not connection.stale()
+                and not connection.has_unread_bytes()
             ):
-                connection.carry(call)
+                connection.write_call(call)
                 return
             connection.drop()
-        if self.count >= self.most and not self._make_room():
-            # Guards against blaming the backend for what this proxy lacks. Never from within `start`.
-            self.loop.call_soon(self._not_connected, call, O.NOT_SENT)
+        if self.count >= self.max_connections and not self._close_longest_idle():
+            # The backend is not to blame for this limit. `ended` must not be called from within `start`.
+            self.loop.call_soon(self._end_unsent, call, O.NOT_SENT)
             return
         self.count += 1
         self.handshakes += 1
@@ -481,19 +494,19 @@
         task.add_done_callback(self.tasks.discard)
 
     def abort(self, call: UpstreamRequest) -> None:
-        """Give the call up: closing its connection is how the backend learns of it."""
+        """Cancels the call and closes its connection, which tells the backend."""
         connection = call.connection
-        call.opening = False  # a connection that is still to come up is kept for another call
+        call.opening = False  # a connection still being opened is kept for another call
         if isinstance(connection, Connection):
             call.connection = connection.call = None
             connection.drop()
 
-    def _not_connected(self, call: UpstreamRequest, outcome: api.Outcome = O.CONNECT_FAILED) -> None:
+    def _end_unsent(self, call: UpstreamRequest, outcome: api.Outcome = O.CONNECT_FAILED) -> None:
         call.opening = False
         call.ended(outcome, None)
 
     async def _open(self, call: UpstreamRequest, backend: Backend) -> None:
-        """Open a connection for the call. What goes wrong here (no descriptor too) has sent nothing."""
+        """Opens a connection for the call. After an error, also a lack of descriptors, nothing was sent."""
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 _, connection = await self.loop.create_connection(
@@ -502,50 +515,50 @@
         except (OSError, TimeoutError, ValueError) as fault:
             self.count -= 1
             if call.opening:
-                own = isinstance(fault, OSError) and fault.errno in OWN_FAULTS
-                self._not_connected(call, O.NOT_SENT if own else O.CONNECT_FAILED)
+                is_local = isinstance(fault, OSError) and fault.errno in LOCAL_ERRNOS
+                self._end_unsent(call, O.NOT_SENT if is_local else O.CONNECT_FAILED)
             return
         if connection.closed or connection.transport.is_closing():
             connection.drop()
             if call.opening:
-                self._not_connected(call)
+                self._end_unsent(call)
         elif call.opening and not backend.open_for_work:
-            # Guards the rule on drains: while this connection came up its backend was taken out.
+            # The backend began to drain while the connection was opened: it must get no new call.
             connection.drop()
-            self._not_connected(call, O.NOT_SENT)
+            self._end_unsent(call, O.NOT_SENT)
         elif call.opening:
             call.opening = False
-            connection.carry(call)
-        else:  # given up in the meantime
-            self.rest(connection)
+            connection.write_call(call)
+        else:  # the call was cancelled in the meantime
+            self.keep_idle(connection)
 
-    def rest(self, connection: Connection) -> None:
-        """Keep the connection for the next call, unless its backend has moved on."""
+    def keep_idle(self, connection: Connection) -> None:
+        """Keeps the connection for the next call, unless its backend takes no more calls."""
         if not connection.backend.open_for_work:
             connection.drop()
             return
-        connection.idle_since = self.clock.now()
+        connection.idle_since_ms = self.clock.now()
         connection.backend.idle.append(connection)
 
-    def dropped(self, connection: Connection) -> None:
-        """A connection is closed."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Updates the pool after a connection was closed."""
         self.count -= 1
         if connection in connection.backend.idle:
             connection.backend.idle.remove(connection)
 
-    def _make_room(self) -> bool:
-        """Close the connection that has been idle longest, of all backends."""
-        rested = [b.idle[0] for b in self.backends.values() if b.idle]
-        if not rested:
+    def _close_longest_idle(self) -> bool:
+        """Closes the longest idle connection of all backends; False if none is idle."""
+        longest_idle = [b.idle[0] for b in self.backends.values() if b.idle]
+        if not longest_idle:
             return False
-        min(rested, key=lambda c: c.idle_since).drop()
+        min(longest_idle, key=lambda c: c.idle_since_ms).drop()
         return True
 
     def _sweep(self) -> None:
-        """Close what has been idle too long before the backend does."""
+        """Closes connections that have been idle too long, before the backend does."""
         now = self.clock.now()
         for backend in self.backends.values():
-            oldest = now - min(self.idle_ms, backend.idle_ms, self.early_ms)
-            while backend.idle and backend.idle[0].idle_since <= oldest:
+            idle_after_ms = now - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
+            while backend.idle and backend.idle[0].idle_since_ms <= idle_after_ms:
                 backend.idle[0].drop()
         self.loop.call_later(SWEEP_S, self._sweep)
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests in, one answer each out, the health endpoint, and the end of service."""
+"""The HTTP front: connections of clients, the readiness endpoint, and the end of service."""
 
 from __future__ import annotations
 
@@ -15,30 +15,33 @@
 from honeywharf.flow.buffer_budget import BufferBudget
 from honeywharf.flow.pipe import Pipe
 from honeywharf.flow.transfer_rate import HEADER_TIMEOUT_MS, MIN_BYTES_PER_S, STALL_TIMEOUT_MS, TransferRate
-from honeywharf.http.pieces import Reading, Writing, read_in_pieces
+from honeywharf.http.body_streams import ConnectionSink, ConnectionSource, bound_reads
 
 if TYPE_CHECKING:
     from honeywharf.http.accept import Acceptor
 
 BACKLOG = 1024
-READY = b"/health/ready"
-MAX_WAITING = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
-MAX_WAITING_BYTES = MAX_BUFFERED_BODY
-SILENT_MS = 2000.0  # a connection on which nothing has come is closed then
-IDLE_MS = 6000.0  # and so is one that has been idle so long after an answer; where callers crowd, earlier:
-CROWDED_IDLE_MS = 2000.0
-MAX_TURNED_AWAY = 32  # connections beyond the bound that are told so; further ones are cut
-YOUNG_MS = 250.0  # under that age a connection that says nothing is not the first to go
-LINGER_S = 0.5  # after a last answer: closing on unread bytes would take the answer back
-LINGER_MOST_S = 3.0  # the same for a caller that has not taken the answer off yet
-LINGER_BYTES = 256 * 1024  # what is read and thrown away in that time
-# The same where a long body was still coming: some callers read their answer only when all is written.
+READINESS_PATH = b"/health/ready"
+MAX_PIPELINED = 8  # pipelined requests per connection; clients usually send one at a time
+MAX_PIPELINED_BYTES = MAX_BUFFERED_BODY
+FIRST_REQUEST_TIMEOUT_MS = 2000.0  # a connection without any data is closed
+IDLE_TIMEOUT_MS = 6000.0  # after the last response
+CROWDED_IDLE_TIMEOUT_MS = 2000.0  # with more than half of the connections in use
+MAX_REJECTED_CONNECTIONS = 32  # beyond the limit, answered with 503; further ones are aborted
+MIN_AGE_TO_EVICT_MS = 250.0  # younger connections without a request are evicted last
+# Time after the last response until the socket is closed: closing with unread bytes causes a reset, by which
+# the client may lose the response.
+LINGER_S = 0.5
+MAX_LINGER_S = 3.0  # the same for a client that has not received all of the response
+MAX_LINGER_BYTES = 256 * 1024  # read and discarded in that time
+# The same during a streamed upload: some clients read the response only after writing the whole body.
 LINGER_BODY_S = 2.0
-MAX_THROWN = 64 * 1024 * 1024  # bytes of it in that time
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of the upload in that time
 SWEEP_S = 0.2
-GIVE_AGAIN_S = 0.005  # until a connection is offered again that could not be given away
+HANDOVER_RETRY_S = 0.005  # until a connection that could not be handed over is offered again
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-ASK_S, ASK_MOST_S = 0.02, 0.5  # after which it is looked whether a caller that sends no more has closed
+# First and longest interval of checks whether a half-closed client has reset the connection.
+RESET_POLL_S, MAX_RESET_POLL_S = 0.02, 0.5
 STATUSES = {
     Status.SERVED: 200,
     Status.REFUSED: 503,
@@ -46,180 +49,181 @@
     Status.CONFLICT: 409,
     Status.UNPROCESSABLE: 422,
 }
-REFUSED = STATUSES[Status.REFUSED]
+REJECTED_STATUS = STATUSES[Status.REFUSED]
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection: one request at a time, in the order they came."""
+    """A client's connection. It serves one request at a time, in the order of arrival."""
 
     __slots__ = (
-        "among",
-        "asked_s",
         "chunked",
-        "closes",
-        "coming",
+        "closes_after_response",
         "current",
-        "doubtful",
+        "current_group",
+        "discarded_bytes",
         "ended",
         "fault",
         "front",
+        "group_since_ms",
         "half_closed",
-        "moved_ms",
-        "pace",
+        "is_unverified",
+        "pipelined",
+        "pipelined_bytes",
+        "progress_ms",
         "reader",
+        "reset_poll_s",
         "served",
-        "since_ms",
         "stream",
-        "thrown",
         "timer",
+        "transfer_rate",
         "transport",
+        "upload",
         "waited_ms",
-        "waiting",
-        "waiting_bytes",
     )
 
     def __init__(
         self,
         front: Front,
         waited_ms: float = 0.0,
-        doubtful: bool = False,
+        is_unverified: bool = False,
         served: bool = False,
     ) -> None:
         self.front = front
-        self.waited_ms = waited_ms  # before it was accepted, what came first has waited so long
-        self.doubtful = doubtful  # its caller had ended its side by then, and may be gone
+        self.waited_ms = waited_ms  # for how long the first data waited for the accept
+        self.is_unverified = is_unverified  # the client had half-closed before the accept, and may be gone
         self.reader = http1.RequestReader(front.buffer_budget)
-        self.coming: Pipe | None = None  # a long body of its caller's, on the way
-        self.pace: TransferRate | None = None  # of a body that is coming
-        self.stream: Pipe | None = None  # an answer's body, on the way to its caller
-        self.chunked = self.closes = False  # that answer's form, and whether its end is the connection's
-        self.moved_ms = 0.0  # when its caller took something of it last
+        self.upload: Pipe | None = None  # streamed request body, until complete
+        self.transfer_rate: TransferRate | None = None  # of the upload
+        self.stream: Pipe | None = None  # streamed response body, until written
+        # Whether the streamed response is chunked, and whether the connection closes after it.
+        self.chunked = self.closes_after_response = False
+        self.progress_ms = 0.0  # when the client last received a part of it
         self.current: http1.Request | None = None
-        self.waiting: deque[http1.Request] = deque()
-        self.waiting_bytes = 0
+        self.pipelined: deque[http1.Request] = deque()
+        self.pipelined_bytes = 0
         self.fault: http1.MalformedError | None = None
-        self.ended = False  # nothing more is read or answered here
-        self.thrown = 0  # bytes that came after that
-        self.among: dict[Connection, None] | None = None  # which of the front's groups it is in
-        self.since_ms = 0.0  # in that group since then
+        self.ended = False  # no more requests are read or answered
+        self.discarded_bytes = 0  # bytes read after that
+        self.current_group: dict[Connection, None] | None = None  # one of the front's groups
+        self.group_since_ms = 0.0  # time of joining that group
         self.timer: asyncio.TimerHandle | None = None
-        self.served = served  # it has had an answer, of another process perhaps
-        self.half_closed = False  # the caller sends no more
-        self.asked_s = 0.0  # how long it was waited for a reset last
+        self.served = served  # whether it has had a response, perhaps by another process
+        self.half_closed = False  # the client sends no more
+        self.reset_poll_s = 0.0  # current interval of the checks for a reset; 0 before the first
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the others."""
+        """Registers the connection with the front."""
         self.transport = cast(asyncio.Transport, transport)
-        self.front.joined(self)
+        self.front.connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; one that comes while another is open waits for its answer."""
+        """Reads requests; a pipelined one waits for the response to its predecessor."""
         if self.ended:
-            self._throw(len(data))
+            self._discard(len(data))
             return
         if self.fault is not None:
             return
         requests = self.reader.feed(data)
         self.fault = self.reader.fault
-        if self.pace is not None:
-            self.pace.bytes += len(data)
-        if self.coming is not None:
-            if self.coming.is_finished:
-                self._arrived()
+        if self.transfer_rate is not None:
+            self.transfer_rate.bytes += len(data)
+        if self.upload is not None:
+            if self.upload.is_finished:
+                self._upload_ended()
             elif self.fault is not None:
-                self._break_off()
+                self._upload_malformed()
         if requests:
             now = self.front.clock.now() - self.waited_ms
             for request in requests:
                 if request.pipe is not None and not request.pipe.is_finished:
-                    self._arrives(request.pipe, now)
+                    self._upload_started(request.pipe, now)
                 request.read_ms, request.waited_ms = now, self.waited_ms
-                self.waiting.append(request)
-                self.waiting_bytes += len(request.body)
-            if len(self.waiting) > MAX_WAITING or (
-                len(self.waiting) > 1 and self.waiting_bytes > MAX_WAITING_BYTES
+                self.pipelined.append(request)
+                self.pipelined_bytes += len(request.body)
+            if len(self.pipelined) > MAX_PIPELINED or (
+                len(self.pipelined) > 1 and self.pipelined_bytes > MAX_PIPELINED_BYTES
             ):
-                self._too_far_ahead()
+                self._reject_pipelining()
                 return
         self.waited_ms = 0.0
-        if self.doubtful and self.waiting and self.waiting[0].interim:
-            self.doubtful = False
+        if self.is_unverified and self.pipelined and self.pipelined[0].interim:
+            self.is_unverified = False
             self.transport.write(CONTINUE)
-            self.timer = self.front.loop.call_later(ASK_S, self._trust)
+            self.timer = self.front.loop.call_later(RESET_POLL_S, self._serve_verified)
         elif self.current is None and self.timer is None and self.stream is None:
-            self._next()
+            self._serve_next()
 
-    def _arrives(self, pipe: Pipe, now: float) -> None:
-        """A long body comes in pieces from now on."""
-        self.coming, self.pace, pipe.source = pipe, TransferRate(now), Reading(self)
+    def _upload_started(self, pipe: Pipe, now: float) -> None:
+        """Starts to read a streamed request body."""
+        self.upload, self.transfer_rate, pipe.source = pipe, TransferRate(now), ConnectionSource(self)
         self.front.uploads[self] = None
-        read_in_pieces(self.transport, self)
-        if self.current is not None or self.stream is not None or len(self.waiting) > 0:
-            self.transport.pause_reading()  # until its turn comes
-            self.pace.set_paused(now, True)
-
-    def _arrived(self) -> None:
-        """No long body is coming any more: what comes next is read as before."""
-        if self.coming is not None:
+        bound_reads(self.transport, self)
+        if self.current is not None or self.stream is not None or len(self.pipelined) > 0:
+            self.transport.pause_reading()  # until the request is served
+            self.transfer_rate.set_paused(now, True)
+
+    def _upload_ended(self) -> None:
+        """Ends a streamed request body; following bytes are read as requests."""
+        if self.upload is not None:
             self.set_paused(False)
-        self.coming = self.pace = None
+        self.upload = self.transfer_rate = None
         self.front.uploads.pop(self, None)
 
-    def _break_off(self) -> None:
-        """What comes is no body: whoever has part of it learns that the rest never will."""
-        pipe, request = self.coming, self.current
+    def _upload_malformed(self) -> None:
+        """Fails a streamed request body that is malformed, and with it the request."""
+        pipe, request = self.upload, self.current
         if pipe is not None and request is not None and request.pipe is pipe:
             self.front.driver.client_disconnected(request)
             self.reject(400)
         elif pipe is not None:
-            self._arrived()
+            self._upload_ended()
             pipe.fail()
 
-    def set_paused(self, held: bool) -> None:
-        """Read no more of a body, or go on: whoever writes it has its hands full."""
-        if self.pace is not None:
-            self.pace.set_paused(self.front.clock.now(), held)
+    def set_paused(self, paused: bool) -> None:
+        """Stops or resumes reading a request body, by the speed of its recipient."""
+        if self.transfer_rate is not None:
+            self.transfer_rate.set_paused(self.front.clock.now(), paused)
         if not self.ended and not self.transport.is_closing():
-            if held:
+            if paused:
                 self.transport.pause_reading()
             elif not self.transport.is_reading():
                 self.transport.resume_reading()
 
-    def _trust(self) -> None:
-        """Begin what came on a connection accepted late, unless its caller has gone meanwhile.
+    def _serve_verified(self) -> None:
+        """Serves the first request of a half-closed client, unless it has reset the connection meanwhile.
 
-        Guards against work for those who gave up while they waited to be accepted.
+        Guards against work for clients that gave up while they waited for the accept.
         """
         self.timer = None
-        told = self.transport.get_extra_info("socket")
-        if told is not None and told.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        tcp_socket = self.transport.get_extra_info("socket")
+        if tcp_socket is not None and tcp_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.transport.abort()
         elif not self.ended and self.current is None:
-            self._next()
+            self._serve_next()
             if self.half_closed and self.current is not None:
-                self._ask_again()
+                self._poll_for_reset()
 
-    def _throw(self, size: int) -> None:
-        """Bytes after the last answer are read, so that it arrives, but not without end."""
-        self.thrown += size
-        if self.thrown > LINGER_BYTES and self.transport.is_reading():
+    def _discard(self, size: int) -> None:
+        """Discards bytes after the last response, up to a limit, so that no reset destroys the response."""
+        self.discarded_bytes += size
+        if self.discarded_bytes > MAX_LINGER_BYTES and self.transport.is_reading():
             self.transport.pause_reading()
 
-    def _too_far_ahead(self) -> None:
-        """Guards against a caller that sends requests by the hundred: none of them is served."""
+    def _reject_pipelining(self) -> None:
+        """Rejects a client that pipelines too many requests: none of them is served."""
         request = self.current
         self.reject(400)
         if request is not None:
             self.front.driver.client_disconnected(request)
 
-    def _next(self) -> None:
-        if self.waiting:
-            self.current = self.waiting.popleft()
-            self.waiting_bytes -= len(self.current.body)
+    def _serve_next(self) -> None:
+        if self.pipelined:
+            self.current = self.pipelined.popleft()
+            self.pipelined_bytes -= len(self.current.body)
             self.front.move(self, None)
             request = self.current
-            if request.pipe is not None and request.pipe is self.coming:
+            if request.pipe is not None and request.pipe is self.upload:
                 self.set_paused(False)
             self.front.serve(request, self)
             if self.current is request and request.expects and request.pipe is not None:
@@ -228,12 +232,12 @@
         elif self.fault is not None:
             self.reject(self.fault.status)
         else:
-            self._rest()
+            self._wait_for_request()
 
-    def _rest(self) -> None:
-        """Nothing whole is left to answer."""
+    def _wait_for_request(self) -> None:
+        """Waits for the next complete request."""
         self.front.rest(self)
-        if self.reader.wants_continue():  # not before: it would stand ahead of an earlier answer
+        if self.reader.wants_continue():  # not earlier: it would precede an earlier response
             self.transport.write(CONTINUE)
 
     def answer(
@@ -244,20 +248,20 @@
         retry_after_ms: float = 0.0,
         kind: bytes = b"",
     ) -> None:
-        """Write the final answer to the current request, then turn to the next."""
+        """Writes the final response to the current request, then serves the next."""
         self.reply(STATUSES[status], body, retry_after_ms, kind)
 
     def pass_on(self, pipe: Pipe, kind: bytes) -> None:
-        """Write the head of an answer whose body comes by and by, and pass that on as it arrives."""
+        """Writes the head of a streamed response, then its body as it arrives."""
         request, self.current, self.served = self.current, None, True
         if request is None or self.ended:
             pipe.cancel()
             return
-        whole = self.coming is None or self.coming is not request.pipe
-        keep = whole and self._keeps(request) and (pipe.length is not None or request.interim)
-        self.stream, self.closes = pipe, not keep
-        self.chunked = pipe.length is None and request.interim  # HTTP/1.0 knows no chunks
-        self.moved_ms = self.front.clock.now()
+        whole = self.upload is None or self.upload is not request.pipe
+        keep = whole and self._keeps_alive(request) and (pipe.length is not None or request.interim)
+        self.stream, self.closes_after_response = pipe, not keep
+        self.chunked = pipe.length is None and request.interim  # HTTP/1.0 has no chunks
+        self.progress_ms = self.front.clock.now()
         self.front.downloads[self] = None
         self.transport.set_write_buffer_limits(high=self.front.buffer_budget.share())
         self.transport.write(
@@ -270,76 +274,78 @@
                 lines=request.answer_header_lines,
             )
         )
-        pipe.attach(Writing(self))
+        pipe.attach(ConnectionSink(self))
 
-    def _keeps(self, request: http1.Request) -> bool:
-        """Whether the connection stays open after the request's answer."""
+    def _keeps_alive(self, request: http1.Request) -> bool:
+        """Returns whether the connection stays open after the response."""
         return (
             request.keep
             and not self.front.closing
-            and not (self.half_closed and not self.waiting and self.fault is None)
+            and not (self.half_closed and not self.pipelined and self.fault is None)
         )
 
-    def take(self, data: bytes) -> None:
-        """Some more of an answer's body."""
+    def write_body(self, data: bytes) -> None:
+        """Writes a part of a streamed response."""
         self.transport.write(http1.chunk(data) if self.chunked else data)
 
-    def sent(self) -> None:
-        """All of an answer's body has been written."""
-        self._stream_over()
+    def body_completed(self) -> None:
+        """Ends a streamed response, which is completely written."""
+        self._download_ended()
         if self.chunked:
             self.transport.write(http1.LAST_CHUNK)
-        if self.closes:
+        if self.closes_after_response:
             self._linger()
-        elif self.waiting or self.fault is not None:
-            self.front.loop.call_soon(self._turn)
+        elif self.pipelined or self.fault is not None:
+            self.front.loop.call_soon(self._resume_pipeline)
         else:
-            self._rest()
+            self._wait_for_request()
 
-    def _stream_over(self) -> None:
+    def _download_ended(self) -> None:
         self.stream = None
         self.front.downloads.pop(self, None)
         self.transport.set_write_buffer_limits()
 
     def body_cancelled(self) -> None:
-        """Read the rest of a body, and throw it away: the answer says the rest."""
+        """Reads and discards the rest of a request body that nobody needs."""
         self.set_paused(False)
 
-    def cut(self) -> None:
-        """The rest of an answer will not come: its caller sees that, by the connection's end."""
-        self._stream_over()
+    def body_aborted(self) -> None:
+        """Aborts the connection, which tells the client that a streamed response is truncated."""
+        self._download_ended()
         self.transport.abort()
 
     def too_slow(self) -> None:
-        """The caller's body comes so slowly that it is given up; what was sent on of it never ran."""
+        """Rejects a request whose body arrives too slowly; the forwarded part of it never runs."""
         request = self.current
-        if request is not None and request.pipe is self.coming:
+        if request is not None and request.pipe is self.upload:
             self.front.driver.client_disconnected(request)
         self.reject(408)
 
-    def cut_off(self) -> None:
-        """The caller has taken nothing of its answer for long."""
-        self._stop()
+    def abort_stalled(self) -> None:
+        """Aborts the connection of a client that does not read its response."""
+        self._stop_serving()
         self.transport.abort()
 
     def pause_writing(self) -> None:
-        """The caller takes an answer more slowly than it comes."""
+        """Pauses a streamed response that the client reads too slowly."""
         if self.stream is not None:
             self.stream.set_full(True)
 
     def resume_writing(self) -> None:
-        """The caller has taken most of what was written."""
-        self.moved_ms = self.front.clock.now()
+        """Resumes a streamed response after the client has read most of it."""
+        self.progress_ms = self.front.clock.now()
         if self.stream is not None:
             self.stream.set_full(False)
 
     def reply(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0, kind: bytes = b"") -> None:
-        """Write an answer to the current request, then turn to the next."""
+        """Writes a response to the current request, then serves the next."""
         request, self.current, self.served = self.current, None, True
         if request is None or self.ended:
             return
-        unread = self.coming is not None and self.coming is request.pipe  # an answer before its end
-        keep = self._keeps(request) and not unread
+        unread = (
+            self.upload is not None and self.upload is request.pipe
+        )  # the response precedes the end of the request body
+        keep = self._keeps_alive(request) and not unread
         self.transport.write(
             http1.answer(
                 status,
@@ -354,172 +360,176 @@
             self._linger_unread()
         elif not keep:
             self._linger()
-        elif self.waiting or self.fault is not None:
-            self.front.loop.call_soon(self._turn)
+        elif self.pipelined or self.fault is not None:
+            self.front.loop.call_soon(self._resume_pipeline)
         else:
-            self._rest()
+            self._wait_for_request()
 
-    def _turn(self) -> None:
+    def _resume_pipeline(self) -> None:
         if self.current is None and not self.ended and self.stream is None:
-            self._next()
+            self._serve_next()
 
     def reject(self, status: int) -> None:
-        """Answer what is no sound request, and read no more."""
+        """Rejects a malformed or unwanted request and reads no more."""
         if self.ended:
             return
-        if self.stream is not None:  # an answer is on its way: nothing may stand in the middle of it
-            self.cut_off()
+        if self.stream is not None:  # a second response must not interrupt a streamed one
+            self.abort_stalled()
             return
         self.transport.write(http1.answer(status, keep=False))
-        if self.coming is not None:
+        if self.upload is not None:
             self._linger_unread()
         else:
             self._linger()
 
     def _linger(self) -> None:
-        """Close after the last answer: at once on this side, and wholly when the caller has or time is up.
+        """Half-closes after the last response, and closes when the client has or at a time-out.
 
-        Guards against a reset, which takes back the answer where bytes have come that nobody has read.
+        Closing with unread bytes would cause a reset, by which the client may lose the response.
         """
-        self._stop()
+        self._stop_serving()
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        self.timer = self.front.loop.call_later(LINGER_S, self._cut)
+        self.timer = self.front.loop.call_later(LINGER_S, self._abort)
 
     def _linger_unread(self) -> None:
-        """The same while a long body is still coming, which is read and thrown away for some time.
+        """Like `_linger` during an upload, which is read and discarded for some time.
 
-        Guards against a caller that reads nothing before it has written all: reading on is how it gets there.
+        Some clients read the response only after they have written the whole body.
         """
-        pipe = self.coming
-        self._arrived()
-        self.thrown = -MAX_THROWN
+        pipe = self.upload
+        self._upload_ended()
+        self.discarded_bytes = -MAX_DISCARDED_BYTES
         if pipe is not None:
             pipe.cancel()
-        self._stop()
+        self._stop_serving()
         if not self.transport.is_reading():
             self.transport.resume_reading()
-        self.timer = self.front.loop.call_later(LINGER_BODY_S, self._linger_on)
+        self.timer = self.front.loop.call_later(LINGER_BODY_S, self._linger_after_body)
 
-    def _linger_on(self) -> None:
+    def _linger_after_body(self) -> None:
         if not self.transport.is_closing():
             self._linger()
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         self.timer = None
         if self.transport.get_write_buffer_size() and not self.transport.is_closing():
-            self.timer = self.front.loop.call_later(LINGER_MOST_S - LINGER_S, self.transport.abort)
+            self.timer = self.front.loop.call_later(MAX_LINGER_S - LINGER_S, self.transport.abort)
         else:
             self.transport.abort()
 
-    def _stop(self) -> None:
+    def _stop_serving(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.ended, self.current, self.waiting_bytes = True, None, 0
-        self.waiting.clear()
+        self.ended, self.current, self.pipelined_bytes = True, None, 0
+        self.pipelined.clear()
         stream, self.stream = self.stream, None
         if stream is not None:
             self.front.downloads.pop(self, None)
             stream.cancel()
         self.front.move(self, None)
 
-    def let_go(self) -> None:
-        """Another process has it: this one's hold ends, and its caller does not see that."""
-        self._stop()
+    def release(self) -> None:
+        """Releases a connection that another process has taken over, unnoticed by the client."""
+        self._stop_serving()
         self.transport.abort()
 
     def close(self) -> None:
-        """Close a connection that holds no request."""
-        if self.transport.get_write_buffer_size():  # its caller has not taken off the last answer yet
+        """Closes a connection without a request in flight."""
+        if self.transport.get_write_buffer_size():  # the client has not received all of the last response
             self._linger()
         else:
-            self._stop()
+            self._stop_serving()
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The caller sends no more: it has closed, or waits for its answer with its own side closed.
+        """Handles the end of the client's stream: it has closed, or half-closed and awaits a response.
 
-        TCP tells these apart by what comes back only. An interim answer, which every caller has to skip (RFC
-        9110, 15.2), is met by a reset where the caller has closed: then its request is given up at once.
+        TCP shows the difference only when something is sent. An interim response, which every client has to
+        skip (RFC 9110, 15.2), is answered with a reset if the client has closed. Then its request is
+        cancelled at once.
         """
         if self.stream is not None:
-            self.half_closed = self.closes = True
+            self.half_closed = self.closes_after_response = True
             return True
-        if self.coming is not None:
-            return False  # in the middle of a body: it never will be whole
-        if self.ended or (self.current is None and not self.waiting):
+        if self.upload is not None:
+            return False  # the request body will never be complete
+        if self.ended or (self.current is None and not self.pipelined):
             return False
         if self.current is None and self.timer is not None:
-            self.half_closed = True  # it is being asked
-        elif self.asked_s == 0.0:
+            self.half_closed = True  # an interim response is sent, and the timer checks for a reset
+        elif self.reset_poll_s == 0.0:
             self.half_closed = True
-            request = self.current or self.waiting[0]
+            request = self.current or self.pipelined[0]
             if request.interim:
                 self.transport.write(CONTINUE)
-                self._ask_again()
+                self._poll_for_reset()
         return True
 
-    def _ask_again(self) -> None:
-        """Whether a reset has come: this side reads no more, so nobody says so."""
+    def _poll_for_reset(self) -> None:
+        """Checks for a reset, which the event loop does not report after the end of the stream."""
         self.timer = None
         if self.ended:
             return
-        told = self.transport.get_extra_info("socket")
-        if self.asked_s and told is not None and told.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        tcp_socket = self.transport.get_extra_info("socket")
+        if (
+            self.reset_poll_s
+            and tcp_socket is not None
+            and tcp_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        ):
             self.transport.abort()
             return
-        self.asked_s = min(ASK_MOST_S, 2.0 * self.asked_s or ASK_S)
-        self.timer = self.front.loop.call_later(self.asked_s, self._ask_again)
+        self.reset_poll_s = min(MAX_RESET_POLL_S, 2.0 * self.reset_poll_s or RESET_POLL_S)
+        self.timer = self.front.loop.call_later(self.reset_poll_s, self._poll_for_reset)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller has gone; so has its request, if it was not answered."""
+        """Cancels the request in flight, as the client is gone."""
         request = self.current
         if request is not None:
-            self.front.driver.client_disconnected(
-                request
-            )  # before its body breaks off: that is no end of its attempt
-        self._arrived()
-        self._stop()
-        self.front.left(self)
+            # Before `reader.close` fails the body, which must not count as the end of the attempt.
+            self.front.driver.client_disconnected(request)
+        self._upload_ended()
+        self._stop_serving()
+        self.front.disconnected(self)
         self.reader.close()
         del self.reader
 
 
 class Front:
-    """The listener and all callers' connections."""
+    """The listener and the connections of all clients."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
         driver: Driver,
-        most: int,
+        max_connections: int,
         watch_is_up: Callable[[], bool],
         buffer_budget: BufferBudget,
     ) -> None:
         self.buffer_budget = buffer_budget
-        self.uploads: dict[Connection, None] = {}  # long bodies that come, and answers that go
-        self.downloads: dict[Connection, None] = {}
-        self.loop, self.clock, self.driver, self.most = loop, clock, driver, most
+        self.uploads: dict[Connection, None] = {}  # with a streamed request body
+        self.downloads: dict[Connection, None] = {}  # with a streamed response
+        self.loop, self.clock, self.driver, self.max_connections = loop, clock, driver, max_connections
         self.watch_is_up = watch_is_up
         self.connections: set[Connection] = set()
-        # Those that hold no whole request, the one that has been so longest first: nothing has come yet, part
-        # of a request has come, or the last one is answered.
+        # Connections without a complete request, the longest in its group first: before any data, with a
+        # partial request, and after the last response.
         self.silent: dict[Connection, None] = {}
         self.partial: dict[Connection, None] = {}
         self.idle: dict[Connection, None] = {}
         self.server: asyncio.Server | Acceptor | None = None
-        self.paced = False  # whether connections may be accepted at a rate: to be set before `listen`
-        self.closing = self.refusing = False  # answers close their connections; calls are refused
+        self.paced = False  # whether the accept rate may be limited; set before `listen`
+        self.closing = self.rejecting = False  # responses close connections; requests are rejected
         self.healthy = True
-        self.giver: Callable[[int], bool] | None = None  # where connections go to another process
-        self.whole_most = most
+        self.hand_over: Callable[[int], bool] | None = None  # hands a file descriptor over to another process
+        self.full_max_connections = max_connections
         self.adopting: set[asyncio.Task[object]] = set()
         self.on_empty: Callable[[], None] | None = None
 
     async def listen(self, where: Address, inherited: socket.socket | None = None) -> Address:
-        """Open the listener, or take over one that was inherited; the address it has."""
+        """Opens the listener or takes over an inherited one; returns its address."""
         if self.paced:
             from honeywharf.http.accept import Acceptor
 
@@ -540,31 +550,32 @@
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
-    def joined(self, connection: Connection) -> None:
-        """A caller has connected. Beyond the bound the one least likely to be missed has to go."""
+    def connected(self, connection: Connection) -> None:
+        """Registers a new connection; beyond the limit, evicts another one or rejects it."""
         self.connections.add(connection)
         if self.driver.hooks.storm_control:
             self.driver.hooks.new_connections += 1
-        if len(self.connections) > self.most and not self._make_room():
-            connection.reject(REFUSED)
-            if len(self.connections) > self.most + MAX_TURNED_AWAY:
-                connection.transport.abort()  # guards the descriptors: each holds one until it has read that
+        if len(self.connections) > self.max_connections and not self._evict():
+            connection.reject(REJECTED_STATUS)
+            if len(self.connections) > self.max_connections + MAX_REJECTED_CONNECTIONS:
+                # Each rejected connection holds a file descriptor until its client has read the response.
+                connection.transport.abort()
             return
         self.move(connection, self.idle if connection.served else self.silent)
-        if self.giver is not None:
-            self.loop.call_soon(self._give, connection)
+        if self.hand_over is not None:
+            self.loop.call_soon(self._hand_over, connection)
 
-    def _make_room(self) -> bool:
-        """Close the one least likely to be missed; False where all hold whole requests.
+    def _evict(self) -> bool:
+        """Closes the connection of least value; False if all have complete requests.
 
-        First those that have said nothing or half of a request for a while, then half-sent heads of callers
-        that have had no answer yet, however young: a caller's first head comes in one piece, as a rule.
-        Guards those that have been served, or send a body, against a crowd of half-sent heads.
+        First come those without a complete request for a while, then partial heads of clients that have had
+        no response yet, however young, as a first head usually arrives at once. This protects clients that
+        have been served or are sending a body from a flood of partial heads.
         """
-        young = self.clock.now() - YOUNG_MS
+        young = self.clock.now() - MIN_AGE_TO_EVICT_MS
         for group in (self.silent, self.partial):
             first = next(iter(group), None)
-            if first is not None and first.since_ms < young:
+            if first is not None and first.group_since_ms < young:
                 first.close()
                 return True
         for first in self.partial:
@@ -577,96 +588,96 @@
         return first is not None
 
     def move(self, connection: Connection, group: dict[Connection, None] | None) -> None:
-        """Count the connection to one group, or to none."""
-        if connection.among is not None:
-            connection.among.pop(connection, None)
-        connection.among = group
+        """Moves the connection to a group, or to none."""
+        if connection.current_group is not None:
+            connection.current_group.pop(connection, None)
+        connection.current_group = group
         if group is not None:
             group[connection] = None
-            connection.since_ms = self.clock.now()
+            connection.group_since_ms = self.clock.now()
 
     def rest(self, connection: Connection) -> None:
-        """No whole request is held: the connection waits for the rest of one, or for the next."""
+        """Groups a connection without a complete request as idle or partial."""
         group = self.idle if connection.reader.idle else self.partial
-        if connection.among is not group:
+        if connection.current_group is not group:
             self.move(connection, group)
-        if self.giver is not None and group is self.idle:
-            self._give(connection)
+        if self.hand_over is not None and group is self.idle:
+            self._hand_over(connection)
 
-    def left(self, connection: Connection) -> None:
-        """A caller's connection is closed."""
+    def disconnected(self, connection: Connection) -> None:
+        """Unregisters a closed connection."""
         self.connections.discard(connection)
         if not self.connections and self.on_empty is not None:
             self.on_empty()
 
     def serve(self, request: http1.Request, connection: Connection) -> None:
-        """Answer what the proxy answers by itself; give the rest to the driver."""
-        if request.target.partition(b"?")[0] == READY and request.method == b"GET":
-            connection.reply(200 if self.ready() else REFUSED)
+        """Answers readiness checks and invalid requests; submits the others to the driver."""
+        if request.target.partition(b"?")[0] == READINESS_PATH and request.method == b"GET":
+            connection.reply(200 if self.ready() else REJECTED_STATUS)
         elif not is_forwarded_path(request.target):
             connection.reply(404)
-        elif self.refusing or (
+        elif self.rejecting or (
             request.pipe is not None and not request.pipe.has_slot and not request.pipe.is_finished
         ):
-            connection.reply(REFUSED)  # nothing has run; of a long body there is no place for, too
+            connection.reply(REJECTED_STATUS)  # not run; also for a streamed body without a buffer slot
         elif self.driver.submit(request, connection) is not None:
             connection.reject(400)
 
     def ready(self) -> bool:
-        """Whether clients may come."""
+        """Returns whether the proxy accepts clients."""
         return self.server is not None and self.healthy and self.watch_is_up()
 
     def empty(self) -> bool:
-        """Whether no caller's connection is open."""
+        """Returns whether no client is connected."""
         return not self.connections
 
     def close_idle(self) -> None:
-        """Close the connections that hold no request and have had an answer."""
+        """Closes the connections without a request that have had a response."""
         for connection in list(self.idle):
             connection.close()
 
-    def close_silent(self) -> None:
-        """Close those on which no request has come, or only part of one's head: it was never taken."""
+    def close_without_request(self) -> None:
+        """Closes the connections on which at most a partial head has arrived."""
         for connection in list(self.silent):
             connection.close()
         for connection in list(self.partial):
             if connection.reader.in_head:
-                connection.reject(REFUSED)
+                connection.reject(REJECTED_STATUS)
 
-    def room(self, part: float) -> None:
-        """Hold so much of the connections that this process may hold alone; those beyond close by and by."""
-        self.most = max(1, int(self.whole_most * part))
+    def scale_capacity(self, part: float) -> None:
+        """Scales the limits on connections and buffers; excess connections close over time."""
+        self.max_connections = max(1, int(self.full_max_connections * part))
         self.buffer_budget.scale(part)
 
-    def give_all(self, giver: Callable[[int], bool] | None) -> None:
-        """Give connections away from now on, each as soon as it is between two requests; None: no longer."""
-        self.giver = giver
-        for connection in [*self.idle, *self.silent] if giver is not None else ():
-            self._give(connection)
+    def hand_over_connections(self, hand_over: Callable[[int], bool] | None) -> None:
+        """Hands connections over from now on, each when it is between two requests; None stops that."""
+        self.hand_over = hand_over
+        for connection in [*self.idle, *self.silent] if hand_over is not None else ():
+            self._hand_over(connection)
 
-    def _give(self, connection: Connection) -> None:
-        """Give one away that waits for a request, of which nothing has been read, once all is written.
+    def _hand_over(self, connection: Connection) -> None:
+        """Hands over a connection between two requests, once all data is written.
 
-        What its caller may be writing just now stays in the socket, for the process that has it next.
+        Bytes that the client sends meanwhile stay in the socket, for the process that takes over.
         """
         if (
-            self.giver is None
+            self.hand_over is None
             or connection.ended
             or connection.transport.is_closing()
-            or (connection.among is not self.idle and connection.among is not self.silent)
+            or (connection.current_group is not self.idle and connection.current_group is not self.silent)
         ):
             return
         waits = connection.half_closed or connection.transport.get_write_buffer_size() > 0
         if not waits:
             connection.transport.pause_reading()
-            if self.giver(connection.transport.get_extra_info("socket").fileno()):
-                connection.let_go()
+            if self.hand_over(connection.transport.get_extra_info("socket").fileno()):
+                connection.release()
                 return
             connection.transport.resume_reading()
-        self.loop.call_later(GIVE_AGAIN_S, self._give, connection)
+        self.loop.call_later(HANDOVER_RETRY_S, self._hand_over, connection)
 
     def adopt(self, made: socket.socket) -> None:
-        """Go on with a caller's connection that another process held; it is between two requests."""
+        """Takes over a client's connection from another process; it is between two requests."""
         made.setblocking(False)
         task = self.loop.create_task(self._adopt(made))
         self.adopting.add(task)
@@ -679,35 +690,38 @@
             made.close()
 
     def pace(self, per_s: float) -> None:
-        """Accept so many connections a second from now on; 0 for no bound."""
+        """Limits the accept rate to `per_s` connections per second; 0 removes the limit."""
         if self.paced and self.server is not None:
             cast("Acceptor", self.server).pace(per_s)
 
     def stop_listening(self) -> None:
-        """Take no new connection."""
+        """Closes the listener."""
         if self.server is not None:
             self.server.close()
 
     def _sweep(self) -> None:
-        """Guards against callers that keep a descriptor and ask nothing, or never come to an end."""
-        now, crowded = self.clock.now(), len(self.connections) * 2 > self.most
-        self._close_older(self.silent, now - SILENT_MS)
-        self._close_older(self.idle, now - (CROWDED_IDLE_MS if crowded else IDLE_MS))
-        # Bodies that fit are held whole, and may be as slow as long ones.
+        """Closes connections that are idle, or whose request or response progresses too slowly."""
+        now, crowded = self.clock.now(), len(self.connections) * 2 > self.max_connections
+        self._close_older(self.silent, now - FIRST_REQUEST_TIMEOUT_MS)
+        self._close_older(self.idle, now - (CROWDED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS))
+        # Buffered bodies have the same minimum rate as streamed ones.
         for connection in list(self.partial):
-            spent = now - connection.since_ms - HEADER_TIMEOUT_MS
+            spent = now - connection.group_since_ms - HEADER_TIMEOUT_MS
             if spent > 0 and (
                 connection.reader.in_head or spent * MIN_BYTES_PER_S / 1000.0 > connection.reader.body_bytes
             ):
                 connection.reject(408)
         for connection in list(self.uploads):
-            if connection.pace is not None and connection.pace.is_too_slow(now):
+            if connection.transfer_rate is not None and connection.transfer_rate.is_too_slow(now):
                 connection.too_slow()
         for connection in list(self.downloads):
-            if connection.moved_ms < now - STALL_TIMEOUT_MS and connection.transport.get_write_buffer_size():
-                connection.cut_off()
+            if (
+                connection.progress_ms < now - STALL_TIMEOUT_MS
+                and connection.transport.get_write_buffer_size()
+            ):
+                connection.abort_stalled()
         self.loop.call_later(SWEEP_S, self._sweep)
 
     def _close_older(self, group: dict[Connection, None], than_ms: float) -> None:
-        while group and (first := next(iter(group))).since_ms <= than_ms:
+        while group and (first := next(iter(group))).group_since_ms <= than_ms:
             first.close()
--- a/honeywharf/service/keeper.py
+++ b/honeywharf/service/keeper.py
@@ -19,7 +19,7 @@
     """Clients' connections, as far as the life of the process concerns them."""
 
     closing: bool  # answers close their connections
-    refusing: bool  # calls are refused
+    rejecting: bool  # calls are refused
     healthy: bool  # GET /health/ready is answered with yes, where the rest is ready
     on_empty: Callable[[], None] | None
 
@@ -32,13 +32,13 @@
     def close_idle(self) -> None:
         """Close the connections that hold no request and have had an answer."""
 
-    def close_silent(self) -> None:
+    def close_without_request(self) -> None:
         """Close those on which no request has come, or part of one's head."""
 
     def stop_listening(self) -> None:
         """Take no new connection."""
 
-    def give_all(self, giver: Callable[[int], bool] | None) -> None:
+    def hand_over_connections(self, giver: Callable[[int], bool] | None) -> None:
         """Give connections away from now on, each as soon as it is between two requests; None: no longer."""
 
 
@@ -100,7 +100,7 @@
             )
         front = self.front
         front.closing = not conduct.keeps
-        front.healthy, front.refusing = conduct.healthy, False
+        front.healthy, front.rejecting = conduct.healthy, False
         if state in (State.ENDING, State.HANDING_OVER):
             self.served.leaving()
         elif state is State.ENDED:
@@ -145,9 +145,9 @@
         if step is Step.CLOSE_IDLE:
             self.front.close_idle()
         elif step is Step.CLOSE_SILENT:
-            self.front.close_silent()
+            self.front.close_without_request()
         elif step is Step.REFUSE:
-            self.front.refusing = True
+            self.front.rejecting = True
             self.loop.call_soon(self.emptied)
         elif step is Step.STOP_ACCEPTING:
             self.front.stop_listening()
@@ -164,7 +164,7 @@
         if self.life.state is State.HANDING_OVER:
             heir = self.heir()
             self.front.closing = not heir
-            self.front.give_all(self.give if heir else None)
+            self.front.hand_over_connections(self.give if heir else None)
 
     # What operators say.
 
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -379,7 +379,7 @@
 
 
 def test_a_long_answer_that_stalls_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "STREAM_S", 0.1)
+    monkeypatch.setattr(upstream, "STREAM_STALL_TIMEOUT_S", 0.1)
 
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -73,9 +73,9 @@
                     silent.append(await asyncio.open_connection("127.0.0.1", platform.port))
                 await platform.replace(2.0)
                 took = asyncio.get_running_loop().time() - opened
-                if took > front.SILENT_MS / 2000.0:
+                if took > front.FIRST_REQUEST_TIMEOUT_MS / 2000.0:
                     silent = []  # on a machine in heavy use: they may have been cut off for their silence
-                if took > front.IDLE_MS / 2000.0:
+                if took > front.IDLE_TIMEOUT_MS / 2000.0:
                     resting = [await idle(platform.port) for _ in range(10)]  # and these as idle
                 for reader, writer in [*resting, *silent]:
                     writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/storms/test_sockets.py
+++ b/tests/storms/test_sockets.py
@@ -76,7 +76,7 @@
             assert asyncio.get_running_loop().time() - begun >= 0.25
             w.proxy.front.pace(1.0)
             waiting = [await Client.to(w.port) for _ in range(5)]
-            await until(lambda: acceptor(w).waits is not None)
+            await until(lambda: acceptor(w).resume_timer is not None)
             w.proxy.front.pace(0.0)  # it is over: nobody waits for the old pace
             for client in waiting:
                 client.send()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -85,7 +85,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("number", [downstream.MAX_WAITING + 1, 400])
+@pytest.mark.parametrize("number", [downstream.MAX_PIPELINED + 1, 400])
 def test_a_client_that_sends_requests_by_the_hundred_is_answered_once_and_closed(number: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
 def test_who_asks_nothing_is_closed_after_a_while(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("SILENT_MS", "IDLE_MS", "HEADER_TIMEOUT_MS"):
+    for name in ("FIRST_REQUEST_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "HEADER_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
@@ -254,12 +254,12 @@
 def test_beyond_the_bound_on_callers_the_silent_go_first_and_then_new_ones_are_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(downstream, "YOUNG_MS", 0.0)
+    monkeypatch.setattr(downstream, "MIN_AGE_TO_EVICT_MS", 0.0)
 
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
-            w.proxy.front.most = 3
+            w.proxy.front.max_connections = 3
             idle, busy = await Client.to(w.port), await Client.to(w.port)
             idle.send()
             assert await idle.status() == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -329,7 +329,7 @@
 def test_an_answer_that_begins_and_does_not_end_leaves_time_for_another_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "ANSWER_S", 0.05)
+    monkeypatch.setattr(upstream, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -392,7 +392,7 @@
 def test_a_backend_that_closes_idle_connections_soon_is_not_written_to_on_an_old_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "IDLE_LEAST_MS", 20.0)
+    monkeypatch.setattr(upstream, "MIN_EARLY_CLOSE_MS", 20.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -410,22 +410,22 @@
         second, third = Ending(b"2"), Ending(b"3")
         pool.start(second)
         await soon(second.outcome.wait())
-        pool.backends["b"].idle[0].idle_since -= learned  # as if it had stood that long
+        pool.backends["b"].idle[0].idle_since_ms -= learned  # as if it had stood that long
         pool.start(third)
         await soon(third.outcome.wait())
         assert (backend.connections, third.outcomes) == (3, [O.OK])
-        assert pool.early_ms == float("inf")  # one backend alone may be odd
+        assert pool.early_close_ms == float("inf")  # one backend alone may be odd
         pool.name("c", ("127.0.0.1", backend.port), None, open_for_work=True)
         pool.name("d", ("127.0.0.1", backend.port), None, open_for_work=True)
-        pool.closes_early(pool.backends["c"], 500.0)
-        assert pool.early_ms == 400.0  # the second shortest, less a margin
+        pool.record_early_close(pool.backends["c"], 500.0)
+        assert pool.early_close_ms == 400.0  # the second shortest, less a margin
         for opened in (4, 5):
             call = Ending(b"%d" % opened)
             call.endpoint = "d"  # of which nothing is known
             pool.start(call)
             await soon(call.outcome.wait())
             assert (backend.connections, call.outcomes) == (opened, [O.OK])
-            pool.backends["d"].idle[0].idle_since -= 400.0
+            pool.backends["d"].idle[0].idle_since_ms -= 400.0
         await backend.stop()
 
     run(main())
@@ -433,7 +433,7 @@
 
 def test_a_long_answer_in_pieces_is_passed_on_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against good answers, longer than the protocol says, that failed their requests."""
-    monkeypatch.setattr(upstream, "ANSWER_S", 2.0)
+    monkeypatch.setattr(upstream, "RESPONSE_STALL_TIMEOUT_S", 2.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -459,7 +459,7 @@
 
 def test_long_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against running out of memory on answers that begin and do not end."""
-    monkeypatch.setattr(upstream, "ANSWERS_BYTES", 300_000)
+    monkeypatch.setattr(upstream, "MAX_RESPONSE_BYTES_IN_FLIGHT", 300_000)
 
     async def main() -> None:
         backend = await Backend().start()
