--- a/bench/coap.py
+++ b/bench/coap.py
@@ -26,7 +26,7 @@
 
 from bench.processes import HERE, backends, checkouts, peer, proxy, registry, started, wait_for
 from honeywharf.coap import options
-from honeywharf.coap.messages import MAX_TRANSMIT_SPAN, Exchange, Layer
+from honeywharf.coap.messages import MAX_TRANSMIT_SPAN, Exchange, MessageLayer
 from honeywharf.codecs import coap
 from honeywharf.standins import node
 from honeywharf.standins.messages import row
@@ -158,7 +158,7 @@
     opened: list[Exchange] = []
     tracemalloc.start()
     now = [0.0]
-    layer = Layer(lambda: now[0], lambda data, to: None, lambda one, message: opened.append(one), 1)
+    layer = MessageLayer(lambda: now[0], lambda data, to: None, lambda one, message: opened.append(one), 1)
     base = tracemalloc.get_traced_memory()[0]
     for i, name in enumerate(names):
         message = coap.Message(coap.CON, coap.POST, i & 0xFFFF, b"token678", [(coap.URI_PATH, b"api")])
@@ -169,7 +169,7 @@
     opened.clear()
     kept = (tracemalloc.get_traced_memory()[0] - base) / number
     now[0] = MAX_TRANSMIT_SPAN + 1.0
-    layer.woken()
+    layer.handle_timers()
     marked = (tracemalloc.get_traced_memory()[0] - base) / number
     tracemalloc.stop()
     return held, kept, marked
--- a/honeywharf/coap/__init__.py
+++ b/honeywharf/coap/__init__.py
@@ -1,11 +1,11 @@
-"""CoAP (RFC 7252) beside HTTP, on the same core, under the same rules.
+"""CoAP (RFC 7252) next to HTTP, on the same core.
 
-Theory of operation, from below: `codecs.coap` turns datagrams into messages, `options` into the core's
-requests and back, `blocks` puts long ones together (RFC 7959). `messages` is the message layer of a
-server: it tells a request that is new from one that it has had, acknowledges what takes long, and sends
-again what got lost. `client` is that of a client towards one node, and knows what each end of a request
-proves. None of them has a socket or a clock, and all have their bounds. `front` and `backend` are the
-sockets round them.
+Theory of operation, from the bottom up: `codecs.coap` decodes datagrams into messages, `options` converts
+messages to requests of the core and back, and `blocks` handles block-wise transfers (RFC 7959). `messages` is
+the message layer of a server: it detects duplicates, acknowledges requests that take long, and retransmits
+lost responses. `client` is the message layer of a client towards one node, and knows what each end of a
+request proves. None of these has a socket or a clock, and all are bounded. `front` and `backend` add the
+sockets.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def attach(proxy: ProxyContext, features: Coap) -> Component:
-    """What the file of features asks for, at work in that proxy; ValueError where the address is none."""
+    """Attaches CoAP to a proxy as configured; ValueError if the address is invalid."""
     from honeywharf.coap.part import CoapPart
 
     return CoapPart(proxy, features)
--- a/honeywharf/coap/blocks.py
+++ b/honeywharf/coap/blocks.py
@@ -1,13 +1,13 @@
-"""Bodies and answers that are longer than a datagram, in blocks (RFC 7959), without sockets or clock.
+"""Block-wise transfers of bodies and responses that exceed a datagram (RFC 7959), without sockets or clock.
 
-A transfer is known by its peer and by what its requests have in common: code, path, query, class, key, tenant
-and Request-Tag (RFC 9175, 3): a unit that sends two bodies at a time tells them apart by that. A body is
-assembled in order; its first block begins it anew. An answer is kept whole and given out by number, with an
-ETag, so that blocks of two answers are never put together.
+A transfer is identified by its peer and by what its requests have in common: code, path, query, class, key,
+tenant and Request-Tag (RFC 9175, 3), by which a unit distinguishes two bodies that it sends at the same time.
+A body is assembled in order; its first block restarts it. A response is stored completely and served block by
+block, with an ETag, so that blocks of two responses are never combined.
 
-Bounds: `most` transfers in each direction and `most_bytes` of both, the oldest going first, and LIFETIME_MS.
-What is forgotten, also by a restart, is told as 4.08: the unit begins again, and the key of its order has it
-answered as before.
+Bounds: `max_transfers` in each direction and `max_bytes` of both, the oldest being evicted first, and
+TRANSFER_LIFETIME_MS. A request for an evicted transfer, also after a restart, is answered 4.08: the unit
+restarts its transfer, and the idempotency key of its order yields the same response as before.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 Peer = tuple[str, int]
 Key = tuple[Peer, bytes]
 
-MAX_SZX = 6  # blocks of 2 ** (6 + 4) = 1024 bytes; 7 is for other transports (2.2)
-LIFETIME_MS = 247_000.0  # EXCHANGE_LIFETIME: RFC 7959, 2.4, leaves it to the server
+MAX_SZX = 6  # blocks of 2 ** (6 + 4) = 1024 bytes; 7 is reserved (RFC 7959, 2.2)
+TRANSFER_LIFETIME_MS = 247_000.0  # EXCHANGE_LIFETIME; RFC 7959, 2.4, leaves the time to the server
 ETAG = 4
-#: What differs between the requests of one transfer.
-VARYING = frozenset(
+#: Options that differ between the requests of one transfer.
+VARYING_OPTIONS = frozenset(
     (
         coap.BLOCK1,
         coap.BLOCK2,
@@ -42,7 +42,7 @@
 
 
 class Block:
-    """The value of a Block1 or Block2 option: number, whether more follow, exponent of the size (2.2)."""
+    """A Block1 or Block2 option: number, whether more follow, and size exponent (RFC 7959, 2.2)."""
 
     __slots__ = ("more", "number", "szx")
 
@@ -51,48 +51,48 @@
 
     @property
     def size(self) -> int:
-        """Bytes of a block."""
+        """The size of a block in bytes."""
         return 1 << (self.szx + 4)
 
     def value(self) -> bytes:
-        """As the option has it."""
+        """Returns the value of the option."""
         return coap.uint_bytes(self.number << 4 | self.more << 3 | self.szx)
 
 
-def block_of(message: coap.Message, number: int) -> Block | None:
-    """A request's Block1 or Block2; OptionError where it is none, None where it is absent."""
+def decode_block(message: coap.Message, number: int) -> Block | None:
+    """Decodes Block1 or Block2 of a message; None if it is absent, OptionError if it is invalid."""
     value = message.option(number)
     if value is None:
         return None
-    figure = coap.uint(value)
-    if len(value) > 3 or figure & 7 > MAX_SZX:
+    encoded = coap.uint(value)
+    if len(value) > 3 or encoded & 7 > MAX_SZX:
         raise options.OptionError(coap.BAD_REQUEST, "found a block of a size that there is not")
-    return Block(figure >> 4, bool(figure & 8), figure & 7)
+    return Block(encoded >> 4, bool(encoded & 8), encoded & 7)
 
 
-def key_of(message: coap.Message, peer: Peer) -> Key:
-    """What the requests of one transfer have in common."""
+def transfer_key(message: coap.Message, peer: Peer) -> Key:
+    """Returns the identity of the transfer that a request belongs to."""
     hashed = hashlib.blake2b(bytes((message.code,)), digest_size=16)
     for number, value in message.options:
-        if number not in VARYING:
+        if number not in VARYING_OPTIONS:
             hashed.update(b"%d:%d:%b" % (number, len(value), value))
     return peer, hashed.digest()
 
 
 class Transfers:
-    """All transfers on one socket."""
+    """The transfers on one socket."""
 
-    def __init__(self, most: int = 256, most_bytes: int = 16 * 1024 * 1024) -> None:
-        self.most, self.most_bytes = most, most_bytes
-        # When each began, and what there is of it; the one that began longest ago first.
+    def __init__(self, max_transfers: int = 256, max_bytes: int = 16 * 1024 * 1024) -> None:
+        self.max_transfers, self.max_bytes = max_transfers, max_bytes
+        # Start time and content of each transfer, the oldest first.
         self.bodies: OrderedDict[Key, tuple[float, bytearray]] = OrderedDict()
-        self.answers: OrderedDict[Key, tuple[float, bytes, list[tuple[int, bytes]]]] = OrderedDict()
+        self.responses: OrderedDict[Key, tuple[float, bytes, list[tuple[int, bytes]]]] = OrderedDict()
         self.held_bytes = 0
 
     def body(self, key: Key, block: Block, payload: bytes, now: float) -> bytes | None:
-        """Add a block; the whole body with its last one, None while more follow.
+        """Adds a block; returns the body with its last block, None before.
 
-        OptionError 4.08 for one that is not next, 4.13 for what grows beyond MAX_BUFFERED_BODY.
+        OptionError 4.08 for a block out of order, 4.13 for a body longer than MAX_BUFFERED_BODY.
         """
         if block.more and len(payload) != block.size:
             raise options.OptionError(
@@ -101,92 +101,89 @@
         if block.number == 0:
             self._forget_body(key)
             self.bodies[key] = (now, bytearray())
-        begun = self.bodies.get(key)
-        if begun is None or len(begun[1]) != block.number * block.size:
+        partial = self.bodies.get(key)
+        if partial is None or len(partial[1]) != block.number * block.size:
             self._forget_body(key)
             raise options.OptionError(
                 coap.REQUEST_ENTITY_INCOMPLETE, f"found block {block.number}, wanted the one that is next"
             )
-        if len(begun[1]) + len(payload) > MAX_BUFFERED_BODY:
+        if len(partial[1]) + len(payload) > MAX_BUFFERED_BODY:
             self._forget_body(key)
             raise options.OptionError(
                 coap.REQUEST_ENTITY_TOO_LARGE, f"wanted {MAX_BUFFERED_BODY} bytes at most"
             )
-        begun[1].extend(payload)
+        partial[1].extend(payload)
         self.held_bytes += len(payload)
         if not block.more:
             self._forget_body(key)
-            return bytes(begun[1])
-        self._bound(now)
+            return bytes(partial[1])
+        self._evict(now)
         return None
 
     def _forget_body(self, key: Key) -> None:
-        begun = self.bodies.pop(key, None)
-        if begun is not None:
-            self.held_bytes -= len(begun[1])
+        partial = self.bodies.pop(key, None)
+        if partial is not None:
+            self.held_bytes -= len(partial[1])
 
-    def keep(
+    def store_response(
         self,
         key: Key,
-        answer: bytes,
+        response: bytes,
         now: float,
-        told: list[tuple[int, bytes]] | None = None,
+        response_options: list[tuple[int, bytes]] | None = None,
     ) -> None:
-        """Keep an answer, and options that go with each block, for the requests that ask for the others."""
-        self._forget_answer(key)
-        self.answers[key] = (now, answer, told or [])
-        self.held_bytes += len(answer)
-        self._bound(now)
-
-    def _forget_answer(self, key: Key) -> None:
-        known = self.answers.pop(key, None)
-        if known is not None:
-            self.held_bytes -= len(known[1])
-
-    def kept(self, key: Key, now: float) -> tuple[bytes, list[tuple[int, bytes]]]:
-        """The answer, with its options, that another block is asked of.
-
-        OptionError 4.08 where it is not known any more.
-        """
-        self._bound(now)
-        known = self.answers.get(key)
-        if known is None:
+        """Stores a response, and the options of each block, for the requests of its further blocks."""
+        self._forget_response(key)
+        self.responses[key] = (now, response, response_options or [])
+        self.held_bytes += len(response)
+        self._evict(now)
+
+    def _forget_response(self, key: Key) -> None:
+        stored = self.responses.pop(key, None)
+        if stored is not None:
+            self.held_bytes -= len(stored[1])
+
+    def stored_response(self, key: Key, now: float) -> tuple[bytes, list[tuple[int, bytes]]]:
+        """Returns a stored response and its options; OptionError 4.08 if it is no longer stored."""
+        self._evict(now)
+        stored = self.responses.get(key)
+        if stored is None:
             raise options.OptionError(
                 coap.REQUEST_ENTITY_INCOMPLETE, "found no answer, wanted its first block"
             )
-        return known[1], known[2]
+        return stored[1], stored[2]
 
-    def _bound(self, now: float) -> None:
-        """Forget what is over, and the oldest where there is too much."""
+    def _evict(self, now: float) -> None:
+        """Evicts expired transfers, and the oldest ones beyond the limits."""
         while self.bodies:
-            key, (begun, _) = next(iter(self.bodies.items()))
-            if begun > now - LIFETIME_MS and len(self.bodies) <= self.most:
+            key, (partial, _) = next(iter(self.bodies.items()))
+            if partial > now - TRANSFER_LIFETIME_MS and len(self.bodies) <= self.max_transfers:
                 break
             self._forget_body(key)
-        while self.answers:
-            key, (kept, _, _) = next(iter(self.answers.items()))
-            if kept > now - LIFETIME_MS and len(self.answers) <= self.most:
+        while self.responses:
+            key, (stored_response, _, _) = next(iter(self.responses.items()))
+            if stored_response > now - TRANSFER_LIFETIME_MS and len(self.responses) <= self.max_transfers:
                 break
-            self._forget_answer(key)
-        while self.held_bytes > self.most_bytes:  # answers first: of those the node's is not the only one
-            if self.answers:
-                self._forget_answer(next(iter(self.answers)))
+            self._forget_response(key)
+        while self.held_bytes > self.max_bytes:  # answers first: of those the node's is not the only one
+            if self.responses:
+                self._forget_response(next(iter(self.responses)))
             else:
                 self._forget_body(next(iter(self.bodies)))
 
 
-def part(answer: bytes, block: Block) -> tuple[list[tuple[int, bytes]], bytes]:
+def response_block(response: bytes, block: Block) -> tuple[list[tuple[int, bytes]], bytes]:
     """One block of an answer with its options; OptionError 4.00 where the answer does not reach so far."""
     begin = block.number * block.size
-    if block.number and begin >= len(answer):
+    if block.number and begin >= len(response):
         raise options.OptionError(
             coap.BAD_REQUEST, f"found block {block.number}, which the answer doesn't have"
         )
-    more = begin + block.size < len(answer)
-    told = [
+    more = begin + block.size < len(response)
+    response_options = [
         (coap.BLOCK2, Block(block.number, more, block.szx).value()),
-        (ETAG, hashlib.blake2b(answer, digest_size=8).digest()),
+        (ETAG, hashlib.blake2b(response, digest_size=8).digest()),
     ]
     if block.number == 0:
-        told.append((coap.SIZE2, coap.uint_bytes(len(answer))))
-    return told, answer[begin : begin + block.size]
+        response_options.append((coap.SIZE2, coap.uint_bytes(len(response))))
+    return response_options, response[begin : begin + block.size]
--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -1,19 +1,21 @@
 """The message layer of a CoAP client towards one node (RFC 7252, section 4), without sockets or clock.
 
-Theory of operation. A request waits in line until fewer than NSTART are out (4.7: written, and neither
-acknowledged nor answered), is sent as a CON, again (4.2) until it is acknowledged or answered, and ends once:
+Theory of operation. A request waits until fewer than NSTART are outstanding (4.7: sent, and neither
+acknowledged nor answered). It is sent as a CON, retransmitted (4.2) until it is acknowledged or answered, and
+ends once:
 
     ANSWERED     a response with its token came, alone or in the ACK
-    RESET        RST, and it was sent once: the node has not taken it. Of one sent again it proves nothing:
-                 the process that had the first may be gone, and the next does not know of it
+    RESET        RST, and it was sent once: the node has not taken it. If it was retransmitted, an RST proves
+                 nothing: the process that had the first may be gone, and the next does not know of it
     UNREACHABLE  ICMP, and it was all that the socket ever sent: it never arrived
     LOST         any other RST or ICMP, or never acknowledged: it may have run. We are not told which datagram
-                 ICMP is about: one that came late must not speak for a later request, which may have arrived
-    UNSENT       no room in the line, or its time ended while it waited there
-    PROBING      never written: the node has been silent since a request was lost, and what has been sent to
-                 it since has used up what PROBING_RATE allows (4.7)
+                 ICMP is about: a late one must not apply to a later request, which may have arrived
+    UNSENT       no room in the queue, or its time ended while it waited there
+    PROBING      never sent: the node has been silent since a request was lost, and what has been sent to it
+                 since has used up what PROBING_RATE allows (4.7)
 
-The caller gives up what takes too long. Times are ms on the caller's clock. Bounds: `most_waiting` in line.
+The caller cancels what takes too long. Times are in ms on the caller's clock. Bounds: `max_waiting` queued
+requests.
 """
 
 from __future__ import annotations
@@ -27,13 +29,13 @@
 from honeywharf.codecs import coap
 
 NSTART = 1  # RFC 7252, 4.8
-PROBING_RATE = 1.0  # bytes a second, on the mean, to a node that does not respond; RFC 7252, 4.8
+PROBING_RATE = 1.0  # mean bytes per second to a node that does not respond; RFC 7252, 4.8
 MAX_WAITING = 256
-HEARD_MOST = 64  # message ids of the last separate answers: a duplicate is acknowledged again, and no more
-UNSENT_MS = 5.0  # so long before its end what still waits in line is told to be unsent
+MAX_RECENT_CON_IDS = 64  # of separate responses, whose duplicates are acknowledged again
+UNSENT_MARGIN_MS = 5.0  # a queued request ends as UNSENT so long before its time-out
 
 
-class End(Enum):
+class RequestEnd(Enum):
     """How a request ended."""
 
     ANSWERED = "answered"
@@ -44,29 +46,36 @@
     PROBING = "probing"
 
 
-Ended = Callable[[End, coap.Message | None], None]
+OnEnded = Callable[[RequestEnd, coap.Message | None], None]
 
 
-class Asked:
+class PendingRequest:
     """One request to the node."""
 
     __slots__ = (
-        "acked",
+        "blocked_by_probing_rate",
         "done",
         "due_ms",
         "ended",
+        "is_acknowledged",
+        "max_transmissions",
         "message",
-        "most_sent",
-        "probing",
-        "sent",
+        "transmissions",
         "until_ms",
         "wait_ms",
     )
 
-    def __init__(self, message: coap.Message, until_ms: float, ended: Ended, most_sent: int) -> None:
-        self.message, self.until_ms, self.ended, self.most_sent = message, until_ms, ended, most_sent
-        self.sent, self.wait_ms, self.due_ms = 0, 0.0, until_ms - UNSENT_MS
-        self.acked = self.done = self.probing = False
+    def __init__(
+        self, message: coap.Message, until_ms: float, ended: OnEnded, max_transmissions: int
+    ) -> None:
+        self.message, self.until_ms, self.ended, self.max_transmissions = (
+            message,
+            until_ms,
+            ended,
+            max_transmissions,
+        )
+        self.transmissions, self.wait_ms, self.due_ms = 0, 0.0, until_ms - UNSENT_MARGIN_MS
+        self.is_acknowledged = self.done = self.blocked_by_probing_rate = False
 
 
 class Client:
@@ -78,115 +87,123 @@
         send: Callable[[bytes], None],
         seed: int,
         nstart: int = NSTART,
-        most_waiting: int = MAX_WAITING,
+        max_waiting: int = MAX_WAITING,
         probing_rate: float = PROBING_RATE,
     ) -> None:
-        self.clock, self.send, self.nstart, self.most_waiting = clock, send, nstart, most_waiting
+        self.clock, self.send, self.nstart, self.max_waiting = clock, send, nstart, max_waiting
         self.random = random.Random(seed)
         self.next_mid = self.random.randrange(65536)
-        self.next_token = self.random.getrandbits(32)  # guards a restart: an answer to a request of before
+        self.next_token = self.random.getrandbits(
+            32
+        )  # random, so that a response to a request from before a restart does not match
         self.paused = True  # until there is a socket
-        self.written = 0  # datagrams, by the present one
-        self.waiting: deque[Asked] = deque()
-        self.out: dict[bytes, Asked] = {}  # written, by token
-        self.by_mid: dict[int, Asked] = {}  # those not acknowledged yet
+        self.datagrams_sent = 0  # by the current socket
+        self.waiting: deque[PendingRequest] = deque()
+        self.in_flight: dict[bytes, PendingRequest] = {}  # sent, by token
+        self.unacknowledged: dict[int, PendingRequest] = {}  # by message id
         self.probing_rate = probing_rate
-        self.silent = False  # a request was lost, and nothing has come since
-        self.probe_ms = 0.0  # while it is silent: what was sent is paid for then
-        self.held_back = 0  # requests that PROBING_RATE has kept from being written
-        self.heard: deque[int] = deque(maxlen=HEARD_MOST)
+        self.is_silent = False  # a request was lost, and nothing was received since
+        self.next_probe_ms = 0.0  # while the node is silent: when PROBING_RATE allows the next datagram
+        self.probes_held_back = 0  # requests that PROBING_RATE has kept from being sent
+        self.recent_con_ids: deque[int] = deque(maxlen=MAX_RECENT_CON_IDS)
 
-    def ask(
+    def send_request(
         self,
         code: int,
         options: list[tuple[int, bytes]],
         payload: bytes,
         until_ms: float,
-        ended: Ended,
+        ended: OnEnded,
         *,
-        again: bool = True,
-    ) -> Asked:
-        """Send a request when there is room; `ended` is called once, never from within.
+        may_retransmit: bool = True,
+    ) -> PendingRequest:
+        """Queues a request; `ended` is called once, never from within this call.
 
-        `again`: whether it may be sent more than once. A node that has started anew does not know the message
-        id, and would run it a second time.
+        Without `may_retransmit` it is sent only once: a node that has restarted does not know the message
+        id, and would run a retransmission a second time.
         """
-        most_sent = 1 + MAX_RETRANSMIT if again else 1
-        asked = Asked(coap.Message(coap.CON, code, 0, b"", options, payload), until_ms, ended, most_sent)
-        self.waiting.append(asked)
-        self._fill()
-        return asked
-
-    def full(self) -> bool:
-        """Whether the line takes no more."""
-        return len(self.waiting) >= self.most_waiting
-
-    def give_up(self, asked: Asked) -> None:
-        """Nobody waits for it any more; `ended` is not called."""
-        asked.done = True
-        self._leave(asked)
-        self._fill()
-
-    def _leave(self, asked: Asked) -> None:
-        if self.out.get(asked.message.token) is asked:
-            del self.out[asked.message.token]
-        if self.by_mid.get(asked.message.mid) is asked:
-            del self.by_mid[asked.message.mid]
-        if not asked.sent and asked in self.waiting:
-            self.waiting.remove(asked)
-
-    def _end(self, asked: Asked, how: End, message: coap.Message | None = None) -> None:
-        if not asked.done:
-            asked.done = True
-            self._leave(asked)
-            asked.ended(how, message)
-
-    def _fill(self) -> None:
-        """Write what is first in line while fewer than NSTART are out unacknowledged."""
-        while self.waiting and len(self.by_mid) < self.nstart and not self.paused:
-            if self.silent and self.clock() < self.probe_ms:
-                for asked in self.waiting:  # told when time is asked for next, as never from within
-                    asked.probing, asked.due_ms = True, 0.0
+        max_transmissions = 1 + MAX_RETRANSMIT if may_retransmit else 1
+        pending = PendingRequest(
+            coap.Message(coap.CON, code, 0, b"", options, payload), until_ms, ended, max_transmissions
+        )
+        self.waiting.append(pending)
+        self._send_waiting()
+        return pending
+
+    def is_full(self) -> bool:
+        """Returns whether the queue is full."""
+        return len(self.waiting) >= self.max_waiting
+
+    def cancel(self, pending: PendingRequest) -> None:
+        """Cancels a request; `ended` is not called."""
+        pending.done = True
+        self._remove(pending)
+        self._send_waiting()
+
+    def _remove(self, pending: PendingRequest) -> None:
+        if self.in_flight.get(pending.message.token) is pending:
+            del self.in_flight[pending.message.token]
+        if self.unacknowledged.get(pending.message.mid) is pending:
+            del self.unacknowledged[pending.message.mid]
+        if not pending.transmissions and pending in self.waiting:
+            self.waiting.remove(pending)
+
+    def _end(self, pending: PendingRequest, end: RequestEnd, message: coap.Message | None = None) -> None:
+        if not pending.done:
+            pending.done = True
+            self._remove(pending)
+            pending.ended(end, message)
+
+    def _send_waiting(self) -> None:
+        """Sends queued requests while fewer than NSTART are unacknowledged."""
+        while self.waiting and len(self.unacknowledged) < self.nstart and not self.paused:
+            if self.is_silent and self.clock() < self.next_probe_ms:
+                for (
+                    pending
+                ) in self.waiting:  # ended by `handle_timers`, as `ended` is never called from within
+                    pending.blocked_by_probing_rate, pending.due_ms = True, 0.0
                 return
-            asked = self.waiting.popleft()
+            pending = self.waiting.popleft()
             self.next_token = (self.next_token + 1) & 0xFFFFFFFF
-            while self.next_mid in self.by_mid:
+            while self.next_mid in self.unacknowledged:
                 self.next_mid = (self.next_mid + 1) & 0xFFFF
-            message = asked.message
+            message = pending.message
             message.mid, message.token = self.next_mid, self.next_token.to_bytes(4, "big")
             self.next_mid = (self.next_mid + 1) & 0xFFFF
-            self.out[message.token] = self.by_mid[message.mid] = asked
-            asked.wait_ms = ACK_TIMEOUT * self.random.uniform(1.0, ACK_RANDOM_FACTOR)
-            self._write(asked)
+            self.in_flight[message.token] = self.unacknowledged[message.mid] = pending
+            pending.wait_ms = ACK_TIMEOUT * self.random.uniform(1.0, ACK_RANDOM_FACTOR)
+            self._write(pending)
 
-    def _write(self, asked: Asked) -> None:
-        asked.sent += 1
-        asked.due_ms = self.clock() + asked.wait_ms
-        asked.wait_ms *= 2.0
-        self._send(asked.message)
+    def _write(self, pending: PendingRequest) -> None:
+        pending.transmissions += 1
+        pending.due_ms = self.clock() + pending.wait_ms
+        pending.wait_ms *= 2.0
+        self._send(pending.message)
 
     def _send(self, message: coap.Message) -> None:
-        self.written += 1
+        self.datagrams_sent += 1
         data = coap.encode(message)
-        if self.silent:
-            self.probe_ms = max(self.probe_ms, self.clock()) + len(data) / self.probing_rate * 1000.0
+        if self.is_silent:
+            self.next_probe_ms = (
+                max(self.next_probe_ms, self.clock()) + len(data) / self.probing_rate * 1000.0
+            )
         self.send(data)
 
     def resume(self) -> None:
-        """There is a socket, which has sent nothing yet."""
-        self.paused, self.written = False, 0
-        self._fill()
+        """Starts sending on a new socket."""
+        self.paused, self.datagrams_sent = False, 0
+        self._send_waiting()
 
-    def none(self) -> None:
-        """No socket can be had: what waits is unsent."""
-        for asked in list(self.waiting):
-            self._end(asked, End.UNSENT)
+    def fail_waiting(self) -> None:
+        """Ends all queued requests as unsent, as no socket can be opened."""
+        for pending in list(self.waiting):
+            self._end(pending, RequestEnd.UNSENT)
 
-    # What comes.
+    # Datagrams.
 
     def received(self, data: bytes) -> None:
-        """Take a datagram of the node."""
-        self.silent = False
+        """Handles a datagram of the node."""
+        self.is_silent = False
         try:
             message = coap.decode(data)
         except coap.MalformedError as fault:
@@ -194,53 +211,53 @@
                 self._send(coap.Message(coap.RST, coap.EMPTY, fault.mid))
             return
         if message.mtype in (coap.ACK, coap.RST):
-            asked = self.by_mid.get(message.mid)
-            if asked is None:
+            pending = self.unacknowledged.get(message.mid)
+            if pending is None:
                 return
-            del self.by_mid[message.mid]
+            del self.unacknowledged[message.mid]
             if message.mtype == coap.RST:
-                self._end(asked, End.RESET if asked.sent == 1 else End.LOST)
+                self._end(pending, RequestEnd.RESET if pending.transmissions == 1 else RequestEnd.LOST)
             elif message.code == coap.EMPTY:
-                asked.acked, asked.due_ms = True, NO_DEADLINE
-            elif message.token == asked.message.token:
-                self._end(asked, End.ANSWERED, message)
-            self._fill()
+                pending.is_acknowledged, pending.due_ms = True, NO_DEADLINE
+            elif message.token == pending.message.token:
+                self._end(pending, RequestEnd.ANSWERED, message)
+            self._send_waiting()
             return
-        asked = self.out.get(message.token) if message.code >= 0x40 else None
+        pending = self.in_flight.get(message.token) if message.code >= 0x40 else None
         if message.mtype == coap.CON:
-            kind = coap.ACK if asked is not None or message.mid in self.heard else coap.RST
+            kind = coap.ACK if pending is not None or message.mid in self.recent_con_ids else coap.RST
             self._send(coap.Message(kind, coap.EMPTY, message.mid))
-            if asked is not None:
-                self.heard.append(message.mid)
-        if asked is not None:
-            self._end(asked, End.ANSWERED, message)
-            self._fill()
+            if pending is not None:
+                self.recent_con_ids.append(message.mid)
+        if pending is not None:
+            self._end(pending, RequestEnd.ANSWERED, message)
+            self._send_waiting()
 
     def unreachable(self) -> None:
-        """ICMP says that nothing listens there. Paused from now on: what follows has a socket of its own."""
+        """Handles an ICMP error: no socket listens there. Pauses until there is a new socket."""
         self.paused = True
-        how = End.UNREACHABLE if self.written == 1 else End.LOST
-        for asked in list(self.out.values()):
-            self._end(asked, how)
+        end = RequestEnd.UNREACHABLE if self.datagrams_sent == 1 else RequestEnd.LOST
+        for pending in list(self.in_flight.values()):
+            self._end(pending, end)
 
-    # Time.
+    # Timers.
 
-    def next_ms(self) -> float:
-        """When `woken` is to be called next."""
-        due = min((a.due_ms for a in self.by_mid.values()), default=NO_DEADLINE)
-        return min(due, min((a.due_ms for a in self.waiting), default=NO_DEADLINE))
+    def next_timer_ms(self) -> float:
+        """Returns when `handle_timers` is due; infinity without a timer."""
+        timer_due_ms = min((a.due_ms for a in self.unacknowledged.values()), default=NO_DEADLINE)
+        return min(timer_due_ms, min((a.due_ms for a in self.waiting), default=NO_DEADLINE))
 
-    def woken(self) -> None:
-        """Time has passed: send again, and tell what never left."""
+    def handle_timers(self) -> None:
+        """Retransmits requests, and ends those that were never sent or never acknowledged."""
         now = self.clock()
-        for asked in [a for a in self.waiting if a.due_ms <= now]:
-            self.held_back += asked.probing
-            self._end(asked, End.PROBING if asked.probing else End.UNSENT)
-        for asked in [a for a in self.by_mid.values() if a.due_ms <= now]:
-            if asked.sent >= asked.most_sent:
-                if not self.silent:
-                    self.silent, self.probe_ms = True, now
-                self._end(asked, End.LOST)
+        for pending in [a for a in self.waiting if a.due_ms <= now]:
+            self.probes_held_back += pending.blocked_by_probing_rate
+            self._end(pending, RequestEnd.PROBING if pending.blocked_by_probing_rate else RequestEnd.UNSENT)
+        for pending in [a for a in self.unacknowledged.values() if a.due_ms <= now]:
+            if pending.transmissions >= pending.max_transmissions:
+                if not self.is_silent:
+                    self.is_silent, self.next_probe_ms = True, now
+                self._end(pending, RequestEnd.LOST)
             else:
-                self._write(asked)
-        self._fill()
+                self._write(pending)
+        self._send_waiting()
--- a/honeywharf/coap/part.py
+++ b/honeywharf/coap/part.py
@@ -1,4 +1,4 @@
-"""CoAP as a part of a running proxy: clients, nodes, or both."""
+"""CoAP as a component of a running proxy: for clients, nodes, or both."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CoapPart(Component):
-    """The front where clients may come, and the transport where nodes may be asked."""
+    """The front for CoAP clients and the transport to CoAP nodes, as far as configured."""
 
     def __init__(self, proxy: ProxyContext, features: Coap) -> None:
         self.front: Front | None = None
@@ -28,33 +28,36 @@
         if features.listen:
             from honeywharf.coap.front import Front
 
-            self.front, self.where = Front(proxy.loop, proxy.clock, proxy.driver), address(features.listen)
+            self.front, self.listen_address = (
+                Front(proxy.loop, proxy.clock, proxy.driver),
+                address(features.listen),
+            )
 
     async def start(self) -> str:
-        """Listen."""
+        """Opens the socket of the front."""
         if self.front is None:
             return ""
-        host, port = await self.front.listen(self.where)
+        host, port = await self.front.listen(self.listen_address)
         return f"listens for CoAP on {host}:{port}"
 
     def drain(self) -> None:
-        """Refuse what is new."""
+        """Rejects new requests from now on."""
         if self.front is not None:
             self.front.draining = True
 
     def has_pending_answers(self) -> bool:
-        """Whether an exchange is open."""
-        return self.front is not None and bool(self.front.layer.open_of)
+        """Returns whether an exchange is open."""
+        return self.front is not None and bool(self.front.layer.open_count_by_peer)
 
     def counts(self) -> Mapping[str, int]:
-        """What the message layers have counted: that of clients, and those of nodes together."""
+        """Returns the counters of the message layers: those of the clients, and the sums over the nodes."""
         counts = dict(self.front.layer.counts) if self.front is not None else {}
         if self.pool is not None:
-            counts["coap:node starts"] = self.pool.starts
-            counts["coap:probes held back"] = sum(n.client.held_back for n in self.pool.nodes.values())
+            counts["coap:node starts"] = self.pool.process_starts
+            counts["coap:probes held back"] = sum(n.client.probes_held_back for n in self.pool.nodes.values())
         return counts
 
     def close(self) -> None:
-        """Close the socket."""
+        """Closes the socket of the front."""
         if self.front is not None:
             self.front.close()
--- a/honeywharf/standins/coapnode.py
+++ b/honeywharf/standins/coapnode.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from honeywharf.coap import options
-from honeywharf.coap.messages import Exchange, Layer, Peer
+from honeywharf.coap.messages import Exchange, MessageLayer, Peer
 from honeywharf.codecs import coap
 from honeywharf.standins.backend import Backend, now_ms
 from honeywharf.standins.messages import Message
@@ -16,7 +16,7 @@
 class CoapBackend(Backend):
     """Answers by CoAP what `Backend` answers by HTTP. A crash closes its socket, and what it knew is lost."""
 
-    layer: Layer
+    layer: MessageLayer
     transport: asyncio.DatagramTransport | None = None
     tasks: set[asyncio.Task[None]]
     timer_due: asyncio.TimerHandle | None = None
@@ -25,7 +25,7 @@
         """Listen on 127.0.0.1, on the same port again after a crash."""
         self.tasks = set()
         seed = self.random.getrandbits(32)
-        self.layer = Layer(now_ms, self._write, self._request, seed, most_of_peer=8192)
+        self.layer = MessageLayer(now_ms, self._write, self._request, seed, max_exchanges_per_peer=8192)
         if not self.port:
             (self.port,) = free_ports(1)
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -50,13 +50,13 @@
         if self.timer_due is not None:
             self.timer_due.cancel()
             self.timer_due = None
-        if self.layer.next_ms() < float("inf"):
-            delay = max(0.0, self.layer.next_ms() - now_ms()) / 1000.0
+        if self.layer.next_timer_ms() < float("inf"):
+            delay = max(0.0, self.layer.next_timer_ms() - now_ms()) / 1000.0
             self.timer_due = asyncio.get_running_loop().call_later(delay, self._woken)
 
     def _woken(self) -> None:
         self.timer_due = None
-        self.layer.woken()
+        self.layer.handle_timers()
         self._wake_later()
 
     def _request(self, exchange: Exchange, message: coap.Message) -> None:
@@ -65,7 +65,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _answer(self, exchange: Exchange, message: coap.Message) -> None:
-        layer, request = self.layer, options.request_of(message)
+        layer, request = self.layer, options.decode_request(message)
         headers = {b"x-correlation-id": request.id.encode("latin-1")}
         if request.idempotency_key:
             headers[b"idempotency-key"] = request.idempotency_key
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -10,7 +10,7 @@
 
 from honeywharf.coap import blocks, options
 from honeywharf.coap.backend import Pool
-from honeywharf.coap.client import Client, End
+from honeywharf.coap.client import Client, RequestEnd
 from honeywharf.coap.part import CoapPart
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features
@@ -86,9 +86,9 @@
 
     def _serve(self, message: coap.Message, say: object) -> None:
         assert callable(say)
-        key = blocks.key_of(message, ("", 0))
-        part, body = blocks.block_of(message, coap.BLOCK1), message.payload
-        wanted = blocks.block_of(message, coap.BLOCK2)
+        key = blocks.transfer_key(message, ("", 0))
+        part, body = blocks.decode_block(message, coap.BLOCK1), message.payload
+        wanted = blocks.decode_block(message, coap.BLOCK2)
         if part is not None:
             whole = self.transfers.body(key, part, body, 0.0)
             if whole is None:
@@ -100,7 +100,7 @@
         if len(self.body) <= 1024:
             say(coap.ACK, coap.CHANGED, told=self.told, payload=self.body)
             return
-        told, payload = blocks.part(self.body, wanted or blocks.Block(0, False, 6))
+        told, payload = blocks.response_block(self.body, wanted or blocks.Block(0, False, 6))
         say(coap.ACK, coap.CHANGED, told=told, payload=payload)
 
 
@@ -132,7 +132,7 @@
             assert await pay(w, kind="order") == (200, b"tile")
             message = node.got[0]
             assert (message.code, message.payload) == (coap.POST, b"x")
-            request = options.request_of(message)
+            request = options.decode_request(message)
             assert (request.target, request.class_name, request.account) == (b"/api?q=1", "order", "acme")
             assert request.idempotency_key == b"k"
             assert request.left_ms is not None
@@ -283,46 +283,46 @@
 
 class Scene:
     def __init__(self, nstart: int = 1) -> None:
-        self.now, self.sent, self.ends = 0.0, list[coap.Message](), list[End]()
+        self.now, self.sent, self.ends = 0.0, list[coap.Message](), list[RequestEnd]()
         self.client = Client(lambda: self.now, lambda data: self.sent.append(coap.decode(data)), 1, nstart, 4)
         self.client.resume()
 
-    def ask(self, until_ms: float = 60_000.0, payload: bytes = b"") -> None:
-        self.client.ask(coap.GET, [], payload, until_ms, lambda how, _: self.ends.append(how))
+    def send_request(self, until_ms: float = 60_000.0, payload: bytes = b"") -> None:
+        self.client.send_request(coap.GET, [], payload, until_ms, lambda how, _: self.ends.append(how))
 
     def pass_time(self, ms: float) -> None:
         end = self.now + ms
-        while self.client.next_ms() <= end:
-            self.now = max(self.now, self.client.next_ms())
-            self.client.woken()
+        while self.client.next_timer_ms() <= end:
+            self.now = max(self.now, self.client.next_timer_ms())
+            self.client.handle_timers()
         self.now = end
 
 
 def test_one_request_is_out_at_a_time_until_it_is_acknowledged() -> None:
     s = Scene()
     for _ in range(3):
-        s.ask()
+        s.send_request()
     assert len(s.sent) == 1
     s.client.received(coap.encode(coap.Message(coap.ACK, coap.EMPTY, s.sent[0].mid)))
     assert len(s.sent) == 2
     s.client.received(coap.encode(coap.Message(coap.ACK, coap.CONTENT, s.sent[1].mid, s.sent[1].token)))
     assert len(s.sent) == 3
-    assert s.ends == [End.ANSWERED]
+    assert s.ends == [RequestEnd.ANSWERED]
 
 
 def test_it_is_sent_five_times_within_the_span_and_then_may_have_run() -> None:
     s = Scene()
-    s.ask(200_000.0)
+    s.send_request(200_000.0)
     s.pass_time(150_000.0)
     assert len(s.sent) == 5
     assert len({m.mid for m in s.sent}) == 1
-    assert s.ends == [End.LOST]
+    assert s.ends == [RequestEnd.LOST]
 
 
-@pytest.mark.parametrize(("passed", "end"), [(0.0, End.RESET), (4000.0, End.LOST)])
-def test_a_reset_proves_something_only_of_what_was_sent_once(passed: float, end: End) -> None:
+@pytest.mark.parametrize(("passed", "end"), [(0.0, RequestEnd.RESET), (4000.0, RequestEnd.LOST)])
+def test_a_reset_proves_something_only_of_what_was_sent_once(passed: float, end: RequestEnd) -> None:
     s = Scene()
-    s.ask()
+    s.send_request()
     s.pass_time(passed)
     s.client.received(coap.encode(coap.Message(coap.RST, coap.EMPTY, s.sent[0].mid)))
     assert s.ends == [end]
@@ -330,37 +330,37 @@
 
 def test_what_waits_in_line_past_its_time_was_never_sent() -> None:
     s = Scene()
-    s.ask()
-    s.ask(500.0)
+    s.send_request()
+    s.send_request(500.0)
     s.pass_time(500.0)
-    assert s.ends == [End.UNSENT]
+    assert s.ends == [RequestEnd.UNSENT]
     assert len({m.token for m in s.sent}) == 1
 
 
 def test_icmp_proves_something_only_where_it_can_mean_no_other_datagram() -> None:
     s = Scene(nstart=2)
-    s.ask()
+    s.send_request()
     s.client.unreachable()
-    assert s.ends == [End.UNREACHABLE]
+    assert s.ends == [RequestEnd.UNREACHABLE]
     s.client.resume()  # a new socket
-    s.ask()
-    s.ask()
+    s.send_request()
+    s.send_request()
     s.client.unreachable()
-    assert s.ends[1:] == [End.LOST, End.LOST]
+    assert s.ends[1:] == [RequestEnd.LOST, RequestEnd.LOST]
     s.client.resume()
-    s.ask()
+    s.send_request()
     s.pass_time(4000.0)  # sent again
     s.client.unreachable()
-    assert s.ends[3:] == [End.LOST]
-    s.ask()
+    assert s.ends[3:] == [RequestEnd.LOST]
+    s.send_request()
     assert len(s.client.waiting) == 1  # until there is a socket
 
 
 def test_the_line_has_its_bound_and_an_old_answer_is_reset() -> None:
     s = Scene()
     for _ in range(5):
-        s.ask()
-    assert s.client.full()
+        s.send_request()
+    assert s.client.is_full()
     s.client.received(coap.encode(coap.Message(coap.CON, coap.CONTENT, 5, b"old!")))
     assert (s.sent[-1].mtype, s.sent[-1].mid) == (coap.RST, 5)
 
@@ -368,22 +368,22 @@
 def test_a_silent_node_is_asked_no_more_than_the_probing_rate_allows() -> None:
     """RFC 7252, 4.7: a byte a second on the mean, whatever is asked for; one datagram heard ends that."""
     s = Scene(nstart=16)
-    s.ask(1e9)
+    s.send_request(1e9)
     s.pass_time(100_000.0)
-    assert s.ends == [End.LOST]
-    assert s.client.silent
+    assert s.ends == [RequestEnd.LOST]
+    assert s.client.is_silent
     begun, written = s.now, sum(len(coap.encode(m)) for m in s.sent)
     s.ends.clear()
     for _ in range(2000):
-        s.ask(1e9, bytes(100))
+        s.send_request(1e9, bytes(100))
         s.pass_time(500.0)
     probed = sum(len(coap.encode(m)) for m in s.sent) - written
     longest = max(len(coap.encode(m)) for m in s.sent)
     assert 0 < probed <= (s.now - begun) / 1000.0 + 5 * longest  # a probe is sent five times ahead of its pay
-    assert s.client.held_back == s.ends.count(End.PROBING) > 1900
+    assert s.client.probes_held_back == s.ends.count(RequestEnd.PROBING) > 1900
     s.client.received(coap.encode(coap.Message(coap.CON, coap.EMPTY, 9)))
     before = len(s.sent)
-    s.ask(1e9)
+    s.send_request(1e9)
     assert len(s.sent) > before
 
 
@@ -393,13 +393,13 @@
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             assert part.pool is not None
             quiet = part.pool.nodes["c0"].client
-            quiet.silent, quiet.probe_ms = True, w.proxy.clock.now() + 60_000.0
-            while not quiet.held_back:
+            quiet.is_silent, quiet.next_probe_ms = True, w.proxy.clock.now() + 60_000.0
+            while not quiet.probes_held_back:
                 assert await pay(w) == (200, b"tile")
             assert not made[0].got
             assert O.CONNECT_FAILED in [e.outcome for e in w.ended()]
             assert w.proxy.balancer.endpoints.servers["c0"].failures > 0
-            assert part.counts()["coap:probes held back"] == quiet.held_back
+            assert part.counts()["coap:probes held back"] == quiet.probes_held_back
 
     run(main())
 
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -14,7 +14,7 @@
 from aiocoap.optiontypes import OpaqueOption
 
 from honeywharf.coap import blocks, options
-from honeywharf.coap.front import MAX_PEERS, Front
+from honeywharf.coap.front import MAX_VALIDATED_PEERS, Front
 from honeywharf.coap.part import CoapPart
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features, OrderKeys
@@ -36,7 +36,7 @@
         assert front is not None
         await until(lambda: front.transport is not None)
         yield w, backend, front
-        await until(lambda: not w.proxy.driver.requests and not front.layer.open_of)
+        await until(lambda: not w.proxy.driver.requests and not front.layer.open_count_by_peer)
         front.close()
     await backend.stop()
 
@@ -174,7 +174,7 @@
                 pass
             assert (answer.mtype, answer.code, answer.payload) == (coap.CON, coap.CHANGED, b"paid")
             unit.acknowledge(answer)
-            await until(lambda: not front.layer.resend)
+            await until(lambda: not front.layer.separate_responses)
             unit.send(told("pay"), mid=mid, payload=b"x")  # as late as it likes
             assert (await unit.next()).code == coap.EMPTY
             assert len(backend.requests) == 1
@@ -209,12 +209,12 @@
 def test_no_more_peers_are_believed_than_may_be() -> None:
     async def main() -> None:
         async with served() as (_, backend, front):
-            for port in range(MAX_PEERS):
-                front.peers[("127.0.0.2", port)] = front.clock.now()
+            for port in range(MAX_VALIDATED_PEERS):
+                front.validated_peers[("127.0.0.2", port)] = front.clock.now()
             unit = await Unit.to(port_of(front))
             assert (await unit.ask(told())).code == coap.CHANGED
-            assert len(front.peers) == MAX_PEERS
-            assert ("127.0.0.2", 0) not in front.peers
+            assert len(front.validated_peers) == MAX_VALIDATED_PEERS
+            assert ("127.0.0.2", 0) not in front.validated_peers
             assert backend.requests
 
     run(main())
@@ -230,9 +230,9 @@
 )
 def test_a_part_of_the_target_stays_one_part_there_and_back(path: bytes, query: bytes, target: bytes) -> None:
     some = [(coap.URI_PATH, b"api"), (coap.URI_PATH, path), (coap.URI_QUERY, query), (options.ID, b"i")]
-    request = options.request_of(coap.Message(coap.CON, coap.GET, 1, b"", some))
+    request = options.decode_request(coap.Message(coap.CON, coap.GET, 1, b"", some))
     assert request.target == target
-    assert options.of_request(request)[:3] == some[:3]
+    assert options.encode_request(request)[:3] == some[:3]
 
 
 @pytest.mark.parametrize(
@@ -470,17 +470,17 @@
 
 
 def test_transfers_have_their_bounds() -> None:
-    t, peer = blocks.Transfers(most=3, most_bytes=5000), ("127.0.0.1", 1)
+    t, peer = blocks.Transfers(max_transfers=3, max_bytes=5000), ("127.0.0.1", 1)
     for i in range(10):
         assert t.body((peer, b"%d" % i), blocks.Block(0, True, 6), bytes(1024), 0.0) is None
         assert len(t.bodies) <= 3
     for i in range(10):
-        t.keep((peer, b"%d" % i), bytes(2000), 1.0)
+        t.store_response((peer, b"%d" % i), bytes(2000), 1.0)
         assert t.held_bytes <= 5000
-    kept = [*(row[1] for row in t.bodies.values()), *(row[1] for row in t.answers.values())]
+    kept = [*(row[1] for row in t.bodies.values()), *(row[1] for row in t.responses.values())]
     assert t.held_bytes == sum(map(len, kept))
-    t.keep((peer, b"x"), b"late", blocks.LIFETIME_MS + 2.0)
-    assert list(t.answers) == [(peer, b"x")]
+    t.store_response((peer, b"x"), b"late", blocks.TRANSFER_LIFETIME_MS + 2.0)
+    assert list(t.responses) == [(peer, b"x")]
     assert not t.bodies
     assert t.held_bytes == 4
 
@@ -532,7 +532,7 @@
                 (echo,) = [o for o in asked.opt.option_list() if o.number == 252]
                 answer = await soon(context.request(request(echo.encode())).response)
                 assert (answer.code, answer.payload) == (aiocoap.CHANGED, b"t" * 3000)
-                assert len(front.peers) == 1
+                assert len(front.validated_peers) == 1
                 assert [m[2] for m in backend.requests] == [b"x"]
             finally:
                 await context.shutdown()
@@ -553,7 +553,7 @@
             unit = await Unit.to(port_of(front), believed=False)
             peers = [("127.0.0.1", 1024 + i) for i in range(200)]
             for peer in peers[:50]:
-                front.peers[peer] = w.proxy.clock.now()
+                front.validated_peers[peer] = w.proxy.clock.now()
             good = [
                 coap.encode(coap.Message(kind, code, 7, b"t", some, body))
                 for kind, code, some, body in (
@@ -576,17 +576,17 @@
                     del data[draw.randrange(len(data) + 1) :]
                 peer = draw.choice(peers)
                 front.datagram_received(bytes(data), peer)
-                if peer not in front.peers:  # an address that has shown nothing is not sent much
+                if peer not in front.validated_peers:  # an address that has shown nothing is not sent much
                     assert sum(len(d) for d, p in sent if p == peer) <= 3 * len(data)
                 sent.clear()
                 if i % 200 == 0:
                     await asyncio.sleep(0)
                     layer = front.layer
-                    assert len(layer.open) <= layer.most
-                    assert len(layer.done) <= layer.most
-                    assert layer.done_bytes <= layer.most_bytes
-                    assert layer.marked <= layer.most_marks
-                    assert front.transfers.held_bytes <= front.transfers.most_bytes
+                    assert len(layer.open) <= layer.max_exchanges
+                    assert len(layer.answered) <= layer.max_exchanges
+                    assert layer.answered_bytes <= layer.max_bytes
+                    assert layer.seen_count <= layer.max_seen_ids
+                    assert front.transfers.held_bytes <= front.transfers.max_bytes
                     await until(lambda: len(w.proxy.driver.requests) < 50)
             await until(lambda: not w.proxy.driver.requests)
             front.layer.send = front._send
--- a/tests/coap/test_messages.py
+++ b/tests/coap/test_messages.py
@@ -5,7 +5,14 @@
 import pytest
 
 from honeywharf.coap import messages
-from honeywharf.coap.messages import ACK_AFTER, ACK_TIMEOUT, EXCHANGE_LIFETIME, NON_LIFETIME, Exchange, Layer
+from honeywharf.coap.messages import (
+    ACK_DELAY_MS,
+    ACK_TIMEOUT,
+    EXCHANGE_LIFETIME,
+    NON_LIFETIME,
+    Exchange,
+    MessageLayer,
+)
 from honeywharf.codecs import coap
 
 PEER, OTHER = ("127.0.0.1", 1), ("127.0.0.1", 2)
@@ -16,7 +23,7 @@
 
     def __init__(self, **bounds: int) -> None:
         self.now, self.sent, self.served = 0.0, list[tuple[coap.Message, tuple[str, int]]](), list[Exchange]()
-        self.layer = Layer(
+        self.layer = MessageLayer(
             lambda: self.now,
             lambda data, peer: self.sent.append((coap.decode(data), peer)),
             lambda exchange, message: self.served.append(exchange),
@@ -39,11 +46,11 @@
 
     def pass_time(self, ms: float) -> None:
         end = self.now + ms
-        while self.layer.next_ms() <= end:
-            self.now = max(self.now, self.layer.next_ms())
-            self.layer.woken()
+        while self.layer.next_timer_ms() <= end:
+            self.now = max(self.now, self.layer.next_timer_ms())
+            self.layer.handle_timers()
         self.now = end
-        self.layer.woken()
+        self.layer.handle_timers()
 
     def kinds(self) -> list[tuple[int, int]]:
         return [(m.mtype, m.code) for m, _ in self.sent]
@@ -66,7 +73,7 @@
 def test_a_slow_answer_comes_by_itself_and_again_until_it_is_acknowledged() -> None:
     s = Scene()
     s.get(7)
-    s.pass_time(ACK_AFTER)
+    s.pass_time(ACK_DELAY_MS)
     assert s.kinds() == [(coap.ACK, coap.EMPTY)]
     s.get(7)  # the ACK was lost
     assert s.kinds() == [(coap.ACK, coap.EMPTY)] * 2
@@ -82,24 +89,24 @@
     s.pass_time(100_000.0)
     assert len(s.sent) == 5
     assert len(s.served) == 1
-    assert not s.layer.resend
+    assert not s.layer.separate_responses
 
 
 def test_an_answer_that_nobody_acknowledges_is_sent_five_times_within_the_span() -> None:
     s = Scene()
     s.get(7)
-    s.pass_time(ACK_AFTER)
+    s.pass_time(ACK_DELAY_MS)
     s.layer.answer(s.served[0], coap.CONTENT)
     s.pass_time(messages.MAX_TRANSMIT_SPAN + 2 * ACK_TIMEOUT * 16)
     assert s.kinds().count((coap.CON, coap.CONTENT)) == 1 + messages.MAX_RETRANSMIT
     assert s.layer.counts["coap:not acknowledged"] == 1
-    assert not s.layer.resend
+    assert not s.layer.separate_responses
 
 
 def test_a_reset_after_an_empty_ack_ends_the_sending() -> None:
     s = Scene()
     s.get(7)
-    s.pass_time(ACK_AFTER)
+    s.pass_time(ACK_DELAY_MS)
     s.layer.answer(s.served[0], coap.CONTENT)
     s.empty(coap.RST, s.sent[-1][0].mid)
     s.pass_time(100_000.0)
@@ -110,10 +117,10 @@
 def test_an_ack_from_another_peer_ends_nothing() -> None:
     s = Scene()
     s.get(7)
-    s.pass_time(ACK_AFTER)
+    s.pass_time(ACK_DELAY_MS)
     s.layer.answer(s.served[0], coap.CONTENT)
     s.empty(coap.ACK, s.sent[-1][0].mid, OTHER)
-    assert len(s.layer.resend) == 1
+    assert len(s.layer.separate_responses) == 1
 
 
 def test_a_non_has_a_non_and_its_duplicate_the_same_one() -> None:
@@ -134,7 +141,7 @@
     s.now = life - 1.0
     s.get(7, mtype=mtype, code=coap.POST)
     assert len(s.served) == 1
-    s.now = life + messages.MARKS_SPAN
+    s.now = life + messages.SEEN_GROUP_SPAN_MS
     s.get(7, mtype=mtype, code=coap.POST)
     assert len(s.served) == 2
 
@@ -161,7 +168,7 @@
 
 
 def test_beyond_its_bound_a_request_is_refused_unseen_and_never_runs_later() -> None:
-    s = Scene(most=3, most_of_peer=10, most_marks=4)
+    s = Scene(max_exchanges=3, max_exchanges_per_peer=10, max_seen_ids=4)
     for mid in range(6):
         s.get(mid, code=coap.POST)
     assert len(s.served) == 3
@@ -172,8 +179,8 @@
     s.get(3, code=coap.POST)  # doubled by the network, long after the refusal
     s.get(4, code=coap.POST)
     assert len(s.served) == 3
-    assert s.layer.marked == 2
-    s.pass_time(EXCHANGE_LIFETIME + messages.MARKS_SPAN)
+    assert s.layer.seen_count == 2
+    s.pass_time(EXCHANGE_LIFETIME + messages.SEEN_GROUP_SPAN_MS)
     s.get(3, code=coap.POST)
     assert len(s.served) == 4
 
@@ -186,19 +193,19 @@
     s.get(7, code=coap.POST)
     assert s.kinds() == [(coap.ACK, coap.CHANGED)] * 2
     s.pass_time(1.0)
-    assert (len(s.layer.done), s.layer.done_bytes, s.layer.marked) == (0, 0, 1)
+    assert (len(s.layer.answered), s.layer.answered_bytes, s.layer.seen_count) == (0, 0, 1)
     s.get(7, code=coap.POST)
     assert len(s.sent) == 2
     assert len(s.served) == 1
 
 
 def test_where_answers_crowd_the_oldest_become_marks_and_nothing_runs_again() -> None:
-    s = Scene(most=10)
+    s = Scene(max_exchanges=10)
     for mid in range(40):
         s.get(mid, code=coap.POST)
         s.layer.answer(s.served[-1], coap.CHANGED)
     assert len(s.served) == 40
-    assert (len(s.layer.done), s.layer.marked) == (10, 30)
+    assert (len(s.layer.answered), s.layer.seen_count) == (10, 30)
     for mid in range(40):
         s.get(mid, code=coap.POST)
     assert len(s.served) == 40
@@ -206,15 +213,15 @@
 
 
 def test_a_read_leaves_no_mark() -> None:
-    s = Scene(most=1)
+    s = Scene(max_exchanges=1)
     for mid in range(5):
         s.get(mid)
         s.layer.answer(s.served[-1], coap.CONTENT)
-    assert (len(s.layer.done), s.layer.marked) == (1, 0)
+    assert (len(s.layer.answered), s.layer.seen_count) == (1, 0)
 
 
 def test_one_peer_holds_no_more_than_its_share_and_others_go_on() -> None:
-    s = Scene(most=100, most_of_peer=2)
+    s = Scene(max_exchanges=100, max_exchanges_per_peer=2)
     for mid in range(4):
         s.get(mid)
     s.get(0, OTHER)
@@ -225,15 +232,15 @@
 
 
 def test_kept_answers_are_bounded_in_bytes_and_given_back() -> None:
-    s = Scene(most=1000, most_bytes=20_000)
+    s = Scene(max_exchanges=1000, max_bytes=20_000)
     for mid in range(100):
         s.get(mid)
         s.layer.answer(s.served[-1], coap.CONTENT, payload=b"x" * 1000)
-        assert s.layer.done_bytes <= 20_000
-    assert s.layer.done_bytes == sum(len(e.data) for e in s.layer.done.values()) > 18_000
+        assert s.layer.answered_bytes <= 20_000
+    assert s.layer.answered_bytes == sum(len(e.data) for e in s.layer.answered.values()) > 18_000
     s.pass_time(messages.MAX_TRANSMIT_SPAN)
-    assert s.layer.done_bytes == 0
-    assert not s.layer.open_of
+    assert s.layer.answered_bytes == 0
+    assert not s.layer.open_count_by_peer
 
 
 def test_an_open_exchange_outlives_its_lifetime_until_it_is_answered() -> None:
@@ -243,15 +250,15 @@
     s.get(7)
     assert len(s.served) == 1
     s.layer.answer(s.served[0], coap.CONTENT)
-    with pytest.raises(ValueError, match="one answer"):
+    with pytest.raises(ValueError, match="expected one response, got another"):
         s.layer.answer(s.served[0], coap.CONTENT)
 
 
 def test_ids_of_separate_answers_that_are_out_are_not_given_again() -> None:
-    s = Scene(most_of_peer=10)
+    s = Scene(max_exchanges_per_peer=10)
     for mid in range(3):
         s.get(mid)
-    s.pass_time(ACK_AFTER)
+    s.pass_time(ACK_DELAY_MS)
     s.layer.answer(s.served[0], coap.CONTENT)
     used = s.sent[-1][0].mid
     s.layer.next_mid = (used - 1) & 0xFFFF
@@ -260,16 +267,16 @@
 
 
 def test_what_is_only_refused_leaves_half_of_the_marks_to_what_has_run() -> None:
-    s = Scene(most=1, most_marks=10)
+    s = Scene(max_exchanges=1, max_seen_ids=10)
     for mid in range(20):
         s.get(mid, code=coap.POST)
-        s.served[-1].ran = False  # as the front says of one that it has challenged
+        s.served[-1].may_have_run = False  # as the front says of one that it has challenged
         s.layer.answer(s.served[-1], coap.UNAUTHORIZED)
-    assert s.layer.marked == 5
+    assert s.layer.seen_count == 5
     for mid in range(100, 106):
         s.get(mid, code=coap.POST)
         s.layer.answer(s.served[-1], coap.CHANGED)
-    assert s.layer.marked == 10
+    assert s.layer.seen_count == 10
     before = len(s.served)
     for mid in range(100, 106):
         s.get(mid, code=coap.POST)
@@ -277,10 +284,10 @@
 
 
 def test_separate_answers_that_nobody_acknowledges_have_their_bound() -> None:
-    s = Scene(most=3)
+    s = Scene(max_exchanges=3)
     for mid in range(5):
         s.get(mid)
-        s.pass_time(ACK_AFTER)
+        s.pass_time(ACK_DELAY_MS)
         s.layer.answer(s.served[-1], coap.CONTENT)
-    assert len(s.layer.resend) == 3
+    assert len(s.layer.separate_responses) == 3
     assert s.layer.counts["coap:not acknowledged"] == 2
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -141,14 +141,14 @@
             await until(lambda: front.transport is not None)
             assert front.transport is not None
             unit = await Unit.to(front.transport.get_extra_info("sockname")[1])
-            parent = options.context_bytes(PARENT.encode())
+            parent = options.trace_context_bytes(PARENT.encode())
             answer = await unit.ask(
                 [*told("read"), (options.TRACE_PARENT, parent), (options.TRACE_STATE, b"other=1")]
             )
             assert answer.code == coap.CONTENT
             (hop,) = await kept(w, 1)
             assert (hop["trace_id"], hop["parent_id"]) == (ID, PARENT[36:52])
-            response = options.context_text(answer.option(options.TRACE_RESPONSE) or b"").decode()
+            response = options.trace_context_text(answer.option(options.TRACE_RESPONSE) or b"").decode()
             assert response[:52] == f"00-{ID}-{hop['span_id']}"
             headers = backend.requests[0][1]
             assert headers[b"traceparent"].decode()[3:35] == ID
@@ -157,7 +157,7 @@
             await unit.ask([*told("read"), (options.TRACE_PARENT, parent), (options.TRACE_PARENT, parent)])
             part = next(p for p in w.proxy.components if isinstance(p, TracesPart))
             assert (part.recorder.damaged["parent"], part.recorder.damaged["twice"]) == (1, 1)
-            await until(lambda: not w.proxy.driver.requests and not front.layer.open_of)
+            await until(lambda: not w.proxy.driver.requests and not front.layer.open_count_by_peer)
             front.close()
         await backend.stop()
 
@@ -170,11 +170,13 @@
         features = Features(traces=Traces(file=str(tmp_path / "t"), rate=1e-9), coap=Coap(nodes=True))
         async with world([row("c0", node.port, cell=0, scheme="coap")], features) as w:
             client = await Client.to(w.port)
-            node.told = [(options.TRACE_RESPONSE, options.context_bytes(f"00-{ID}-{'1' * 16}-01".encode()))]
+            node.told = [
+                (options.TRACE_RESPONSE, options.trace_context_bytes(f"00-{ID}-{'1' * 16}-01".encode()))
+            ]
             client.send("order", b"x", "4000m", f"traceparent: {PARENT}", key="k")
             assert await client.status() == 200
             (hop,) = await kept(w, 1)
-            request = options.request_of(node.got[0])
+            request = options.decode_request(node.got[0])
             assert request.trace_parents[0].decode()[3:52] == f"{ID}-{hop['attempts'][0]['span_id']}"
             assert request.trace_states[0].startswith(b"ot=rv:")
             assert hop["kept"] == ["below"]
@@ -186,15 +188,15 @@
 
 @given(st.binary(max_size=40))
 def test_26_bytes_of_context_are_a_header_and_back_and_all_else_is_damaged(value: bytes) -> None:
-    text = options.context_text(value)
-    if len(value) == options.CONTEXT_BYTES:
-        assert options.context_bytes(text) == value
+    text = options.trace_context_text(value)
+    if len(value) == options.TRACE_CONTEXT_BYTES:
+        assert options.trace_context_bytes(text) == value
         assert len(text) == 55
     else:
         assert text == value
-    assert options.of_lines(b"traceparent: " + value.replace(b"\r\n", b"") + b"\r\n") in (
+    assert options.trace_context_options(b"traceparent: " + value.replace(b"\r\n", b"") + b"\r\n") in (
         [],
-        [(options.TRACE_PARENT, options.context_bytes(value))],
+        [(options.TRACE_PARENT, options.trace_context_bytes(value))],
     )
 
 
