--- a/honeywharf/coap/backend.py
+++ b/honeywharf/coap/backend.py
@@ -50,7 +50,7 @@
     def __init__(self, node: Node, call: UpstreamRequest) -> None:
         self.node, self.call = node, call
         self.pending: PendingRequest | None = None
-        self.block_number, self.szx = 0, blocks.MAX_SZX  # of the request body
+        self.block_number, self.szx = 0, blocks.MAX_SZX  # next block of the request body
         self.response_body, self.etag = bytearray(), b""
         request = call.request
         if request is None:
--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -31,7 +31,7 @@
 NSTART = 1  # RFC 7252, 4.8
 PROBING_RATE = 1.0  # mean bytes per second to a node that does not respond; RFC 7252, 4.8
 MAX_WAITING = 256
-MAX_RECENT_CON_IDS = 64  # of separate responses, whose duplicates are acknowledged again
+MAX_RECENT_CON_IDS = 64  # separate responses whose duplicates are acknowledged again
 UNSENT_MARGIN_MS = 5.0  # a queued request ends as UNSENT so long before its time-out
 
 
@@ -96,11 +96,11 @@
         self.next_token = self.random.getrandbits(
             32
         )  # random, so that a response to a request from before a restart does not match
-        self.paused = True  # until there is a socket
-        self.datagrams_sent = 0  # by the current socket
+        self.paused = True  # True without a socket
+        self.datagrams_sent = 0  # count for the current socket
         self.waiting: deque[PendingRequest] = deque()
         self.in_flight: dict[bytes, PendingRequest] = {}  # sent, by token
-        self.unacknowledged: dict[int, PendingRequest] = {}  # by message id
+        self.unacknowledged: dict[int, PendingRequest] = {}  # keyed by message id
         self.probing_rate = probing_rate
         self.is_silent = False  # a request was lost, and nothing was received since
         self.next_probe_ms = 0.0  # while the node is silent: when PROBING_RATE allows the next datagram
--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -32,9 +32,9 @@
     Status.CONFLICT: coap.CONFLICT,
     Status.UNPROCESSABLE: coap.UNPROCESSABLE_ENTITY,
 }
-MAX_VALIDATED_PEERS = 16384  # beyond it, the peer validated longest ago has to prove its address again
-PEER_VALIDITY_MS = 600_000.0  # for which a proof of a peer's address is valid
-ECHO_VALIDITY_MS = 10_000.0  # for which an Echo value is valid
+MAX_VALIDATED_PEERS = 16384  # excess peers, the oldest first, have to prove their address again
+PEER_VALIDITY_MS = 600_000.0  # validity of a proof of a peer's address
+ECHO_VALIDITY_MS = 10_000.0  # validity of an Echo value
 MAX_AMPLIFICATION = 3  # largest ratio of response to request for an unproved address
 
 
--- a/honeywharf/coap/messages.py
+++ b/honeywharf/coap/messages.py
@@ -85,7 +85,7 @@
         self.data = b""
         self.mid = message.mid
         self.transmissions = 0  # transmissions of a separate response
-        self.retransmit_after_ms = 0.0  # until the next transmission
+        self.retransmit_after_ms = 0.0  # interval before the next transmission
 
 
 class MessageLayer:
@@ -114,7 +114,7 @@
         self.answered_bytes = 0
         self.seen_ids: dict[int, set[int]] = {}  # hashes of keys by span of expiry
         self.seen_count = 0
-        self.separate_responses: dict[Key, Exchange] = {}  # by peer and id of the CON
+        self.separate_responses: dict[Key, Exchange] = {}  # keyed by peer and id of the CON
         # Due times of the ACKs of open exchanges and of retransmissions.
         self.timers: list[tuple[float, int, Exchange | Retransmission]] = []
         self.serial = 0
--- a/honeywharf/codecs/heads.py
+++ b/honeywharf/codecs/heads.py
@@ -60,7 +60,7 @@
         self.length = UNKNOWN
         self.keep = True
         self.sealed = self.encoded = self.not_executed = False
-        self.idle_s = 0.0  # for how long the backend keeps an idle connection; 0 if it does not say
+        self.idle_s = 0.0  # idle time-out that the backend states; 0 if it states none
         self.cold_s: float | None = None
 
     @property
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -67,7 +67,7 @@
 
 
 def time_left_header(ms: float) -> bytes:
-    """Encodes the header that tells a backend how much time is left until the deadline."""
+    """Encodes the header with the time left until the deadline."""
     return b"X-Time-Left: %du\r\n" % max(0, int(ms * 1000.0))
 
 
@@ -282,7 +282,7 @@
     def __init__(self, buffer_budget: BufferBudget | None = None) -> None:
         super().__init__(messages.MAX_BODY)
         self.buffer_budget = buffer_budget or BufferBudget(DEFAULT_BUFFER_BYTES)
-        self.pipe: Pipe | None = None  # of the body that is being read
+        self.pipe: Pipe | None = None  # pipe of the body that is being read
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
         self.request = NO_REQUEST
         self.length = -1  # Content-Length of the message being read; -1 without one
--- a/honeywharf/codecs/reader.py
+++ b/honeywharf/codecs/reader.py
@@ -101,7 +101,7 @@
                 while cause is not None and not isinstance(cause, MalformedError):
                     cause = cause.__cause__ or cause.__context__
                 if cause is None and isinstance(error, httptools.HttpParserCallbackError):
-                    raise  # an error in one of our own callbacks, not in the message
+                    raise  # an error in a callback, not in the message
                 raise cause or MalformedError(400, str(error)) from None
             break
         # Guards against an endless line of a head, trailer or chunk: the parser buffers it and calls nothing.
--- a/honeywharf/http/accept.py
+++ b/honeywharf/http/accept.py
@@ -21,8 +21,8 @@
 def queue_wait(connection: socket.socket) -> tuple[float, bool]:
     """Returns for how many ms received data has waited for the accept, and whether the client has closed.
 
-    (0, False) if the system does not tell. The time left in a request counts from when the client sent it:
-    this wait has to be subtracted.
+    (0, False) if the system does not provide it. The time left in a request counts from when the client sent
+    it: this wait has to be subtracted.
     """
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -98,7 +98,7 @@
         self.idle_since_ms = 0.0
         self.timer: asyncio.TimerHandle | None = None  # while a response is partly read
         self.response_began_ms = self.last_read_ms = 0.0  # times of its first and its latest read
-        self.bytes_read = 0  # of the response
+        self.bytes_read = 0  # size of the part of the response that was read
         self.transport: asyncio.Transport
         self.poll: select.poll
 
@@ -228,7 +228,7 @@
         self.pool.streams += 1
         bound_reads(self.transport, self)
         if self.pool.buffer_budget.open_pipes >= self.pool.buffer_budget.max_pipes:
-            self.set_paused(True)  # until a slot is free
+            self.set_paused(True)  # Resumed when a slot is free.
         pipe.slot_ticket = self.pool.buffer_budget.wait_for_slot(self._slot_acquired)
         if call is not None:
             call.connection = None
@@ -398,7 +398,7 @@
         self.backends: dict[str, Backend] = {}
         self.count = 0  # open connections and those being opened
         self.handshakes = 0
-        self.bytes_read = 0  # of partly read responses
+        self.bytes_read = 0  # sum over all partly read responses
         self.early_close_ms = float("inf")  # idle time after which any backend may close a connection
         self.tasks: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -27,18 +27,18 @@
 FIRST_REQUEST_TIMEOUT_MS = 2000.0  # a connection without any data is closed
 IDLE_TIMEOUT_MS = 6000.0  # after the last response
 CROWDED_IDLE_TIMEOUT_MS = 2000.0  # with more than half of the connections in use
-MAX_REJECTED_CONNECTIONS = 32  # beyond the limit, answered with 503; further ones are aborted
+MAX_REJECTED_CONNECTIONS = 32  # excess connections answered with 503; further ones are aborted
 MIN_AGE_TO_EVICT_MS = 250.0  # younger connections without a request are evicted last
 # Time after the last response until the socket is closed: closing with unread bytes causes a reset, by which
 # the client may lose the response.
 LINGER_S = 0.5
 MAX_LINGER_S = 3.0  # the same for a client that has not received all of the response
 MAX_LINGER_BYTES = 256 * 1024  # read and discarded in that time
-# The same during a streamed upload: some clients read the response only after writing the whole body.
+# The same during a streamed upload: some clients read the response only after writing the complete body.
 LINGER_BODY_S = 2.0
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of the upload in that time
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # the same limit for the upload
 SWEEP_S = 0.2
-HANDOVER_RETRY_S = 0.005  # until a connection that could not be handed over is offered again
+HANDOVER_RETRY_S = 0.005  # interval between attempts to hand over a connection
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 # First and longest interval of checks whether a half-closed client has reset the connection.
 RESET_POLL_S, MAX_RESET_POLL_S = 0.02, 0.5
@@ -89,11 +89,11 @@
         served: bool = False,
     ) -> None:
         self.front = front
-        self.waited_ms = waited_ms  # for how long the first data waited for the accept
+        self.waited_ms = waited_ms  # time that the first data waited for the accept
         self.is_unverified = is_unverified  # the client had half-closed before the accept, and may be gone
         self.reader = http1.RequestReader(front.buffer_budget)
         self.upload: Pipe | None = None  # streamed request body, until complete
-        self.transfer_rate: TransferRate | None = None  # of the upload
+        self.transfer_rate: TransferRate | None = None  # progress of the upload
         self.stream: Pipe | None = None  # streamed response body, until written
         # Whether the streamed response is chunked, and whether the connection closes after it.
         self.chunked = self.closes_after_response = False
@@ -160,7 +160,7 @@
         self.front.uploads[self] = None
         bound_reads(self.transport, self)
         if self.current is not None or self.stream is not None or len(self.pipelined) > 0:
-            self.transport.pause_reading()  # until the request is served
+            self.transport.pause_reading()  # Resumed when the request is served.
             self.transfer_rate.set_paused(now, True)
 
     def _upload_ended(self) -> None:
@@ -395,7 +395,7 @@
     def _linger_unread(self) -> None:
         """Like `_linger` during an upload, which is read and discarded for some time.
 
-        Some clients read the response only after they have written the whole body.
+        Some clients read the response only after they have written the complete body.
         """
         pipe = self.upload
         self._upload_ended()
--- a/tests/http/test_offers.py
+++ b/tests/http/test_offers.py
@@ -1,4 +1,4 @@
-"""What callers may ask of HTTP/1.1 beside a request: other protocols, word before a body, a closed half."""
+"""HTTP/1.1 features around a request: upgrade offers, 100 (Continue), half-closed connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.loopback import Backend, Client, reply, run, soon, until, world
 
 HEAD = b"X-Correlation-Id: %b\r\nX-Service-Class: %b\r\nX-Time-Left: 4000m\r\n"
-OFFERS = [
+UPGRADE_OFFERS = [
     b"Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABk\r\n",
     b"Connection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Key: x\r\n",
 ]
@@ -29,7 +29,7 @@
     return head + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-@pytest.mark.parametrize("offer", OFFERS)
+@pytest.mark.parametrize("offer", UPGRADE_OFFERS)
 @pytest.mark.parametrize(
     "make",
     [
@@ -39,7 +39,7 @@
         lambda offer: pay(b"one", b"", offer),
     ],
 )
-def test_an_offer_of_another_protocol_is_ignored_and_the_next_request_is_served(
+def test_an_upgrade_offer_is_ignored_and_the_next_request_is_served(
     offer: bytes,
     make: object,
 ) -> None:
@@ -50,27 +50,27 @@
         backend.script = [reply(200, b"1"), reply(200, b"2"), reply(200, b"3")]
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
-            client.writer.write(first + get(b"two", offer))  # in one piece
+            client.writer.write(first + get(b"two", offer))  # in a single write
             assert [(await client.answer())[2] for _ in range(2)] == [b"1", b"2"]
             client.writer.write(get(b"three"))
             assert (await client.answer())[2] == b"3"
             assert [r[1][b"x-correlation-id"] for r in backend.requests] == [b"one", b"two", b"three"]
             assert not any(b"upgrade" in r[1] for r in backend.requests)
             client.writer.write_eof()
-            assert await client.closed()  # and nothing more was said
+            assert await client.closed()  # and nothing more was sent
         await backend.stop()
 
     run(main())
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_messages_cut_anywhere_read_as_in_one_piece(seed: int) -> None:
-    """Offers, chunks, trailers and plain ones in any order; what is read may not hang on where it is cut."""
-    draw, stream, wanted = random.Random(seed), b"", []
+def test_messages_split_anywhere_parse_as_unsplit(seed: int) -> None:
+    """Upgrade offers, chunks, trailers and plain requests in any order, split at random places."""
+    rng, stream, expected = random.Random(seed), b"", []
     for i in range(12):
-        more = draw.choice([b"", b"", *OFFERS])
-        body = draw.randbytes(draw.choice((0, 1, 40, 20000)))
-        kind = draw.randrange(4)
+        more = rng.choice([b"", b"", *UPGRADE_OFFERS])
+        body = rng.randbytes(rng.choice((0, 1, 40, 20000)))
+        kind = rng.randrange(4)
         name = b"m%d" % i
         if kind == 0:
             stream, body = stream + get(name, more), b""
@@ -81,18 +81,18 @@
             elif kind == 2 and not body:
                 message = pay(name, body, more)
             stream += message
-        wanted.append((name.decode(), body))
+        expected.append((name.decode(), body))
     reader, got = http1.RequestReader(), []
     while stream:
-        size = draw.choice((1, 2, 7, 100, 5000, 70000))
+        size = rng.choice((1, 2, 7, 100, 5000, 70000))
         got += [(r.id, r.body) for r in reader.feed(stream[:size])]
         stream = stream[size:]
     assert reader.fault is None
-    assert got == wanted
+    assert got == expected
     assert reader.idle
 
 
-def test_a_field_of_a_trailer_is_no_header_and_a_trailer_without_end_is_refused() -> None:
+def test_trailer_fields_are_no_headers_and_an_endless_trailer_is_rejected() -> None:
     head = b"POST /api HTTP/1.1\r\n" + HEAD % (b"one", b"order") + b"Transfer-Encoding: chunked\r\n\r\n"
     reader = http1.RequestReader()
     (request,) = reader.feed(head + b"1\r\nx\r\n0\r\nIdempotency-Key: t\r\nX-Repeat: 1\r\n\r\n")
@@ -111,7 +111,7 @@
         assert read <= http1.MAX_HEAD_BYTES + 8 or len(lines) == 1
 
 
-def test_a_head_in_pieces_counts_once_and_many_messages_in_one_piece_are_no_long_head() -> None:
+def test_the_head_limit_counts_split_heads_once_and_each_message_separately() -> None:
     reader, text = http1.RequestReader(), get(b"one", b"X-Pad: " + b"p" * 12_000 + b"\r\n")
     assert [r.id for i in range(0, len(text), 1000) for r in reader.feed(text[i : i + 1000])] == ["one"]
     many = b"".join(get(b"m%d" % i, b"X-Pad: " + b"p" * 9000 + b"\r\n") for i in range(6))
@@ -120,7 +120,7 @@
     assert [r.id for r in reader.feed(many[-10:])] == ["m5"]
 
 
-def test_word_before_a_body_comes_after_the_earlier_answers_and_never_for_http_1_0() -> None:
+def test_100_continue_follows_earlier_responses_and_is_never_sent_to_http_1_0() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [None, reply(200, b"2"), reply(200, b"3")]
@@ -136,7 +136,9 @@
             await soon(client.reader.readline())
             client.writer.write(second[-5:])
             assert (await client.answer())[2] == b"2"
-            client.writer.write(pay(b"three", b"hello", b"Expect: 100-continue\r\n"))  # did not wait: no word
+            client.writer.write(
+                pay(b"three", b"hello", b"Expect: 100-continue\r\n")
+            )  # sent without waiting: no 100 (Continue)
             assert (await client.answer())[2] == b"3"
             old = await Client.to(w.port)
             old.writer.write(second.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"two", b"old"))
@@ -154,10 +156,13 @@
         (b"CONNECT db:5432 HTTP/1.1\r\nHost: db:5432\r\n\r\nGET /api HTTP/1.1\r\n\r\n", 400),
         (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400),
         (pay(b"one", b"", b"Expect: 100-continue\r\n").replace(b"Length: 0", b"Length: 2000000000"), 413),
-        (get(b"one", b"Connection: keep-alive\r\n", b"1.0"), 200),  # a proxy keeps none (RFC 9112, 9.3)
+        (
+            get(b"one", b"Connection: keep-alive\r\n", b"1.0"),
+            200,
+        ),  # never persistent through a proxy (RFC 9112, 9.3)
     ],
 )
-def test_one_answer_and_the_end(raw: bytes, status: int) -> None:
+def test_one_response_then_close(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -171,7 +176,7 @@
 
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_caller_that_has_closed_its_half_gets_its_answer(version: bytes) -> None:
+def test_a_half_closed_client_gets_its_response(version: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -181,7 +186,7 @@
             client.writer.write_eof()
             await soon(backend.came.wait())
             await until(lambda: any(c.half_closed for c in w.proxy.front.connections))
-            await asyncio.sleep(0.1)  # it has been looked for a reset meanwhile
+            await asyncio.sleep(0.1)  # several checks for a reset happen meanwhile
             for writer in list(backend.writers):
                 writer.write(reply(200, b"tile"))
             if version == b"1.1":
@@ -194,7 +199,7 @@
     run(main())
 
 
-def test_a_caller_that_has_closed_wholly_is_gone_at_once() -> None:
+def test_a_closed_client_is_detected_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -210,7 +215,7 @@
     run(main())
 
 
-def test_good_requests_are_served_beside_eleven_hundred_half_sent_heads() -> None:
+def test_valid_requests_are_served_despite_1100_partial_heads() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -219,11 +224,11 @@
             assert await kept.status() == 200
             held = []
             for _ in range(1100):
-                made = socket.socket()
-                made.setblocking(False)
-                await soon(asyncio.get_running_loop().sock_connect(made, ("127.0.0.1", w.port)))
-                made.send(b"GET /api HTTP/1.1\r\nX-Corr")
-                held.append(made)
+                connection = socket.socket()
+                connection.setblocking(False)
+                await soon(asyncio.get_running_loop().sock_connect(connection, ("127.0.0.1", w.port)))
+                connection.send(b"GET /api HTTP/1.1\r\nX-Corr")
+                held.append(connection)
             statuses = []
             for _ in range(40):
                 client = await Client.to(w.port)
@@ -232,8 +237,8 @@
                 client.writer.close()
                 kept.send()
                 statuses.append(await kept.status())
-            for made in held:
-                made.close()
+            for connection in held:
+                connection.close()
             assert statuses == [200] * 80
         await backend.stop()
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Callers over real sockets: what the proxy answers by itself, bad input, bounds, the end of service."""
+"""Clients over real sockets: local responses, invalid input, limits, the end of service."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * 20000 + b"\r\n\r\n", 431),
     ],
 )
-def test_bad_input_is_answered_by_the_proxy_and_sent_nowhere(raw: bytes, status: int) -> None:
+def test_invalid_requests_are_answered_by_the_proxy_and_not_forwarded(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -49,7 +49,7 @@
             assert await client.ask(raw) == status
             assert await client.closed()
             assert backend.requests == []
-            other = await Client.to(w.port)  # and the others are served
+            other = await Client.to(w.port)  # other clients are served
             other.send()
             assert await other.status() == 200
         await backend.stop()
@@ -71,7 +71,7 @@
     run(main())
 
 
-def test_requests_on_one_connection_are_answered_in_their_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"one"), reply(200, b"two"), reply(200, b"three")]
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("number", [downstream.MAX_PIPELINED + 1, 400])
-def test_a_client_that_sends_requests_by_the_hundred_is_answered_once_and_closed(number: int) -> None:
+def test_a_client_that_pipelines_too_many_requests_is_answered_once_and_closed(number: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -116,8 +116,8 @@
         b"\x00\xff" * 2_000_000,
     ],
 )
-def test_a_client_that_goes_on_sending_still_gets_the_answer(raw: bytes) -> None:
-    """It is read and thrown away for a while, since closing on unread bytes would take the answer back."""
+def test_a_client_that_continues_sending_still_gets_the_response(raw: bytes) -> None:
+    """Its data is read and discarded for a while, as closing with unread bytes could destroy the response."""
 
     async def main() -> None:
         backend = await Backend().start()
@@ -134,7 +134,7 @@
     run(main())
 
 
-def test_a_last_answer_arrives_though_more_was_sent_behind_the_request() -> None:
+def test_a_last_response_arrives_despite_bytes_after_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
-def test_who_asks_nothing_is_closed_after_a_while(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_without_a_request_time_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("FIRST_REQUEST_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "HEADER_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
@@ -158,7 +158,7 @@
         async with world([]) as w:
             client = await Client.to(w.port)
             client.writer.write(sent)
-            await soon(client.reader.read())  # to its end
+            await soon(client.reader.read())  # until it is closed
             front = w.proxy.front
             await until(lambda: not front.connections)
             assert not any((front.silent, front.partial, front.idle))
@@ -166,7 +166,7 @@
     run(main())
 
 
-def test_a_time_left_of_years_is_held_to_the_deadline_of_the_class() -> None:
+def test_a_huge_time_left_is_limited_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -183,7 +183,7 @@
     run(main())
 
 
-def test_a_sound_request_is_answered_before_the_malformed_one_behind_it() -> None:
+def test_a_valid_request_is_answered_before_the_malformed_one_after_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -198,7 +198,7 @@
     run(main())
 
 
-def test_a_client_that_asks_for_it_is_told_to_go_on() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -218,7 +218,7 @@
     run(main())
 
 
-def test_over_the_bound_on_open_requests_a_request_is_refused_at_once() -> None:
+def test_over_the_limit_on_open_requests_a_request_is_rejected_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -234,7 +234,7 @@
     run(main())
 
 
-def test_an_id_that_is_open_is_not_taken_again() -> None:
+def test_the_id_of_an_open_request_is_rejected() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -251,7 +251,7 @@
     run(main())
 
 
-def test_beyond_the_bound_on_callers_the_silent_go_first_and_then_new_ones_are_refused(
+def test_at_the_connection_limit_silent_clients_are_evicted_and_then_new_ones_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(downstream, "MIN_AGE_TO_EVICT_MS", 0.0)
@@ -279,7 +279,7 @@
                 backend.came.clear()
                 client.send()
                 await soon(backend.came.wait())
-            fifth = await Client.to(w.port)  # all are busy now
+            fifth = await Client.to(w.port)  # all have a request in flight
             assert await fifth.status() == 503
             assert await fifth.closed()
             assert len(backend.requests) == 4
@@ -292,7 +292,7 @@
     run(main())
 
 
-def test_part_of_a_request_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partial_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(downstream, "HEADER_TIMEOUT_MS", 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
@@ -304,14 +304,14 @@
             assert await idle.status() == 200
             assert await slow.ask(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
             assert await slow.closed()
-            idle.send()  # one that is merely idle stays
+            idle.send()  # an idle one stays open
             assert await idle.status() == 200
         await backend.stop()
 
     run(main())
 
 
-def test_draining_finishes_what_is_taken_and_closes_the_rest() -> None:
+def test_draining_completes_accepted_requests_and_closes_the_rest() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -322,7 +322,7 @@
             await soon(backend.came.wait())
             w.proxy.drain()
             assert await idle.closed()
-            late = await Client.to(w.port)  # the front still sends connections for a moment
+            late = await Client.to(w.port)  # clients still connect for a moment
             assert await late.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
             assert await late.closed()
             late = await Client.to(w.port)
@@ -335,13 +335,13 @@
                 assert (first.split()[1], headers[b"connection"], body) == (b"200", b"close", b"done")
                 assert await client.closed()
             assert w.running is not None
-            await soon(asyncio.shield(w.running))  # it ends by itself once nothing is open
+            await soon(asyncio.shield(w.running))  # ends by itself when nothing is open
         await backend.stop()
 
     run(main())
 
 
-def test_the_end_comes_even_when_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_ends_even_if_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("honeywharf.service.life.KILL_AFTER_MS", 100.0)
 
     async def main() -> None:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP forms: codecs, and what the readers make of whole, split and malformed messages."""
+"""HTTP/1.1: header codecs, and readers on complete, split and malformed messages."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert http1.time_left_header(-3.0) == b"X-Time-Left: 0u\r\n"
 
 
-def test_a_request_in_one_piece_and_byte_by_byte_is_the_same() -> None:
+def test_a_request_parses_the_same_at_once_and_byte_by_byte() -> None:
     (whole,) = reader().feed(GOOD)
     slow, split = reader(), []
     for i in range(len(GOOD)):
@@ -67,19 +67,19 @@
     assert whole.head() == piece.head()
 
 
-def test_the_head_for_a_backend_keeps_what_the_protocol_names_and_words_the_rest_anew() -> None:
-    odd = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent_Length: 9\r\nHost"
-    (request,) = reader().feed(GOOD.replace(b"Host", odd))
+def test_the_head_for_a_backend_contains_only_known_headers() -> None:
+    invalid = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent_Length: 9\r\nHost"
+    (request,) = reader().feed(GOOD.replace(b"Host", invalid))
     head = request.head()
     assert head.startswith(b"POST /api?x=1 HTTP/1.1\r\n")
     for line in (b"Host: app.svc", b"X-Correlation-Id: 9b1f", b"Idempotency-Key: 5c0f", b"Content-Length: 3"):
         assert head.count(line + b"\r\n") == 1
-    for gone in (b"X-Time-Left", b"Connection", b"X-Hop", b"Content_Length"):
-        assert gone not in head
+    for dropped in (b"X-Time-Left", b"Connection", b"X-Hop", b"Content_Length"):
+        assert dropped not in head
     assert not request.keep
 
 
-def test_a_chunked_body_goes_on_with_its_length() -> None:
+def test_a_chunked_body_is_forwarded_with_its_length() -> None:
     chunked = GOOD.replace(b"Content-Length: 3\r\n\r\nabc", CHUNKED)
     (request,) = reader().feed(chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
     assert request.body == b"abc"
@@ -98,8 +98,8 @@
         (b"GET /" + b"a" * 20000, 431),
         (b"GET / HTTP/1.1\r\nX-Endless: " + b"a" * 20000, 431),
         *(
-            (GOOD.replace(b"Content-Length: 3", odd), 400)
-            for odd in (
+            (GOOD.replace(b"Content-Length: 3", invalid), 400)
+            for invalid in (
                 b"Content-Length: 3\r\nTransfer-Encoding: chunked",
                 b"Transfer-Encoding: chunked\r\nContent-Length: 3",
                 b"Content-Length: 3\r\nContent-Length: 3",
@@ -140,29 +140,29 @@
         (GOOD.replace(b"POST", b"CONNECT"), 400),
     ],
 )
-def test_malformed_requests_are_told_apart(raw: bytes, status: int) -> None:
-    made = reader()
+def test_malformed_requests_get_their_status(raw: bytes, status: int) -> None:
+    parser = reader()
     for i in range(0, len(raw), 4096):
-        assert made.feed(raw[i : i + 4096]) == []
-        if made.fault is not None:
+        assert parser.feed(raw[i : i + 4096]) == []
+        if parser.fault is not None:
             break
-    assert made.fault is not None
-    assert made.fault.status == status
+    assert parser.fault is not None
+    assert parser.fault.status == status
 
 
-def test_a_sound_request_before_a_malformed_one_is_not_lost() -> None:
-    made = reader()
-    (request,) = made.feed(GOOD + b"nonsense\r\n\r\n")
+def test_a_valid_request_before_a_malformed_one_is_returned() -> None:
+    parser = reader()
+    (request,) = parser.feed(GOOD + b"nonsense\r\n\r\n")
     assert request.id == "9b1f"
-    assert made.fault is not None
+    assert parser.fault is not None
 
 
-def test_an_answer_and_its_report_are_read() -> None:
-    made = http1.ResponseReader()
+def test_a_response_and_its_load_report_are_parsed() -> None:
+    parser = http1.ResponseReader()
     raw = b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nX-Backend-Load: queue=2\r\nContent-Length: 2\r\n\r\nno"
-    assert made.feed(raw[:-1]) is None
-    assert not made.idle
-    response = made.feed(raw[-1:])
+    assert parser.feed(raw[:-1]) is None
+    assert not parser.idle
+    response = parser.feed(raw[-1:])
     assert response is not None
     assert (response.status, response.unprocessed, response.load, response.body, response.keep) == (
         503,
@@ -171,10 +171,10 @@
         b"no",
         True,
     )
-    assert made.idle
+    assert parser.idle
 
 
-def test_an_interim_answer_is_passed_over() -> None:
+def test_an_interim_response_is_skipped() -> None:
     raw = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx"
     response = http1.ResponseReader().feed(raw)
     assert response is not None
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "excess",
     [
         OK + b"Content-Length: 1\r\n\r\ny",
         b"noise",
@@ -195,21 +195,21 @@
     ],
 )
 @pytest.mark.parametrize(
-    "good",
+    "framing",
     [
         b"Content-Length: 1\r\n\r\nx",
         b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
     ],
 )
-def test_a_good_answer_is_not_lost_to_what_comes_behind_it(good: bytes, behind: bytes) -> None:
-    made = http1.ResponseReader()
-    response = made.feed(OK + good + behind)
+def test_a_valid_response_is_returned_despite_bytes_after_it(framing: bytes, excess: bytes) -> None:
+    parser = http1.ResponseReader()
+    response = parser.feed(OK + framing + excess)
     assert response is not None
     assert response.body == b"x"
-    assert made.has_excess_bytes
+    assert parser.has_excess_bytes
 
 
-def test_interim_answers_leave_nothing_behind_and_end() -> None:
+def test_interim_responses_leave_no_state_and_are_limited() -> None:
     interim = b"HTTP/1.1 103 Early\r\nX-Backend-Load: queue=9\r\nX-Unprocessed: 1\r\n\r\n"
     response = http1.ResponseReader().feed(interim * 2 + OK + b"Content-Length: 1\r\n\r\nx")
     assert response is not None
@@ -237,18 +237,18 @@
         b"\xb2",
     ],
 )
-def test_a_figure_that_makes_no_sense_is_none(text: bytes) -> None:
+def test_an_invalid_number_is_none(text: bytes) -> None:
     assert messages.parse_number(text) is None
     assert messages.parse_pairs(b"a=" + text + b",b=2") == {"b": 2.0}
     (request,) = reader().feed(GOOD.replace(b"2500", text))
     assert request.work_hint_ms is None
 
 
-def test_an_idle_reader_keeps_nothing_of_the_last_request() -> None:
-    made = reader()
-    made.feed(GOOD)
-    assert made.request is http1.NO_REQUEST
-    assert made.parts == []
+def test_an_idle_reader_holds_nothing_of_the_last_request() -> None:
+    parser = reader()
+    parser.feed(GOOD)
+    assert parser.request is http1.NO_REQUEST
+    assert parser.parts == []
 
 
 @pytest.mark.parametrize(
@@ -256,7 +256,7 @@
     [
         b"garbage\r\n\r\n",
         OK + b"Transfer-Encoding: chunked\r\n\r\n100001\r\n" + b"x" * 0x100001 + b"\r\n0\r\n\r\n",
-        OK + b"Content-Length: 3000000000\r\n\r\n",  # at the head, not at the cap
+        OK + b"Content-Length: 3000000000\r\n\r\n",  # rejected at the head, before the limit is reached
         OK + b"Content-Length: " + b"9" * 5000 + b"\r\n\r\n",
         OK + b"Content-Length: -1\r\nContent-Length: 1\r\n\r\nx",
         OK + b"Content-Length: 3\r\nContent-Length: 1\r\n\r\nxxx",
@@ -269,12 +269,12 @@
         OK + b"X-Pad: " + b"p" * 30000,
     ],
 )
-def test_malformed_answers(raw: bytes) -> None:
+def test_malformed_responses(raw: bytes) -> None:
     with pytest.raises(http1.MalformedError):
         http1.ResponseReader().feed(raw)
 
 
-def test_an_answer_says_when_to_come_back_in_decimal_seconds() -> None:
+def test_retry_after_is_in_decimal_seconds() -> None:
     text = http1.answer(503, retry_after_ms=250.0, keep=False)
     assert b"Retry-After: 0.250\r\n" in text
     assert b"Connection: close\r\n" in text
--- a/tests/test_mesh_codec.py
+++ b/tests/test_mesh_codec.py
@@ -1,4 +1,4 @@
-"""The mesh's HTTP/1.1: the same events however the bytes are cut, and nothing smuggled or left unbounded."""
+"""HTTP/1.1 of the mesh: events do not depend on how bytes are split, nothing is smuggled, and limits hold."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 Event = tuple[object, ...]
 
 
-class Told:
-    """A sink that keeps what it is told; parts of one body are joined."""
+class RecordingSink:
+    """A sink that records events; the parts of a body are joined."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -77,23 +77,23 @@
         reader.feed(piece)
 
 
-def requests(*pieces: bytes, max_body: int = 1 << 20, max_head: int = 1 << 14) -> Told:
-    told = Told()
-    reader = RequestReader(told, max_body, max_head)
+def read_requests(*pieces: bytes, max_body: int = 1 << 20, max_head: int = 1 << 14) -> RecordingSink:
+    sink = RecordingSink()
+    reader = RequestReader(sink, max_body, max_head)
     feed(reader, *pieces)
-    return told
+    return sink
 
 
-def answers(*pieces: bytes, max_body: int = 1 << 20) -> Told:
-    told = Told()
-    reader = ResponseReader(told, max_body)
+def read_responses(*pieces: bytes, max_body: int = 1 << 20) -> RecordingSink:
+    sink = RecordingSink()
+    reader = ResponseReader(sink, max_body)
     feed(reader, *pieces)
-    return told
+    return sink
 
 
 LINE = b"POST /a/b?c=%20d HTTP/1.1\r\nHost: a.example\r\nX-Honeywharf-Attempt-Id: 9c41\r\n"
 GET = b"GET /a/ HTTP/1.1\r\nHost: a.example\r\nX-Honeywharf-Attempt-Id: 9c42\r\n"
-TRAIN = (
+REQUESTS = (
     LINE
     + b"X-Honeywharf-Deadline-Remaining: 1500.5\r\nContent-Length: 5\r\n\r\nhello"
     + LINE
@@ -104,38 +104,38 @@
     + GET
     + b"\r\n"
 )
-ANSWER = (
+RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\nX-Honeywharf-Attempt-Id: 9c41\r\nX-Honeywharf-Server-Seal: 3e.1\r\n"
     b"X-Honeywharf-Instance-Load: 3,0,8\r\nX-Honeywharf-Instance-Id: i-7\r\n"
 )
-ANSWERS = (
+RESPONSES = (
     b"HTTP/1.1 100 Continue\r\n\r\n"
-    + ANSWER
+    + RESPONSE_HEAD
     + b"Keep-Alive: max=3, timeout=7\r\nContent-Length: 5\r\n\r\nhello"
-    + ANSWER
+    + RESPONSE_HEAD
     + b"X-Honeywharf-Cold-Remaining: 250\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     + b"HTTP/1.1 503 No\r\nX-Honeywharf-Not-Executed: 1\r\nContent-Encoding: gzip\r\n"
     b"Connection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 
-def test_requests_are_read_as_they_stand() -> None:
-    told = requests(TRAIN)
-    assert [e[0] for e in told.events] == ["head", "data", "whole"] * 2 + ["head", "whole"] * 2
-    first, second, third, fourth = told.heads
+def test_requests_are_parsed() -> None:
+    sink = read_requests(REQUESTS)
+    assert [e[0] for e in sink.events] == ["head", "data", "whole"] * 2 + ["head", "whole"] * 2
+    first, second, third, fourth = sink.heads
     assert (first.method, first.target, first.path) == (b"POST", b"/a/b?c=%20d", b"/a/b")
     assert (first.host, first.attempt, first.remaining_s) == (b"a.example", b"9c41", 1.5005)
     assert (first.length, second.length, third.length) == (5, UNKNOWN, 0)
     assert third.fields[2:] == [b"X-Two: 1\r\n", b"X-Two: 2\r\n"]
-    assert [h.expects for h in told.heads] == [False, False, True, False]
-    assert [h.keep for h in told.heads] == [True] * 4
-    assert [e[1] for e in told.events if e[0] == "data"] == [b"hello", b"abcdefg"]
+    assert [h.expects for h in sink.heads] == [False, False, True, False]
+    assert [h.keep for h in sink.heads] == [True] * 4
+    assert [e[1] for e in sink.events if e[0] == "data"] == [b"hello", b"abcdefg"]
     assert fourth.fields == [b"Host: a.example\r\n", b"X-Honeywharf-Attempt-Id: 9c42\r\n"]
 
 
-def test_answers_are_read_as_they_stand() -> None:
-    told = answers(ANSWERS)
-    heads = [e for e in told.events if e[0] == "answer"]
+def test_responses_are_parsed() -> None:
+    sink = read_responses(RESPONSES)
+    heads = [e for e in sink.events if e[0] == "answer"]
     assert [(e[1], e[2], e[4], e[5]) for e in heads] == [
         (200, b"9c41", 5, True),
         (200, b"9c41", UNKNOWN, True),
@@ -143,19 +143,19 @@
     ]
     assert [(e[6], e[7], e[8]) for e in heads] == [(True, False, False)] * 2 + [(False, True, True)]
     assert [e[9:] for e in heads[:2]] == [(7.0, None, b"3,0,8", b"i-7"), (0.0, 0.25, b"3,0,8", b"i-7")]
-    assert [e[1] for e in told.events if e[0] == "data"] == [b"hello", b"abc"]
+    assert [e[1] for e in sink.events if e[0] == "data"] == [b"hello", b"abc"]
 
 
-@pytest.mark.parametrize(("read", "data"), [(requests, TRAIN), (answers, ANSWERS)])
-def test_a_cut_at_any_byte_gives_the_same_events(read: object, data: bytes) -> None:
-    assert callable(read)
-    whole = read(data).events
+@pytest.mark.parametrize(("parse", "data"), [(read_requests, REQUESTS), (read_responses, RESPONSES)])
+def test_splitting_at_any_byte_yields_the_same_events(parse: object, data: bytes) -> None:
+    assert callable(parse)
+    whole = parse(data).events
     for at in range(1, len(data)):
-        assert read(data[:at], data[at:]).events == whole, f"cut at {at}"
-    assert read(*(data[n : n + 1] for n in range(len(data)))).events == whole
+        assert parse(data[:at], data[at:]).events == whole, f"cut at {at}"
+    assert parse(*(data[n : n + 1] for n in range(len(data)))).events == whole
 
 
-SMUGGLED = {
+AMBIGUOUS = {
     "length and chunks": LINE + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "chunks and length": LINE + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
     "two lengths": LINE + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
@@ -206,40 +206,40 @@
 }
 
 
-@pytest.mark.parametrize("name", SMUGGLED)
-def test_what_could_be_read_in_two_ways_is_400(name: str) -> None:
-    data = SMUGGLED[name]
+@pytest.mark.parametrize("name", AMBIGUOUS)
+def test_ambiguous_requests_are_400(name: str) -> None:
+    data = AMBIGUOUS[name]
     for pieces in ((data,), tuple(data[n : n + 1] for n in range(len(data)))):
-        told = Told()
-        reader = RequestReader(told, 1 << 20, 1 << 14)
+        sink = RecordingSink()
+        reader = RequestReader(sink, 1 << 20, 1 << 14)
         with pytest.raises(MalformedError) as fault:
             feed(reader, *pieces, b"GET /smuggled HTTP/1.1\r\n\r\n")
         assert fault.value.status == 400
-        assert b"/smuggled" not in [h.target for h in told.heads]
-        assert ("whole",) not in told.events
+        assert b"/smuggled" not in [h.target for h in sink.heads]
+        assert ("whole",) not in sink.events
 
 
-def test_headers_of_one_connection_are_left_out_and_so_are_ours() -> None:
-    told = requests(
+def test_hop_by_hop_headers_and_headers_of_the_mesh_are_removed() -> None:
+    sink = read_requests(
         GET + b"Connection: keep-alive, X-Mine, Host, x-honeywharf-attempt-id\r\nX-Mine: 1\r\n"
         b"Keep-Alive: 5\r\n"
         b"TE: trailers\r\nProxy-Connection: x\r\nProxy-Authorization: x\r\nHTTP2-Settings: x\r\n"
         b"X-Honeywharf-Expected-Instance: i-0\r\nX-Honeywharf-Caller-Service: them\r\nX-Yours: 2\r\n\r\n"
     )
-    assert told.heads[0].fields == [
+    assert sink.heads[0].fields == [
         b"Host: a.example\r\n",
         b"X-Honeywharf-Attempt-Id: 9c42\r\n",
         b"X-Yours: 2\r\n",
     ]
 
 
-def test_an_offer_of_another_protocol_is_ignored() -> None:
-    told = requests(
+def test_an_upgrade_offer_is_ignored() -> None:
+    sink = read_requests(
         LINE + b"Connection: Upgrade\r\nUpgrade: websocket\r\nContent-Length: 5\r\n\r\nhello", GET + b"\r\n"
     )
-    assert [e[0] for e in told.events] == ["head", "data", "whole", "head", "whole"]
-    assert told.heads[0].length == 5
-    assert not [f for f in told.heads[0].fields if f.lower().startswith((b"upgrade", b"connection"))]
+    assert [e[0] for e in sink.events] == ["head", "data", "whole", "head", "whole"]
+    assert sink.heads[0].length == 5
+    assert not [f for f in sink.heads[0].fields if f.lower().startswith((b"upgrade", b"connection"))]
 
 
 @pytest.mark.parametrize(
@@ -251,12 +251,12 @@
     ],
 )
 def test_whether_the_connection_is_kept(line: bytes, keep: bool) -> None:
-    assert requests(line + b"\r\n").heads[0].keep is keep
+    assert read_requests(line + b"\r\n").heads[0].keep is keep
 
 
 def status_of(data: bytes, max_body: int, max_head: int) -> int:
     with pytest.raises(MalformedError) as fault:
-        requests(data, max_body=max_body, max_head=max_head)
+        read_requests(data, max_body=max_body, max_head=max_head)
     return fault.value.status
 
 
@@ -273,13 +273,13 @@
         + b"a" * 51,
     ],
 )
-def test_a_body_over_the_bound_is_413(data: bytes) -> None:
+def test_a_body_over_the_limit_is_413(data: bytes) -> None:
     assert status_of(data, 100, 1 << 14) == 413
 
 
-def test_a_body_at_the_bound_is_taken() -> None:
-    told = requests(LINE + b"Content-Length: 100\r\n\r\n" + b"a" * 100, max_body=100)
-    assert told.events[1:] == [("data", b"a" * 100), ("whole",)]
+def test_a_body_at_the_limit_is_accepted() -> None:
+    sink = read_requests(LINE + b"Content-Length: 100\r\n\r\n" + b"a" * 100, max_body=100)
+    assert sink.events[1:] == [("data", b"a" * 100), ("whole",)]
 
 
 @pytest.mark.parametrize(
@@ -293,14 +293,16 @@
         LINE + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"X-A: 1\r\n" * 1500,
     ],
 )
-def test_a_head_or_a_line_over_the_bound_is_431(data: bytes) -> None:
+def test_a_head_or_a_line_over_the_limit_is_431(data: bytes) -> None:
     assert status_of(data, 1 << 20, 8192) == 431
 
 
-def test_an_excess_answer_is_told_as_it_comes() -> None:
+def test_an_excess_response_is_reported() -> None:
     body = b"Content-Length: 1\r\n\r\nx"
-    told = answers(ANSWER + body + b"HTTP/1.1 200 OK\r\nX-Honeywharf-Attempt-Id: old\r\n" + body)
-    assert [e[2] for e in told.events if e[0] == "answer"] == [b"9c41", b"old"]
+    sink = read_responses(
+        RESPONSE_HEAD + body + b"HTTP/1.1 200 OK\r\nX-Honeywharf-Attempt-Id: old\r\n" + body
+    )
+    assert [e[2] for e in sink.events if e[0] == "answer"] == [b"9c41", b"old"]
 
 
 @pytest.mark.parametrize(
@@ -309,22 +311,22 @@
         b"no answer at all\r\n\r\n",
         b"HTTP/1.1 abc OK\r\n\r\n",
         b"\x00" * 100,
-        ANSWER + b"no colon\r\n\r\n",
-        ANSWER + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
-        ANSWER + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        ANSWER + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        ANSWER + b"X-Honeywharf-Cold-Remaining: \xb2s\r\nContent-Length: 0\r\n\r\nHTTP/1.1 garbage",
+        RESPONSE_HEAD + b"no colon\r\n\r\n",
+        RESPONSE_HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+        RESPONSE_HEAD + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
+        RESPONSE_HEAD + b"X-Honeywharf-Cold-Remaining: \xb2s\r\nContent-Length: 0\r\n\r\nHTTP/1.1 garbage",
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nabc",
         b"HTTP/1.1 102 Processing\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1),
     ],
 )
-def test_what_is_no_answer_is_refused(data: bytes) -> None:
+def test_malformed_responses_are_rejected(data: bytes) -> None:
     with pytest.raises(MalformedError):
-        answers(data)
+        read_responses(data)
 
 
-def test_the_parser_can_be_let_go_of() -> None:
-    reader = RequestReader(Told(), 100, 8192)
+def test_close_releases_the_parser() -> None:
+    reader = RequestReader(RecordingSink(), 100, 8192)
     reader.feed(GET)
     reader.close()
     assert reader.idle
@@ -371,8 +373,8 @@
     assert parse_duration(text) == seconds
 
 
-def test_what_is_written_can_be_read() -> None:
-    told = answers(
+def test_encoded_responses_can_be_parsed() -> None:
+    sink = read_responses(
         full_response(503, b"full", retry_after_s=0.25, lines=b"X-A: 1\r\n", kind=b"text/plain"),
         response_head(200, b"X-B: 2\r\n", 3, keep=True),
         b"abc",
@@ -381,7 +383,7 @@
         response_head(204, b"", 0, keep=True, bodiless=True),
         full_response(404, b"", keep=False),
     )
-    heads = [e for e in told.events if e[0] == "answer"]
+    heads = [e for e in sink.events if e[0] == "answer"]
     assert [(e[1], e[4], e[5]) for e in heads] == [
         (503, 4, True),
         (200, 3, True),
@@ -390,5 +392,5 @@
         (404, 0, False),
     ]
     assert heads[0][3] == (b"Content-Type: text/plain\r\n", b"Retry-After: 0.250\r\n", b"X-A: 1\r\n")
-    assert [e[1] for e in told.events if e[0] == "data"] == [b"full", b"abc", b"abc"]
+    assert [e[1] for e in sink.events if e[0] == "data"] == [b"full", b"abc", b"abc"]
     assert full_response(200, b"abc", head_only=True).endswith(b"Content-Length: 3\r\n\r\n")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts over real sockets: the outcome of each ending, and that a request leaves at most once."""
+"""Attempts over real sockets: their outcomes, and that a request is sent at most once."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
             client = await Client.to(w.port)
             client.send("pay")
             await soon(backend.came.wait())
-            if cut:  # what came is not whole: end the connection after it
+            if cut:  # the response is truncated: close the connection after it
                 for writer in list(backend.writers):
                     await writer.drain()
                     writer.close()
@@ -66,16 +66,16 @@
             assert (status == 200) == (outcome is O.OK)
             if outcome not in api.NEVER_RAN:
                 assert status not in (429, 503) or status == 200
-                assert len(backend.requests) == 1  # an unsafe request that may have run leaves once
+                assert len(backend.requests) == 1  # an unsafe request that may have run is sent once
         await backend.stop()
 
     run(main())
 
 
-def test_a_refused_connection_has_run_nothing() -> None:
+def test_after_a_refused_connection_nothing_has_run() -> None:
     async def main() -> None:
         with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))  # bound, and not listening
+            taken.bind(("127.0.0.1", 0))  # bound but not listening
             async with world([row("b", taken.getsockname()[1])]) as w:
                 client = await Client.to(w.port)
                 client.send("pay")
@@ -85,18 +85,18 @@
     run(main())
 
 
-def test_a_connection_that_never_comes_up_is_given_up() -> None:
+def test_a_connection_attempt_times_out() -> None:
     async def main() -> None:
-        with socket.socket() as deaf:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
             fillers = []
-            for _ in range(4):  # its queue is full: further connections stay silent
+            for _ in range(4):  # the accept queue is full: further connections hang
                 filler = socket.socket()
                 filler.setblocking(False)
-                filler.connect_ex(deaf.getsockname())
+                filler.connect_ex(listener.getsockname())
                 fillers.append(filler)
-            async with world([row("b", deaf.getsockname()[1])], bounds={"mostTries": 1}) as w:
+            async with world([row("b", listener.getsockname()[1])], bounds={"mostTries": 1}) as w:
                 client = await Client.to(w.port)
                 client.send("pay")
                 assert await client.status() == 503
@@ -109,8 +109,8 @@
     run(main())
 
 
-class Ending(UpstreamRequest):
-    """A call that keeps what came of it."""
+class RecordedCall(UpstreamRequest):
+    """A call that records its outcomes."""
 
     __slots__ = ("body_seen", "outcome", "outcomes")
 
@@ -127,21 +127,21 @@
         self.outcome.set()
 
 
-def test_a_break_before_the_last_byte_left_has_run_nothing() -> None:
-    """The body is larger than what the sockets' buffers take, and the backend never reads it."""
+def test_a_break_before_the_last_byte_is_sent_is_connect_failed() -> None:
+    """The body exceeds the socket buffers, and the backend never reads it."""
 
     async def main() -> None:
-        with socket.socket() as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen()
-            deaf.setblocking(False)
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            listener.setblocking(False)
             loop = asyncio.get_running_loop()
             pool = Pool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-            pool.name("b", deaf.getsockname(), None, open_for_work=True)
-            call = Ending(b"x" * (64 << 20))
+            pool.name("b", listener.getsockname(), None, open_for_work=True)
+            call = RecordedCall(b"x" * (64 << 20))
             pool.start(call)
-            peer, _ = await soon(loop.sock_accept(deaf))
+            peer, _ = await soon(loop.sock_accept(listener))
             await until(lambda: call.connection is not None)
             peer.close()
             await soon(call.outcome.wait())
@@ -151,7 +151,7 @@
     run(main())
 
 
-def test_a_backend_that_says_nothing_times_out_and_its_connection_closes() -> None:
+def test_a_silent_backend_times_out_and_its_connection_is_closed() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -167,7 +167,7 @@
     run(main())
 
 
-def test_what_goes_on_to_the_backend() -> None:
+def test_the_forwarded_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = reply(200, bytes(range(256)) * 256)
@@ -191,7 +191,7 @@
     run(main())
 
 
-def test_connections_are_kept_and_one_carries_one_request_at_a_time() -> None:
+def test_connections_are_reused_for_one_request_at_a_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"?"])
-def test_a_kept_connection_that_saw_its_end_or_stray_bytes_is_not_used_again(stray: bytes) -> None:
+def test_an_idle_connection_that_ends_or_gets_stray_bytes_is_not_reused(stray: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -233,7 +233,7 @@
     run(main())
 
 
-def test_an_answer_with_more_behind_it_or_close_ends_its_connection() -> None:
+def test_a_response_with_connection_close_ends_its_connection() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"x", b"Connection: close"), reply(200, b"y")]
@@ -248,14 +248,14 @@
     run(main())
 
 
-def test_a_connection_idle_for_nearly_the_settings_time_is_closed_first() -> None:
+def test_a_connection_is_closed_before_the_idle_time_of_the_settings() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], bounds={"connIdleMs": 800.0}) as w:  # 50 ms short of the margin
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
-            await until(lambda: backend.closed == 1)  # by the proxy: this backend never does
+            await until(lambda: backend.closed == 1)  # by the proxy: this backend never closes
             client.send()
             assert await client.status() == 200
             assert backend.connections == 2
@@ -264,7 +264,7 @@
     run(main())
 
 
-def test_a_client_that_leaves_takes_no_attempt_along() -> None:
+def test_a_client_that_disconnects_does_not_abort_its_attempt() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
@@ -285,25 +285,25 @@
     run(main())
 
 
-def test_the_bound_on_connections_closes_idle_ones_and_then_sends_nothing() -> None:
+def test_at_the_connection_limit_idle_ones_are_closed_and_then_nothing_is_sent() -> None:
     async def main() -> None:
         first, second = await Backend().start(), await Backend().start()
         pool = Pool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 1)
         pool.name("b", ("127.0.0.1", first.port), None, open_for_work=True)
-        one = Ending(b"")
+        one = RecordedCall(b"")
         pool.start(one)
         await soon(one.outcome.wait())
         pool.name("c", ("127.0.0.1", second.port), None, open_for_work=True)
         second.then = None
-        two, three = Ending(b""), Ending(b"")
+        two, three = RecordedCall(b""), RecordedCall(b"")
         two.endpoint = three.endpoint = "c"
         pool.start(two)  # closes the idle connection to the other backend
         await soon(second.came.wait())
         await until(lambda: first.closed == 1)
-        pool.start(three)  # and this one finds none to close
+        pool.start(three)  # no idle connection is left to close
         assert three.outcomes == []
         await soon(three.outcome.wait())
-        # The backend is not to blame for what this proxy lacks.
+        # The backend is not to blame for a limit of this proxy.
         assert (one.outcomes, two.outcomes, three.outcomes) == ([O.OK], [], [O.NOT_SENT])
         await first.stop()
         await second.stop()
@@ -311,7 +311,7 @@
     run(main())
 
 
-def test_probes_ask_for_the_report() -> None:
+def test_probes_request_the_load_report() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"pending=4,busy_reqs=5")]
@@ -326,7 +326,7 @@
     run(main())
 
 
-def test_an_answer_that_begins_and_does_not_end_leaves_time_for_another_attempt(
+def test_a_stalled_response_leaves_time_for_another_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream, "RESPONSE_STALL_TIMEOUT_S", 0.05)
@@ -339,7 +339,9 @@
             client.send("order")
             assert await client.status() == 200
             assert [e.outcome for e in w.ended()] == [O.ERROR, O.OK]
-            await until(lambda: backend.closed == 1)  # the first was given up before the second left
+            await until(
+                lambda: backend.closed == 1
+            )  # the first attempt was cancelled before the second was sent
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
 
@@ -347,22 +349,22 @@
 
 
 @pytest.mark.parametrize("behind", [reply(200, b"another's"), b"noise"])
-def test_what_came_before_a_request_is_not_taken_for_its_answer(behind: bytes) -> None:
-    """The surplus lies in the socket's buffer, unread, at the moment the connection is taken again."""
+def test_bytes_before_a_request_are_not_taken_for_its_response(behind: bytes) -> None:
+    """The excess bytes are unread in the socket buffer when the connection is reused."""
 
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
         pool = Pool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
         pool.name("b", ("127.0.0.1", backend.port), None, open_for_work=True)
-        first = Ending(b"1")
+        first = RecordedCall(b"1")
         pool.start(first)
         await soon(first.outcome.wait())
         (writer,) = backend.writers
         sent = writer.get_extra_info("socket")
         with socket.socket(fileno=os.dup(sent.fileno())) as raw:
-            raw.send(behind)  # past the loop: nothing is read before `start`
-        second = Ending(b"2")
+            raw.send(behind)  # bypasses the event loop: nothing is read before `start`
+        second = RecordedCall(b"2")
         pool.start(second)
         await soon(second.outcome.wait())
         assert second.body_seen == b"ok"
@@ -373,7 +375,7 @@
     run(main())
 
 
-def test_a_connection_with_surplus_is_not_used_again_and_its_backend_not_ejected() -> None:
+def test_a_connection_with_excess_bytes_is_not_reused_and_its_backend_not_ejected() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"one") + reply(200, b"copy"), reply(200, b"two")]
@@ -389,7 +391,7 @@
     run(main())
 
 
-def test_a_backend_that_closes_idle_connections_soon_is_not_written_to_on_an_old_one(
+def test_early_idle_closes_are_learned(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream, "MIN_EARLY_CLOSE_MS", 20.0)
@@ -398,7 +400,7 @@
         backend = await Backend().start()
         pool = Pool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
         pool.name("b", ("127.0.0.1", backend.port), None, open_for_work=True)
-        first = Ending(b"1")
+        first = RecordedCall(b"1")
         pool.start(first)
         await soon(first.outcome.wait())
         await asyncio.sleep(0.1)
@@ -407,21 +409,21 @@
         await until(lambda: pool.count == 0)
         learned = pool.backends["b"].idle_ms
         assert 20.0 <= learned < 15000.0
-        second, third = Ending(b"2"), Ending(b"3")
+        second, third = RecordedCall(b"2"), RecordedCall(b"3")
         pool.start(second)
         await soon(second.outcome.wait())
-        pool.backends["b"].idle[0].idle_since_ms -= learned  # as if it had stood that long
+        pool.backends["b"].idle[0].idle_since_ms -= learned  # as if it had been idle that long
         pool.start(third)
         await soon(third.outcome.wait())
         assert (backend.connections, third.outcomes) == (3, [O.OK])
-        assert pool.early_close_ms == float("inf")  # one backend alone may be odd
+        assert pool.early_close_ms == float("inf")  # a single backend may be an exception
         pool.name("c", ("127.0.0.1", backend.port), None, open_for_work=True)
         pool.name("d", ("127.0.0.1", backend.port), None, open_for_work=True)
         pool.record_early_close(pool.backends["c"], 500.0)
         assert pool.early_close_ms == 400.0  # the second shortest, less a margin
         for opened in (4, 5):
-            call = Ending(b"%d" % opened)
-            call.endpoint = "d"  # of which nothing is known
+            call = RecordedCall(b"%d" % opened)
+            call.endpoint = "d"  # without any observation
             pool.start(call)
             await soon(call.outcome.wait())
             assert (backend.connections, call.outcomes) == (opened, [O.OK])
@@ -431,8 +433,8 @@
     run(main())
 
 
-def test_a_long_answer_in_pieces_is_passed_on_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against good answers, longer than the protocol says, that failed their requests."""
+def test_a_long_response_in_many_writes_is_forwarded_completely(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against failing requests whose valid responses arrive slowly."""
     monkeypatch.setattr(upstream, "RESPONSE_STALL_TIMEOUT_S", 2.0)
 
     async def main() -> None:
@@ -448,7 +450,7 @@
             for start in range(0, len(whole), 50_000):
                 writer.write(whole[start : start + 50_000])
                 await writer.drain()
-                await asyncio.sleep(0.3)  # together longer than the pause that one piece may take
+                await asyncio.sleep(0.3)  # in total longer than the stall time-out
             assert (await client.answer())[2] == body
             assert (await w.outcome()).outcome is O.OK
             assert w.proxy.pool.bytes_read == 0
@@ -457,8 +459,8 @@
     run(main())
 
 
-def test_long_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against running out of memory on answers that begin and do not end."""
+def test_partial_responses_share_a_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against running out of memory by responses that never end."""
     monkeypatch.setattr(upstream, "MAX_RESPONSE_BYTES_IN_FLIGHT", 300_000)
 
     async def main() -> None:
