--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -1,4 +1,4 @@
-"""CoAP nodes behind a running proxy: each row of the table of outcomes, and what the module makes of it."""
+"""CoAP nodes behind a running proxy: each row of the table of outcomes, and the resulting retries."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from honeywharf.core.transport_router import TransportRouter
 from honeywharf.policy import interface as api
 from honeywharf.standins.messages import row
-from tests.loopback import Backend, Client as Caller, World, run, until, world
+from tests.loopback import Backend, Client as HttpClient, World, run, until, world
 
 O = api.Outcome  # noqa: E741
-ON = Features(coap=Coap(nodes=True, nstart=16))
+COAP_ON = Features(coap=Coap(nodes=True, nstart=16))
 
 
 class Node(asyncio.DatagramProtocol):
-    """A CoAP node that does what its script says with each request, and then answers `body`."""
+    """A CoAP node that follows its script, one step per request, and then responds with `body`."""
 
     def __init__(self) -> None:
         self.script: list[str] = []
@@ -56,7 +56,7 @@
         self.got.append(message)
         step = self.script.pop(0) if self.script else "ok"
 
-        def say(
+        def send(
             mtype: int,
             code: int,
             mid: int = message.mid,
@@ -68,46 +68,46 @@
             self.transport.sendto(coap.encode(coap.Message(mtype, code, mid, token, told, payload)), addr)
 
         if step == "reset":
-            say(coap.RST, coap.EMPTY, token=b"")
+            send(coap.RST, coap.EMPTY, token=b"")
         elif step == "ack":
-            say(coap.ACK, coap.EMPTY, token=b"")
+            send(coap.ACK, coap.EMPTY, token=b"")
         elif step == "separate":
-            say(coap.ACK, coap.EMPTY, token=b"")
-            for _ in range(2):  # its ACK was lost: once more
-                say(coap.CON, coap.CHANGED, 999, payload=self.body)
+            send(coap.ACK, coap.EMPTY, token=b"")
+            for _ in range(2):  # retransmitted as if its ACK was lost
+                send(coap.CON, coap.CHANGED, 999, payload=self.body)
         elif step == "unprocessed":
-            say(coap.ACK, coap.SERVICE_UNAVAILABLE, told=[(options.UNPROCESSED, b"")])
+            send(coap.ACK, coap.SERVICE_UNAVAILABLE, told=[(options.UNPROCESSED, b"")])
         elif step == "busy":
-            say(coap.ACK, coap.SERVICE_UNAVAILABLE)
+            send(coap.ACK, coap.SERVICE_UNAVAILABLE)
         elif step == "foreign":
-            say(coap.ACK, coap.CHANGED, token=b"other", payload=b"not yours")
+            send(coap.ACK, coap.CHANGED, token=b"other", payload=b"not yours")
         elif step == "ok":
-            self._serve(message, say)
+            self._serve(message, send)
 
-    def _serve(self, message: coap.Message, say: object) -> None:
-        assert callable(say)
+    def _serve(self, message: coap.Message, send: object) -> None:
+        assert callable(send)
         key = blocks.transfer_key(message, ("", 0))
         part, body = blocks.decode_block(message, coap.BLOCK1), message.payload
-        wanted = blocks.decode_block(message, coap.BLOCK2)
+        requested_block = blocks.decode_block(message, coap.BLOCK2)
         if part is not None:
             whole = self.transfers.body(key, part, body, 0.0)
             if whole is None:
-                say(coap.ACK, coap.CONTINUE, told=[(coap.BLOCK1, part.value())])
+                send(coap.ACK, coap.CONTINUE, told=[(coap.BLOCK1, part.value())])
                 return
             body = whole
-        if wanted is None:
+        if requested_block is None:
             self.bodies.append(body)
         if len(self.body) <= 1024:
-            say(coap.ACK, coap.CHANGED, told=self.told, payload=self.body)
+            send(coap.ACK, coap.CHANGED, told=self.told, payload=self.body)
             return
-        told, payload = blocks.response_block(self.body, wanted or blocks.Block(0, False, 6))
-        say(coap.ACK, coap.CHANGED, told=told, payload=payload)
+        told, payload = blocks.response_block(self.body, requested_block or blocks.Block(0, False, 6))
+        send(coap.ACK, coap.CHANGED, told=told, payload=payload)
 
 
 @asynccontextmanager
 async def nodes(
     number: int = 1,
-    features: Features = ON,
+    features: Features = COAP_ON,
     **changes: object,
 ) -> AsyncIterator[tuple[World, list[Node]]]:
     made = [await Node().start() for _ in range(number)]
@@ -120,7 +120,7 @@
 
 
 async def pay(w: World, left: str = "4000m", body: bytes = b"x", kind: str = "pay") -> tuple[int, bytes]:
-    caller = await Caller.to(w.port)
+    caller = await HttpClient.to(w.port)
     caller.send(kind, body, left, "X-Account: acme", key="k" if kind == "order" else "")
     first, _, answer = await caller.answer()
     return int(first.split()[1]), answer
@@ -145,7 +145,7 @@
     ("step", "outcome", "status"),
     [
         ("reset", O.REJECTED, 200),
-        ("unprocessed", O.REJECTED, 200),  # never ran: tried again
+        ("unprocessed", O.REJECTED, 200),  # has not run: retried
         ("busy", O.ERROR, 502),
         ("silent", O.TIMEOUT, 502),
         ("ack", O.TIMEOUT, 502),
@@ -153,8 +153,8 @@
         ("separate", O.OK, 200),
     ],
 )
-def test_each_end_is_told_as_what_it_proves(step: str, outcome: api.Outcome, status: int) -> None:
-    """`pay` has an effect and no key: it is tried again only where it is known not to have run."""
+def test_each_end_has_its_outcome(step: str, outcome: api.Outcome, status: int) -> None:
+    """`pay` has an effect and no key: it is retried only if it is known not to have run."""
 
     async def main() -> None:
         async with nodes(2) as (w, made):
@@ -166,13 +166,13 @@
             if status == 502:
                 assert sum(len({m.mid for m in n.got}) for n in made) == 1
             if step == "separate":
-                await until(lambda: sum(n.acks for n in made) == 2)  # a lost ACK is given again
+                await until(lambda: sum(n.acks for n in made) == 2)  # a lost ACK is sent again
 
     run(main())
 
 
-def test_what_was_sent_again_is_not_taken_for_unseen() -> None:
-    """The process that had the first may have run it, and died; the one that answers knows nothing of it."""
+def test_unprocessed_after_a_retransmission_is_an_error() -> None:
+    """The process that had the first transmission may have run it and died; the new one cannot know."""
 
     async def main() -> None:
         async with nodes() as (w, (node,)):
@@ -184,7 +184,7 @@
     run(main())
 
 
-def test_a_node_that_is_gone_has_not_run_it() -> None:
+def test_a_stopped_node_is_connect_failed() -> None:
     async def main() -> None:
         async with nodes(2) as (w, made):
             made[0].stop()
@@ -196,7 +196,7 @@
     run(main())
 
 
-def test_nothing_goes_to_a_coap_node_that_drains() -> None:
+def test_nothing_is_sent_to_a_draining_coap_node() -> None:
     async def main() -> None:
         async with nodes(2) as (w, made):
             for _ in range(12):
@@ -213,7 +213,7 @@
     run(main())
 
 
-def test_bodies_and_answers_go_in_blocks() -> None:
+def test_bodies_and_responses_are_transferred_block_wise() -> None:
     async def main() -> None:
         async with nodes() as (w, (node,)):
             node.body, body = bytes(range(256)) * 1000, bytes(reversed(range(256))) * 256
@@ -223,14 +223,14 @@
     run(main())
 
 
-def test_without_the_feature_a_coap_node_is_left_out_and_http_nodes_serve_beside_it() -> None:
+def test_coap_nodes_are_ignored_without_the_feature_and_mix_with_http_nodes() -> None:
     async def main() -> None:
         http, node = await Backend().start(), await Node().start()
         rows = [http.row("h", cell=1), row("c", node.port, cell=2, scheme="coap")]
         async with world(rows, Features()) as w:
             assert list(w.proxy.balancer.endpoints.servers) == ["h"]
             assert (await pay(w))[0] == 200
-        async with world(rows, ON) as w:
+        async with world(rows, COAP_ON) as w:
             for _ in range(12):
                 assert (await pay(w))[0] == 200
             assert http.requests
@@ -241,7 +241,7 @@
     run(main())
 
 
-def test_an_error_on_a_socket_that_was_given_up_says_nothing_of_a_later_request() -> None:
+def test_an_error_on_a_replaced_socket_does_not_affect_a_later_request() -> None:
     async def main() -> None:
         async with nodes() as (w, (node,)):
             assert (await pay(w))[0] == 200
@@ -259,14 +259,14 @@
             await until(lambda: len(node.got) == 2)  # on a new socket
             old.error_received(ConnectionRefusedError())  # late
             assert (await paid)[0] == 502
-            assert w.ended()[1].outcome is O.TIMEOUT  # "connect failed" would have had it tried again
+            assert w.ended()[1].outcome is O.TIMEOUT  # CONNECT_FAILED would have caused a retry
 
     run(main())
 
 
 @pytest.mark.parametrize(("kind", "times"), [("order", 2), ("pay", 1)])
-def test_what_nobody_would_drop_is_sent_once_only(kind: str, times: int) -> None:
-    """A node that starts anew knows no message ids: it would run what is sent again a second time."""
+def test_a_request_without_a_key_is_not_retransmitted(kind: str, times: int) -> None:
+    """A restarted node does not know the message ids: it would run a retransmission a second time."""
 
     async def main() -> None:
         async with nodes() as (w, (node,)):
@@ -278,7 +278,7 @@
     run(main())
 
 
-# The client's message layer, without sockets.
+# Tests of the client's message layer without sockets.
 
 
 class Scene:
@@ -298,7 +298,7 @@
         self.now = end
 
 
-def test_one_request_is_out_at_a_time_until_it_is_acknowledged() -> None:
+def test_one_request_at_a_time_is_unacknowledged() -> None:
     s = Scene()
     for _ in range(3):
         s.send_request()
@@ -310,7 +310,7 @@
     assert s.ends == [RequestEnd.ANSWERED]
 
 
-def test_it_is_sent_five_times_within_the_span_and_then_may_have_run() -> None:
+def test_a_request_is_sent_five_times_and_then_lost() -> None:
     s = Scene()
     s.send_request(200_000.0)
     s.pass_time(150_000.0)
@@ -320,7 +320,7 @@
 
 
 @pytest.mark.parametrize(("passed", "end"), [(0.0, RequestEnd.RESET), (4000.0, RequestEnd.LOST)])
-def test_a_reset_proves_something_only_of_what_was_sent_once(passed: float, end: RequestEnd) -> None:
+def test_a_reset_proves_rejection_only_of_a_request_sent_once(passed: float, end: RequestEnd) -> None:
     s = Scene()
     s.send_request()
     s.pass_time(passed)
@@ -328,7 +328,7 @@
     assert s.ends == [end]
 
 
-def test_what_waits_in_line_past_its_time_was_never_sent() -> None:
+def test_a_queued_request_that_times_out_is_unsent() -> None:
     s = Scene()
     s.send_request()
     s.send_request(500.0)
@@ -337,7 +337,7 @@
     assert len({m.token for m in s.sent}) == 1
 
 
-def test_icmp_proves_something_only_where_it_can_mean_no_other_datagram() -> None:
+def test_icmp_proves_unreachable_only_for_the_first_datagram_of_a_socket() -> None:
     s = Scene(nstart=2)
     s.send_request()
     s.client.unreachable()
@@ -349,14 +349,14 @@
     assert s.ends[1:] == [RequestEnd.LOST, RequestEnd.LOST]
     s.client.resume()
     s.send_request()
-    s.pass_time(4000.0)  # sent again
+    s.pass_time(4000.0)  # retransmitted
     s.client.unreachable()
     assert s.ends[3:] == [RequestEnd.LOST]
     s.send_request()
     assert len(s.client.waiting) == 1  # until there is a socket
 
 
-def test_the_line_has_its_bound_and_an_old_answer_is_reset() -> None:
+def test_the_queue_is_limited_and_an_unexpected_response_is_reset() -> None:
     s = Scene()
     for _ in range(5):
         s.send_request()
@@ -365,8 +365,8 @@
     assert (s.sent[-1].mtype, s.sent[-1].mid) == (coap.RST, 5)
 
 
-def test_a_silent_node_is_asked_no_more_than_the_probing_rate_allows() -> None:
-    """RFC 7252, 4.7: a byte a second on the mean, whatever is asked for; one datagram heard ends that."""
+def test_the_probing_rate_limits_datagrams_to_a_silent_node() -> None:
+    """RFC 7252, 4.7: a mean of one byte per second, until a datagram is received."""
     s = Scene(nstart=16)
     s.send_request(1e9)
     s.pass_time(100_000.0)
@@ -379,7 +379,7 @@
         s.pass_time(500.0)
     probed = sum(len(coap.encode(m)) for m in s.sent) - written
     longest = max(len(coap.encode(m)) for m in s.sent)
-    assert 0 < probed <= (s.now - begun) / 1000.0 + 5 * longest  # a probe is sent five times ahead of its pay
+    assert 0 < probed <= (s.now - begun) / 1000.0 + 5 * longest  # a probe is sent five times in advance
     assert s.client.probes_held_back == s.ends.count(RequestEnd.PROBING) > 1900
     s.client.received(coap.encode(coap.Message(coap.CON, coap.EMPTY, 9)))
     before = len(s.sent)
@@ -387,7 +387,7 @@
     assert len(s.sent) > before
 
 
-def test_a_request_that_the_probing_rate_keeps_back_goes_to_another_node() -> None:
+def test_a_request_held_back_by_the_probing_rate_is_sent_to_another_node() -> None:
     async def main() -> None:
         async with nodes(2) as (w, made):
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
@@ -404,7 +404,7 @@
     run(main())
 
 
-def test_a_cold_coap_node_gets_no_more_than_its_part_and_its_starts_are_counted() -> None:
+def test_a_cold_coap_node_gets_its_share_and_its_starts_are_counted() -> None:
     async def main() -> None:
         quick = [{"name": "read", "aimMs": 100.0, "deadlineMs": 5000.0, "idempotency": "repeatable"}]
         cold = {"coldShare": 0.2, "warmAfterMs": 60_000.0}
@@ -417,7 +417,9 @@
             while len(made[0].got) < before[0] + 6:
                 assert await pay(w, kind="read") == (200, b"tile")
             got = [len(n.got) - b for n, b in zip(made, before, strict=True)]
-            assert got[0] <= 1.35 * sum(got) * 0.22 / 4.22  # of five, one at a fifth of its capacity
+            assert (
+                got[0] <= 1.35 * sum(got) * 0.22 / 4.22
+            )  # five nodes, one of them at a fifth of its capacity
             assert min(got[1:]) > 2 * got[0]
 
     run(main())
--- a/tests/coap/test_codec.py
+++ b/tests/coap/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: what the format refuses, each with its reason, and aiocoap's codec as the peer."""
+"""Datagrams: rejection of malformed ones with a reason, and agreement with the codec of aiocoap."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from aiocoap import Message as Theirs
+from aiocoap import Message as AiocoapMessage
 from aiocoap.numbers import OptionNumber
 from aiocoap.optiontypes import OpaqueOption
 from hypothesis import given, settings, strategies as st
@@ -46,12 +46,12 @@
 
 
 def test_the_error_carries_type_and_message_id_for_the_reset() -> None:
-    with pytest.raises(coap.MalformedError) as told:
+    with pytest.raises(coap.MalformedError) as caught:
         coap.decode(HEAD + b"\xff")
-    assert (told.value.mtype, told.value.mid) == (coap.CON, 0x0102)
-    with pytest.raises(coap.MalformedError) as told:
+    assert (caught.value.mtype, caught.value.mid) == (coap.CON, 0x0102)
+    with pytest.raises(coap.MalformedError) as caught:
         coap.decode(b"\x80\x01\x01\x02")
-    assert told.value.mtype == -1  # another version is ignored in silence
+    assert caught.value.mtype == -1  # another version is silently ignored
 
 
 options = st.lists(st.tuples(st.integers(3000, 65535), st.binary(max_size=300)), max_size=5)
@@ -63,22 +63,22 @@
     code=st.integers(1, 255),
     mid=st.integers(0, 65535),
     token=st.binary(max_size=8),
-    some=options,
+    message_options=options,
     payload=st.binary(max_size=200),
 )
-def test_what_is_encoded_is_decoded_the_same_here_and_by_aiocoap(
+def test_encoded_messages_decode_the_same_here_and_by_aiocoap(
     mtype: int,
     code: int,
     mid: int,
     token: bytes,
-    some: list[tuple[int, bytes]],
+    message_options: list[tuple[int, bytes]],
     payload: bytes,
 ) -> None:
-    message = coap.Message(mtype, code, mid, token, some, payload)
+    message = coap.Message(mtype, code, mid, token, message_options, payload)
     data = coap.encode(message)
-    mine, theirs = coap.decode(data), Theirs.decode(data)
-    assert (mine.mtype, mine.code, mine.mid, mine.token, mine.payload) == (mtype, code, mid, token, payload)
-    assert mine.options == sorted(some, key=lambda o: o[0])
+    ours, theirs = coap.decode(data), AiocoapMessage.decode(data)
+    assert (ours.mtype, ours.code, ours.mid, ours.token, ours.payload) == (mtype, code, mid, token, payload)
+    assert ours.options == sorted(message_options, key=lambda o: o[0])
     assert (int(theirs.mtype), int(theirs.code), theirs.mid, theirs.token, theirs.payload) == (
         mtype,
         code,
@@ -88,21 +88,21 @@
     )
 
 
-def test_what_aiocoap_encodes_is_read_as_it_was_meant() -> None:
-    theirs = Theirs(
+def test_messages_of_aiocoap_are_decoded() -> None:
+    theirs = AiocoapMessage(
         code=2, payload=b"tile", _mtype=0, _mid=7, _token=b"tok", uri="coap://h/api/order?a=1&b=2"
     )
     theirs.opt.add_option(OpaqueOption(OptionNumber(65001), b"order"))
-    mine = coap.decode(theirs.encode())
-    assert (mine.code, mine.mid, mine.token, mine.payload) == (coap.POST, 7, b"tok", b"tile")
-    assert [v for n, v in mine.options if n == coap.URI_PATH] == [b"api", b"order"]
-    assert [v for n, v in mine.options if n == coap.URI_QUERY] == [b"a=1", b"b=2"]
-    assert mine.option(65001) == b"order"
+    ours = coap.decode(theirs.encode())
+    assert (ours.code, ours.mid, ours.token, ours.payload) == (coap.POST, 7, b"tok", b"tile")
+    assert [v for n, v in ours.options if n == coap.URI_PATH] == [b"api", b"order"]
+    assert [v for n, v in ours.options if n == coap.URI_QUERY] == [b"a=1", b"b=2"]
+    assert ours.option(65001) == b"order"
 
 
-def test_no_datagram_does_more_than_be_refused() -> None:
-    """Bounded here; HONEYWHARF_LONG=1 plays 1,000,000."""
-    draw, refused = random.Random(1), 0
+def test_any_datagram_is_decoded_or_rejected() -> None:
+    """Runs 30,000 datagrams; 1,000,000 with HONEYWHARF_LONG=1."""
+    rng, rejected = random.Random(1), 0
     number = 1_000_000 if os.environ.get("HONEYWHARF_LONG") else 30_000
     seeds = [
         coap.encode(
@@ -112,24 +112,24 @@
         )
     ]
     for i in range(number):
-        data = bytearray(draw.choice(seeds)) if i % 3 else bytearray(draw.randbytes(draw.randrange(80)))
-        for _ in range(draw.randrange(4)):
+        data = bytearray(rng.choice(seeds)) if i % 3 else bytearray(rng.randbytes(rng.randrange(80)))
+        for _ in range(rng.randrange(4)):
             if data:
-                data[draw.randrange(len(data))] = draw.randrange(256)
-        if draw.random() < 0.3:
-            del data[draw.randrange(len(data) + 1) :]
+                data[rng.randrange(len(data))] = rng.randrange(256)
+        if rng.random() < 0.3:
+            del data[rng.randrange(len(data) + 1) :]
         try:
             message = coap.decode(bytes(data))
         except coap.MalformedError:
-            refused += 1
+            rejected += 1
         else:
             again = coap.decode(coap.encode(message))
             assert (again.options, again.payload) == (message.options, message.payload)
             assert again.token == message.token
-    assert 0.1 < refused / number < 0.9
+    assert 0.1 < rejected / number < 0.9
 
 
-def test_uints_have_their_shortest_form() -> None:
+def test_uints_are_encoded_in_the_shortest_form() -> None:
     found = [coap.uint_bytes(n) for n in (0, 1, 255, 256, 65536)]
     assert found == [b"", b"\x01", b"\xff", b"\x01\x00", b"\x01\x00\x00"]
     assert coap.uint(b"") == 0
--- a/tests/coap/test_messages.py
+++ b/tests/coap/test_messages.py
@@ -1,4 +1,4 @@
-"""The message layer without sockets: duplicates, lost replies, separate answers, bounds."""
+"""The message layer without sockets: duplicates, lost replies, separate responses, limits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Scene:
-    """A layer with a clock set by hand; what it sends, and what it serves."""
+    """A message layer with a manual clock, which records the messages sent and the exchanges served."""
 
     def __init__(self, **bounds: int) -> None:
         self.now, self.sent, self.served = 0.0, list[tuple[coap.Message, tuple[str, int]]](), list[Exchange]()
@@ -56,10 +56,10 @@
         return [(m.mtype, m.code) for m, _ in self.sent]
 
 
-def test_a_quick_answer_is_in_the_ack_and_a_duplicate_gets_the_same_bytes() -> None:
+def test_a_fast_response_is_piggybacked_and_a_duplicate_gets_the_same_bytes() -> None:
     s = Scene()
     s.get(7)
-    s.get(7)  # sent again before there is an answer: nothing yet
+    s.get(7)  # a duplicate before the response: no reply
     assert not s.sent
     s.layer.answer(s.served[0], coap.CONTENT, payload=b"tile")
     s.get(7)  # the reply was lost
@@ -70,7 +70,7 @@
         assert (message.mid, message.token, message.payload) == (7, b"t", b"tile")
 
 
-def test_a_slow_answer_comes_by_itself_and_again_until_it_is_acknowledged() -> None:
+def test_a_slow_response_is_separate_and_retransmitted_until_acknowledged() -> None:
     s = Scene()
     s.get(7)
     s.pass_time(ACK_DELAY_MS)
@@ -81,9 +81,9 @@
     answer = s.sent[-1][0]
     assert (answer.mtype, answer.code, answer.token) == (coap.CON, coap.CONTENT, b"t")
     s.pass_time(1.5 * ACK_TIMEOUT)
-    assert len(s.sent) == 4  # once more
+    assert len(s.sent) == 4  # one retransmission
     assert s.sent[-1][0].mid == answer.mid
-    s.get(7)  # a late duplicate of the request: the ACK again, and nothing new
+    s.get(7)  # a late duplicate of the request: only the ACK again
     assert s.kinds()[-1] == (coap.ACK, coap.EMPTY)
     s.empty(coap.ACK, answer.mid)
     s.pass_time(100_000.0)
@@ -92,7 +92,7 @@
     assert not s.layer.separate_responses
 
 
-def test_an_answer_that_nobody_acknowledges_is_sent_five_times_within_the_span() -> None:
+def test_an_unacknowledged_response_is_sent_five_times_within_the_span() -> None:
     s = Scene()
     s.get(7)
     s.pass_time(ACK_DELAY_MS)
@@ -103,7 +103,7 @@
     assert not s.layer.separate_responses
 
 
-def test_a_reset_after_an_empty_ack_ends_the_sending() -> None:
+def test_a_reset_after_an_empty_ack_ends_retransmission() -> None:
     s = Scene()
     s.get(7)
     s.pass_time(ACK_DELAY_MS)
@@ -114,7 +114,7 @@
     assert s.layer.counts["coap:reset"] == 1
 
 
-def test_an_ack_from_another_peer_ends_nothing() -> None:
+def test_an_ack_from_another_peer_is_ignored() -> None:
     s = Scene()
     s.get(7)
     s.pass_time(ACK_DELAY_MS)
@@ -123,7 +123,7 @@
     assert len(s.layer.separate_responses) == 1
 
 
-def test_a_non_has_a_non_and_its_duplicate_the_same_one() -> None:
+def test_a_non_is_answered_by_a_non_and_its_duplicate_by_the_same_one() -> None:
     s = Scene()
     s.get(7, mtype=coap.NON)
     s.pass_time(10_000.0)  # no ACK for it
@@ -157,7 +157,7 @@
     assert (messages.MAX_TRANSMIT_SPAN, EXCHANGE_LIFETIME, NON_LIFETIME) == (45_000.0, 247_000.0, 145_000.0)
 
 
-def test_a_ping_and_what_nobody_asked_for_are_reset_and_junk_is_not_answered() -> None:
+def test_pings_and_unexpected_responses_are_reset_and_malformed_nons_ignored() -> None:
     s = Scene()
     s.empty(coap.CON, 9)
     s.layer.received(coap.encode(coap.Message(coap.CON, coap.CONTENT, 10, b"t")), PEER)
@@ -167,16 +167,16 @@
     assert [(m.mtype, m.mid) for m, _ in s.sent] == [(coap.RST, 9), (coap.RST, 10), (coap.RST, 11)]
 
 
-def test_beyond_its_bound_a_request_is_refused_unseen_and_never_runs_later() -> None:
+def test_over_the_limit_a_request_is_rejected_and_never_runs_later() -> None:
     s = Scene(max_exchanges=3, max_exchanges_per_peer=10, max_seen_ids=4)
     for mid in range(6):
         s.get(mid, code=coap.POST)
     assert len(s.served) == 3
     assert s.kinds() == [(coap.ACK, coap.SERVICE_UNAVAILABLE)] * 2
-    assert s.layer.counts["coap:dropped"] == 1  # not even that it came could be remembered: no answer
+    assert s.layer.counts["coap:dropped"] == 1  # its id could not be remembered: no reply
     for exchange in s.served:
         s.layer.answer(exchange, coap.CHANGED)
-    s.get(3, code=coap.POST)  # doubled by the network, long after the refusal
+    s.get(3, code=coap.POST)  # duplicated by the network, long after the rejection
     s.get(4, code=coap.POST)
     assert len(s.served) == 3
     assert s.layer.seen_count == 2
@@ -185,7 +185,7 @@
     assert len(s.served) == 4
 
 
-def test_an_answer_is_kept_while_its_client_may_ask_again_then_only_that_it_came() -> None:
+def test_a_response_is_stored_while_its_client_may_retransmit_then_only_the_id() -> None:
     s = Scene()
     s.get(7, code=coap.POST)
     s.layer.answer(s.served[0], coap.CHANGED, payload=b"tile")
@@ -199,7 +199,7 @@
     assert len(s.served) == 1
 
 
-def test_where_answers_crowd_the_oldest_become_marks_and_nothing_runs_again() -> None:
+def test_beyond_the_limit_the_oldest_responses_become_seen_ids_and_nothing_reruns() -> None:
     s = Scene(max_exchanges=10)
     for mid in range(40):
         s.get(mid, code=coap.POST)
@@ -212,7 +212,7 @@
     assert s.layer.counts["coap:late duplicate"] == 30
 
 
-def test_a_read_leaves_no_mark() -> None:
+def test_a_get_leaves_no_seen_id() -> None:
     s = Scene(max_exchanges=1)
     for mid in range(5):
         s.get(mid)
@@ -220,7 +220,7 @@
     assert (len(s.layer.answered), s.layer.seen_count) == (1, 0)
 
 
-def test_one_peer_holds_no_more_than_its_share_and_others_go_on() -> None:
+def test_the_limit_per_peer_does_not_affect_others() -> None:
     s = Scene(max_exchanges=100, max_exchanges_per_peer=2)
     for mid in range(4):
         s.get(mid)
@@ -231,7 +231,7 @@
     assert len(s.served) == 4
 
 
-def test_kept_answers_are_bounded_in_bytes_and_given_back() -> None:
+def test_stored_responses_are_limited_in_bytes_and_expire() -> None:
     s = Scene(max_exchanges=1000, max_bytes=20_000)
     for mid in range(100):
         s.get(mid)
@@ -254,7 +254,7 @@
         s.layer.answer(s.served[0], coap.CONTENT)
 
 
-def test_ids_of_separate_answers_that_are_out_are_not_given_again() -> None:
+def test_message_ids_of_pending_separate_responses_are_not_reused() -> None:
     s = Scene(max_exchanges_per_peer=10)
     for mid in range(3):
         s.get(mid)
@@ -266,11 +266,11 @@
     assert s.sent[-1][0].mid != used
 
 
-def test_what_is_only_refused_leaves_half_of_the_marks_to_what_has_run() -> None:
+def test_rejected_requests_use_at_most_half_of_the_seen_ids() -> None:
     s = Scene(max_exchanges=1, max_seen_ids=10)
     for mid in range(20):
         s.get(mid, code=coap.POST)
-        s.served[-1].may_have_run = False  # as the front says of one that it has challenged
+        s.served[-1].may_have_run = False  # as the front does for a challenged request
         s.layer.answer(s.served[-1], coap.UNAUTHORIZED)
     assert s.layer.seen_count == 5
     for mid in range(100, 106):
@@ -283,7 +283,7 @@
     assert len(s.served) == before
 
 
-def test_separate_answers_that_nobody_acknowledges_have_their_bound() -> None:
+def test_unacknowledged_separate_responses_are_limited() -> None:
     s = Scene(max_exchanges=3)
     for mid in range(5):
         s.get(mid)
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -16,7 +16,7 @@
 from honeywharf.traces import Recorder, Sampler, Sampling, Spool, TracesPart, store
 from honeywharf.traces.spans import HopTrace
 from tests.coap.test_backend import Node
-from tests.coap.test_front import Unit, told
+from tests.coap.test_front import Unit, request_options
 from tests.loopback import Backend, Client, World, reply, row, run, until, world
 from tests.orderkeys.shared import sharing
 
@@ -143,7 +143,7 @@
             unit = await Unit.to(front.transport.get_extra_info("sockname")[1])
             parent = options.trace_context_bytes(PARENT.encode())
             answer = await unit.ask(
-                [*told("read"), (options.TRACE_PARENT, parent), (options.TRACE_STATE, b"other=1")]
+                [*request_options("read"), (options.TRACE_PARENT, parent), (options.TRACE_STATE, b"other=1")]
             )
             assert answer.code == coap.CONTENT
             (hop,) = await kept(w, 1)
@@ -153,8 +153,10 @@
             headers = backend.requests[0][1]
             assert headers[b"traceparent"].decode()[3:35] == ID
             assert headers[b"tracestate"].endswith(b",other=1")
-            await unit.ask([*told("read"), (options.TRACE_PARENT, b"too short")])
-            await unit.ask([*told("read"), (options.TRACE_PARENT, parent), (options.TRACE_PARENT, parent)])
+            await unit.ask([*request_options("read"), (options.TRACE_PARENT, b"too short")])
+            await unit.ask(
+                [*request_options("read"), (options.TRACE_PARENT, parent), (options.TRACE_PARENT, parent)]
+            )
             part = next(p for p in w.proxy.components if isinstance(p, TracesPart))
             assert (part.recorder.damaged["parent"], part.recorder.damaged["twice"]) == (1, 1)
             await until(lambda: not w.proxy.driver.requests and not front.layer.open_count_by_peer)
