--- a/honeywharf/coap/blocks.py
+++ b/honeywharf/coap/blocks.py
@@ -156,16 +156,16 @@
     def _evict(self, now: float) -> None:
         """Evicts expired transfers, and the oldest ones beyond the limits."""
         while self.bodies:
-            key, (partial, _) = next(iter(self.bodies.items()))
-            if partial > now - TRANSFER_LIFETIME_MS and len(self.bodies) <= self.max_transfers:
+            key, (started_ms, _) = next(iter(self.bodies.items()))
+            if started_ms > now - TRANSFER_LIFETIME_MS and len(self.bodies) <= self.max_transfers:
                 break
             self._forget_body(key)
         while self.responses:
-            key, (stored_response, _, _) = next(iter(self.responses.items()))
-            if stored_response > now - TRANSFER_LIFETIME_MS and len(self.responses) <= self.max_transfers:
+            key, (stored_ms, _, _) = next(iter(self.responses.items()))
+            if stored_ms > now - TRANSFER_LIFETIME_MS and len(self.responses) <= self.max_transfers:
                 break
             self._forget_response(key)
-        while self.held_bytes > self.max_bytes:  # answers first: of those the node's is not the only one
+        while self.held_bytes > self.max_bytes:  # responses first: they also exist elsewhere
             if self.responses:
                 self._forget_response(next(iter(self.responses)))
             else:
@@ -173,7 +173,7 @@
 
 
 def response_block(response: bytes, block: Block) -> tuple[list[tuple[int, bytes]], bytes]:
-    """One block of an answer with its options; OptionError 4.00 where the answer does not reach so far."""
+    """Returns one block of a response and its options; OptionError 4.00 for a block beyond its end."""
     begin = block.number * block.size
     if block.number and begin >= len(response):
         raise options.OptionError(
--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -60,9 +60,9 @@
         "is_acknowledged",
         "max_transmissions",
         "message",
+        "retransmit_after_ms",
         "transmissions",
         "until_ms",
-        "wait_ms",
     )
 
     def __init__(
@@ -74,7 +74,7 @@
             ended,
             max_transmissions,
         )
-        self.transmissions, self.wait_ms, self.due_ms = 0, 0.0, until_ms - UNSENT_MARGIN_MS
+        self.transmissions, self.retransmit_after_ms, self.due_ms = 0, 0.0, until_ms - UNSENT_MARGIN_MS
         self.is_acknowledged = self.done = self.blocked_by_probing_rate = False
 
 
@@ -171,13 +171,13 @@
             message.mid, message.token = self.next_mid, self.next_token.to_bytes(4, "big")
             self.next_mid = (self.next_mid + 1) & 0xFFFF
             self.in_flight[message.token] = self.unacknowledged[message.mid] = pending
-            pending.wait_ms = ACK_TIMEOUT * self.random.uniform(1.0, ACK_RANDOM_FACTOR)
+            pending.retransmit_after_ms = ACK_TIMEOUT * self.random.uniform(1.0, ACK_RANDOM_FACTOR)
             self._write(pending)
 
     def _write(self, pending: PendingRequest) -> None:
         pending.transmissions += 1
-        pending.due_ms = self.clock() + pending.wait_ms
-        pending.wait_ms *= 2.0
+        pending.due_ms = self.clock() + pending.retransmit_after_ms
+        pending.retransmit_after_ms *= 2.0
         self._send(pending.message)
 
     def _send(self, message: coap.Message) -> None:
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -96,7 +96,7 @@
     return head + lines + b"\r\n"
 
 
-def answer(
+def full_response(
     status: int,
     body: bytes = b"",
     *,
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -228,7 +228,7 @@
         self.pool.streams += 1
         bound_reads(self.transport, self)
         if self.pool.buffer_budget.open_pipes >= self.pool.buffer_budget.max_pipes:
-            self.set_paused(True)  # Resumed when a slot is free.
+            self.set_paused(True)  # resumed when a slot is free
         pipe.slot_ticket = self.pool.buffer_budget.wait_for_slot(self._slot_acquired)
         if call is not None:
             call.connection = None
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -32,11 +32,12 @@
 # Time after the last response until the socket is closed: closing with unread bytes causes a reset, by which
 # the client may lose the response.
 LINGER_S = 0.5
-MAX_LINGER_S = 3.0  # the same for a client that has not received all of the response
-MAX_LINGER_BYTES = 256 * 1024  # read and discarded in that time
-# The same during a streamed upload: some clients read the response only after writing the complete body.
+MAX_LINGER_S = 3.0  # instead of LINGER_S while a part of the response is unsent
+MAX_LINGER_BYTES = 256 * 1024  # largest number of bytes read and discarded meanwhile
+# Time to read and discard the rest of a streamed upload first: some clients read the response only after
+# writing the complete body.
 LINGER_BODY_S = 2.0
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # the same limit for the upload
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # largest number of such bytes
 SWEEP_S = 0.2
 HANDOVER_RETRY_S = 0.005  # interval between attempts to hand over a connection
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -160,7 +161,7 @@
         self.front.uploads[self] = None
         bound_reads(self.transport, self)
         if self.current is not None or self.stream is not None or len(self.pipelined) > 0:
-            self.transport.pause_reading()  # Resumed when the request is served.
+            self.transport.pause_reading()  # resumed when the request is served
             self.transfer_rate.set_paused(now, True)
 
     def _upload_ended(self) -> None:
@@ -347,7 +348,7 @@
         )  # the response precedes the end of the request body
         keep = self._keeps_alive(request) and not unread
         self.transport.write(
-            http1.answer(
+            http1.full_response(
                 status,
                 body,
                 keep=keep,
@@ -376,7 +377,7 @@
         if self.stream is not None:  # a second response must not interrupt a streamed one
             self.abort_stalled()
             return
-        self.transport.write(http1.answer(status, keep=False))
+        self.transport.write(http1.full_response(status, keep=False))
         if self.upload is not None:
             self._linger_unread()
         else:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -275,7 +275,7 @@
 
 
 def test_retry_after_is_in_decimal_seconds() -> None:
-    text = http1.answer(503, retry_after_ms=250.0, keep=False)
+    text = http1.full_response(503, retry_after_ms=250.0, keep=False)
     assert b"Retry-After: 0.250\r\n" in text
     assert b"Connection: close\r\n" in text
-    assert b"Retry-After" not in http1.answer(503)
+    assert b"Retry-After" not in http1.full_response(503)
