--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -93,9 +93,8 @@
         self.clock, self.send, self.nstart, self.max_waiting = clock, send, nstart, max_waiting
         self.random = random.Random(seed)
         self.next_mid = self.random.randrange(65536)
-        self.next_token = self.random.getrandbits(
-            32
-        )  # random, so that a response to a request from before a restart does not match
+        # Random, so that a response to a request from before a restart does not match.
+        self.next_token = self.random.getrandbits(32)
         self.paused = True  # True without a socket
         self.datagrams_sent = 0  # count for the current socket
         self.waiting: deque[PendingRequest] = deque()
@@ -158,9 +157,8 @@
         """Sends queued requests while fewer than NSTART are unacknowledged."""
         while self.waiting and len(self.unacknowledged) < self.nstart and not self.paused:
             if self.is_silent and self.clock() < self.next_probe_ms:
-                for (
-                    pending
-                ) in self.waiting:  # ended by `handle_timers`, as `ended` is never called from within
+                # They are ended by `handle_timers`, as `ended` is never called from within.
+                for pending in self.waiting:
                     pending.blocked_by_probing_rate, pending.due_ms = True, 0.0
                 return
             pending = self.waiting.popleft()
--- a/honeywharf/codecs/http1.py
+++ b/honeywharf/codecs/http1.py
@@ -411,11 +411,8 @@
             self.request, self.in_body = NO_REQUEST, False
             pipe.finish()
             return
-        request, self.request, self.in_body = (
-            self.request,
-            NO_REQUEST,
-            False,
-        )  # an idle connection holds no request
+        # An idle connection holds no request.
+        request, self.request, self.in_body = self.request, NO_REQUEST, False
         request.body, self.parts = self.body(), []
         self.done.append(request)
 
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -21,7 +21,7 @@
 # A backend closes an idle connection at the latest after the idle time in the settings, counted from its last
 # write. A connection closer to that than this margin is closed, as a request on it could end with a reset.
 IDLE_MARGIN_MS = 750.0
-EARLY_CLOSE_MARGIN = 0.8  # share of the shortest idle time after which a backend closed a connection
+EARLY_CLOSE_FACTOR = 0.8  # share of the shortest idle time after which a backend closed a connection
 MIN_EARLY_CLOSE_MS = 200.0  # a backend that closes sooner closes after each response, not for idleness
 MIN_EARLY_CLOSING_BACKENDS = 2  # backends closing early before the time applies to all backends
 SWEEP_S = 0.5
@@ -452,7 +452,7 @@
         The second shortest such time applies to all backends: learning it of each one would cost a request
         each that ends with a reset. A single early close may be an exception.
         """
-        backend.idle_ms = max(MIN_EARLY_CLOSE_MS, min(backend.idle_ms, EARLY_CLOSE_MARGIN * idle_ms))
+        backend.idle_ms = max(MIN_EARLY_CLOSE_MS, min(backend.idle_ms, EARLY_CLOSE_FACTOR * idle_ms))
         known = sorted(b.idle_ms for b in self.backends.values() if b.idle_ms < float("inf"))
         if len(known) >= MIN_EARLY_CLOSING_BACKENDS:
             self.early_close_ms = known[MIN_EARLY_CLOSING_BACKENDS - 1]
@@ -471,11 +471,11 @@
     def start(self, call: UpstreamRequest) -> None:
         """Starts the call on the most recently used idle connection, or on a new one."""
         backend = self.backends[call.endpoint]
-        idle_after_ms = self.clock.now() - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
+        min_idle_since_ms = self.clock.now() - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
         while backend.idle:
             connection = backend.idle.pop()
             if (
-                connection.idle_since_ms > idle_after_ms
+                connection.idle_since_ms > min_idle_since_ms
                 and not connection.transport.is_closing()
                 and not connection.has_unread_bytes()
             ):
@@ -558,7 +558,7 @@
         """Closes connections that have been idle too long, before the backend does."""
         now = self.clock.now()
         for backend in self.backends.values():
-            idle_after_ms = now - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
-            while backend.idle and backend.idle[0].idle_since_ms <= idle_after_ms:
+            min_idle_since_ms = now - min(self.idle_ms, backend.idle_ms, self.early_close_ms)
+            while backend.idle and backend.idle[0].idle_since_ms <= min_idle_since_ms:
                 backend.idle[0].drop()
         self.loop.call_later(SWEEP_S, self._sweep)
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -322,8 +322,8 @@
             self.front.driver.client_disconnected(request)
         self.reject(408)
 
-    def abort_stalled(self) -> None:
-        """Aborts the connection of a client that does not read its response."""
+    def abort_response(self) -> None:
+        """Aborts the connection in the middle of a streamed response."""
         self._stop_serving()
         self.transport.abort()
 
@@ -343,10 +343,9 @@
         request, self.current, self.served = self.current, None, True
         if request is None or self.ended:
             return
-        unread = (
-            self.upload is not None and self.upload is request.pipe
-        )  # the response precedes the end of the request body
-        keep = self._keeps_alive(request) and not unread
+        # Whether the response precedes the end of the request body.
+        upload_incomplete = self.upload is not None and self.upload is request.pipe
+        keep = self._keeps_alive(request) and not upload_incomplete
         self.transport.write(
             http1.full_response(
                 status,
@@ -357,8 +356,8 @@
                 lines=request.answer_header_lines,
             )
         )
-        if unread:
-            self._linger_unread()
+        if upload_incomplete:
+            self._linger_during_upload()
         elif not keep:
             self._linger()
         elif self.pipelined or self.fault is not None:
@@ -375,11 +374,11 @@
         if self.ended:
             return
         if self.stream is not None:  # a second response must not interrupt a streamed one
-            self.abort_stalled()
+            self.abort_response()
             return
         self.transport.write(http1.full_response(status, keep=False))
         if self.upload is not None:
-            self._linger_unread()
+            self._linger_during_upload()
         else:
             self._linger()
 
@@ -393,7 +392,7 @@
             self.transport.write_eof()
         self.timer = self.front.loop.call_later(LINGER_S, self._abort)
 
-    def _linger_unread(self) -> None:
+    def _linger_during_upload(self) -> None:
         """Like `_linger` during an upload, which is read and discarded for some time.
 
         Some clients read the response only after they have written the complete body.
@@ -720,7 +719,7 @@
                 connection.progress_ms < now - STALL_TIMEOUT_MS
                 and connection.transport.get_write_buffer_size()
             ):
-                connection.abort_stalled()
+                connection.abort_response()
         self.loop.call_later(SWEEP_S, self._sweep)
 
     def _close_older(self, group: dict[Connection, None], than_ms: float) -> None:
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -417,9 +417,8 @@
             while len(made[0].got) < before[0] + 6:
                 assert await pay(w, kind="read") == (200, b"tile")
             got = [len(n.got) - b for n, b in zip(made, before, strict=True)]
-            assert (
-                got[0] <= 1.35 * sum(got) * 0.22 / 4.22
-            )  # five nodes, one of them at a fifth of its capacity
+            # Five nodes, one of them at a fifth of its capacity.
+            assert got[0] <= 1.35 * sum(got) * 0.22 / 4.22
             assert min(got[1:]) > 2 * got[0]
 
     run(main())
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -300,9 +300,8 @@
             backend.then = reply(503, b"", b"X-Unprocessed: 1")
             refused = await unit.ask(request_options(key=b"a"))
             assert refused.code == coap.SERVICE_UNAVAILABLE
-            assert (
-                refused.option(coap.MAX_AGE) == b"\x01"
-            )  # rounded up: 0 would mean at once, and 200 to 600 ms are meant
+            # Rounded up: 0 would mean at once, and 200 to 600 ms are meant.
+            assert refused.option(coap.MAX_AGE) == b"\x01"
             backend.then = None
             failed = await unit.ask(request_options(key=b"b", left_ms=150))
             assert failed.code == coap.BAD_GATEWAY
--- a/tests/http/test_offers.py
+++ b/tests/http/test_offers.py
@@ -136,9 +136,8 @@
             await soon(client.reader.readline())
             client.writer.write(second[-5:])
             assert (await client.answer())[2] == b"2"
-            client.writer.write(
-                pay(b"three", b"hello", b"Expect: 100-continue\r\n")
-            )  # sent without waiting: no 100 (Continue)
+            # Sent without waiting: no 100 (Continue).
+            client.writer.write(pay(b"three", b"hello", b"Expect: 100-continue\r\n"))
             assert (await client.answer())[2] == b"3"
             old = await Client.to(w.port)
             old.writer.write(second.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"two", b"old"))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -339,9 +339,8 @@
             client.send("order")
             assert await client.status() == 200
             assert [e.outcome for e in w.ended()] == [O.ERROR, O.OK]
-            await until(
-                lambda: backend.closed == 1
-            )  # the first attempt was cancelled before the second was sent
+            # The first attempt was cancelled before the second was sent.
+            await until(lambda: backend.closed == 1)
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
 
