--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -240,8 +240,8 @@
         return stamp + self._mac(peer, stamp)
 
     def _mac(self, peer: Peer, stamp: bytes) -> bytes:
-        words = b"%b %d %b" % (peer[0].encode(), peer[1], stamp)
-        return hashlib.blake2b(words, key=self.secret, digest_size=7).digest()
+        mac_input = b"%b %d %b" % (peer[0].encode(), peer[1], stamp)
+        return hashlib.blake2b(mac_input, key=self.secret, digest_size=7).digest()
 
     def _is_valid_echo(self, peer: Peer, value: bytes, now: float) -> bool:
         if len(value) != 12 or not hmac.compare_digest(value[5:], self._mac(peer, value[:5])):
--- a/honeywharf/coap/options.py
+++ b/honeywharf/coap/options.py
@@ -67,8 +67,8 @@
 class OptionError(Exception):
     """Options that form no valid request; `code` is the code of the response."""
 
-    def __init__(self, code: int, words: str) -> None:
-        super().__init__(words)
+    def __init__(self, code: int, reason: str) -> None:
+        super().__init__(reason)
         self.code = code
 
 
--- a/honeywharf/codecs/coap.py
+++ b/honeywharf/codecs/coap.py
@@ -26,8 +26,8 @@
 class MalformedError(Exception):
     """A malformed datagram. `mid` and `mtype` are -1 where unreadable; a CON is answered with an RST."""
 
-    def __init__(self, words: str, mtype: int = -1, mid: int = -1) -> None:
-        super().__init__(words)
+    def __init__(self, reason: str, mtype: int = -1, mid: int = -1) -> None:
+        super().__init__(reason)
         self.mtype, self.mid = mtype, mid
 
 
--- a/honeywharf/codecs/contentformat.py
+++ b/honeywharf/codecs/contentformat.py
@@ -40,12 +40,12 @@
 _SEPARATOR = re.compile(rb"\s*([;=,])\s*")
 
 
-def _normalized(kind: bytes) -> bytes:
+def _normalized(mime_type: bytes) -> bytes:
     """Normalizes a media type: lower case, without quotes and without white space around separators."""
-    return _SEPARATOR.sub(rb"\1", kind.strip().lower()).replace(b'"', b"")
+    return _SEPARATOR.sub(rb"\1", mime_type.strip().lower()).replace(b'"', b"")
 
 
-_NUMBERS = {_normalized(kind): number for number, kind in FORMATS.items()}
+_NUMBERS = {_normalized(mime_type): number for number, mime_type in FORMATS.items()}
 _NUMBERS[b"text/plain"] = 0  # RFC 6657 lets a sender omit the charset
 
 
@@ -57,13 +57,13 @@
     return FORMATS.get(number) or b"application/coap-payload;cf=%d" % number
 
 
-def content_format(kind: bytes) -> bytes | None:
+def content_format(mime_type: bytes) -> bytes | None:
     """Returns the option value for a media type, or None if it has no Content-Format."""
-    if not kind:
+    if not mime_type:
         return None
-    number = _NUMBERS.get(_normalized(kind))
+    number = _NUMBERS.get(_normalized(mime_type))
     if number is None:
-        generic = _COAP_PAYLOAD.fullmatch(kind.strip())
+        generic = _COAP_PAYLOAD.fullmatch(mime_type.strip())
         if generic is None or int(generic[1]) > MAX_CONTENT_FORMAT:
             return None
         number = int(generic[1])
--- a/honeywharf/codecs/reader.py
+++ b/honeywharf/codecs/reader.py
@@ -11,8 +11,8 @@
 class MalformedError(Exception):
     """A message that violates the protocol or a limit; `status` is the status code of the response to it."""
 
-    def __init__(self, status: int, words: str) -> None:
-        super().__init__(words)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -31,7 +31,7 @@
         self.got: list[coap.Message] = []
         self.bodies: list[bytes] = []
         self.body = b"tile"
-        self.told: list[tuple[int, bytes]] = []
+        self.response_options: list[tuple[int, bytes]] = []
         self.transfers = blocks.Transfers()
         self.acks = 0
         self.port = 0
@@ -61,11 +61,13 @@
             code: int,
             mid: int = message.mid,
             token: bytes = message.token,
-            told: list[tuple[int, bytes]] | None = None,
+            response_options: list[tuple[int, bytes]] | None = None,
             payload: bytes = b"",
         ) -> None:
             assert self.transport is not None
-            self.transport.sendto(coap.encode(coap.Message(mtype, code, mid, token, told, payload)), addr)
+            self.transport.sendto(
+                coap.encode(coap.Message(mtype, code, mid, token, response_options, payload)), addr
+            )
 
         if step == "reset":
             send(coap.RST, coap.EMPTY, token=b"")
@@ -76,7 +78,7 @@
             for _ in range(2):  # retransmitted as if its ACK was lost
                 send(coap.CON, coap.CHANGED, 999, payload=self.body)
         elif step == "unprocessed":
-            send(coap.ACK, coap.SERVICE_UNAVAILABLE, told=[(options.UNPROCESSED, b"")])
+            send(coap.ACK, coap.SERVICE_UNAVAILABLE, response_options=[(options.UNPROCESSED, b"")])
         elif step == "busy":
             send(coap.ACK, coap.SERVICE_UNAVAILABLE)
         elif step == "foreign":
@@ -92,16 +94,18 @@
         if part is not None:
             whole = self.transfers.body(key, part, body, 0.0)
             if whole is None:
-                send(coap.ACK, coap.CONTINUE, told=[(coap.BLOCK1, part.value())])
+                send(coap.ACK, coap.CONTINUE, response_options=[(coap.BLOCK1, part.value())])
                 return
             body = whole
         if requested_block is None:
             self.bodies.append(body)
         if len(self.body) <= 1024:
-            send(coap.ACK, coap.CHANGED, told=self.told, payload=self.body)
+            send(coap.ACK, coap.CHANGED, response_options=self.response_options, payload=self.body)
             return
-        told, payload = blocks.response_block(self.body, requested_block or blocks.Block(0, False, 6))
-        send(coap.ACK, coap.CHANGED, told=told, payload=payload)
+        response_options, payload = blocks.response_block(
+            self.body, requested_block or blocks.Block(0, False, 6)
+        )
+        send(coap.ACK, coap.CHANGED, response_options=response_options, payload=payload)
 
 
 @asynccontextmanager
@@ -110,12 +114,12 @@
     features: Features = COAP_ON,
     **changes: object,
 ) -> AsyncIterator[tuple[World, list[Node]]]:
-    made = [await Node().start() for _ in range(number)]
-    rows = [row(f"c{i}", n.port, cell=i, scheme="coap") for i, n in enumerate(made)]
+    coap_nodes = [await Node().start() for _ in range(number)]
+    rows = [row(f"c{i}", n.port, cell=i, scheme="coap") for i, n in enumerate(coap_nodes)]
     async with world(rows, features, **changes) as w:
-        yield w, made
+        yield w, coap_nodes
         await until(lambda: not w.proxy.driver.requests)
-    for node in made:
+    for node in coap_nodes:
         node.stop()
 
 
@@ -157,16 +161,16 @@
     """`pay` has an effect and no key: it is retried only if it is known not to have run."""
 
     async def main() -> None:
-        async with nodes(2) as (w, made):
-            for node in made:
+        async with nodes(2) as (w, coap_nodes):
+            for node in coap_nodes:
                 node.script = [step]
             assert (await pay(w, "400m"))[0] == status
             await until(lambda: len(w.ended()) >= 1)
             assert w.ended()[0].outcome is outcome
             if status == 502:
-                assert sum(len({m.mid for m in n.got}) for n in made) == 1
+                assert sum(len({m.mid for m in n.got}) for n in coap_nodes) == 1
             if step == "separate":
-                await until(lambda: sum(n.acks for n in made) == 2)  # a lost ACK is sent again
+                await until(lambda: sum(n.acks for n in coap_nodes) == 2)  # a lost ACK is sent again
 
     run(main())
 
@@ -186,29 +190,29 @@
 
 def test_a_stopped_node_is_connect_failed() -> None:
     async def main() -> None:
-        async with nodes(2) as (w, made):
-            made[0].stop()
+        async with nodes(2) as (w, coap_nodes):
+            coap_nodes[0].stop()
             for _ in range(6):
                 assert (await pay(w))[0] == 200
             assert {e.outcome for e in w.ended()} == {O.OK, O.CONNECT_FAILED}
-            assert sum(len(n.bodies) for n in made) == 6
+            assert sum(len(n.bodies) for n in coap_nodes) == 6
 
     run(main())
 
 
 def test_nothing_is_sent_to_a_draining_coap_node() -> None:
     async def main() -> None:
-        async with nodes(2) as (w, made):
+        async with nodes(2) as (w, coap_nodes):
             for _ in range(12):
                 assert (await pay(w))[0] == 200
-            assert all(n.bodies for n in made)
-            w.discovery.tell(2, row("c0", made[0].port, "z", "draining", cell=0, scheme="coap"))
+            assert all(n.bodies for n in coap_nodes)
+            w.discovery.tell(2, row("c0", coap_nodes[0].port, "z", "draining", cell=0, scheme="coap"))
             servers = w.proxy.balancer.endpoints.servers
             await until(lambda: servers["c0"].endpoint.state is api.EndpointState.DRAINING)
-            before = len(made[0].got)
+            before = len(coap_nodes[0].got)
             for _ in range(12):
                 assert (await pay(w))[0] == 200
-            assert len(made[0].got) == before
+            assert len(coap_nodes[0].got) == before
 
     run(main())
 
@@ -389,14 +393,14 @@
 
 def test_a_request_held_back_by_the_probing_rate_is_sent_to_another_node() -> None:
     async def main() -> None:
-        async with nodes(2) as (w, made):
+        async with nodes(2) as (w, coap_nodes):
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             assert part.pool is not None
             quiet = part.pool.nodes["c0"].client
             quiet.is_silent, quiet.next_probe_ms = True, w.proxy.clock.now() + 60_000.0
             while not quiet.probes_held_back:
                 assert await pay(w) == (200, b"tile")
-            assert not made[0].got
+            assert not coap_nodes[0].got
             assert O.CONNECT_FAILED in [e.outcome for e in w.ended()]
             assert w.proxy.balancer.endpoints.servers["c0"].failures > 0
             assert part.counts()["coap:probes held back"] == quiet.probes_held_back
@@ -408,15 +412,15 @@
     async def main() -> None:
         quick = [{"name": "read", "aimMs": 100.0, "deadlineMs": 5000.0, "idempotency": "repeatable"}]
         cold = {"coldShare": 0.2, "warmAfterMs": 60_000.0}
-        async with nodes(5, contract=cold, profiles=quick) as (w, made):
-            fresh = row("c0", made[0].port, cell=0, scheme="coap", startedAtMs=int(w.proxy.clock.now()))
+        async with nodes(5, contract=cold, profiles=quick) as (w, coap_nodes):
+            fresh = row("c0", coap_nodes[0].port, cell=0, scheme="coap", startedAtMs=int(w.proxy.clock.now()))
             w.discovery.tell(2, fresh)
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             await until(lambda: part.counts()["coap:node starts"] == 1)
-            before = [len(n.got) for n in made]
-            while len(made[0].got) < before[0] + 6:
+            before = [len(n.got) for n in coap_nodes]
+            while len(coap_nodes[0].got) < before[0] + 6:
                 assert await pay(w, kind="read") == (200, b"tile")
-            got = [len(n.got) - b for n, b in zip(made, before, strict=True)]
+            got = [len(n.got) - b for n, b in zip(coap_nodes, before, strict=True)]
             # Five nodes, one of them at a fifth of its capacity.
             assert got[0] <= 1.35 * sum(got) * 0.22 / 4.22
             assert min(got[1:]) > 2 * got[0]
--- a/tests/coap/test_contentformat.py
+++ b/tests/coap/test_contentformat.py
@@ -73,13 +73,13 @@
 def test_media_types_pass_between_an_http_client_and_a_coap_node() -> None:
     async def main() -> None:
         async with nodes() as (w, (node,)):
-            node.told = [(coap.CONTENT_FORMAT, b"\x17")]
+            node.response_options = [(coap.CONTENT_FORMAT, b"\x17")]
             client = await Client.to(w.port)
             client.send("pay", b"{}", "4000m", "Content-Type: application/json")
             _, headers, _ = await client.answer()
             assert headers[b"content-type"] == b"image/png"
             assert node.got[0].option(coap.CONTENT_FORMAT) == b"\x32"
-            node.told = []
+            node.response_options = []
             client.send("pay", b"{}", "4000m", "Content-Type: text/html")
             _, headers, _ = await client.answer()
             assert b"content-type" not in headers
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -539,14 +539,14 @@
             try:
 
                 def request(echo: bytes) -> aiocoap.Message:
-                    made = aiocoap.Message(
+                    message = aiocoap.Message(
                         code=aiocoap.POST, payload=b"x", uri=f"coap://127.0.0.1:{port_of(front)}/api?q=1"
                     )
                     for number, value in ((65001, b"order"), (65009, b"key"), (65033, b"\x3d\x09\x00")):
-                        made.opt.add_option(OpaqueOption(OptionNumber(number), value))
+                        message.opt.add_option(OpaqueOption(OptionNumber(number), value))
                     if echo:
-                        made.opt.add_option(OpaqueOption(OptionNumber(252), echo))
-                    return made
+                        message.opt.add_option(OpaqueOption(OptionNumber(252), echo))
+                    return message
 
                 asked = await soon(context.request(request(b"")).response)
                 assert asked.code == aiocoap.UNAUTHORIZED
--- a/tests/http/test_offers.py
+++ b/tests/http/test_offers.py
@@ -221,13 +221,13 @@
             kept = await Client.to(w.port)
             kept.send()
             assert await kept.status() == 200
-            held = []
+            connections = []
             for _ in range(1100):
                 connection = socket.socket()
                 connection.setblocking(False)
                 await soon(asyncio.get_running_loop().sock_connect(connection, ("127.0.0.1", w.port)))
                 connection.send(b"GET /api HTTP/1.1\r\nX-Corr")
-                held.append(connection)
+                connections.append(connection)
             statuses = []
             for _ in range(40):
                 client = await Client.to(w.port)
@@ -236,7 +236,7 @@
                 client.writer.close()
                 kept.send()
                 statuses.append(await kept.status())
-            for connection in held:
+            for connection in connections:
                 connection.close()
             assert statuses == [200] * 80
         await backend.stop()
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -172,7 +172,7 @@
         features = Features(traces=Traces(file=str(tmp_path / "t"), rate=1e-9), coap=Coap(nodes=True))
         async with world([row("c0", node.port, cell=0, scheme="coap")], features) as w:
             client = await Client.to(w.port)
-            node.told = [
+            node.response_options = [
                 (options.TRACE_RESPONSE, options.trace_context_bytes(f"00-{ID}-{'1' * 16}-01".encode()))
             ]
             client.send("order", b"x", "4000m", f"traceparent: {PARENT}", key="k")
