--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -357,7 +357,7 @@
     s.client.unreachable()
     assert s.ends[3:] == [RequestEnd.LOST]
     s.send_request()
-    assert len(s.client.waiting) == 1  # until there is a socket
+    assert len(s.client.waiting) == 1  # queued while there is no socket
 
 
 def test_the_queue_is_limited_and_an_unexpected_response_is_reset() -> None:
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -263,12 +263,12 @@
             [*request_options(), (coap.BLOCK1, b"\x10")],
             coap.POST,
             coap.REQUEST_ENTITY_INCOMPLETE,
-        ),  # without a first
+        ),  # the first block is missing
         (
             [*request_options("read"), (coap.BLOCK2, b"\x16")],
             coap.GET,
             coap.REQUEST_ENTITY_INCOMPLETE,
-        ),  # without a stored response
+        ),  # no response is stored
     ],
 )
 def test_invalid_requests_get_their_code(
--- a/tests/coap/test_messages.py
+++ b/tests/coap/test_messages.py
@@ -173,7 +173,7 @@
         s.get(mid, code=coap.POST)
     assert len(s.served) == 3
     assert s.kinds() == [(coap.ACK, coap.SERVICE_UNAVAILABLE)] * 2
-    assert s.layer.counts["coap:dropped"] == 1  # its id could not be remembered: no reply
+    assert s.layer.counts["coap:dropped"] == 1  # no reply, as its id cannot be remembered
     for exchange in s.served:
         s.layer.answer(exchange, coap.CHANGED)
     s.get(3, code=coap.POST)  # duplicated by the network, long after the rejection
@@ -270,7 +270,7 @@
     s = Scene(max_exchanges=1, max_seen_ids=10)
     for mid in range(20):
         s.get(mid, code=coap.POST)
-        s.served[-1].may_have_run = False  # as the front does for a challenged request
+        s.served[-1].may_have_run = False  # set by the front for a challenged request
         s.layer.answer(s.served[-1], coap.UNAUTHORIZED)
     assert s.layer.seen_count == 5
     for mid in range(100, 106):
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -62,7 +62,7 @@
             assert await client.status() == 503
             h.answered("http", 470.0, 503)
             assert not any(h.faults(KEPT_MS).values())
-            h.asks["unit"].late_until_ms = 0.0  # without the late datagram
+            h.asks["unit"].late_until_ms = 0.0  # the checker ignores the late datagram
             assert h.faults(KEPT_MS)["refused means no charge"] == ["http"]
 
     run(main())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -158,7 +158,7 @@
         async with world([]) as w:
             client = await Client.to(w.port)
             client.writer.write(sent)
-            await soon(client.reader.read())  # until it is closed
+            await soon(client.reader.read())  # returns when it is closed
             front = w.proxy.front
             await until(lambda: not front.connections)
             assert not any((front.silent, front.partial, front.idle))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -255,7 +255,7 @@
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
-            await until(lambda: backend.closed == 1)  # by the proxy: this backend never closes
+            await until(lambda: backend.closed == 1)  # closed by the proxy: this backend never closes
             client.send()
             assert await client.status() == 200
             assert backend.connections == 2
@@ -411,7 +411,7 @@
         second, third = RecordedCall(b"2"), RecordedCall(b"3")
         pool.start(second)
         await soon(second.outcome.wait())
-        pool.backends["b"].idle[0].idle_since_ms -= learned  # as if it had been idle that long
+        pool.backends["b"].idle[0].idle_since_ms -= learned  # simulates a longer idle time
         pool.start(third)
         await soon(third.outcome.wait())
         assert (backend.connections, third.outcomes) == (3, [O.OK])
@@ -422,7 +422,7 @@
         assert pool.early_close_ms == 400.0  # the second shortest, less a margin
         for opened in (4, 5):
             call = RecordedCall(b"%d" % opened)
-            call.endpoint = "d"  # without any observation
+            call.endpoint = "d"  # its idle time is unknown
             pool.start(call)
             await soon(call.outcome.wait())
             assert (backend.connections, call.outcomes) == (opened, [O.OK])
