--- a/bench/control_by_hand.py
+++ b/bench/control_by_hand.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.standins import meshdemo
 
 HERE = Path(__file__).resolve().parents[1]
@@ -48,11 +48,13 @@
     """One process at an address of loopback."""
 
     def __init__(self, folder: Path, ip: str, shift: int, seeds: list[str], first: bool) -> None:
-        self.ip, self.port, self.folder = ip, field.CONTROL + shift, folder / ip
+        self.ip, self.port, self.folder = ip, deployment.CONTROL + shift, folder / ip
         self.folder.mkdir()
-        settings: dict[str, Any] = json.loads(field.settings(ip, field.ZONES[int(ip[-1]) % 3], seeds, first))
+        settings: dict[str, Any] = json.loads(
+            deployment.settings(ip, deployment.ZONES[int(ip[-1]) % 3], seeds, first)
+        )
         settings["listen-addresses"]["control-plane"] = f"{ip}:{self.port}"
-        settings["internal-port-range"] = [field.INTERNAL + shift, field.INTERNAL + shift + 15]
+        settings["internal-port-range"] = [deployment.INTERNAL + shift, deployment.INTERNAL + shift + 15]
         settings["seed-nodes"] = [f"{seed}:{self.port}" for seed in seeds]
         settings["data-directory"] = str(self.folder)
         self.settings, self.file = settings, folder / f"{ip}.yaml"
@@ -195,7 +197,7 @@
                 ("POST", "/api/configuration/replace", newest),
                 ("POST", "/api/configuration/replace", configuration(self.version, 1234)),
                 ("POST", "/api/configuration/replace", configuration(self.version + 1, 1234)),
-                ("POST", f"/api/evacuations/{field.ZONES[0]}/start", b""),
+                ("POST", f"/api/evacuations/{deployment.ZONES[0]}/start", b""),
                 ("GET", "/api/configuration/describe", b""),
                 ("GET", "/api/readiness", b""),
             ):
--- a/bench/drift.py
+++ b/bench/drift.py
@@ -25,7 +25,7 @@
 from statistics import median
 from typing import Any
 
-from honeywharf.simulation.days import Day, Fault
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.slips import FIRST, KINDS, LONG, WAYS, Trial
 
 ONE_RUN = {False: 20, True: 10}  # slips of one run: of short kinds, and of long ones
@@ -93,7 +93,9 @@
     row.by = Counter(slip.by or "nobody" for slip in trial.slips)
     row.runs, row.slipped = trial.strict["runs"], trial.strict["slipped"]
     row.alarms, row.statuses = len(trial.alarms), Counter(trial.statuses())
-    row.faults = [str(fault) for fault in [*trial.book.found, *trial.world.crashes]] + trial.wrong[:3]
+    row.faults = [
+        str(fault) for fault in [*trial.invariant_checker.violations, *trial.world.crashes]
+    ] + trial.wrong[:3]
     return row
 
 
@@ -105,7 +107,7 @@
 def honest(seed: int) -> Row:
     """One day of honest changes and troubles; `slips` holds how many of each kind really came."""
     trial, chance = Trial(seed, "none", 0), random.Random(seed)
-    trial.field.until = FIRST + SPAN + 4.0
+    trial.deployment.until = FIRST + SPAN + 4.0
     faults = [
         Fault(FIRST + SPAN * chance.random(), "config_storm", "", chance.getrandbits(32))
         for _ in range(STORMS)
@@ -114,13 +116,15 @@
         Fault(FIRST + SPAN * chance.random(), chance.choice(TROUBLES), "", chance.getrandbits(32))
         for _ in range(TROUBLED)
     ]
-    for flow in trial.field.flows:
+    for flow in trial.deployment.flows:
         flow.per_s *= SHARE
-    day = Day(trial.field, sorted(faults, key=lambda fault: fault.at))
+    day = FaultSchedule(trial.deployment, sorted(faults, key=lambda fault: fault.at))
     trial.play(FIRST + SPAN + 10.0)
     row = _row(trial)
     row.faults += [f"{seed}: {alarm}" for alarm in trial.alarms[:2]]
-    running: list[Any] = [side.proxy.program for side in trial.field.sides if side.proxy.program is not None]
+    running: list[Any] = [
+        side.proxy.program for side in trial.deployment.sidecar_nodes if side.proxy.program is not None
+    ]
     row.alarms += sum(program.drift_monitor.state.aside for program in running)
     row.by = day.struck
     return row
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -20,8 +20,14 @@
 from collections import Counter
 from pathlib import Path
 
+from honeywharf.simulation.gateway_scenario import (
+    WINDOWS,
+    GatewayScenario,
+    ScenarioPlan,
+    ScenarioRequest,
+    quantile,
+)
 from honeywharf.simulation.regions import READ, UPLOAD, Source
-from honeywharf.simulation.shift import WINDOWS, Call, Plan, Shift, quantile
 from honeywharf.standins import gatewaydemo
 
 COLUMNS = 110
@@ -100,18 +106,18 @@
 
 def simulation(chosen: argparse.Namespace) -> None:
     """Working days in virtual time; the figures."""
-    plan = Plan(tomllib.loads(Path(chosen.plan).read_text("utf-8")))
+    plan = ScenarioPlan(tomllib.loads(Path(chosen.plan).read_text("utf-8")))
     for trouble in ("drain", "kill"):
         kinds = [("", True, True), (", lanes off", True, False), (", sessions off", False, True)]
         for title, sessions, lanes in kinds if chosen.compare else kinds[:1]:
             days = [
-                Shift(seed, plan, trouble, sessions, lanes).work()
+                GatewayScenario(seed, plan, trouble, sessions, lanes).work()
                 for seed in range(chosen.seed, chosen.seed + chosen.days)
             ]
             report(f"{trouble}{title}", days, chosen.plot)
 
 
-def report(title: str, days: list[Shift], folder: str) -> None:
+def report(title: str, days: list[GatewayScenario], folder: str) -> None:
     """Print what some days of one kind showed."""
     troubles = sum(len(day.at) for day in days)
     print(f"{title}: {len(days)} days, {troubles} troubles")
@@ -131,7 +137,7 @@
             ends[f"{group} begun"] += 1
             ends[f"{group} {one.end}"] += 1
             ends[f"{group} sent again whole"] += one.kind == UPLOAD and one.tries > 1
-            if isinstance(one, Call) and one.kind == READ and one.end == "done":
+            if isinstance(one, ScenarioRequest) and one.kind == READ and one.end == "done":
                 ends["reads over 0.4 s"] += one.ended_at - one.began > 0.4
     sides = [side.program for day in days for side in day.sources if isinstance(side.program, Source)]
     twice = sum(side.session_client.retransmitted_bytes for side in sides)
--- a/bench/mesh_cost.py
+++ b/bench/mesh_cost.py
@@ -24,8 +24,8 @@
 from pathlib import Path
 from typing import Any, cast
 
-from honeywharf.simulation.days import Day
-from honeywharf.simulation.field import ROUTES, Field, Shape
+from honeywharf.simulation.deployment import ROUTES, Deployment, Shape
+from honeywharf.simulation.fault_schedule import FaultSchedule
 from honeywharf.simulation.machine import Machine, Process
 from honeywharf.simulation.run import real_control_node, real_sidecar
 
@@ -49,8 +49,8 @@
 class Sent:
     """Bytes that left machines, by kind of machine and of way."""
 
-    def __init__(self, field: Field) -> None:
-        self.cores = {core.machine for core in field.cores}
+    def __init__(self, deployment: Deployment) -> None:
+        self.cores = {core.machine for core in deployment.cores}
         self.bytes: dict[tuple[str, str], int] = {}
         before = Machine.depart
 
@@ -68,17 +68,17 @@
     """One shape: what a machine of it costs, by name."""
     shape, begun, empty = Shape.told(told), time.monotonic(), memory()
     per_s = rate * shape.many / sum(row[4] for row in ROUTES)
-    field = Field(1, real_sidecar, real_control_node, shape, LEAD, SETTLED + span, per_s)
-    Day(field, [])
-    sent = Sent(field)
-    field.world.run(LEAD - 0.1)
+    deployment = Deployment(1, real_sidecar, real_control_node, shape, LEAD, SETTLED + span, per_s)
+    FaultSchedule(deployment, [])
+    sent = Sent(deployment)
+    deployment.world.run(LEAD - 0.1)
     start = dict(sent.bytes)
-    field.world.run(SETTLED)
+    deployment.world.run(SETTLED)
     sent.bytes.clear()
-    steps = field.world.steps
-    field.world.run(SETTLED + span)
-    sides = [side.proxy for side in field.sides]
-    many = {"sidecar": len(sides), "core": len(field.cores)}
+    steps = deployment.world.steps
+    deployment.world.run(SETTLED + span)
+    sidecar_nodes = [side.proxy for side in deployment.sidecar_nodes]
+    many = {"sidecar": len(sidecar_nodes), "core": len(deployment.cores)}
     machines = sum(many.values())
     out: dict[str, float] = {"machines": machines}
     for kind in many:
@@ -87,16 +87,16 @@
         out[f"{kind}: bytes of the start"] = (
             sum(size for (of, _), size in start.items() if of == kind) / many[kind]
         )
-        open_now = [links(process) for process in (sides if kind == "sidecar" else field.cores)]
+        open_now = [links(process) for process in (sidecar_nodes if kind == "sidecar" else deployment.cores)]
         out[f"{kind}: links"], out[f"{kind}: links, most"] = sum(open_now) / many[kind], max(open_now)
-    program: Any = sides[0].program
+    program: Any = sidecar_nodes[0].program
     out["entries of news"] = len(program.membership.entries())
-    out["calls that are due"] = len(field.world._heap) / machines
-    out["steps/s"] = (field.world.steps - steps) / span / machines
+    out["calls that are due"] = len(deployment.world._heap) / machines
+    out["steps/s"] = (deployment.world.steps - steps) / span / machines
     out["memory, KiB"] = (memory() - empty) / machines / 1024
-    asks = field.book.asks.values()
-    out["requests served, share"] = sum(ask.status == 200 for ask in asks) / max(1, len(asks))
-    out["rules broken"] = len(field.book.found) + len(field.world.crashes)
+    attempts = deployment.invariant_checker.attempts.values()
+    out["requests served, share"] = sum(ask.status == 200 for ask in attempts) / max(1, len(attempts))
+    out["rules broken"] = len(deployment.invariant_checker.violations) + len(deployment.world.crashes)
     out["seconds to play"] = time.monotonic() - begun
     return out
 
--- a/bench/operator_days.py
+++ b/bench/operator_days.py
@@ -13,8 +13,8 @@
 import random
 import sys
 
-from honeywharf.simulation.days import CLOSING, Fault
-from honeywharf.simulation.field import Shape
+from honeywharf.simulation.deployment import Shape
+from honeywharf.simulation.fault_schedule import CLOSING, Fault
 from honeywharf.simulation.run import run
 
 TROUBLES = (
--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -19,7 +19,7 @@
 from honeywharf.cli.ending import WrongError
 from honeywharf.cli.mesh import call
 from honeywharf.programs.start import VARIABLE
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.rpc_client import RpcClient
 
@@ -205,7 +205,7 @@
         begun = time.monotonic()
         for turn in range(60):
             ip = self.plan.control_ip((first + turn) % self.plan.controls)
-            at = f"{ip}:{self.plan.port(field.CONTROL)}"
+            at = f"{ip}:{self.plan.port(deployment.CONTROL)}"
             try:
                 status, _ = call(at, "POST", "/api/configuration/replace", text, ORDER_S)
             except WrongError:
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -17,7 +17,7 @@
 from bench.scale.traffic import Traffic
 from honeywharf.mesh_config.settings import parse
 from honeywharf.programs.sidecar import Sidecar
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 
 if TYPE_CHECKING:
     from honeywharf.transport.host import Host
@@ -45,7 +45,7 @@
         self.applied = {}
         if self.host is not None:
             self.earlier += self.host.traffic
-        port = self.plan.port(field.INTERNAL)
+        port = self.plan.port(deployment.INTERNAL)
         self.host = host = NodeHost(self.loop, self.node.ip, port, self.reach)
         host.exited = self.kill
         settings = parse(self.plan.node_settings(self.node), self.node.ip)
@@ -57,7 +57,7 @@
             self._applied(program)
 
         program.mesh_state.changed = noted
-        control = (self.node.ip, self.plan.port(field.CONTROL))
+        control = (self.node.ip, self.plan.port(deployment.CONTROL))
         instance = f"i-{self.node.index}-{self.lives}"
         self.backend = Heartbeats(self.loop, control, instance, self.node.service, self.node.zone)
         host.after(CHECK_S, lambda: self._look(program, known))
--- a/bench/scale/hollow_process.py
+++ b/bench/scale/hollow_process.py
@@ -22,7 +22,7 @@
 from bench.scale.messages import NodeSample, Start
 from bench.scale.plan import MANAGEMENT, Plan
 from bench.scale.reach import Reach
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.transport.host import Address
 from honeywharf.transport.rpc_server import RpcServer
 
@@ -60,7 +60,7 @@
             self.loop.after(delay, partial(node.start, start.known))
         for index in start.backends_only:
             machine = self.plan.node(index)
-            control = (machine.ip, self.plan.port(field.CONTROL))
+            control = (machine.ip, self.plan.port(deployment.CONTROL))
             self.backends.append(Heartbeats(self.loop, control, f"i-{index}", machine.service, machine.zone))
         reply(len(start.indexes))
 
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -13,7 +13,7 @@
 from bench.scale.plan import DEAF_REGIONS, DEAF_ZONES
 from bench.scale.processes import Spawned
 from bench.scale.traffic import Traffic
-from honeywharf.simulation import field as machines
+from honeywharf.simulation import deployment as machines
 
 Figures = dict[str, float]
 IN_FORCE_S = 30.0  # that a change may take everywhere before the run gives up
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.standins.meshdemo import place
 
 #: Zone and region; two regions of three and two zones.
@@ -112,16 +112,20 @@
 
     def _settings(self, ip: str, zone: str, service: str) -> dict[str, object]:
         seeds = [self.control_ip(index) for index in range(min(SEEDS, self.controls))]
-        settings: dict[str, object] = json.loads(field.settings(ip, zone, seeds, True, service))
+        settings: dict[str, object] = json.loads(deployment.settings(ip, zone, seeds, True, service))
         settings["zones"] = dict(ZONES)
         settings["region"] = dict(ZONES)[zone]
-        listen = {"control-plane": field.CONTROL}
+        listen = {"control-plane": deployment.CONTROL}
         if service:
-            listen |= {"inbound": field.INBOUND, "outbound": field.OUTBOUND, "readiness": field.READINESS}
-            settings["application"] = f"{ip}:{self.port(field.APPLICATION)}"
+            listen |= {
+                "inbound": deployment.INBOUND,
+                "outbound": deployment.OUTBOUND,
+                "readiness": deployment.READINESS,
+            }
+            settings["application"] = f"{ip}:{self.port(deployment.APPLICATION)}"
         settings["listen-addresses"] = {name: f"{ip}:{self.port(port)}" for name, port in listen.items()}
-        settings["seed-nodes"] = [f"{seed}:{self.port(field.CONTROL)}" for seed in seeds]
-        first = self.port(field.INTERNAL)
+        settings["seed-nodes"] = [f"{seed}:{self.port(deployment.CONTROL)}" for seed in seeds]
+        first = self.port(deployment.INTERNAL)
         settings["internal-port-range"] = [first, first + 15]
         bounds = settings["bounds"]
         assert isinstance(bounds, list)
--- a/bench/two_hops.py
+++ b/bench/two_hops.py
@@ -23,7 +23,7 @@
 from bench.scale.payload import host_and_prefix
 from bench.scale.plan import Plan
 from bench.scale.processes import Spawned
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.transport.host import Address
 
 NODES = 5  # one in each zone; two of them are processes of their own
@@ -39,8 +39,8 @@
     def __init__(self, fleet: Fleet, lanes: int) -> None:
         self.fleet, self.lanes = fleet, lanes
         source, destination = (fleet.plan.node(index) for index in fleet.real_indexes)
-        self.direct: Address = (destination.ip, fleet.plan.port(field.APPLICATION))
-        self.meshed: Address = (source.ip, fleet.plan.port(field.OUTBOUND))
+        self.direct: Address = (destination.ip, fleet.plan.port(deployment.APPLICATION))
+        self.meshed: Address = (source.ip, fleet.plan.port(deployment.OUTBOUND))
         self.host, self.prefix = host_and_prefix(destination.service, READ_ONLY)
 
     def answers(self, to: Address, rate: float, seconds: float) -> Answers:
--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -21,7 +21,7 @@
 
 import cappa
 
-from honeywharf.simulation.field import Shape
+from honeywharf.simulation.deployment import Shape
 from honeywharf.simulation.run import Report, play, run
 
 HASHES = "PYTHONHASHSEED"  # the order of sets of texts belongs to a day
--- a/honeywharf/simulation/standins.py
+++ b/honeywharf/simulation/actors.py
@@ -1,6 +1,6 @@
 """Who is met outside: clients and a backend on each sidecar machine, and operators, speaking HTTP/1.1.
 
-Each is a small program on a `Process`, and tells the `Book` what its sockets saw. What they do is
+Each is a small program on a `Process`, and tells the `InvariantChecker` what its sockets saw. What they do is
 PROTOCOL.md's, in little: no calls of backends, no chunked bodies of clients.
 """
 
@@ -15,8 +15,8 @@
 
 import httptools
 
+from honeywharf.simulation.invariants import Attempt, InvariantChecker, Order
 from honeywharf.simulation.machine import Process
-from honeywharf.simulation.rules import Ask, Book, Order
 from honeywharf.transport.host import Address, Connection
 
 REASONS = {200: "OK", 421: "Misdirected Request", 500: "Internal Server Error", 503: "Service Unavailable"}
@@ -194,14 +194,20 @@
     def __init__(
         self,
         host: Process,
-        book: Book,
+        invariant_checker: InvariantChecker,
         flows: list[Flow],
         service: Callable[[], str],
         proxy: Process,
         outbound: int,
         readiness: int,
     ) -> None:
-        self.host, self.book, self.flows, self.service, self.proxy = host, book, flows, service, proxy
+        self.host, self.invariant_checker, self.flows, self.service, self.proxy = (
+            host,
+            invariant_checker,
+            flows,
+            service,
+            proxy,
+        )
         self.ip, self.outbound, self.readiness = host.machine.ip, outbound, readiness
         self.pool: list[Caller] = []
         self.missed, self.until = 2, float("inf")
@@ -245,24 +251,29 @@
         if free and flow.habit == "pool":
             return free[0]
         caller = Caller(
-            self.host, (self.ip, self.outbound), self._told, lambda what: self.book.tell("noise", what)
+            self.host,
+            (self.ip, self.outbound),
+            self._told,
+            lambda what: self.invariant_checker.notify("unexpected_bytes", what),
         )
         self.pool += [caller] * (flow.habit == "pool" and len(self.pool) < 20)
         return caller
 
-    def _ask(self, flow: Flow, ends: float, behind: bool) -> Ask:
+    def _ask(self, flow: Flow, ends: float, is_pipelined: bool) -> Attempt:
         self.count += 1
         name = self.host.random(8).hex()
         method = "GET" if flow.kind == "read_only" else "POST"
-        ask = Ask(name, self.ip, self.service(), method, flow.host, f"{flow.prefix}{self.count}", flow.kind)
+        ask = Attempt(
+            name, self.ip, self.service(), method, flow.host, f"{flow.prefix}{self.count}", flow.kind
+        )
         ask.body = zlib.compress(name.encode()) * (flow.size // 20) if method == "POST" else b""
-        ask.deadline, ask.behind, ask.life = ends, behind, self.proxy.life
+        ask.deadline, ask.is_pipelined, ask.life = ends, is_pipelined, self.proxy.life
         return ask
 
-    def _send(self, caller: Caller, ask: Ask, flow: Flow, tries: int) -> None:
+    def _send(self, caller: Caller, ask: Attempt, flow: Flow, tries: int) -> None:
         ask.sent = self.host.world.now
-        self.book.asks[ask.id] = ask
-        self.book.tell("sent", ask)
+        self.invariant_checker.attempts[ask.id] = ask
+        self.invariant_checker.notify("sent", ask)
         left = max(1, round((ask.deadline - ask.sent) * 1000))
         caller.ask(
             (ask, flow, tries, caller),
@@ -283,27 +294,27 @@
         if self.leavers and chance.random() < self.leavers:
             self.host.after(chance.uniform(0.0, PATIENCE_S), lambda: self._leave(ask, caller))
 
-    def _leave(self, ask: Ask, caller: Caller) -> None:
+    def _leave(self, ask: Attempt, caller: Caller) -> None:
         """Close the connection on which a request still waits: all that wait there are given up."""
         if ask.status or not caller.live:
             return
         given_up = [tag[0] for tag in caller.waiting]
         caller.leave()
         for other in given_up:
-            other.status, other.left = GAVE_UP, self.host.world.now
-            self.book.tell("left", other)
+            other.status, other.abandoned_at = GAVE_UP, self.host.world.now
+            self.invariant_checker.notify("client_left", other)
 
-    def _told(self, tag: tuple[Ask, Flow, int, Caller], message: Message | None) -> None:
+    def _told(self, tag: tuple[Attempt, Flow, int, Caller], message: Message | None) -> None:
         ask, flow, tries, caller = tag
         if ask.status:
             return
         if message is None:
             ask.status = GAVE_UP
             if caller.up:  # else no process has read it
-                self.book.tell("cut", ask)
+                self.invariant_checker.notify("connection_lost", ask)
         else:
             ask.status = message.status
-            self.book.tell("got", ask, message.status, message.headers, message.body)
+            self.invariant_checker.notify("answered", ask, message.status, message.headers, message.body)
             if flow.habit != "pool" and not caller.waiting:
                 caller.close()
         promised = (
@@ -317,7 +328,7 @@
             left = ask.deadline - self.host.world.now
             self.host.after(min(wait, left / 3) + 0.02, lambda: self._again(flow, ask, tries - 1))
 
-    def _again(self, flow: Flow, ask: Ask, tries: int) -> None:
+    def _again(self, flow: Flow, ask: Attempt, tries: int) -> None:
         if self.host.world.now < ask.deadline - 0.05:
             self._send(
                 self._connection(Flow(flow.host, flow.prefix, flow.kind, 0)),
@@ -358,7 +369,9 @@
         try:
             self.next.extend(self.reader.feed(data))
         except httptools.HttpParserError as fault:
-            self.backend.book.tell("noise", f"no request at {self.backend.id}: {data[:60]!r} ({fault})")
+            self.backend.invariant_checker.notify(
+                "unexpected_bytes", f"no request at {self.backend.id}: {data[:60]!r} ({fault})"
+            )
             self.connection.abort()
             return
         self.go()
@@ -399,7 +412,7 @@
     def __init__(
         self,
         host: Process,
-        book: Book,
+        invariant_checker: InvariantChecker,
         service: str,
         application: int,
         control: int,
@@ -408,7 +421,7 @@
         most: int = 110,
         cold: float = 0.0,
     ) -> None:
-        self.host, self.book, self.service = host, book, service
+        self.host, self.invariant_checker, self.service = host, invariant_checker, service
         self.machine, self.zone = host.machine.ip, host.machine.zone
         self.id = "i-" + host.random(4).hex()
         self.address, self.control = f"{self.machine}:{application}", (self.machine, control)
@@ -427,7 +440,9 @@
     def _accept(self, connection: Connection) -> Served:
         served = Served(self, connection)
         if connection.peer[0] != self.machine:
-            self.book.tell("noise", f"{connection.peer[0]} reached for the backend at {self.machine}")
+            self.invariant_checker.notify(
+                "unexpected_bytes", f"{connection.peer[0]} reached for the backend at {self.machine}"
+            )
         if len(self.connections) >= self.most:
             connection.abort()
         else:
@@ -449,10 +464,10 @@
                 {"X-Honeywharf-Instance-Id": self.id, "X-Honeywharf-Cold-Remaining": self._cold()},
             )
             return
-        ask = self.book.asks.get(work.name)
+        ask = self.invariant_checker.attempts.get(work.name)
         if ask is not None:
             ask.arrivals.append((self.host.world.now, self))
-        self.book.tell("arrived", self, work.name)
+        self.invariant_checker.notify("arrived", self, work.name)
         if self._unlucky(self.busy):
             answer(503, {"X-Honeywharf-Not-Executed": 1, "X-Honeywharf-Attempt-Id": work.name})
         elif len(self.running) < self.slots:
@@ -467,10 +482,10 @@
 
     def _run(self, work: Work) -> None:
         self.running[work] = None
-        ask, head = self.book.asks.get(work.name), work.head
+        ask, head = self.invariant_checker.attempts.get(work.name), work.head
         if ask is not None:
             ask.runs.append((self.host.world.now, self))
-        self.book.tell(
+        self.invariant_checker.notify(
             "ran",
             self,
             work.name,
@@ -491,7 +506,7 @@
         if work not in self.running or self._unlucky(self.hang):
             return
         del self.running[work]
-        ask, chance = self.book.asks.get(work.name), self.host.world.random
+        ask, chance = self.invariant_checker.attempts.get(work.name), self.host.world.random
         wire, seal = work.connection.connection, f"{self.id}.{work.name}.{len(work.head.body)}"
         status = 500 if chance.random() < 0.001 or self._unlucky(self.errors) else 200
         body = zlib.crc32(work.name.encode()).to_bytes(4, "big") * chance.randint(0, 2000)
@@ -505,7 +520,9 @@
         luck = chance.random()
         if ask is not None:
             ask.answers[seal] = (status, body)
-            ask.spoilt = ask.spoilt or luck < self.lose + self.garble or luck > 1 - self.unsealed
+            ask.answer_corrupted = (
+                ask.answer_corrupted or luck < self.lose + self.garble or luck > 1 - self.unsealed
+            )
         if luck > 1 - self.unsealed:
             del headers["X-Honeywharf-Server-Seal"]
         whole = text(f"HTTP/1.1 {status} {REASONS[status]}", headers, body)
@@ -551,7 +568,7 @@
             self.host.after(0.5, whole)
 
         self._call("heartbeat", self._fields())
-        self.host.after(self.book.bounds["drain-timeout"] + 1.0, gone)
+        self.host.after(self.invariant_checker.bounds["drain-timeout"] + 1.0, gone)
 
     def _beat(self) -> None:
         if self.state != "gone":
@@ -585,7 +602,7 @@
 
         def told(tag: object, message: Message | None) -> None:
             if message is not None and 200 <= message.status < 300:
-                self.book.tell("beat", self, state)
+                self.invariant_checker.notify("heartbeat_acked", self, state)
             caller.close()
 
         caller = Caller(self.host, self.control, told)
@@ -603,18 +620,20 @@
 class Operator:
     """Sends orders to one control node after another until an answer is clear; reads back at the end."""
 
-    def __init__(self, host: Process, book: Book, targets: Callable[[], list[Address]]) -> None:
-        self.host, self.book, self.targets = host, book, targets
+    def __init__(
+        self, host: Process, invariant_checker: InvariantChecker, targets: Callable[[], list[Address]]
+    ) -> None:
+        self.host, self.invariant_checker, self.targets = host, invariant_checker, targets
         self.by = ""  # the machine that acknowledged last
         self.loses = 0.0  # share of the answers that are lost on their way
         self.on_ack: Callable[[Order, str], None] = lambda order, ip: None
 
     def order(self, order: Order, tries: int = 40) -> None:
         """Send, and again until it is clear."""
-        self.book.orders.append(order)
+        self.invariant_checker.orders.append(order)
         order.sent = self.host.world.now
         self.host.world.tell("operator", "sends", order)
-        self.book.tell("ordered", order)
+        self.invariant_checker.notify("ordered", order)
         path = "configuration/replace" if order.kind == "config" else f"evacuations/{order.zone}/{order.kind}"
         headers: dict[str, object] = {"Host": "mesh", "Content-Type": "application/json"}
         self._try(
@@ -627,19 +646,19 @@
         if message.status < 300:
             order.acked, self.by = self.host.world.now, ip
             self.host.world.tell("operator", "has an ack of", order, "from", ip)
-            self.book.tell("acked", order)
+            self.invariant_checker.notify("acked", order)
             self.on_ack(order, ip)
         else:
             self.host.world.tell("operator", "is refused", order, "by", ip, message.status)
-            self.book.tell("refused", order, message.status)
+            self.invariant_checker.notify("refused", order, message.status)
 
     def read_back(self, tries: int = 40) -> None:
         """Ask for the configuration until it comes."""
         self._try(
             text("GET /api/configuration/describe HTTP/1.1", {"Host": "mesh"}),
             tries,
-            lambda message, ip: self.book.tell("read_back", message.body),
-            lambda: self.book.tell("read_back", b""),
+            lambda message, ip: self.invariant_checker.notify("read_back", message.body),
+            lambda: self.invariant_checker.notify("read_back", b""),
         )
 
     def _try(
--- a/honeywharf/simulation/field.py
+++ b/honeywharf/simulation/deployment.py
@@ -5,13 +5,13 @@
 import json
 from collections.abc import Callable
 
+from honeywharf.simulation.actors import Backend, Clients, Flow, Operator
 from honeywharf.simulation.disk import Disk
+from honeywharf.simulation.invariants import InvariantChecker, Order
 from honeywharf.simulation.machine import Machine, Network, Process
-from honeywharf.simulation.rules import Book, Order
-from honeywharf.simulation.standins import Backend, Clients, Flow, Operator
 from honeywharf.simulation.world import World
 
-Make = Callable[[Process, str], object]  # a program from its host and the text of its settings
+ProgramFactory = Callable[[Process, str], object]  # a program from its host and the text of its settings
 
 ZONES = ("tartu-saal", "voru-saal", "polva-saal")
 SERVICES = ("tile-vault", "order-desk", "survey-intake")
@@ -93,16 +93,16 @@
 class Shape:
     """How large a field is: sidecar machines in each zone, and core machines, spread over the zones."""
 
-    __slots__ = ("cores", "sides")
+    __slots__ = ("cores", "sidecar_nodes")
 
-    def __init__(self, sides: tuple[int, int, int] = (2, 2, 2), cores: int = 3) -> None:
-        self.sides, self.cores = sides, cores
+    def __init__(self, sidecar_nodes: tuple[int, int, int] = (2, 2, 2), cores: int = 3) -> None:
+        self.sidecar_nodes, self.cores = sidecar_nodes, cores
 
     @staticmethod
     def told(text: str) -> Shape:
         """From "SIDES,SIDES,SIDES/CORES", as "31,31,29/3"; ValueError where it is none."""
-        sides, _, cores = text.partition("/")
-        counts = [int(count) for count in (*sides.split(","), cores)]
+        sidecar_nodes, _, cores = text.partition("/")
+        counts = [int(count) for count in (*sidecar_nodes.split(","), cores)]
         few = len(counts) != 4 or min(counts) < 1 or counts[3] < 3
         if few or max(counts[:3]) > MAX_SIDES or counts[3] > MAX_CORES:
             raise ValueError(
@@ -113,42 +113,56 @@
 
     def __str__(self) -> str:
         """As `told` reads it."""
-        return f"{','.join(map(str, self.sides))}/{self.cores}"
+        return f"{','.join(map(str, self.sidecar_nodes))}/{self.cores}"
 
     @property
     def many(self) -> int:
         """Sidecar machines in all."""
-        return sum(self.sides)
+        return sum(self.sidecar_nodes)
 
     def places(self) -> list[int]:
         """The zone of each sidecar machine: by turns, while a zone has more."""
-        return [zone for turn in range(max(self.sides)) for zone in range(3) if turn < self.sides[zone]]
+        return [
+            zone
+            for turn in range(max(self.sidecar_nodes))
+            for zone in range(3)
+            if turn < self.sidecar_nodes[zone]
+        ]
 
 
-class Side:
+class SidecarNode:
     """A sidecar machine: its proxy, its backend, its clients. `service` may change with a new backend."""
 
-    def __init__(self, field: Field, ip: str, zone: str, service: str) -> None:
-        self.field, self.ip, self.service = field, ip, service
-        self.machine = Machine(field.network, ip, zone)
+    def __init__(self, deployment: Deployment, ip: str, zone: str, service: str) -> None:
+        self.deployment, self.ip, self.service = deployment, ip, service
+        self.machine = Machine(deployment.network, ip, zone)
         self.proxy = Process(self.machine, f"sidecar-{ip}", self._proxy)
         self.backend = Process(self.machine, f"backend-{ip}", self._backend)
         self.clients = Process(self.machine, f"clients-{ip}", self._clients)
 
     def _proxy(self, host: Process) -> object:
-        return self.field.sidecar(
-            host, settings(self.ip, self.machine.zone, self.field.seeds, self.field.initial, self.service)
+        return self.deployment.sidecar(
+            host,
+            settings(
+                self.ip, self.machine.zone, self.deployment.seeds, self.deployment.initial, self.service
+            ),
         )
 
     def _backend(self, host: Process) -> object:
-        cold = COLD if host.world.now > self.field.lead else 0.0
-        return Backend(host, self.field.book, self.service, APPLICATION, CONTROL, cold=cold)
+        cold = COLD if host.world.now > self.deployment.lead else 0.0
+        return Backend(host, self.deployment.invariant_checker, self.service, APPLICATION, CONTROL, cold=cold)
 
     def _clients(self, host: Process) -> object:
         clients = Clients(
-            host, self.field.book, self.field.flows, lambda: self.service, self.proxy, OUTBOUND, READINESS
+            host,
+            self.deployment.invariant_checker,
+            self.deployment.flows,
+            lambda: self.service,
+            self.proxy,
+            OUTBOUND,
+            READINESS,
         )
-        clients.until = self.field.until
+        clients.until = self.deployment.until
         return clients
 
     def life(self) -> Backend | None:
@@ -159,41 +173,41 @@
 SMALL = Shape()
 
 
-class Field:
+class Deployment:
     """The whole, not yet started. Times: machines start at 0, traffic lasts from `lead` to `until`."""
 
     def __init__(
         self,
         seed: int,
-        sidecar: Make,
-        control_node: Make,
+        sidecar: ProgramFactory,
+        control_node: ProgramFactory,
         shape: Shape = SMALL,
         lead: float = 5.0,
         until: float = 40.0,
         per_s: float = 1.0,
     ) -> None:
-        """`per_s`: the field's requests a second, of what `ROUTES` have."""
+        """`per_s`: the deployment's requests a second, of what `ROUTES` have."""
         self.world = World(seed)
         self.network = Network(self.world)
         self.sidecar, self.control_node, self.lead, self.until = sidecar, control_node, lead, until
-        self.book = Book(self.world, {**BOUNDS, **NUMBERS, **WINDOW})
+        self.invariant_checker = InvariantChecker(self.world, {**BOUNDS, **NUMBERS, **WINDOW})
         self.seeds = [f"10.{n % 3 + 1}.0.{9 - n // 3}" for n in range(shape.cores)]
         self.cores = [self._core(ip, ZONES[n % 3]) for n, ip in enumerate(self.seeds)]
-        self.sides: list[Side] = []
+        self.sidecar_nodes: list[SidecarNode] = []
         self.flows: list[Flow] = []
         self.idlers: list[tuple[str, str, str, str]] = []  # as rows of ROUTES
         for n, zone in enumerate(shape.places()):
             ip = f"10.{zone + 1}.{n // IN_A_ROW}.{20 + n % IN_A_ROW}"
-            self.sides.append(Side(self, ip, ZONES[zone], SERVICES[(n + n // 3) % 3]))
+            self.sidecar_nodes.append(SidecarNode(self, ip, ZONES[zone], SERVICES[(n + n // 3) % 3]))
         self.flows += [Flow(*row[:3], per_s * row[4] / shape.many, *row[5:]) for row in ROUTES]
         outside = Process(Machine(self.network, "10.9.0.1", "outside"), "operator", self._operator)
         self.version, self.replaced = 10, 0
         outside.start()
         for process in self.programs():
             self.world.at(self.world.random.uniform(0.0, 0.5), process.start)
-        for side in self.sides:
-            self.world.at(1.0, side.backend.start)
-            self.world.at(lead, side.clients.start)
+        for sidecar_node in self.sidecar_nodes:
+            self.world.at(1.0, sidecar_node.backend.start)
+            self.world.at(lead, sidecar_node.clients.start)
 
     @property
     def initial(self) -> bool:
@@ -218,17 +232,19 @@
         self.seeds = [core.machine.ip for core in self.cores]
 
     def _operator(self, host: Process) -> object:
-        self.operator = Operator(host, self.book, lambda: [(core.machine.ip, CONTROL) for core in self.cores])
+        self.operator = Operator(
+            host, self.invariant_checker, lambda: [(core.machine.ip, CONTROL) for core in self.cores]
+        )
         return self.operator
 
     def programs(self) -> list[Process]:
         """Processes of the mesh."""
-        return [*self.cores, *(side.proxy for side in self.sides)]
+        return [*self.cores, *(sidecar_node.proxy for sidecar_node in self.sidecar_nodes)]
 
     def moved(self, version: int, moves: dict[str, dict[str, int]], timeout: int = 3000) -> Order:
         """A configuration where the routes named (by prefix) are split as told."""
         routes, order = [], Order("config", version)
-        present = {side.service for side in self.sides}
+        present = {sidecar_node.service for sidecar_node in self.sidecar_nodes}
         for host, prefix, kind, service in (*(row[:4] for row in ROUTES), *self.idlers):
             split = moves.get(prefix, {service: 1})
             routes.append(
@@ -277,7 +293,7 @@
         if add or not self.idlers:
             prefix = f"/idle{len(self.flows)}/"
             self.idlers.append(("maps.example", prefix, "read_only", SERVICES[len(self.flows) % 3]))
-            self.flows.append(Flow("maps.example", prefix, "read_only", 1.0 / len(self.sides)))
+            self.flows.append(Flow("maps.example", prefix, "read_only", 1.0 / len(self.sidecar_nodes)))
         else:
             self.idlers.pop()
 
--- a/honeywharf/simulation/days.py
+++ b/honeywharf/simulation/fault_schedule.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from honeywharf.simulation.field import SERVICES, TERM, ZONES, Field, Side
-from honeywharf.simulation.rules import Order
-from honeywharf.simulation.standins import Clients
+from honeywharf.simulation.actors import Clients
+from honeywharf.simulation.deployment import SERVICES, TERM, ZONES, Deployment, SidecarNode
+from honeywharf.simulation.invariants import Order
 
 if TYPE_CHECKING:
     from honeywharf.simulation.machine import Machine, Process
@@ -84,14 +84,18 @@
     return sorted(faults, key=lambda fault: fault.at)
 
 
-class Day:
+class FaultSchedule:
     """Carries faults out on a field: one method for each kind."""
 
     counted: tuple[str, ...] = COUNTED  # kinds that lose counted machines
 
-    def __init__(self, field: Field, faults: list[Fault]) -> None:
-        self.field, self.world, self.book = field, field.world, field.book
-        self.leaving: set[Side] = set()  # those that leave for good, or have left
+    def __init__(self, deployment: Deployment, faults: list[Fault]) -> None:
+        self.deployment, self.world, self.invariant_checker = (
+            deployment,
+            deployment.world,
+            deployment.invariant_checker,
+        )
+        self.leaving: set[SidecarNode] = set()  # those that leave for good, or have left
         self.counted_until = 0.0  # a counted machine is lost until then
         self.moves: dict[str, dict[str, int]] = {}
         self.struck: Counter[str] = Counter()  # what really came, by kind; a storm is its changes
@@ -101,9 +105,11 @@
 
     def _strike(self, fault: Fault) -> None:
         if fault.kind in self.counted:
-            takes = self._lasts(fault) + self.book.bounds["catch-up"]
+            takes = self._lasts(fault) + self.invariant_checker.bounds["catch-up"]
             if self.world.now < self.counted_until:
-                if self.counted_until + takes <= self.field.until:  # else the day has no turn left for it
+                if (
+                    self.counted_until + takes <= self.deployment.until
+                ):  # else the day has no turn left for it
                     self.world.at(self.counted_until, self._strike, fault)
                 return
             self.counted_until = self.world.now + takes
@@ -113,18 +119,20 @@
 
     def _lasts(self, fault: Fault) -> float:
         """Seconds that a trouble of counted machines takes at most."""
-        return 3.0 * len(self.field.cores) if fault.kind == "core_roll" else 5.0
+        return 3.0 * len(self.deployment.cores) if fault.kind == "core_roll" else 5.0
 
-    def _sides(self, chance: random.Random, share: float) -> list[Side]:
-        return chance.sample(self.field.sides, max(1, round(share * len(self.field.sides))))
+    def _choose_nodes(self, chance: random.Random, share: float) -> list[SidecarNode]:
+        return chance.sample(
+            self.deployment.sidecar_nodes, max(1, round(share * len(self.deployment.sidecar_nodes)))
+        )
 
     def _later(self, seconds: float, call: Callable[..., None], *args: object) -> None:
         self.world.at(self.world.now + seconds, call, *args)
 
     def _trouble(self, machine: Machine, seconds: float) -> None:
         core = machine.disk is not None
-        self.book.trouble(machine.ip, 1, core)
-        self._later(seconds, self.book.trouble, machine.ip, -1, core)
+        self.invariant_checker.mark_fault(machine.ip, 1, core)
+        self._later(seconds, self.invariant_checker.mark_fault, machine.ip, -1, core)
 
     def _kill(self, process: Process, power: bool, seconds: float = 3.0) -> None:
         machine = process.machine
@@ -139,33 +147,33 @@
 
     def node_kill(self, fault: Fault, chance: random.Random) -> None:
         """Some proxies are killed."""
-        for side in self._sides(chance, 0.16):
-            self._kill(side.proxy, fault.how == "power")
+        for sidecar_node in self._choose_nodes(chance, 0.16):
+            self._kill(sidecar_node.proxy, fault.how == "power")
 
     def herd_kill(self, fault: Fault, chance: random.Random) -> None:
         """Many proxies are killed at once."""
-        for side in self._sides(chance, 0.55):
-            self._kill(side.proxy, fault.how == "power", 2.0)
+        for sidecar_node in self._choose_nodes(chance, 0.55):
+            self._kill(sidecar_node.proxy, fault.how == "power", 2.0)
 
     def core_kill(self, fault: Fault, chance: random.Random) -> None:
         """A control node is killed."""
-        self._kill(chance.choice(self.field.cores), fault.how == "power")
+        self._kill(chance.choice(self.deployment.cores), fault.how == "power")
 
     def core_herd(self, fault: Fault, chance: random.Random) -> None:
         """All control nodes are killed at once; their disks stay."""
-        for core in self.field.cores:
+        for core in self.deployment.cores:
             self._kill(core, False)
 
     def core_freeze(self, fault: Fault, chance: random.Random) -> None:
         """A control node stands still."""
-        core = chance.choice(self.field.cores)
+        core = chance.choice(self.deployment.cores)
         core.freeze()
         self._trouble(core.machine, 3.5)
         self._later(3.5, core.thaw)
 
     def core_roll(self, fault: Fault, chance: random.Random) -> None:
         """The control nodes get SIGTERM in turn, and start again."""
-        for n, core in enumerate(self.field.cores):
+        for n, core in enumerate(self.deployment.cores):
             self._later(3.0 * n, self._term_core, core)
 
     def _term_core(self, core: Process) -> None:
@@ -174,7 +182,7 @@
 
     def core_replace(self, fault: Fault, chance: random.Random) -> None:
         """A control node goes for good, with SIGTERM or without; another one comes, elsewhere and empty."""
-        old = chance.choice(self.field.cores)
+        old = chance.choice(self.deployment.cores)
         if fault.how == "planned":
             self._trouble(old.machine, 1.5)
             old.signal(TERM)
@@ -184,42 +192,42 @@
         self._trouble(old.machine, 4.0)
         old.kept = False
         old.machine.power_off()
-        new = self.field.core_instead(old)
+        new = self.deployment.core_instead(old)
         self._trouble(new.machine, 1.5)
         self._later(1.0, new.start)
-        self._later(self.book.bounds["seed-lag"], self.field.listed, old, new)
+        self._later(self.invariant_checker.bounds["seed-lag"], self.deployment.listed, old, new)
 
     def zone_loss(self, fault: Fault, chance: random.Random) -> None:
         """A zone is without power."""
         zone = chance.choice(ZONES)
-        for process in self.field.programs():
+        for process in self.deployment.programs():
             if process.machine.zone == zone:
                 self._kill(process, True, 5.0)
 
     def node_freeze(self, fault: Fault, chance: random.Random) -> None:
         """Some proxies stand still."""
-        for side in self._sides(chance, 0.11):
-            side.proxy.freeze()
-            self._trouble(side.machine, 3.5)
-            self._later(3.5, side.proxy.thaw)
+        for sidecar_node in self._choose_nodes(chance, 0.11):
+            sidecar_node.proxy.freeze()
+            self._trouble(sidecar_node.machine, 3.5)
+            self._later(3.5, sidecar_node.proxy.thaw)
 
     def _cut(self, machine: Machine, others: list[str], one_way: bool, seconds: float) -> None:
         pairs = [(other, machine.ip) for other in others if other != machine.ip]
         pairs += [] if one_way else [(b, a) for a, b in pairs]
-        self.field.network.cut(pairs)
+        self.deployment.network.cut(pairs)
         self._trouble(machine, seconds)
-        self._later(seconds, self.field.network.join, pairs)
+        self._later(seconds, self.deployment.network.join, pairs)
 
     def core_cut(self, fault: Fault, chance: random.Random) -> None:
         """A control node is cut off from the others."""
-        ips = [core.machine.ip for core in self.field.cores]
-        self._cut(chance.choice(self.field.cores).machine, ips, fault.how == "one_way", 5.0)
+        ips = [core.machine.ip for core in self.deployment.cores]
+        self._cut(chance.choice(self.deployment.cores).machine, ips, fault.how == "one_way", 5.0)
 
     def node_cut(self, fault: Fault, chance: random.Random) -> None:
         """Some proxies are cut off from all control nodes."""
-        for side in self._sides(chance, 0.17):
-            ips = [core.machine.ip for core in self.field.cores]
-            self._cut(side.machine, ips, fault.how == "one_way", 5.5)
+        for sidecar_node in self._choose_nodes(chance, 0.17):
+            ips = [core.machine.ip for core in self.deployment.cores]
+            self._cut(sidecar_node.machine, ips, fault.how == "one_way", 5.5)
 
     def roll_term(self, fault: Fault, chance: random.Random) -> None:
         """Some proxies get SIGTERM in turn, and SIGKILL after `grace-period`.
@@ -227,101 +235,110 @@
         busy: so many of a zone at a time that the platform goes on sending them clients until they end.
         """
         busy = fault.how == "busy"
-        for n, side in enumerate(self._sides(chance, 0.45)):
-            self._later((0.4 if busy else 1.3) * n, self._press_and_term if busy else self._term, side)
+        for n, sidecar_node in enumerate(self._choose_nodes(chance, 0.45)):
+            self._later(
+                (0.4 if busy else 1.3) * n, self._press_and_term if busy else self._term, sidecar_node
+            )
 
-    def _press_and_term(self, side: Side) -> None:
-        clients = side.clients.program
+    def _press_and_term(self, sidecar_node: SidecarNode) -> None:
+        clients = sidecar_node.clients.program
         if isinstance(clients, Clients):
             clients.presses = True
-            self._later(self.book.bounds["grace-period"] + 1.0, setattr, clients, "presses", False)
-        self._term(side)
-
-    def _term(self, side: Side) -> None:
-        life = side.proxy.life
-        self.book.tell("stopped", side.ip)
-        self.book.last[side.ip] = self.world.now + self.book.bounds["grace-period"]
-        side.proxy.signal(TERM)
+            self._later(
+                self.invariant_checker.bounds["grace-period"] + 1.0, setattr, clients, "presses", False
+            )
+        self._term(sidecar_node)
+
+    def _term(self, sidecar_node: SidecarNode) -> None:
+        life = sidecar_node.proxy.life
+        self.invariant_checker.notify("terminated", sidecar_node.ip)
+        self.invariant_checker.last_fault_at[sidecar_node.ip] = (
+            self.world.now + self.invariant_checker.bounds["grace-period"]
+        )
+        sidecar_node.proxy.signal(TERM)
         self._later(
-            self.book.bounds["grace-period"], lambda: side.proxy.kill() if side.proxy.life == life else None
+            self.invariant_checker.bounds["grace-period"],
+            lambda: sidecar_node.proxy.kill() if sidecar_node.proxy.life == life else None,
         )
 
     # Backends.
 
     def release(self, fault: Fault, chance: random.Random) -> None:
         """Some backends drain and end, one after the other; new ones take their places."""
-        for n, side in enumerate(self._sides(chance, 0.45)):
-            self._later(1.0 * n, self._renew, side, side.service)
+        for n, sidecar_node in enumerate(self._choose_nodes(chance, 0.45)):
+            self._later(1.0 * n, self._renew, sidecar_node, sidecar_node.service)
 
-    def _renew(self, side: Side, service: str) -> None:
-        backend = side.life()
+    def _renew(self, sidecar_node: SidecarNode, service: str) -> None:
+        backend = sidecar_node.life()
         if backend is not None and backend.state == "ready":
-            backend.leave(lambda: self._ended(side, service))
+            backend.leave(lambda: self._ended(sidecar_node, service))
 
-    def _ended(self, side: Side, service: str) -> None:
+    def _ended(self, sidecar_node: SidecarNode, service: str) -> None:
         """The backend ends; its proxy is stopped after it, then both start as new ones."""
-        side.backend.kept, side.service = False, service
-        side.backend.end()
-        self._term(side)
-        self._later(self.book.bounds["address-reuse"] + 5.0, self._begin, side)
+        sidecar_node.backend.kept, sidecar_node.service = False, service
+        sidecar_node.backend.end()
+        self._term(sidecar_node)
+        self._later(self.invariant_checker.bounds["address-reuse"] + 5.0, self._begin, sidecar_node)
 
     def scale_in(self, fault: Fault, chance: random.Random) -> None:
         """A backend drains and leaves, and its machine with it."""
-        side = self._sides(chance, 0.1)[0]
-        backend = side.life()
-        if backend is not None and backend.state == "ready" and self._spare(side):
-            self.leaving.add(side)
-            backend.leave(lambda: self._gone(side))
+        sidecar_node = self._choose_nodes(chance, 0.1)[0]
+        backend = sidecar_node.life()
+        if backend is not None and backend.state == "ready" and self._spare(sidecar_node):
+            self.leaving.add(sidecar_node)
+            backend.leave(lambda: self._gone(sidecar_node))
 
-    def _spare(self, side: Side) -> bool:
+    def _spare(self, sidecar_node: SidecarNode) -> bool:
         """Whether another machine that stays has the same service: without any, nothing could be served."""
         return any(
-            other.service == side.service
-            for other in self.field.sides
-            if other is not side and other not in self.leaving
+            other.service == sidecar_node.service
+            for other in self.deployment.sidecar_nodes
+            if other is not sidecar_node and other not in self.leaving
         )
 
-    def _gone(self, side: Side) -> None:
-        side.backend.kept = side.clients.kept = side.proxy.kept = False
-        side.backend.end()
-        self._term(side)
+    def _gone(self, sidecar_node: SidecarNode) -> None:
+        sidecar_node.backend.kept = sidecar_node.clients.kept = sidecar_node.proxy.kept = False
+        sidecar_node.backend.end()
+        self._term(sidecar_node)
 
-    def _begin(self, side: Side) -> None:
-        side.backend.kept = True
-        side.backend.start()
+    def _begin(self, sidecar_node: SidecarNode) -> None:
+        sidecar_node.backend.kept = True
+        sidecar_node.backend.start()
 
     def replace_with_reuse(self, fault: Fault, chance: random.Random) -> None:
         """A machine ends for good; its address goes to one of another service, with a proxy of its own."""
-        side = self._sides(chance, 0.1)[0]
-        pause = self.book.bounds["address-reuse"]
-        self._kill(side.proxy, True, pause)
-        if self._spare(side):
-            side.service = chance.choice([service for service in SERVICES if service != side.service])
+        sidecar_node = self._choose_nodes(chance, 0.1)[0]
+        pause = self.invariant_checker.bounds["address-reuse"]
+        self._kill(sidecar_node.proxy, True, pause)
+        if self._spare(sidecar_node):
+            sidecar_node.service = chance.choice(
+                [service for service in SERVICES if service != sidecar_node.service]
+            )
 
     def cold_return(self, fault: Fault, chance: random.Random) -> None:
         """A zone's backends are down, and come back together, cold."""
         zone = chance.choice(ZONES)
-        for side in self.field.sides:
-            if side.machine.zone == zone:
-                self._crash(side)
-                self._later(4.5, self._begin, side)
+        for sidecar_node in self.deployment.sidecar_nodes:
+            if sidecar_node.machine.zone == zone:
+                self._crash(sidecar_node)
+                self._later(4.5, self._begin, sidecar_node)
 
-    def _crash(self, side: Side) -> None:
-        self.book.any_event = self.world.now
-        side.backend.kept = False
-        side.backend.end()
+    def _crash(self, sidecar_node: SidecarNode) -> None:
+        self.invariant_checker.last_any_fault_at = self.world.now
+        sidecar_node.backend.kept = False
+        sidecar_node.backend.end()
 
     def life_swap(self, fault: Fault, chance: random.Random) -> None:
         """Some backends crash and are there again at once, as other lives, cold."""
-        for side in self._sides(chance, 0.4):
-            self.book.any_event = self.world.now
-            side.backend.end()
-            side.backend.start()
-
-    def _spoil(self, chance: random.Random, name: str, share: float, sides: float = 0.45) -> None:
-        self.book.any_event = self.world.now
-        for side in self._sides(chance, sides):
-            backend = side.life()
+        for sidecar_node in self._choose_nodes(chance, 0.4):
+            self.invariant_checker.last_any_fault_at = self.world.now
+            sidecar_node.backend.end()
+            sidecar_node.backend.start()
+
+    def _spoil(self, chance: random.Random, name: str, share: float, sidecar_nodes: float = 0.45) -> None:
+        self.invariant_checker.last_any_fault_at = self.world.now
+        for sidecar_node in self._choose_nodes(chance, sidecar_nodes):
+            backend = sidecar_node.life()
             if backend is not None:
                 setattr(backend, name, share)
                 self._later(5.5, setattr, backend, name, 0.0)
@@ -338,7 +355,9 @@
     # The operator.
 
     def _change(self, timeout: int) -> None:
-        self.field.operator.order(self.field.moved(self.field.next_version(), self.moves, timeout))
+        self.deployment.operator.order(
+            self.deployment.moved(self.deployment.next_version(), self.moves, timeout)
+        )
 
     def config_change(self, fault: Fault, chance: random.Random) -> None:
         """A route moves, an idle one is added or dropped, and maybe another time-out is given."""
@@ -348,7 +367,7 @@
                 name: chance.randint(1, 3) for name in services
             }
         else:
-            self.field.idle(chance.random() < 0.5)
+            self.deployment.idle(chance.random() < 0.5)
         self._change(chance.choice((2500, 3000, 3500)))
 
     def config_storm(self, fault: Fault, chance: random.Random) -> None:
@@ -358,11 +377,11 @@
 
     def late_again(self, fault: Fault, chance: random.Random) -> None:
         """Older changes arrive a second time."""
-        old = [order for order in self.book.configs() if order.text]
+        old = [order for order in self.invariant_checker.configs() if order.text]
         for order in chance.sample(old, min(3, len(old))):
             again = Order("config", order.version, text=order.text)
             again.routes = order.routes
-            self.field.operator.order(again)
+            self.deployment.operator.order(again)
 
     def config_race(self, fault: Fault, chance: random.Random) -> None:
         """Two contents under one version, at once; or two versions, several times."""
@@ -371,14 +390,14 @@
                 for _ in range(2):
                     self._later(0.3 * n, self.config_change, fault, random.Random(chance.getrandbits(32)))
             return
-        version = self.field.next_version()
+        version = self.deployment.next_version()
         for service in ("tile-vault", "order-desk"):
             moves = {"/parcels/": {service: 1, "survey-intake": 1}}
-            self.field.operator.order(self.field.moved(version, moves))
+            self.deployment.operator.order(self.deployment.moved(version, moves))
 
     def bad_config(self, fault: Fault, chance: random.Random) -> None:
         """Configurations that are not valid."""
-        good = self.field.moved(self.field.next_version(), self.moves).text
+        good = self.deployment.moved(self.deployment.next_version(), self.moves).text
         wrong = (
             good[:-40],
             good.replace(b'"weight": ', b'"weight": -', 1),
@@ -387,26 +406,26 @@
             good.replace(b'[{"target-service": "', b'[{"target-service": "no', 1),
         )
         for n, text in enumerate(wrong):
-            order = Order("config", self.field.version, text=text, valid=False)
-            self._later(0.5 * n, self.field.operator.order, order, 3)
+            order = Order("config", self.deployment.version, text=text, valid=False)
+            self._later(0.5 * n, self.deployment.operator.order, order, 3)
 
     def evacuate(self, fault: Fault, chance: random.Random) -> None:
         """A zone's backends are to get nothing for a while."""
         zone = chance.choice(ZONES)
-        self.field.operator.order(Order("start", zone=zone))
-        self._later(8.0, lambda: self.field.operator.order(Order("complete", zone=zone)))
+        self.deployment.operator.order(Order("start", zone=zone))
+        self._later(8.0, lambda: self.deployment.operator.order(Order("complete", zone=zone)))
 
     def _after_ack(self, strike: Callable[[Process], None]) -> None:
         """Change something, and strike within 4 ms of the acknowledgement."""
-        order = self.field.moved(self.field.next_version(), self.moves)
+        order = self.deployment.moved(self.deployment.next_version(), self.moves)
 
         def acked(done: Order, ip: str) -> None:
             if done is order:
-                core = next(core for core in self.field.cores if core.machine.ip == ip)
+                core = next(core for core in self.deployment.cores if core.machine.ip == ip)
                 self._later(0.004 * self.world.random.random(), strike, core)
 
-        self.field.operator.on_ack = acked
-        self.field.operator.order(order)
+        self.deployment.operator.on_ack = acked
+        self.deployment.operator.order(order)
 
     def after_ack_kill(self, fault: Fault, chance: random.Random) -> None:
         """The machine that acknowledges a change loses power at once."""
@@ -425,7 +444,7 @@
         """Right after an ack all lose power, or are killed, or one loses its disk and the others power."""
 
         def strike(acked: Process) -> None:
-            for process in self.field.programs():
+            for process in self.deployment.programs():
                 self._kill(process, fault.how != "kill_all", 2.0)
             if fault.how == "wipe_after_ack":
                 self._wipe(acked)
--- a/honeywharf/simulation/shift.py
+++ b/honeywharf/simulation/gateway_scenario.py
@@ -2,7 +2,7 @@
 
 What is measured is what the machines' links and the distance cost: no processor is busy here, so the same
 seed gives the same figures on any machine. Shapes of traffic come from an experiment file
-(`bench/days/gateway.toml`), as `Plan` reads it.
+(`bench/days/gateway.toml`), as `ScenarioPlan` reads it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 WIDE = 1 << 20  # of a connection's window: what kernels grow to on a long way
 
 
-class Shape:
+class RequestShape:
     """One kind of request; `body` and `answer` are (least, most) bytes."""
 
     __slots__ = ("answer", "body", "kind", "name", "share")
@@ -40,7 +40,7 @@
         self.body, self.answer = tuple(body), tuple(answer)
 
 
-class Plan:
+class ScenarioPlan:
     """An experiment file's table, checked. ValueError names what was found and wanted."""
 
     def __init__(self, table: dict[str, Any]) -> None:
@@ -49,7 +49,7 @@
             self.uploads, self.sources = int(table["uploads"]), int(table["sources"])
             self.hours = [float(hour) for hour in table["hours"]]
             self.troubled = [int(hour) for hour in table["troubled"]]
-            self.shapes = [Shape(**shape) for shape in table["shape"]]
+            self.shapes = [RequestShape(**shape) for shape in table["shape"]]
         except (KeyError, TypeError) as fault:
             raise ValueError(f"found {fault}, wanted an experiment of gateways") from None
         if not self.hours or not all(0 <= hour < len(self.hours) for hour in self.troubled):
@@ -58,32 +58,32 @@
             if not any(shape.kind == kind for shape in self.shapes):
                 raise ValueError(f"found no shape of kind {kind}, wanted one")
 
-    def of(self, uploads: bool) -> list[Shape]:
+    def of(self, uploads: bool) -> list[RequestShape]:
         """The shapes of uploads, or of all others."""
         return [shape for shape in self.shapes if (shape.kind == UPLOAD) == uploads]
 
 
-class Call(Client):
+class ScenarioRequest(Client):
     """One request of the plan's."""
 
-    def __init__(self, day: Shift, source: Source, shape: Shape) -> None:
+    def __init__(self, day: GatewayScenario, source: Source, shape: RequestShape) -> None:
         self.name, self.bulk = shape.name, shape.kind == UPLOAD
         size = day.world.random.randint(*(shape.answer if shape.kind == READ else shape.body))
         super().__init__(day, source, shape.kind, size, UPLOAD_S if self.bulk else PATIENCE_S)
 
     def _over(self, end: str) -> None:
         super()._over(end)
-        if self.bulk and isinstance(self.day, Shift):
+        if self.bulk and isinstance(self.day, GatewayScenario):
             self.day.next_upload()
 
 
-class Shift(Day):
+class GatewayScenario(Day):
     """The day. `trouble`: "drain" or "kill". `lanes=False`: bodies go out as they come, for comparison."""
 
     def __init__(
         self,
         seed: int,
-        plan: Plan,
+        plan: ScenarioPlan,
         trouble: str,
         sessions: bool = True,
         lanes: bool = True,
@@ -114,7 +114,7 @@
         number = int((self.world.now - 1.0) / self.plan.hour_s)
         return self.plan.hours[number] if number < len(self.plan.hours) else 0.0
 
-    def work(self) -> Shift:
+    def work(self) -> GatewayScenario:
         """Play it, to the end of what was begun, and judge it."""
         self.world.run(1.0)
         if not self.lanes:
@@ -133,7 +133,7 @@
     def _open_lanes(program: Any) -> None:
         """Let everything out at once, as without a spillway."""
         part = getattr(program, "session_client", None) or getattr(program, "destination", None) or program
-        part.send_scheduler.__class__ = Flood
+        part.send_scheduler.__class__ = UnscheduledSender
 
     # Traffic.
 
@@ -148,7 +148,7 @@
         if source is None:
             return False
         shape = self.world.random.choices(shapes, [each.share for each in shapes])[0]
-        Call(self, source, shape)
+        ScenarioRequest(self, source, shape)
         return True
 
     def _ask(self) -> None:
@@ -164,7 +164,9 @@
             self.world.at(self.world.now + 0.02, self._fill_up)
 
     def _fill_up(self) -> None:
-        under_way = sum(isinstance(one, Call) and one.bulk and one.end is None for one in self.clients)
+        under_way = sum(
+            isinstance(one, ScenarioRequest) and one.bulk and one.end is None for one in self.clients
+        )
         if under_way < self.plan.uploads * self.hour and self._begin(True):
             self.next_upload()
 
@@ -216,7 +218,9 @@
     def took(self, name: str) -> dict[str, list[float]]:
         """Seconds of the requests of a shape that began before, during and after troubles."""
         calls = [
-            one for one in self.clients if isinstance(one, Call) and one.name == name and one.end == "done"
+            one
+            for one in self.clients
+            if isinstance(one, ScenarioRequest) and one.name == name and one.end == "done"
         ]
         return {
             window: [
@@ -228,7 +232,7 @@
         }
 
 
-class Flood(SendScheduler):
+class UnscheduledSender(SendScheduler):
     """Without turns: everything goes out as it comes."""
 
     __slots__ = ()
--- a/honeywharf/simulation/rare_troubles.py
+++ b/honeywharf/simulation/rare_faults.py
@@ -11,9 +11,9 @@
 from itertools import product
 from typing import TYPE_CHECKING
 
-from honeywharf.simulation.days import CLOSING, COUNTED, KINDS, Day, Fault
-from honeywharf.simulation.field import SERVICES, ZONES, Side
-from honeywharf.simulation.standins import MEAN_WORK, Clients
+from honeywharf.simulation.actors import MEAN_WORK, Clients
+from honeywharf.simulation.deployment import SERVICES, ZONES, SidecarNode
+from honeywharf.simulation.fault_schedule import CLOSING, COUNTED, KINDS, Fault, FaultSchedule
 
 if TYPE_CHECKING:
     from honeywharf.simulation.disk import Disk
@@ -78,7 +78,7 @@
     return sorted(faults, key=lambda fault: fault.at)
 
 
-class AnyDay(Day):
+class RareFaultSchedule(FaultSchedule):
     """A day with every kind of trouble."""
 
     counted = RARE_COUNTED
@@ -90,12 +90,12 @@
         if fault.how in ("twice", "then killed"):
             return 5.0 + self._caught_up()
         if "both" in fault.how:
-            return 1.0 + RESTART_PAUSE * len(self.field.cores)
+            return 1.0 + RESTART_PAUSE * len(self.deployment.cores)
         return super()._lasts(fault)
 
     def _caught_up(self) -> float:
         """Seconds after which another machine may be lost once one was replaced."""
-        return self.book.bounds["catch-up"] + self.book.bounds["seed-lag"] + 2.0
+        return self.invariant_checker.bounds["catch-up"] + self.invariant_checker.bounds["seed-lag"] + 2.0
 
     # Networks.
 
@@ -104,13 +104,13 @@
         groups = list(some), list(others)
         pairs = [(a.ip, b.ip) for a, b in product(*groups)]
         pairs += [(b, a) for a, b in pairs]
-        self.field.network.cut(pairs)
+        self.deployment.network.cut(pairs)
         for machine in (*groups[0], *groups[1]):
             self._trouble(machine, seconds)
-        self._later(seconds, self.field.network.join, pairs)
+        self._later(seconds, self.deployment.network.join, pairs)
 
     def _machines(self, zone: str) -> list[Machine]:
-        return [process.machine for process in self.field.programs() if process.machine.zone == zone]
+        return [process.machine for process in self.deployment.programs() if process.machine.zone == zone]
 
     def bridge_cut(self, fault: Fault, chance: random.Random) -> None:
         """Two zones can't reach each other; the third reaches both."""
@@ -126,32 +126,32 @@
     def core_cut(self, fault: Fault, chance: random.Random) -> None:
         """A control machine is cut off from the others: longer, with new seeds, or restarted meanwhile."""
         words = fault.how.split()
-        core = chance.choice(self.field.cores)
+        core = chance.choice(self.deployment.cores)
         seconds = LONG_CUT if "long" in words else SHORT_CUT if "short" in words else 5.0
-        others = [other.machine.ip for other in self.field.cores if other is not core]
+        others = [other.machine.ip for other in self.deployment.cores if other is not core]
         self._cut(core.machine, others, "one_way" in words, seconds)
         if "both" in words:
-            for n, process in enumerate([core, *(one for one in self.field.cores if one is not core)]):
+            for n, process in enumerate([core, *(one for one in self.deployment.cores if one is not core)]):
                 self._later(1.0 + RESTART_PAUSE * n, self._kill, process, False)
         if "seeds" in words:
             self._reseed([core.machine.ip, *others])
-            for n, side in enumerate(self._sides(chance, 0.4)):
-                self._later(1.0 + 0.5 * n, self._kill, side.proxy, False)
+            for n, sidecar_node in enumerate(self._choose_nodes(chance, 0.4)):
+                self._later(1.0 + 0.5 * n, self._kill, sidecar_node.proxy, False)
 
     def _reset(self, process: Process, chance: random.Random, share: float) -> None:
-        self.book.trouble(process.machine.ip, 0, process.machine.disk is not None)
+        self.invariant_checker.mark_fault(process.machine.ip, 0, process.machine.disk is not None)
         for end in list(process.ends):
             if chance.random() < share:
                 end.torn()
 
     def reset_conns(self, fault: Fault, chance: random.Random) -> None:
         """Connections of some proxies are reset."""
-        for side in self._sides(chance, 0.35):
-            self._reset(side.proxy, chance, RESETS)
+        for sidecar_node in self._choose_nodes(chance, 0.35):
+            self._reset(sidecar_node.proxy, chance, RESETS)
 
     def core_resets(self, fault: Fault, chance: random.Random) -> None:
         """All connections of control machines are reset, twice."""
-        for core in self.field.cores:
+        for core in self.deployment.cores:
             self._reset(core, chance, 1.0)
             self._later(1.5, self._reset, core, chance, 1.0)
 
@@ -159,19 +159,19 @@
 
     def clock_step(self, fault: Fault, chance: random.Random) -> None:
         """The time of day jumps on some machines, and back after a while."""
-        processes = self.field.programs()
+        processes = self.deployment.programs()
         for process in chance.sample(processes, max(1, len(processes) // 3)):
             self._step(process.machine, CLOCK_STEPS[fault.how])
             self._later(5.0, self._step, process.machine, -CLOCK_STEPS[fault.how])
 
     def _step(self, machine: Machine, seconds: float) -> None:
         machine.skew += seconds
-        self.book.trouble(machine.ip, 0, machine.disk is not None)
+        self.invariant_checker.mark_fault(machine.ip, 0, machine.disk is not None)
 
     def node_slow(self, fault: Fault, chance: random.Random) -> None:
         """A process runs slower: it stands still again and again."""
         core = fault.how == "core"
-        process = chance.choice(self.field.cores) if core else self._sides(chance, 0.1)[0].proxy
+        process = chance.choice(self.deployment.cores) if core else self._choose_nodes(chance, 0.1)[0].proxy
         turn = SLOW_TURN * SLOWER / (SLOWER - 1)
         turns = round(5.0 / turn)
         for n in range(turns):
@@ -182,30 +182,30 @@
     def scale_out(self, fault: Fault, chance: random.Random) -> None:
         """One more machine of each zone."""
         for n, zone in enumerate(ZONES):
-            taken = {side.ip for side in self.field.sides}
+            taken = {sidecar_node.ip for sidecar_node in self.deployment.sidecar_nodes}
             prefix = f"10.{n + 1}.200."
             ip = next(f"{prefix}{last}" for last in range(20, 220) if f"{prefix}{last}" not in taken)
-            side = Side(self.field, ip, zone, chance.choice(SERVICES))
-            self.field.sides.append(side)
-            self._trouble(side.machine, 1.0)
-            side.proxy.start()
-            self._later(1.0, side.backend.start)
-            self._later(3.0, side.clients.start)
+            sidecar_node = SidecarNode(self.deployment, ip, zone, chance.choice(SERVICES))
+            self.deployment.sidecar_nodes.append(sidecar_node)
+            self._trouble(sidecar_node.machine, 1.0)
+            sidecar_node.proxy.start()
+            self._later(1.0, sidecar_node.backend.start)
+            self._later(3.0, sidecar_node.clients.start)
 
     def seed_turnover(self, fault: Fault, chance: random.Random) -> None:
         """The settings of processes that start from now on name other seeds, or fewer."""
-        ips = [core.machine.ip for core in self.field.cores]
+        ips = [core.machine.ip for core in self.deployment.cores]
         self._reseed(chance.sample(ips, chance.randint(1, len(ips))))
-        for n, side in enumerate(self._sides(chance, 0.3)):
-            self._later(0.5 * n, self._kill, side.proxy, False)
+        for n, sidecar_node in enumerate(self._choose_nodes(chance, 0.3)):
+            self._later(0.5 * n, self._kill, sidecar_node.proxy, False)
 
     def _reseed(self, seeds: list[str]) -> None:
-        self.field.seeds = seeds
+        self.deployment.seeds = seeds
 
     # Disks.
 
     def _disk_trouble(self, chance: random.Random) -> Disk:
-        core = chance.choice(self.field.cores)
+        core = chance.choice(self.deployment.cores)
         self._trouble(core.machine, 4.0)
         assert core.machine.disk is not None
         return core.machine.disk
@@ -241,7 +241,7 @@
         super().core_replace(Fault(self.world.now, "core_replace", "", 0), chance)
 
     def _kill_a_core(self, chance: random.Random) -> None:
-        self._kill(chance.choice(self.field.cores), True)
+        self._kill(chance.choice(self.deployment.cores), True)
 
     def after_ack_kill(self, fault: Fault, chance: random.Random) -> None:
         """The machine that acknowledges a change is killed at once; or any does soon after it was sent."""
@@ -261,13 +261,13 @@
     def _timed(self, chance: random.Random, strike: Callable[[Process], None]) -> None:
         """Change something, and strike a control machine 5 to 400 ms later, acknowledged or not."""
         self._change(3000)
-        self._later(chance.uniform(0.005, 0.4), strike, chance.choice(self.field.cores))
+        self._later(chance.uniform(0.005, 0.4), strike, chance.choice(self.deployment.cores))
 
     # The operator.
 
     def ack_lost(self, fault: Fault, chance: random.Random) -> None:
         """Most acknowledgements are lost for a while; the operator sends the same again, elsewhere."""
-        operator = self.field.operator
+        operator = self.deployment.operator
         operator.loses = LOST_ACKS
         self._later(6.0, setattr, operator, "loses", 0.0)
         for n in range(8):
@@ -284,29 +284,29 @@
     def big_config(self, fault: Fault, chance: random.Random) -> None:
         """The configuration grows by many routes."""
         row = ("maps.example", "read_only", chance.choice(SERVICES))
-        first = len(self.field.idlers)
+        first = len(self.deployment.idlers)
         for n in range(first, first + MANY_ROUTES):
-            self.field.idlers.insert(0, (row[0], f"/more{n}/", *row[1:]))
+            self.deployment.idlers.insert(0, (row[0], f"/more{n}/", *row[1:]))
         self._change(3000)
 
     # Clients.
 
     def burst(self, fault: Fault, chance: random.Random) -> None:
         """More clients come for a while."""
-        for flow in self.field.flows:
+        for flow in self.deployment.flows:
             flow.per_s *= 2.0
             self._later(3.0, setattr, flow, "per_s", flow.per_s / 2.0)
 
     def retry_abuse(self, fault: Fault, chance: random.Random) -> None:
         """Clients repeat more often."""
-        for flow in self.field.flows:
+        for flow in self.deployment.flows:
             flow.tries += 3
             self._later(5.0, setattr, flow, "tries", flow.tries - 3)
 
     def give_up(self, fault: Fault, chance: random.Random) -> None:
         """Many clients leave early, by an orderly close; "slow": while backends work for seconds."""
-        for side in self.field.sides:
-            clients = side.clients.program
+        for sidecar_node in self.deployment.sidecar_nodes:
+            clients = sidecar_node.clients.program
             if isinstance(clients, Clients):
                 clients.leavers = LEAVERS
                 self._later(LEAVERS_S, setattr, clients, "leavers", 0.0)
@@ -317,27 +317,27 @@
 
     def srv_crash(self, fault: Fault, chance: random.Random) -> None:
         """Some backends are down for a while."""
-        for side in self._sides(chance, 0.15):
-            self._down(side, 4.0)
+        for sidecar_node in self._choose_nodes(chance, 0.15):
+            self._down(sidecar_node, 4.0)
 
-    def _down(self, side: Side, seconds: float) -> None:
-        if side not in self.leaving:
-            self._crash(side)
-            self._later(seconds, self._begin, side)
+    def _down(self, sidecar_node: SidecarNode, seconds: float) -> None:
+        if sidecar_node not in self.leaving:
+            self._crash(sidecar_node)
+            self._later(seconds, self._begin, sidecar_node)
 
     def srv_flap(self, fault: Fault, chance: random.Random) -> None:
         """Some backends go down and up."""
-        for side in self._sides(chance, 0.15):
+        for sidecar_node in self._choose_nodes(chance, 0.15):
             for n in range(3):
-                self._later(2.4 * n, self._down, side, 1.2)
+                self._later(2.4 * n, self._down, sidecar_node, 1.2)
 
     def _worsen(
         self, chance: random.Random, name: str, value: float, well: float = 0.0, share: float = 0.2
     ) -> None:
         """Give a property of some backends a value for a while, then the one of those that are well."""
-        self.book.any_event = self.world.now
-        for side in self._sides(chance, share):
-            backend = side.life()
+        self.invariant_checker.last_any_fault_at = self.world.now
+        for sidecar_node in self._choose_nodes(chance, share):
+            backend = sidecar_node.life()
             if backend is not None:
                 setattr(backend, name, value)
                 self._later(6.0, setattr, backend, name, well)
--- a/honeywharf/simulation/run.py
+++ b/honeywharf/simulation/run.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from honeywharf.simulation.days import Fault, draw
-from honeywharf.simulation.field import SMALL, TERM, Field, Make, Shape
+from honeywharf.simulation.deployment import SMALL, TERM, Deployment, ProgramFactory, Shape
+from honeywharf.simulation.fault_schedule import Fault, draw
 from honeywharf.simulation.machine import Process
-from honeywharf.simulation.rare_troubles import AnyDay, draw_any
+from honeywharf.simulation.rare_faults import RareFaultSchedule, draw_any
 
 LEAD, QUIET = 5.0, 5.0  # seconds until traffic, and of traffic before troubles
 TROUBLES, AFTER = 10.0, 26.0  # seconds of troubles, and of traffic after the last may have begun
@@ -17,20 +17,23 @@
 class Report:
     """What a day showed. `broken` is (rule, seconds, what); `digest` is equal for equal days."""
 
-    def __init__(self, seed: int, faults: list[Fault], field: Field) -> None:
-        asks = field.book.asks.values()
+    def __init__(self, seed: int, faults: list[Fault], deployment: Deployment) -> None:
+        attempts = deployment.invariant_checker.attempts.values()
         self.seed, self.faults = seed, faults
-        self.steps, self.digest = field.world.steps, field.world.digest
-        self.broken = list(field.book.found)
-        self.broken += [("FAULT", when, f"{who}: {trace}") for when, who, trace in field.world.crashes]
-        self.asked, self.served = len(asks), sum(200 <= ask.status < 300 for ask in asks)
+        self.steps, self.digest = deployment.world.steps, deployment.world.digest
+        self.broken = list(deployment.invariant_checker.violations)
+        self.broken += [("FAULT", when, f"{who}: {trace}") for when, who, trace in deployment.world.crashes]
+        self.asked, self.served = len(attempts), sum(200 <= attempt.status < 300 for attempt in attempts)
         if not self.served and not self.broken:
-            self.broken.append(("FAULT", field.world.now, "no request was served"))
-        self.notes = list(field.world.notes)
-        self.story = list(field.world.story)
+            self.broken.append(("FAULT", deployment.world.now, "no request was served"))
+        self.notes = list(deployment.world.notes)
+        self.story = list(deployment.world.story)
         words = self.broken[0][2].split() if self.broken else []
         self.about = [
-            line for word in words[:1] if word in field.book.asks for line in field.book.asks[word].story()
+            line
+            for word in words[:1]
+            if word in deployment.invariant_checker.attempts
+            for line in deployment.invariant_checker.attempts[word].history()
         ]
 
     def __str__(self) -> str:
@@ -69,8 +72,8 @@
 def run(
     seed: int,
     faults: list[Fault] | None = None,
-    sidecar: Make = real_sidecar,
-    control_node: Make = real_control_node,
+    sidecar: ProgramFactory = real_sidecar,
+    control_node: ProgramFactory = real_control_node,
     shape: Shape = SMALL,
     after: float = AFTER,
     any_kind: bool = False,
@@ -82,21 +85,24 @@
     """
     begin = LEAD + QUIET
     until = begin + TROUBLES + after
-    field = Field(seed, sidecar, control_node, shape, LEAD, until)
+    deployment = Deployment(seed, sidecar, control_node, shape, LEAD, until)
     if faults is None:
         faults = (draw_any if any_kind else draw)(seed, begin, begin + TROUBLES)
-    AnyDay(field, faults)
-    field.world.strict = True
-    field.world.run(until + 2.0)
-    if not field.world.halted:
-        field.book.tell("closing", until - 1.0)
-        field.operator.read_back()
-        field.world.run(until + 8.0)
-    return Report(seed, faults, field)
+    RareFaultSchedule(deployment, faults)
+    deployment.world.strict = True
+    deployment.world.run(until + 2.0)
+    if not deployment.world.halted:
+        deployment.invariant_checker.notify("closing", until - 1.0)
+        deployment.operator.read_back()
+        deployment.world.run(until + 8.0)
+    return Report(seed, faults, deployment)
 
 
 def shrink(
-    report: Report, sidecar: Make = real_sidecar, control_node: Make = real_control_node, shape: Shape = SMALL
+    report: Report,
+    sidecar: ProgramFactory = real_sidecar,
+    control_node: ProgramFactory = real_control_node,
+    shape: Shape = SMALL,
 ) -> Report:
     """Leave out one fault after the other while the same rule is still broken."""
     least, tried = report, 0
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -17,8 +17,8 @@
 from honeywharf.drift.requests import DriftMonitor
 from honeywharf.mesh_config.routes import Route, RoutingTable
 from honeywharf.sidecar.inbound import Job
-from honeywharf.simulation.field import SERVICES, SMALL, ZONES, Field, Side
-from honeywharf.simulation.rules import Ask, Order
+from honeywharf.simulation.deployment import SERVICES, SMALL, ZONES, Deployment, SidecarNode
+from honeywharf.simulation.invariants import Attempt, Order
 from honeywharf.simulation.run import real_control_node, real_sidecar
 
 LEAD = 4.0
@@ -177,14 +177,14 @@
 
     def freeze(self, sidecar: Any, chance: random.Random) -> Undo:
         """The process stands still while the word changes."""
-        side = self.trial.victim
-        side.proxy.freeze()
-        self.trial.field.book.trouble(side.ip, 1)
+        sidecar_node = self.trial.victim
+        sidecar_node.proxy.freeze()
+        self.trial.deployment.invariant_checker.mark_fault(sidecar_node.ip, 1)
         self.trial.order(chance)
 
         def thaw() -> None:
-            self.trial.field.book.trouble(side.ip, -1)
-            side.proxy.thaw()
+            self.trial.deployment.invariant_checker.mark_fault(sidecar_node.ip, -1)
+            sidecar_node.proxy.thaw()
 
         self.trial.later(3.0, thaw)
         return lambda: None
@@ -270,21 +270,21 @@
 
     def disk(self, sidecar: Any, chance: random.Random) -> Undo:
         """A control node's disk gives back an older word."""
-        field = self.trial.field
-        core = self.trial.core = chance.choice(field.cores)
+        deployment = self.trial.deployment
+        core = self.trial.core = chance.choice(deployment.cores)
         disk = cast(Any, core.machine.disk)
         older = dict(disk.files)
         self.trial.order(chance)
 
         def strike() -> None:
-            field.book.trouble(core.machine.ip, 1, True)
+            deployment.invariant_checker.mark_fault(core.machine.ip, 1, True)
             core.machine.power_off()
             disk.files.clear()
             disk.files.update(older)
 
         def back() -> None:
             core.machine.power_on()
-            field.book.trouble(core.machine.ip, -1, True)
+            deployment.invariant_checker.mark_fault(core.machine.ip, -1, True)
 
         self.trial.later(1.5, strike)
         self.trial.later(2.5, back)
@@ -326,10 +326,12 @@
     def __init__(self, seed: int, kind: str, many: int, ways: tuple[str, ...] = WAYS) -> None:
         self.chance, self.kind, self.many, self.ways = random.Random(seed), kind, many, ways
         self.gap = LONG.get(kind, UNDONE) + 0.4
-        self.field = Field(seed, self._sidecar, real_control_node, SMALL, LEAD, FIRST + many * self.gap + 2.0)
-        self.world, self.book = self.field.world, self.field.book
+        self.deployment = Deployment(
+            seed, self._sidecar, real_control_node, SMALL, LEAD, FIRST + many * self.gap + 2.0
+        )
+        self.world, self.invariant_checker = self.deployment.world, self.deployment.invariant_checker
         self.slips: list[Slip] = []
-        self.victim: Side = self.field.sides[0]
+        self.victim: SidecarNode = self.deployment.sidecar_nodes[0]
         self.undo: Undo = lambda: None
         self.told: list[Order] = []
         self.readings: dict[bytes, second.Told] = {}
@@ -378,9 +380,11 @@
         self.older = self.newest
         self.moves["/orders/"] = {"order-desk": chance.randint(2, 5), "survey-intake": chance.randint(1, 2)}
         self.moves["/parcels/"] = {chance.choice(SERVICES): 1}
-        order = self.field.moved(self.field.next_version(), self.moves, 2500 + 100 * (len(self.told) % 9))
+        order = self.deployment.moved(
+            self.deployment.next_version(), self.moves, 2500 + 100 * (len(self.told) % 9)
+        )
         self.told.append(order)
-        self.field.operator.order(order)
+        self.deployment.operator.order(order)
 
     @property
     def newest(self) -> bytes:
@@ -408,9 +412,10 @@
 
     def _put(self) -> None:
         running = [
-            side
-            for side in self.field.sides
-            if side.proxy.program is not None and cast(Any, side.proxy.program).mesh_state.table is not None
+            sidecar_node
+            for sidecar_node in self.deployment.sidecar_nodes
+            if sidecar_node.proxy.program is not None
+            and cast(Any, sidecar_node.proxy.program).mesh_state.table is not None
         ]
         self.victim = self.chance.choice(running)
         self.slips.append(Slip(self.victim.ip, self.world.now))
@@ -441,7 +446,9 @@
                 self.alarms.append((self.world.now, ip, f"{by}: {what}"))
         elif slip.after < 0:
             slip.by = by
-            slip.after = sum(ask.machine == ip and ask.sent >= slip.at for ask in self.book.asks.values())
+            slip.after = sum(
+                ask.machine == ip and ask.sent >= slip.at for ask in self.invariant_checker.attempts.values()
+            )
 
     def _read(self, order: Order) -> second.Told:
         found = self.readings.get(order.text)
@@ -449,11 +456,11 @@
             found = self.readings[order.text] = second.Told(order.text)
         return found
 
-    def _may(self, sent: Ask) -> list[Order]:
+    def _may(self, sent: Attempt) -> list[Order]:
         """Configurations by which a request may run. Without slips, only machines in touch are held to it."""
-        bound = sent.sent - self.book.bounds["config-apply"]
-        orders = [order for order in self.book.configs() if order.sent <= self.world.now]
-        if self.kind == "none" and not self.book.in_touch(sent.machine, sent.sent):
+        bound = sent.sent - self.invariant_checker.bounds["config-apply"]
+        orders = [order for order in self.invariant_checker.configs() if order.sent <= self.world.now]
+        if self.kind == "none" and not self.invariant_checker.is_undisturbed(sent.machine, sent.sent):
             return orders
         floor = max((order.version for order in orders if order.acked <= bound), default=0)
         return [order for order in orders if order.version >= floor]
@@ -461,7 +468,7 @@
     def ran(self, job: Job) -> None:
         """A request's head goes to a backend now."""
         ask = job.ask
-        sent = self.book.asks.get(ask.attempt_id.decode())
+        sent = self.invariant_checker.attempts.get(ask.attempt_id.decode())
         if sent is None or sent.repeatable:
             return
         self.strict["runs"] += 1
@@ -496,6 +503,6 @@
     def statuses(self) -> dict[int, int]:
         """Final statuses of all tries; 0 and 1: no answer."""
         found: dict[int, int] = {}
-        for ask in self.book.asks.values():
+        for ask in self.invariant_checker.attempts.values():
             found[ask.status] = found.get(ask.status, 0) + 1
         return found
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -19,9 +19,9 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
+from honeywharf.simulation.actors import Flow, Message
 from honeywharf.simulation.slips import Kinds
-from honeywharf.simulation.standins import Flow, Message
 from honeywharf.standins.meshdemo import LOOK_S, ROUTES, Day, Mesh, Program, place
 
 SLIPS = ("kind", "weights", "lost", "evacuation", "timeout")
@@ -78,7 +78,7 @@
 
     def _look(self, put: _Put) -> None:
         core = self.mesh.cores[0]
-        self.mesh.ask((core.ip, self.mesh.port(field.CONTROL)), "/api/drift", partial(self._seen, put))
+        self.mesh.ask((core.ip, self.mesh.port(deployment.CONTROL)), "/api/drift", partial(self._seen, put))
 
     def _seen(self, put: _Put, message: Message | None) -> None:
         views = json.loads(message.body)["views"] if message is not None and message.status == 200 else []
@@ -88,7 +88,7 @@
             put.by = ", ".join(sorted(view["caught"]))
             put.sent = sum(
                 ask.machine == put.ip and put.at <= ask.sent <= self.mesh.world.now
-                for ask in self.mesh.book.asks.values()
+                for ask in self.mesh.invariant_checker.attempts.values()
             )
             self.day.say(f"  {put.kind}: caught by {put.by}, {put.state}: {view['slips'][-1][2]}")
         elif self.mesh.world.now < put.at + EVERY_S - LOOK_AGAIN_S:
@@ -96,18 +96,18 @@
 
     def judge(self) -> int:
         """Say the table; the exit status."""
-        asks = list(self.mesh.book.asks.values())
+        attempts = list(self.mesh.invariant_checker.attempts.values())
         figures = {
             "requests run twice that may not be": sum(
-                not ask.repeatable and len(ask.runs) > 1 for ask in asks
+                not ask.repeatable and len(ask.runs) > 1 for ask in attempts
             ),
             "requests run by a service that no rule names": sum(
                 name != at.service
-                for ask in asks
+                for ask in attempts
                 for _, at in ask.runs
                 for name in self.day.first.services(ask.host, ask.path)
             ),
-            "requests refused though their rule is there": sum(ask.status == 404 for ask in asks),
+            "requests refused though their rule is there": sum(ask.status == 404 for ask in attempts),
             "slips not caught": sum(put.caught_s < 0 for put in self.puts),
             "slips not healed": sum(put.state not in ("healed", "agreed") for put in self.puts),
         }
@@ -117,13 +117,19 @@
                 f"{put.kind:<12} {put.ip:<14} {put.caught_s:>8.2f} s {put.sent:>15}  "
                 f"{put.by or 'nobody'}, {put.state}"
             )
-        served = sum(200 <= ask.status < 300 for ask in asks)
-        self.day.say(f"{served} of {len(asks)} requests served")
+        served = sum(200 <= ask.status < 300 for ask in attempts)
+        self.day.say(f"{served} of {len(attempts)} requests served")
         for what, number in figures.items():
             self.day.say(f"{number:>8}  {what}")
-        for rule, when, what in self.mesh.book.found:
+        for rule, when, what in self.mesh.invariant_checker.violations:
             self.day.say(f"  BROKEN: {rule} at {when:.1f} s: {what}")
-        return 1 if any(figures.values()) or self.mesh.book.found or served < 0.95 * len(asks) else 0
+        return (
+            1
+            if any(figures.values())
+            or self.mesh.invariant_checker.violations
+            or served < 0.95 * len(attempts)
+            else 0
+        )
 
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -27,7 +27,7 @@
 from honeywharf.sessions.frames import BULK
 from honeywharf.sessions.gateway_location import GatewayLocation
 from honeywharf.sessions.session_client import SessionClient
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.standins import meshdemo
 from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Connection
@@ -238,7 +238,7 @@
     def __init__(self, folder: Path, seed: int, rate: float, sessions: bool) -> None:
         self.folder, self.rate, self.rng = folder, rate, random.Random(seed)
         self.subnet, shift = meshdemo.place()
-        self.gateway_port, self.operator_port = field.INTERNAL + shift, field.CONTROL + shift
+        self.gateway_port, self.operator_port = deployment.INTERNAL + shift, deployment.CONTROL + shift
         self.loop = EventLoop(None)
         self.locations = [
             GatewayLocation((f"{self.subnet}.{10 * n + k}", self.gateway_port), region, f"{region}-{k}")
@@ -267,7 +267,7 @@
 
     def _gateway_process(self, location: GatewayLocation) -> Child:
         ip = location.address[0]
-        settings = json.loads(field.settings(ip, location.zone, [ip], True))
+        settings = json.loads(deployment.settings(ip, location.zone, [ip], True))
         settings.update(
             {
                 "role": "gateway",
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -24,9 +24,16 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from honeywharf.simulation import field
-from honeywharf.simulation.rules import RULES, TRANSIT, Ask, Book, Order, Rule
-from honeywharf.simulation.standins import Backend, Caller, Clients, Flow, Message, Operator, text
+from honeywharf.simulation import deployment
+from honeywharf.simulation.actors import Backend, Caller, Clients, Flow, Message, Operator, text
+from honeywharf.simulation.invariants import (
+    INVARIANTS,
+    TRANSIT_S,
+    Attempt,
+    Invariant,
+    InvariantChecker,
+    Order,
+)
 from honeywharf.transport.event_loop import EventLoop, EventLoopTimer
 from honeywharf.transport.host import Address, Connection, Handler
 
@@ -89,15 +96,15 @@
         self.loop.listen(at, taken)
 
 
-class Heard(Rule):
+class Heard(Invariant):
     """No rule: hears beside the rules when a leave was acknowledged, and what was read back."""
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Nothing yet."""
         self.left: dict[str, float] = {}
         self.text: bytes | None = None
 
-    def beat(self, backend: Backend, state: str) -> None:
+    def heartbeat_acked(self, backend: Backend, state: str) -> None:
         """A call of a backend was acknowledged."""
         if state != "ready":
             self.left.setdefault(backend.id, self.now)
@@ -160,14 +167,14 @@
 
     def live(self, cold: float = 0.0) -> None:
         """Begin a life of the backend, in place of the last."""
-        application, control = self.mesh.port(field.APPLICATION), self.mesh.port(field.CONTROL)
+        application, control = self.mesh.port(deployment.APPLICATION), self.mesh.port(deployment.CONTROL)
         if self.backend is not None:
             self.mesh.loop.unlisten((self.ip, application))
             for served in list(self.backend.connections):
                 served.connection.abort()
         self.backend = Backend(
             cast(Any, Quay(self.mesh.world, self.ip, self.zone)),
-            self.mesh.book,
+            self.mesh.invariant_checker,
             self.service,
             application,
             control,
@@ -178,12 +185,12 @@
         """Have the machine's clients ask until a time of the world."""
         clients = Clients(
             cast(Any, Quay(self.mesh.world, self.ip, self.zone)),
-            self.mesh.book,
+            self.mesh.invariant_checker,
             flows,
             lambda: self.service,
             cast(Any, self.proxy),
-            self.mesh.port(field.OUTBOUND),
-            self.mesh.port(field.READINESS),
+            self.mesh.port(deployment.OUTBOUND),
+            self.mesh.port(deployment.READINESS),
         )
         clients.until = until
 
@@ -197,16 +204,18 @@
         self.folder, self.subnet, self.shift = folder, subnet, shift
         self.loop = EventLoop(None)
         self.world = World(self.loop, seed)
-        self.book = Book(cast(Any, self.world), {**field.BOUNDS, **field.NUMBERS, **field.WINDOW})
-        self.heard = Heard(self.book)
-        self.book.rules.append(self.heard)
+        self.invariant_checker = InvariantChecker(
+            cast(Any, self.world), {**deployment.BOUNDS, **deployment.NUMBERS, **deployment.WINDOW}
+        )
+        self.heard = Heard(self.invariant_checker)
+        self.invariant_checker.invariants.append(self.heard)
         self.seeds = [self.address(10 + n) for n in range(CORES)]
         self.cores = [self.program("control", ip, ZONES[n % len(ZONES)]) for n, ip in enumerate(self.seeds)]
         self.sides = [Side(self, n, (TILES, ORDERS, ORDERS, TILES, TILES)[n]) for n in range(SIDES)]
         self.operator = Operator(
             cast(Any, Quay(self.world, self.address(5), "outside")),
-            self.book,
-            lambda: [(core.ip, self.port(field.CONTROL)) for core in self.cores],
+            self.invariant_checker,
+            lambda: [(core.ip, self.port(deployment.CONTROL)) for core in self.cores],
         )
 
     def address(self, number: int) -> str:
@@ -224,7 +233,7 @@
 
     def program(self, name: str, ip: str, zone: str, service: str = "") -> Program:
         """A program with its settings, as the platform would write them."""
-        told = json.loads(field.settings(ip, zone, self.seeds, True, service))
+        told = json.loads(deployment.settings(ip, zone, self.seeds, True, service))
         told["zones"] = dict.fromkeys(ZONES, told["region"])
         for key, at in told["listen-addresses"].items():
             told["listen-addresses"][key] = self._moved(at)
@@ -377,7 +386,7 @@
             if not side.ready:
                 self.mesh.loop.after(0.1, partial(self._look, side))
 
-        self.mesh.ask((side.ip, self.mesh.port(field.READINESS)), "/api/readiness", told)
+        self.mesh.ask((side.ip, self.mesh.port(deployment.READINESS)), "/api/readiness", told)
 
     def play(self) -> None:
         """Traffic, and what happens meanwhile."""
@@ -403,25 +412,25 @@
         self.left = self.leaver.backend
         self.say(f"  the backend at {self.leaver.ip} drains, and one that is cold takes its place")
         if self.left is not None:
-            self.left.leave(partial(self.leaver.live, field.COLD))
+            self.left.leave(partial(self.leaver.live, deployment.COLD))
 
     def _kill(self) -> None:
         self.say(f"  the sidecar at {self.victim.ip} is killed by SIGKILL, and starts again")
-        self.mesh.book.trouble(self.victim.ip, 1)
+        self.mesh.invariant_checker.mark_fault(self.victim.ip, 1)
         self.victim.proxy.send(signal.SIGKILL)
         self.mesh.loop.after(0.3, self._again)
 
     def _again(self) -> None:
         self.victim.proxy.start()
-        self.mesh.book.trouble(self.victim.ip, -1)
+        self.mesh.invariant_checker.mark_fault(self.victim.ip, -1)
 
     def _line(self, second: int) -> None:
         cells = []
         for zone in ZONES:
             here = {side.ip for side in self.mesh.sides if side.zone == zone}
-            asks = [ask for ask in self.mesh.book.asks.values() if ask.machine in here]
-            served = sum(200 <= ask.status < 300 for ask in asks)
-            cells.append(f"{zone:>10}: sent {len(asks):>5} served {served:>5}")
+            attempts = [ask for ask in self.mesh.invariant_checker.attempts.values() if ask.machine in here]
+            served = sum(200 <= ask.status < 300 for ask in attempts)
+            cells.append(f"{zone:>10}: sent {len(attempts):>5} served {served:>5}")
         self.say(f"{second:>4} s |" + " |".join(cells))
 
     def end(self) -> None:
@@ -445,18 +454,19 @@
 
     def figures(self) -> dict[str, int]:
         """What must be 0, counted from what clients and backends saw."""
-        asks = list(self.mesh.book.asks.values())
+        attempts = list(self.mesh.invariant_checker.attempts.values())
         return {
             "requests run twice that may not be": sum(
-                not ask.repeatable and len(ask.runs) > 1 for ask in asks
+                not ask.repeatable and len(ask.runs) > 1 for ask in attempts
             ),
             "requests run after a promise that they had not": sum(
-                ask.status in (408, 421, 429, 503) and bool(ask.runs) and not ask.repeatable for ask in asks
+                ask.status in (408, 421, 429, 503) and bool(ask.runs) and not ask.repeatable
+                for ask in attempts
             ),
             "requests that reached the backend after its drain": sum(
-                when > self._drained() for ask in asks for when, at in ask.arrivals if at is self.left
+                when > self._drained() for ask in attempts for when, at in ask.arrivals if at is self.left
             ),
-            "requests by the old route after its change applied": sum(map(self._outdated, asks)),
+            "requests by the old route after its change applied": sum(map(self._outdated, attempts)),
             "programs that did not end with status 0": sum(status != 0 for status in self.ends),
             "faults told in the programs' logs, or met by the clients, backends and operator": sum(
                 line.startswith(("fault ", "calls: "))
@@ -469,25 +479,25 @@
     def _drained(self) -> float:
         """From when on no request may reach the backend that left; seconds of the world."""
         since = self.mesh.heard.left.get(self.left.id, 1e9) if self.left is not None else 1e9
-        return since + field.BOUNDS["drain-timeout"] + TRANSIT
+        return since + deployment.BOUNDS["drain-timeout"] + TRANSIT_S
 
-    def _outdated(self, ask: Ask) -> bool:
-        late = ask.sent > self.change.acked + field.BOUNDS["config-apply"]
+    def _outdated(self, ask: Attempt) -> bool:
+        late = ask.sent > self.change.acked + deployment.BOUNDS["config-apply"]
         return late and ask.path.startswith(MOVED) and any(at.service != ORDERS for _, at in ask.runs)
 
     def judge(self) -> int:
         """Say the figures; the exit status."""
-        book, figures = self.mesh.book, self.figures()
+        invariant_checker, figures = self.mesh.invariant_checker, self.figures()
         here, others = self._statuses(at_victim=True), self._statuses(at_victim=False)
         self._say_statuses("where no proxy was killed", others)
         self._say_statuses("where the proxy was killed", here)
         self.say("largest memory: " + ", ".join(f"a {name} {mb:.1f} MB" for name, mb in self.memory.items()))
         for what, number in figures.items():
             self.say(f"{number:>8}  {what}")
-        rules = {rule.__name__.upper() for rule in RULES}
+        rules = {rule.__name__.upper() for rule in INVARIANTS}
         checks = {
-            ", ".join(sorted(rules - {rule for rule, _, _ in book.found})): True,
-            **{f"{rule} at {when:.1f} s: {what}": False for rule, when, what in book.found},
+            ", ".join(sorted(rules - {rule for rule, _, _ in invariant_checker.violations})): True,
+            **{f"{rule} at {when:.1f} s: {what}": False for rule, when, what in invariant_checker.violations},
             f"at least {MIN_SERVED:.0%} served where no proxy was killed": others["200"]
             >= MIN_SERVED * max(1, others.total()),
             "the change was acknowledged, and was read back at the end": self.change.acked < 1e9
@@ -500,7 +510,7 @@
     def _statuses(self, at_victim: bool) -> Counter[str]:
         return Counter(
             "no answer" if ask.status < 100 else str(ask.status)
-            for ask in self.mesh.book.asks.values()
+            for ask in self.mesh.invariant_checker.attempts.values()
             if (ask.machine == self.victim.ip) == at_victim
         )
 
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -154,8 +154,8 @@
 
 def view_drift(trial: slips.Trial) -> None:
     """Lets a control node request the drift view of every sidecar."""
-    core: Any = trial.field.cores[0].program
-    trial.field.cores[0].call(trial.field.cores[0].life, core.operator.handle, OperatorCall())
+    core: Any = trial.deployment.cores[0].program
+    trial.deployment.cores[0].call(trial.deployment.cores[0].life, core.operator.handle, OperatorCall())
     trial.world.run(trial.world.now + VIEW_S)
 
 
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -8,15 +8,15 @@
 import pytest
 
 from honeywharf.drift import rounds, states
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.field import ZONES, Side
-from honeywharf.simulation.rules import Ask
+from honeywharf.simulation.actors import Caller
+from honeywharf.simulation.deployment import ZONES, SidecarNode
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
+from honeywharf.simulation.invariants import Attempt
 from honeywharf.simulation.slips import Kinds, Trial
-from honeywharf.simulation.standins import Caller
 from honeywharf.verdict import TURNED_AWAY
 
 
-def program(side: Side) -> Any:
+def program(side: SidecarNode) -> Any:
     """The sidecar that runs there."""
     return cast(Any, side.proxy.program)
 
@@ -24,13 +24,13 @@
 def calm(trial: Trial) -> None:
     """Nothing was broken, and nobody was alarmed."""
     assert trial.world.crashes == []
-    assert trial.book.found == []
+    assert trial.invariant_checker.violations == []
     assert trial.wrong == []
     assert trial.alarms == []
-    assert all(not program(side).drift_monitor.state.aside for side in trial.field.sides)
+    assert all(not program(side).drift_monitor.state.aside for side in trial.deployment.sidecar_nodes)
 
 
-def deaf(side: Side) -> None:
+def deaf(side: SidecarNode) -> None:
     """It hears no news of words; it may still ask for one, and be told by whom it asks."""
     program(side).mesh_state.heard = lambda revision, holder: None
 
@@ -45,10 +45,10 @@
 def test_a_change_in_the_middle_of_an_upload_neither_loses_nor_doubles_it(moved: bool) -> None:
     trial = Trial(11, "none", 0)
     trial.play(8.0)
-    side = trial.field.sides[0]
+    side = trial.deployment.sidecar_nodes[0]
     answers: list[Any] = []
     caller = Caller(side.clients, (side.ip, 8304), lambda tag, message: answers.append(message))
-    ask = trial.book.asks["aa01"] = Ask(
+    ask = trial.invariant_checker.attempts["aa01"] = Attempt(
         "aa01", side.ip, side.service, "PUT", "shop.example", "/uploads/9", "upload"
     )
     ask.body = bytes(40_000)
@@ -63,7 +63,7 @@
         trial.moves["/uploads/"] = {"tile-vault": 1}
     ordered(trial)
     trial.play(9.2)
-    assert len({program(one).mesh_state.version for one in trial.field.sides}) == 1
+    assert len({program(one).mesh_state.version for one in trial.deployment.sidecar_nodes}) == 1
     caller.connection.send(ask.body[20_000:])
     trial.play(12.0)
     assert [message.status for message in answers] == [200]
@@ -73,20 +73,20 @@
 
 def test_a_change_in_the_middle_of_retries_and_of_answers_421_alarms_nobody() -> None:
     trial = Trial(12, "none", 0)
-    trial.field.until = 18.0
-    Day(
-        trial.field,
+    trial.deployment.until = 18.0
+    FaultSchedule(
+        trial.deployment,
         [Fault(8.0 + n, kind, "", 40 + n) for n in range(6) for kind in ("answer_lost", "config_change")],
     )
 
     def other() -> None:
-        for side in trial.field.sides[:3]:
+        for side in trial.deployment.sidecar_nodes[:3]:
             program(side).gate.instance = "i-other"  # until its next beat, its backend answers 421
 
     for n in range(24):
         trial.world.at(8.0 + n / 4, other)
     trial.play(22.0)
-    turned = sum(program(side).source.refusals.get(TURNED_AWAY, 0) for side in trial.field.sides)
+    turned = sum(program(side).source.refusals.get(TURNED_AWAY, 0) for side in trial.deployment.sidecar_nodes)
     assert turned > 10
     calm(trial)
 
@@ -94,7 +94,7 @@
 def test_half_on_one_word_and_half_on_the_next_for_two_seconds_is_no_slip() -> None:
     trial = Trial(13, "none", 0)
     trial.play(8.0)
-    behind = trial.field.sides[::2]
+    behind = trial.deployment.sidecar_nodes[::2]
     before = program(behind[0]).mesh_state.version
     for side in behind:
         word = program(side).mesh_state
@@ -102,33 +102,33 @@
     version = ordered(trial)
     trial.play(10.0)
     assert {program(side).mesh_state.version for side in behind} == {before}
-    assert {program(side).mesh_state.version for side in trial.field.sides[1::2]} == {version}
+    assert {program(side).mesh_state.version for side in trial.deployment.sidecar_nodes[1::2]} == {version}
     assert all(side.proxy.program is not None for side in behind)
-    assert all(program(side).drift_monitor.caught == {} for side in trial.field.sides)
+    assert all(program(side).drift_monitor.caught == {} for side in trial.deployment.sidecar_nodes)
     for side in behind:
         word = program(side).mesh_state
         del word.heard, word._take
     trial.play(14.0)
-    assert {program(side).mesh_state.version for side in trial.field.sides} == {version}
+    assert {program(side).mesh_state.version for side in trial.deployment.sidecar_nodes} == {version}
     calm(trial)
 
 
 def test_a_whole_zone_that_is_behind_learns_from_the_first_request_that_is_ahead() -> None:
     trial = Trial(14, "none", 0)
     trial.play(8.0)
-    zone = [side for side in trial.field.sides if side.machine.zone == ZONES[1]]
+    zone = [side for side in trial.deployment.sidecar_nodes if side.machine.zone == ZONES[1]]
     for side in zone:
         deaf(side)
     version = ordered(trial)
     trial.play(11.5)
-    assert {program(side).mesh_state.version for side in trial.field.sides} == {version}
-    assert not any(ask.status in (502, 504) for ask in trial.book.asks.values())
+    assert {program(side).mesh_state.version for side in trial.deployment.sidecar_nodes} == {version}
+    assert not any(ask.status in (502, 504) for ask in trial.invariant_checker.attempts.values())
     calm(trial)
 
 
 def test_a_thousand_routes_changed_at_once_are_compared_within_the_bound() -> None:
     trial = Trial(15, "none", 0)
-    trial.field.idlers = [
+    trial.deployment.idlers = [
         (
             "maps.example" if n % 2 else "shop.example",
             f"/many{n}/",
@@ -139,7 +139,7 @@
     ]
     trial.play(8.0)
     ordered(trial)  # another timeout in each
-    whole = [program(side) for side in trial.field.sides]
+    whole = [program(side) for side in trial.deployment.sidecar_nodes]
     trial.play(8.6)
     assert {sidecar.mesh_state.version for sidecar in whole} == {trial.told[-1].version}
     assert all(sidecar.drift_monitor.state.at == states.APPLYING for sidecar in whole)
@@ -151,11 +151,11 @@
 
 def test_with_the_majority_out_of_reach_slips_heal_and_what_can_not_is_not_run_here() -> None:
     trial = Trial(16, "none", 0)
-    trial.field.until = 14.0
+    trial.deployment.until = 14.0
     trial.play(8.0)
-    for core in trial.field.cores[:2]:
+    for core in trial.deployment.cores[:2]:
         core.machine.power_off()
-    chance, (first, second) = random.Random(2), trial.field.sides[:2]
+    chance, (first, second) = random.Random(2), trial.deployment.sidecar_nodes[:2]
     Kinds(trial).kind(program(first), chance)
     trial.play(9.5)
     assert program(first).drift_monitor.state.at in (states.HEALED, states.AGREED)
@@ -169,7 +169,11 @@
         False,
     )  # no leave
     assert program(second).source.handed > before
-    asked = [ask for ask in trial.book.asks.values() if ask.machine == second.ip and ask.sent > 10.0]
+    asked = [
+        ask
+        for ask in trial.invariant_checker.attempts.values()
+        if ask.machine == second.ip and ask.sent > 10.0
+    ]
     assert {ask.kind for ask in asked} == {"read_only", "mutating", "upload"}
     assert {ask.status for ask in asked if ask.sent < 12.0} <= {200, 500}
     assert trial.wrong == []
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -118,7 +118,7 @@
     trial = Trial(3, "disk", 2).play()
     assert [slip.by for slip in trial.slips] == ["register", "register"]
     assert trial.wrong == []
-    assert trial.book.found == []
-    replicas = [cast(Any, core.program).replica for core in trial.field.cores]
+    assert trial.invariant_checker.violations == []
+    replicas = [cast(Any, core.program).replica for core in trial.deployment.cores]
     assert len({tuple(map(tuple, replica.state.members)) for replica in replicas}) == 1
     assert all(replica.is_member() for replica in replicas)
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.rules import Ask
+from honeywharf.simulation.actors import Caller
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
+from honeywharf.simulation.invariants import Attempt
 from honeywharf.simulation.slips import KINDS, Trial
-from honeywharf.simulation.standins import Caller
 
 #: Kinds that need nobody's notice where no request is under way: the node asks by itself first.
 QUIET = ("freeze",)
@@ -20,7 +20,7 @@
     trial = Trial(5, kind, 3).play()
     assert trial.strict["runs"] > 100
     assert trial.wrong == []
-    assert trial.book.found == []
+    assert trial.invariant_checker.violations == []
     assert trial.world.crashes == []
     if kind not in QUIET:
         assert all(slip.after >= 0 for slip in trial.slips)
@@ -33,15 +33,15 @@
     assert set(trial.statuses()) <= {200, 500}  # 500 is the stand-in backends' own
     assert trial.wrong == []
     assert trial.alarms == []
-    assert sum(cast(Any, side.proxy.program).source.handed for side in trial.field.sides) > 10
+    assert sum(cast(Any, side.proxy.program).source.handed for side in trial.deployment.sidecar_nodes) > 10
 
 
 def test_who_stands_aside_accuses_nobody_nor_does_one_whose_rule_a_third_has_run() -> None:
     trial = Trial(3, "none", 0)
     trial.world.run(8.0)
-    sidecar = cast(Any, trial.field.sides[0].proxy.program)
-    gates, rule = [side.ip for side in trial.field.sides[1:4]], b"12345678"
-    trial.field.sides[1].proxy.program.membership.publish(q=1)  # type: ignore[attr-defined]
+    sidecar = cast(Any, trial.deployment.sidecar_nodes[0].proxy.program)
+    gates, rule = [side.ip for side in trial.deployment.sidecar_nodes[1:4]], b"12345678"
+    trial.deployment.sidecar_nodes[1].proxy.program.membership.publish(q=1)  # type: ignore[attr-defined]
     trial.world.run(9.0)
     for gate in gates[:2]:
         sidecar.drift_monitor._accuse(gate, rule)
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize("name", HONEST)
 def test_honest_changes_and_troubles_alarm_nobody(name: str) -> None:
     trial = Trial(7, "none", 0)
-    trial.field.until = 20.0
-    Day(trial.field, HONEST[name])
+    trial.deployment.until = 20.0
+    FaultSchedule(trial.deployment, HONEST[name])
     trial.world.strict = True
     trial.world.run(24.0)
-    assert trial.book.found == []
+    assert trial.invariant_checker.violations == []
     assert trial.world.crashes == []
     assert trial.alarms == []
 
@@ -100,10 +100,10 @@
 def test_what_a_client_says_of_rules_and_revisions_is_not_looked_at() -> None:
     trial = Trial(9, "none", 0)
     trial.world.run(5.5)
-    side = trial.field.sides[0]
+    side = trial.deployment.sidecar_nodes[0]
     caller = Caller(side.clients, (side.ip, 8304), lambda tag, message: statuses.append(message))
     statuses: list[Any] = []
-    trial.book.asks["f0f0"] = ask = Ask(
+    trial.invariant_checker.attempts["f0f0"] = ask = Attempt(
         "f0f0", side.ip, side.service, "POST", "shop.example", "/orders/9", "mutating"
     )
     ask.deadline = trial.world.now + 2.0
@@ -115,4 +115,4 @@
     trial.world.run(8.0)
     assert [message.status for message in statuses] == [200]
     assert trial.alarms == []
-    assert all(cast(Any, one.proxy.program).mesh_state.newest < 100 for one in trial.field.sides)
+    assert all(cast(Any, one.proxy.program).mesh_state.newest < 100 for one in trial.deployment.sidecar_nodes)
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -24,7 +24,7 @@
 
 
 def asked(trial: Trial, path: bytes) -> Call:
-    call, core = Call(path), cast(Any, trial.field.cores[0].program)
+    call, core = Call(path), cast(Any, trial.deployment.cores[0].program)
     core.operator.handle(call)
     trial.world.run(trial.world.now + 1.5)
     return call
--- a/tests/every_command.py
+++ b/tests/every_command.py
@@ -23,7 +23,7 @@
 
 from honeywharf.cli import drift, main, mesh, simulation, store
 from honeywharf.lab.model import NodeSpec  # noqa: F401  (the laboratory is laid too)
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.standins import meshdemo, node
 
 MAX_S = 120.0
@@ -170,7 +170,9 @@
     """What the calls read."""
     (folder / "disk").mkdir()
     (folder / "r.json").write_bytes(meshdemo.configuration(7, moved=False).text)
-    (folder / "boot.yaml").write_text(field.settings("10.1.0.8", field.ZONES[0], ["10.1.0.9"], True, "s"))
+    (folder / "boot.yaml").write_text(
+        deployment.settings("10.1.0.8", deployment.ZONES[0], ["10.1.0.9"], True, "s")
+    )
     (folder / "day.toml").write_text(DAY)
     (folder / "f.toml").write_text(
         f'[admin]\nsocket = "{folder}/s"\n[order_keys]\nstore = "process"\n[metrics]\non = true\n'
--- a/tests/lease/test_control_leases.py
+++ b/tests/lease/test_control_leases.py
@@ -81,15 +81,15 @@
 
 def quarantined(trial: Trial) -> list[str]:
     """Returns the sidecars that are in quarantine under a lease now."""
-    drift_monitors = [cast(Any, side.proxy.program).drift_monitor for side in trial.field.sides]
+    drift_monitors = [cast(Any, side.proxy.program).drift_monitor for side in trial.deployment.sidecar_nodes]
     return [one.sidecar.settings.ip for one in drift_monitors if one.leave is not None and one.leave.holds()]
 
 
 def play(trial: Trial, until: float) -> int:
     """Lets three of six sidecars drift permanently at once; returns the maximum in quarantine at once."""
-    trial.field.until = until
+    trial.deployment.until = until
     trial.world.run(9.0)
-    for side in trial.field.sides[:3]:
+    for side in trial.deployment.sidecar_nodes[:3]:
         drift_monitor = cast(Any, side.proxy.program).drift_monitor
         drift_monitor.rebuild = lambda: False
         drift_monitor.slip("scan", "a build that cannot heal")
@@ -103,17 +103,19 @@
 def test_three_that_drift_at_once_are_not_all_in_quarantine() -> None:
     trial = Trial(11, "none", 0)
     most = play(trial, 13.0)
-    assert 1 <= most <= states.all_places(len(trial.field.sides)) == 2
+    assert 1 <= most <= states.all_places(len(trial.deployment.sidecar_nodes)) == 2
 
 
 def test_without_a_majority_nobody_is_in_quarantine_for_longer_than_its_request() -> None:
     trial = Trial(12, "none", 0)
     trial.world.run(8.5)
-    for core in trial.field.cores[:2]:
+    for core in trial.deployment.cores[:2]:
         core.kept = False
         core.machine.power_off()
     assert play(trial, 13.0) == 0
-    drift_monitors = [cast(Any, side.proxy.program).drift_monitor for side in trial.field.sides[:3]]
+    drift_monitors = [
+        cast(Any, side.proxy.program).drift_monitor for side in trial.deployment.sidecar_nodes[:3]
+    ]
     assert sum(one.grudged for one in drift_monitors) >= 1
     assert [one.standing for one in drift_monitors] == [False] * 3
     assert not any(one.unfit for one in drift_monitors)
@@ -121,16 +123,16 @@
 
 def test_an_expired_lease_ends_the_quarantine() -> None:
     trial = Trial(13, "none", 0)
-    trial.field.until = 20.0
+    trial.deployment.until = 20.0
     trial.world.run(9.0)
-    side = trial.field.sides[0]
+    side = trial.deployment.sidecar_nodes[0]
     drift_monitor = cast(Any, side.proxy.program).drift_monitor
     drift_monitor.rebuild = lambda: False
     drift_monitor.slip("scan", "a build that cannot heal")
     trial.world.run(9.2)
     assert drift_monitor.standing
     assert drift_monitor.leave.holds()
-    for core in trial.field.cores:
+    for core in trial.deployment.cores:
         core.freeze()
     trial.world.run(9.2 + TERMS[QUARANTINE] + 0.4)
     assert not drift_monitor.standing
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -10,7 +10,7 @@
 from honeywharf.programs.gateway import GatewayNode, granted_bytes
 from honeywharf.sessions.drain import EMPTY
 from honeywharf.sessions.gateway_location import GatewayLocation
-from honeywharf.simulation import field
+from honeywharf.simulation import deployment
 from honeywharf.simulation.regions import READ, TROUBLES, UPLOAD, Client, Day, Source
 from honeywharf.simulation.world import World
 
@@ -107,7 +107,7 @@
 
 
 def settings(gateways: object) -> Settings:
-    text = json.loads(field.settings("10.1.0.20", field.ZONES[0], ["10.1.0.9"], True, "tile-vault"))
+    text = json.loads(deployment.settings("10.1.0.20", deployment.ZONES[0], ["10.1.0.9"], True, "tile-vault"))
     return parse(json.dumps({**text, "gateways": gateways}))
 
 
--- a/tests/sessions/test_shift.py
+++ b/tests/sessions/test_shift.py
@@ -9,8 +9,8 @@
 import pytest
 
 from bench.gateway import chart
+from honeywharf.simulation.gateway_scenario import GatewayScenario, ScenarioPlan, quantile
 from honeywharf.simulation.regions import UPLOAD
-from honeywharf.simulation.shift import Plan, Shift, quantile
 
 FILE = Path(__file__).parents[2] / "bench" / "days" / "gateway.toml"
 
@@ -19,9 +19,9 @@
     return {**tomllib.loads(FILE.read_text("utf-8")), **fields}
 
 
-def day(trouble: str, sessions: bool = True) -> Shift:
-    plan = Plan(table(hours=[0.5, 1.0, 1.0, 1.0, 0.5], troubled=[2], rate=110.0))
-    return Shift(4, plan, trouble, sessions).work()
+def day(trouble: str, sessions: bool = True) -> GatewayScenario:
+    plan = ScenarioPlan(table(hours=[0.5, 1.0, 1.0, 1.0, 0.5], troubled=[2], rate=110.0))
+    return GatewayScenario(4, plan, trouble, sessions).work()
 
 
 def test_inner_calls_keep_their_p99_while_a_gateway_drains_and_every_upload_finishes() -> None:
@@ -52,4 +52,4 @@
 )
 def test_an_experiment_that_cannot_be_played_is_refused(wrong: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="wanted"):
-        Plan(table(**wrong))
+        ScenarioPlan(table(**wrong))
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -11,8 +11,8 @@
 from honeywharf.programs.gateway import GatewayNode, GatewayOptions
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sessions.gateway_location import GatewayLocation
-from honeywharf.simulation import days, field
-from honeywharf.simulation.field import SMALL, TERM, Field
+from honeywharf.simulation import deployment, fault_schedule
+from honeywharf.simulation.deployment import SMALL, TERM, Deployment
 from honeywharf.simulation.machine import Machine, Process
 from honeywharf.simulation.run import real_control_node
 
@@ -43,16 +43,16 @@
 
 def gateway_program(location: GatewayLocation) -> Any:
     def make(host: Process) -> GatewayNode:
-        one = GatewayNode(host, location, LOCATIONS, field.INTERNAL + 1, GatewayOptions(grace_s=5.0))
+        one = GatewayNode(host, location, LOCATIONS, deployment.INTERNAL + 1, GatewayOptions(grace_s=5.0))
         host.on_signal(TERM, one.terminate)
         return one
 
     return make
 
 
-def day(seed: int, plan: Plan, faults: list[days.Fault]) -> Field:
+def day(seed: int, plan: Plan, faults: list[fault_schedule.Fault]) -> Deployment:
     """A simulated day; `plan`: time, "drain", "back", "term" or "kill", and the index of the gateway."""
-    made = Field(seed, sidecar_with_gateways, real_control_node, SMALL, 5.0, END_S)
+    made = Deployment(seed, sidecar_with_gateways, real_control_node, SMALL, 5.0, END_S)
     gateways = [
         Process(
             Machine(made.network, location.address[0], location.zone),
@@ -63,7 +63,7 @@
     ]
     for process in gateways:
         made.world.at(0.1, process.start)
-    days.Day(made, faults)
+    fault_schedule.FaultSchedule(made, faults)
     for at, what, which in plan:
         made.world.at(at, inject, gateways[which], what)
     made.world.strict = True
@@ -81,7 +81,7 @@
         (one.order_drain if what == "drain" else one.cancel_drain)()
 
 
-PLANS: dict[str, tuple[Plan, list[days.Fault], float]] = {
+PLANS: dict[str, tuple[Plan, list[fault_schedule.Fault], float]] = {
     "quiet": ([], [], 0.98),
     "drains": ([(9.0, "drain", 0), (12.0, "back", 0), (13.0, "drain", 1), (16.0, "back", 1)], [], 0.98),
     "kills": ([(9.0, "kill", 0), (11.0, "kill", 1), (12.0, "kill", 0), (14.0, "term", 1)], [], 0.95),
@@ -92,22 +92,22 @@
     ),
     "a destination dies": (
         [(9.5, "kill", 0)],
-        [days.Fault(9.0, "node_kill", "power", 3), days.Fault(12.0, "node_kill", "", 8)],
+        [fault_schedule.Fault(9.0, "node_kill", "power", 3), fault_schedule.Fault(12.0, "node_kill", "", 8)],
         0.8,
     ),
     "a source ends in a move": (
         [(9.0, "drain", 0), (9.5, "back", 0), (12.0, "drain", 0), (12.0, "drain", 1), (13.0, "back", 0)],
-        [days.Fault(9.1, "roll_term", "", 2), days.Fault(12.1, "roll_term", "", 5)],
+        [fault_schedule.Fault(9.1, "roll_term", "", 2), fault_schedule.Fault(12.1, "roll_term", "", 5)],
         0.7,
     ),
     "rules differ in a move": (
         [(9.0, "drain", 0), (10.0, "back", 0), (12.0, "kill", 1)],
-        [days.Fault(at, "config_change", "", 3) for at in (8.9, 9.1, 9.3, 12.0, 12.2)],
+        [fault_schedule.Fault(at, "config_change", "", 3) for at in (8.9, 9.1, 9.3, 12.0, 12.2)],
         0.6,
     ),
     "change, evacuation": (
         [(9.0, "drain", 0), (9.5, "back", 0), (12.0, "kill", 0)],
-        [days.Fault(9.0, "config_change", "", 3), days.Fault(11.9, "evacuate", "", 7)],
+        [fault_schedule.Fault(9.0, "config_change", "", 3), fault_schedule.Fault(11.9, "evacuate", "", 7)],
         0.6,
     ),
 }
@@ -117,13 +117,13 @@
 def test_no_rule_is_broken_where_gateways_connect_regions(name: str) -> None:
     plan, faults, share = PLANS[name]
     made = day(31, plan, faults)
-    assert [*made.book.found, *made.world.crashes] == []
-    asks = made.book.asks.values()
-    served = sum(200 <= ask.status < 300 for ask in asks)
-    assert served > share * len(asks) > 400, (served, len(asks))
+    assert [*made.invariant_checker.violations, *made.world.crashes] == []
+    attempts = made.invariant_checker.attempts.values()
+    served = sum(200 <= ask.status < 300 for ask in attempts)
+    assert served > share * len(attempts) > 400, (served, len(attempts))
     opened = sum(
         side.proxy.program.source.remote_regions.session_client.opened  # type: ignore[attr-defined]
-        for side in made.sides
+        for side in made.sidecar_nodes
         if side.proxy.program is not None
     )
     assert opened > 50
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -31,9 +31,9 @@
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.shutdown import Shutdown
 from honeywharf.sidecar.source import Source
-from honeywharf.simulation.field import APPLICATION, INTERNAL, OUTBOUND, TERM
+from honeywharf.simulation.actors import Caller, Message, text
+from honeywharf.simulation.deployment import APPLICATION, INTERNAL, OUTBOUND, TERM
 from honeywharf.simulation.machine import RESET, End, Machine, Network, Process
-from honeywharf.simulation.standins import Caller, Message, text
 from honeywharf.simulation.world import World
 from honeywharf.transport.framing import FrameReader
 from honeywharf.transport.host import Connection, Handler
--- a/tests/sidecar/stage.py
+++ b/tests/sidecar/stage.py
@@ -18,7 +18,7 @@
 from honeywharf.sidecar.mesh_state import Word
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.source import Source
-from honeywharf.simulation.field import APPLICATION, OUTBOUND, settings as settings_text
+from honeywharf.simulation.deployment import APPLICATION, OUTBOUND, settings as settings_text
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.host import Address, Connection, Handler, Host
--- a/tests/sidecar/test_beats.py
+++ b/tests/sidecar/test_beats.py
@@ -10,7 +10,7 @@
 from honeywharf.sidecar.beats import MAX_ID, Beats
 from honeywharf.sidecar.gate import DRAINING, ENDED, READY, UNKNOWN, Gate
 from honeywharf.sidecar.probe import LONGEST_S, PATIENT_S, WITHIN_S, Probe
-from honeywharf.simulation.field import APPLICATION, CONTROL
+from honeywharf.simulation.deployment import APPLICATION, CONTROL
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.http_server import HttpServer
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -7,21 +7,21 @@
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sidecar.gate import DRAINING, READY
 from honeywharf.sidecar.shutdown import GATE_S, UNTIL_QUIET_S
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.field import TERM, Field
+from honeywharf.simulation.actors import Clients
+from honeywharf.simulation.deployment import TERM, Deployment
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.run import real_control_node, real_sidecar
-from honeywharf.simulation.standins import Clients
 from tests.simulation.mutants import end_without_a_word, wrong
 
 
 def test_the_gate_of_one_that_leaves_takes_requests_until_shortly_before_its_end() -> None:
-    field = Field(31, real_sidecar, real_control_node, until=16.0)
-    world, side = field.world, field.sides[0]
-    Day(field, [])
+    deployment = Deployment(31, real_sidecar, real_control_node, until=16.0)
+    world, side = deployment.world, deployment.sidecar_nodes[0]
+    FaultSchedule(deployment, [])
     world.run(9.0)
     sidecar = side.proxy.program
     assert isinstance(sidecar, Sidecar)
-    told, other = sidecar.inbound, field.sides[1].proxy.program
+    told, other = sidecar.inbound, deployment.sidecar_nodes[1].proxy.program
     assert isinstance(other, Sidecar)
     at_term = told.served
     side.proxy.signal(TERM)
@@ -37,39 +37,43 @@
     assert side.proxy.program is not sidecar
     assert told.served - closed <= 1
     assert not told.jobs
-    assert field.book.found == []
+    assert deployment.invariant_checker.violations == []
 
 
-def pressed(seed: int) -> Field:
+def pressed(seed: int) -> Deployment:
     """A roll that takes so many at a time that the platform sends clients to those that leave."""
-    field = Field(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
-    Day(field, [Fault(9.0, "roll_term", "busy", seed)])
-    world = field.world
+    deployment = Deployment(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
+    FaultSchedule(deployment, [Fault(9.0, "roll_term", "busy", seed)])
+    world = deployment.world
     world.strict = True
     world.run(19.0)
     assert not world.crashes
-    return field
+    return deployment
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_clients_that_press_on_until_the_end_get_whole_answers(seed: int) -> None:
-    field = pressed(seed)
-    assert field.book.found == []  # LOST among them
-    rolled = {ip for ip, until in field.book.last.items() if until > 9.0}
-    late = [ask for ask in field.book.asks.values() if ask.machine in rolled and 13.0 < ask.sent < 15.0]
+    deployment = pressed(seed)
+    assert deployment.invariant_checker.violations == []  # LOST among them
+    rolled = {ip for ip, until in deployment.invariant_checker.last_fault_at.items() if until > 9.0}
+    late = [
+        attempt
+        for attempt in deployment.invariant_checker.attempts.values()
+        if attempt.machine in rolled and 13.0 < attempt.sent < 15.0
+    ]
     assert len(late) > 50
 
 
 def test_a_process_that_ends_without_a_word_is_found_out() -> None:
     with wrong(end_without_a_word):
-        found = pressed(1).book.found
+        found = pressed(1).invariant_checker.violations
     assert [rule for rule, _, _ in found] == ["LOST"]
 
 
 def test_whatever_is_under_way_at_the_end_gets_a_final_answer() -> None:
-    field = Field(5, real_sidecar, real_control_node, until=16.0, per_s=2.0)
-    world, side = field.world, field.sides[0]
-    Day(field, [])
+    deployment = Deployment(5, real_sidecar, real_control_node, until=16.0, per_s=2.0)
+    world, side = deployment.world, deployment.sidecar_nodes[0]
+    FaultSchedule(deployment, [])
     world.run(9.0)
     sidecar = side.proxy.program
     assert isinstance(sidecar, Sidecar)
@@ -78,12 +82,16 @@
     clients.presses = True
     side.proxy.signal(TERM)
     world.run(9.0 + 1.5)
-    for each in field.sides:
+    for each in deployment.sidecar_nodes:
         backend = each.life()
         assert backend is not None
         backend.mean = 60.0  # what runs from here on is at work until after the end
     world.run(9.0 + 5.59)
-    under_way = [ask for ask in field.book.asks.values() if ask.machine == side.ip and not ask.status]
+    under_way = [
+        attempt
+        for attempt in deployment.invariant_checker.attempts.values()
+        if attempt.machine == side.ip and not attempt.status
+    ]
     assert under_way
     assert sidecar.source.courses
     world.run(9.0 + 5.62)
@@ -91,4 +99,4 @@
     assert not sidecar.inbound.jobs
     world.run(9.0 + 6.0)
     assert side.proxy.program is not sidecar
-    assert all(ask.status >= 500 for ask in under_way), [ask.status for ask in under_way]
+    assert all(attempt.status >= 500 for attempt in under_way), [attempt.status for attempt in under_way]
--- a/tests/sidecar/test_mesh_state.py
+++ b/tests/sidecar/test_mesh_state.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from honeywharf.sidecar.mesh_state import Word
-from honeywharf.simulation.field import ROUTES
+from honeywharf.simulation.deployment import ROUTES
 from tests.control.virtual_network import VirtualNetwork
 
 CORES = [("10.0.0.1", 7620), ("10.0.0.2", 7620)]
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -36,7 +36,7 @@
 from honeywharf.sidecar.mesh_state import Word
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.source import Source
-from honeywharf.simulation.days import Fault
+from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.run import Report, run
 from honeywharf.transport.link import Link
 from honeywharf.verdict import BROKEN_OFF, MAY_HAVE_RUN, NOT_RUN, Verdict
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -5,7 +5,7 @@
 import pytest
 
 from honeywharf.cli import simulation as command
-from honeywharf.simulation.days import Fault
+from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.run import run
 from tests.simulation.toymesh import toys
 
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_invariants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from honeywharf.simulation.days import KINDS, Fault, draw
+from honeywharf.simulation.fault_schedule import KINDS, Fault, draw
 from honeywharf.simulation.run import Report, run, shrink
 from tests.simulation.toymesh import toys
 
--- a/tests/simulation/test_mesh.py
+++ b/tests/simulation/test_mesh.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from honeywharf.simulation.days import Fault
+from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.run import run
 
 #: What happens, and the share that must be served nevertheless.
--- a/tests/simulation/test_operator_days.py
+++ b/tests/simulation/test_operator_days.py
@@ -9,8 +9,8 @@
 from bench.operator_days import TROUBLES, drawn
 from honeywharf.control import mesh_state
 from honeywharf.control.mesh_state import Change, Confirmation, MeshState, Outcome
-from honeywharf.simulation.days import Fault
-from honeywharf.simulation.rare_troubles import EVERY_KIND
+from honeywharf.simulation.fault_schedule import Fault
+from honeywharf.simulation.rare_faults import EVERY_KIND
 from honeywharf.simulation.run import run
 
 RACE = [Fault(11.0, "config_race", "", 1)]
--- a/tests/simulation/test_rare_troubles.py
+++ b/tests/simulation/test_rare_faults.py
@@ -4,10 +4,16 @@
 
 import pytest
 
-from honeywharf.simulation.days import Fault
+from honeywharf.simulation.deployment import Deployment
 from honeywharf.simulation.disk import Disk
-from honeywharf.simulation.field import Field
-from honeywharf.simulation.rare_troubles import EVERY_KIND, RARE_COUNTED, RARE_KINDS, AnyDay, draw_any
+from honeywharf.simulation.fault_schedule import Fault
+from honeywharf.simulation.rare_faults import (
+    EVERY_KIND,
+    RARE_COUNTED,
+    RARE_KINDS,
+    RareFaultSchedule,
+    draw_any,
+)
 from honeywharf.simulation.run import run
 from tests.simulation.toymesh import toys
 from tests.simulation.toys import Two
@@ -15,9 +21,9 @@
 VARIANTS = [(kind, how) for kind, hows in RARE_KINDS.items() for how in hows]
 
 
-def struck(kind: str, how: str, until: float) -> AnyDay:
+def struck(kind: str, how: str, until: float) -> RareFaultSchedule:
     """A day of the toy mesh with one trouble at 8 s, at a moment."""
-    day = AnyDay(Field(3, *toys("")), [Fault(8.0, kind, how, 1)])
+    day = RareFaultSchedule(Deployment(3, *toys("")), [Fault(8.0, kind, how, 1)])
     day.world.run(until)
     return day
 
@@ -38,8 +44,8 @@
 def test_zones_of_a_bridge_cut_are_deaf_to_each_other_and_the_third_to_none() -> None:
     for kind, pairs in (("bridge_cut", 2), ("zone_cut", 4)):
         day = struck(kind, "", 8.1)
-        machines = [side.machine for side in day.field.sides]
-        network = day.field.network
+        machines = [sidecar_node.machine for sidecar_node in day.deployment.sidecar_nodes]
+        network = day.deployment.network
         deaf = {(a.zone, b.zone) for a in machines for b in machines if network.blocked(a, b)}
         assert len(deaf) == pairs, kind
         day.world.run(14.0)
@@ -48,9 +54,9 @@
 
 def test_clocks_step_and_come_back() -> None:
     day = struck("clock_step", "hour", 7.9)
-    before = {process.name: process.machine.skew for process in day.field.programs()}
+    before = {process.name: process.machine.skew for process in day.deployment.programs()}
     day.world.run(8.1)
-    moved = [process for process in day.field.programs() if process.machine.skew > before[process.name]]
+    moved = [process for process in day.deployment.programs() if process.machine.skew > before[process.name]]
     assert {process.machine.skew - before[process.name] for process in moved} == {3600.0}
     assert len(moved) == len(before) // 3
     day.world.run(14.0)
@@ -59,7 +65,7 @@
 
 def test_an_operator_whose_answers_are_lost_asks_again_until_one_comes() -> None:
     day = struck("ack_lost", "", 20.0)
-    sent = [order for order in day.book.orders if order.sent >= 8.0]
+    sent = [order for order in day.invariant_checker.orders if order.sent >= 8.0]
     assert len(sent) == 8
     assert all(order.acked < 20.0 for order in sent)
     assert max(order.acked - order.sent for order in sent) > 0.1
@@ -67,7 +73,7 @@
 
 def test_a_closing_fault_and_a_replacement_do_not_lose_two_machines_at_once() -> None:
     faults = [Fault(8.0, "closing", "wipe_after_ack", 1), Fault(8.5, "core_replace", "", 2)]
-    day = AnyDay(Field(3, *toys("")), faults)
+    day = RareFaultSchedule(Deployment(3, *toys("")), faults)
     day.world.run(16.9)
     assert day.struck == {"closing": 1}
     day.world.run(17.1)
@@ -76,7 +82,7 @@
 
 def test_what_finds_no_turn_before_the_end_is_left_out() -> None:
     faults = [Fault(8.0 + n, "core_replace", "", n) for n in range(9)]
-    day = AnyDay(Field(3, *toys(""), until=30.0), faults)
+    day = RareFaultSchedule(Deployment(3, *toys(""), until=30.0), faults)
     day.world.run(60.0)
     assert day.struck == {"core_replace": 2}
 
--- a/tests/simulation/toymesh.py
+++ b/tests/simulation/toymesh.py
@@ -6,9 +6,17 @@
 from collections import deque
 from typing import Any
 
-from honeywharf.simulation.field import APPLICATION, CONTROL, INBOUND, OUTBOUND, READINESS, TERM, Make
+from honeywharf.simulation.actors import COLD_PER_S, Caller, Message, Reader, text
+from honeywharf.simulation.deployment import (
+    APPLICATION,
+    CONTROL,
+    INBOUND,
+    OUTBOUND,
+    READINESS,
+    TERM,
+    ProgramFactory,
+)
 from honeywharf.simulation.machine import Process
-from honeywharf.simulation.standins import COLD_PER_S, Caller, Message, Reader, text
 from honeywharf.simulation.world import World
 from honeywharf.transport.host import Connection
 
@@ -291,7 +299,7 @@
             reply(answer(200))
 
 
-def toys(fault: str) -> tuple[Make, Make]:
+def toys(fault: str) -> tuple[ProgramFactory, ProgramFactory]:
     """Programs that share one truth for each world."""
     truths: dict[World, Truth] = {}
 
--- a/tests/test_mesh_demo.py
+++ b/tests/test_mesh_demo.py
@@ -11,7 +11,7 @@
 import pytest
 
 from honeywharf.mesh_config import configuration, settings
-from honeywharf.simulation.rules import Ask
+from honeywharf.simulation.invariants import Attempt
 from honeywharf.standins import meshdemo
 from honeywharf.standins.meshdemo import MOVED, ORDERS, TILES, Day, Mesh
 
@@ -31,10 +31,18 @@
 
 def asked(
     day: Day, kind: str = "mutating", path: str = "/orders/1", at: float = 5.0, status: int = 200
-) -> Ask:
-    ask = Ask(f"a{len(day.mesh.book.asks)}", day.mesh.sides[0].ip, TILES, "POST", "shop.example", path, kind)
+) -> Attempt:
+    ask = Attempt(
+        f"a{len(day.mesh.invariant_checker.attempts)}",
+        day.mesh.sides[0].ip,
+        TILES,
+        "POST",
+        "shop.example",
+        path,
+        kind,
+    )
     ask.sent, ask.status = at, status
-    day.mesh.book.asks[ask.id] = ask
+    day.mesh.invariant_checker.attempts[ask.id] = ask
     return ask
 
 
