--- a/bench/drift.py
+++ b/bench/drift.py
@@ -126,7 +126,7 @@
         side.proxy.program for side in trial.deployment.sidecar_nodes if side.proxy.program is not None
     ]
     row.alarms += sum(program.drift_monitor.state.aside for program in running)
-    row.by = day.struck
+    row.by = day.injected
     return row
 
 
--- a/bench/mesh_cost.py
+++ b/bench/mesh_cost.py
@@ -66,8 +66,8 @@
 
 def measure(told: str, span: float, rate: float) -> dict[str, float]:
     """One shape: what a machine of it costs, by name."""
-    shape, begun, empty = Shape.told(told), time.monotonic(), memory()
-    per_s = rate * shape.many / sum(row[4] for row in ROUTES)
+    shape, begun, empty = Shape.from_text(told), time.monotonic(), memory()
+    per_s = rate * shape.node_count / sum(row[4] for row in ROUTES)
     deployment = Deployment(1, real_sidecar, real_control_node, shape, LEAD, SETTLED + span, per_s)
     FaultSchedule(deployment, [])
     sent = Sent(deployment)
--- a/bench/operator_days.py
+++ b/bench/operator_days.py
@@ -14,7 +14,7 @@
 import sys
 
 from honeywharf.simulation.deployment import Shape
-from honeywharf.simulation.fault_schedule import CLOSING, Fault
+from honeywharf.simulation.fault_schedule import CLOSING_VARIANTS, Fault
 from honeywharf.simulation.run import run
 
 TROUBLES = (
@@ -61,7 +61,7 @@
         faults.append(Fault(at, *chance.choice(TROUBLES), chance.getrandbits(32)))
     faults.sort(key=lambda fault: fault.at)
     if chance.random() < CLOSED:
-        faults.append(Fault(CLOSES_AT, "closing", chance.choice(CLOSING), seed))
+        faults.append(Fault(CLOSES_AT, "closing", chance.choice(CLOSING_VARIANTS), seed))
     return faults
 
 
@@ -70,7 +70,7 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("first", type=int)
     parser.add_argument("count", type=int)
-    parser.add_argument("--shape", type=Shape.told, default=Shape.told("1,1,1/3"))
+    parser.add_argument("--shape", type=Shape.from_text, default=Shape.from_text("1,1,1/3"))
     asked = parser.parse_args(arguments)
     broken = 0
     for seed in range(asked.first, asked.first + asked.count):
--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -31,7 +31,9 @@
 Shaped = Annotated[
     Shape,
     cappa.Arg(
-        long="--shape", parse=Shape.told, help="Sidecar machines of each zone, and core machines: 2,2,2/3."
+        long="--shape",
+        parse=Shape.from_text,
+        help="Sidecar machines of each zone, and core machines: 2,2,2/3.",
     ),
 ]
 Seed = Annotated[int, cappa.Arg(help="The number that a day is drawn from.")]
--- a/honeywharf/simulation/deployment.py
+++ b/honeywharf/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment in little: machines in three zones, settings, programs, stand-ins, configurations."""
+"""A small simulated deployment: machines in three zones, their programs, settings and configurations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 
-ProgramFactory = Callable[[Process, str], object]  # a program from its host and the text of its settings
+ProgramFactory = Callable[
+    [Process, str], object
+]  # Creates a program from its host and the text of its settings.
 
 ZONES = ("tartu-saal", "voru-saal", "polva-saal")
 SERVICES = ("tile-vault", "order-desk", "survey-intake")
@@ -31,14 +33,19 @@
     "seed-lag": 3.0,
     "address-reuse": 2.0,
 }
-#: The retry budget is tighter than sites have it: so small a deployment would not come near theirs.
-NUMBERS = {"retry-budget-ratio": 0.02, "retry-budget-slack": 8.0, "cold-overage": 1.5, "cold-slack": 5.0}
-WINDOW = {"retry-window": 10.0}
-MAX_SIDES, MAX_CORES = 2000, 7
-IN_A_ROW = 200  # sidecar machines of all zones that share the third number of their addresses
-COLD = 3.0  # seconds that a backend is cold after a start during traffic
-TERM = 15  # SIGTERM
-#: host, prefix, kind, service, requests a second, habit, bytes
+#: The retry budget is smaller than at sites, since so small a deployment would not exhaust theirs.
+NUMERIC_BOUNDS = {
+    "retry-budget-ratio": 0.02,
+    "retry-budget-slack": 8.0,
+    "cold-overage": 1.5,
+    "cold-slack": 5.0,
+}
+WINDOW_BOUNDS = {"retry-window": 10.0}
+MAX_NODES_PER_ZONE, MAX_CORES = 2000, 7
+NODES_PER_SUBNET = 200  # The number of sidecar nodes that share the third number of their addresses.
+COLD_START_S = 3.0  # The time that a backend is cold after a start during traffic.
+SIGTERM = 15
+#: Host, path prefix, kind, service, requests a second, habit of the clients, bytes of a body.
 ROUTES: tuple[tuple[str, str, str, str, float, str, int], ...] = (
     ("maps.example", "/tiles/", "read_only", "tile-vault", 60.0, "fresh", 0),
     ("shop.example", "/orders/", "mutating", "order-desk", 24.0, "fresh", 2000),
@@ -48,14 +55,14 @@
 
 
 def settings(ip: str, zone: str, seeds: list[str], initial: bool, service: str = "") -> str:
-    """A settings file, as DEPLOY.md has it; for a core machine where no service is named."""
+    """Returns a settings file (DEPLOY.md), of a control node if no service is given."""
     listen = {"control-plane": CONTROL}
     if service:
         listen.update({"inbound": INBOUND, "outbound": OUTBOUND, "readiness": READINESS})
-    bounds = [f"{name}={round(value * 1000)}ms" for name, value in {**BOUNDS, **WINDOW}.items()]
-    bounds += [f"{name}={value}" for name, value in NUMBERS.items()]
+    bounds = [f"{name}={round(value * 1000)}ms" for name, value in {**BOUNDS, **WINDOW_BOUNDS}.items()]
+    bounds += [f"{name}={value}" for name, value in NUMERIC_BOUNDS.items()]
     return json.dumps(
-        {  # which is YAML
+        {  # JSON is valid YAML.
             "node-name": f"node-{ip}",
             "role": "sidecar" if service else "control",
             "machine-class": "sidecar" if service else "core",
@@ -91,7 +98,7 @@
 
 
 class Shape:
-    """How large a field is: sidecar machines in each zone, and core machines, spread over the zones."""
+    """The numbers of sidecar nodes in each zone and of control nodes, which are spread over the zones."""
 
     __slots__ = ("cores", "sidecar_nodes")
 
@@ -99,29 +106,29 @@
         self.sidecar_nodes, self.cores = sidecar_nodes, cores
 
     @staticmethod
-    def told(text: str) -> Shape:
-        """From "SIDES,SIDES,SIDES/CORES", as "31,31,29/3"; ValueError where it is none."""
+    def from_text(text: str) -> Shape:
+        """Parses "NODES,NODES,NODES/CORES", such as "31,31,29/3"; raises ValueError for any other text."""
         sidecar_nodes, _, cores = text.partition("/")
         counts = [int(count) for count in (*sidecar_nodes.split(","), cores)]
         few = len(counts) != 4 or min(counts) < 1 or counts[3] < 3
-        if few or max(counts[:3]) > MAX_SIDES or counts[3] > MAX_CORES:
+        if few or max(counts[:3]) > MAX_NODES_PER_ZONE or counts[3] > MAX_CORES:
             raise ValueError(
-                f"found {text!r}, wanted SIDES,SIDES,SIDES/CORES, 1 to {MAX_SIDES} sides in"
-                f" each zone and 3 to {MAX_CORES} cores"
+                f"shape: expected NODES,NODES,NODES/CORES with 1 to {MAX_NODES_PER_ZONE} nodes in"
+                f" each zone and 3 to {MAX_CORES} cores, got {text!r}"
             )
         return Shape((counts[0], counts[1], counts[2]), counts[3])
 
     def __str__(self) -> str:
-        """As `told` reads it."""
+        """Returns the text that `from_text` parses."""
         return f"{','.join(map(str, self.sidecar_nodes))}/{self.cores}"
 
     @property
-    def many(self) -> int:
-        """Sidecar machines in all."""
+    def node_count(self) -> int:
+        """The total number of sidecar nodes."""
         return sum(self.sidecar_nodes)
 
-    def places(self) -> list[int]:
-        """The zone of each sidecar machine: by turns, while a zone has more."""
+    def node_zones(self) -> list[int]:
+        """Returns the index of the zone of each sidecar node, in rotation over the zones."""
         return [
             zone
             for turn in range(max(self.sidecar_nodes))
@@ -131,7 +138,7 @@
 
 
 class SidecarNode:
-    """A sidecar machine: its proxy, its backend, its clients. `service` may change with a new backend."""
+    """A machine with a proxy, a backend and clients; `service` may change with a new backend."""
 
     def __init__(self, deployment: Deployment, ip: str, zone: str, service: str) -> None:
         self.deployment, self.ip, self.service = deployment, ip, service
@@ -149,7 +156,7 @@
         )
 
     def _backend(self, host: Process) -> object:
-        cold = COLD if host.world.now > self.deployment.lead else 0.0
+        cold = COLD_START_S if host.world.now > self.deployment.lead else 0.0
         return Backend(host, self.deployment.invariant_checker, self.service, APPLICATION, CONTROL, cold=cold)
 
     def _clients(self, host: Process) -> object:
@@ -165,45 +172,45 @@
         clients.until = self.deployment.until
         return clients
 
-    def life(self) -> Backend | None:
-        """The backend that lives here now."""
+    def live_backend(self) -> Backend | None:
+        """Returns the running backend."""
         return self.backend.program if isinstance(self.backend.program, Backend) else None
 
 
-SMALL = Shape()
+SMALL_SHAPE = Shape()
 
 
 class Deployment:
-    """The whole, not yet started. Times: machines start at 0, traffic lasts from `lead` to `until`."""
+    """All machines of a run, which start at 0 s; traffic lasts from `lead` to `until`."""
 
     def __init__(
         self,
         seed: int,
         sidecar: ProgramFactory,
         control_node: ProgramFactory,
-        shape: Shape = SMALL,
+        shape: Shape = SMALL_SHAPE,
         lead: float = 5.0,
         until: float = 40.0,
         per_s: float = 1.0,
     ) -> None:
-        """`per_s`: the deployment's requests a second, of what `ROUTES` have."""
+        """`per_s` multiplies the request rates of `ROUTES`."""
         self.world = World(seed)
         self.network = Network(self.world)
         self.sidecar, self.control_node, self.lead, self.until = sidecar, control_node, lead, until
-        self.invariant_checker = InvariantChecker(self.world, {**BOUNDS, **NUMBERS, **WINDOW})
+        self.invariant_checker = InvariantChecker(self.world, {**BOUNDS, **NUMERIC_BOUNDS, **WINDOW_BOUNDS})
         self.seeds = [f"10.{n % 3 + 1}.0.{9 - n // 3}" for n in range(shape.cores)]
         self.cores = [self._core(ip, ZONES[n % 3]) for n, ip in enumerate(self.seeds)]
         self.sidecar_nodes: list[SidecarNode] = []
         self.flows: list[Flow] = []
-        self.idlers: list[tuple[str, str, str, str]] = []  # as rows of ROUTES
-        for n, zone in enumerate(shape.places()):
-            ip = f"10.{zone + 1}.{n // IN_A_ROW}.{20 + n % IN_A_ROW}"
+        self.idle_routes: list[tuple[str, str, str, str]] = []  # The first four columns of `ROUTES`.
+        for n, zone in enumerate(shape.node_zones()):
+            ip = f"10.{zone + 1}.{n // NODES_PER_SUBNET}.{20 + n % NODES_PER_SUBNET}"
             self.sidecar_nodes.append(SidecarNode(self, ip, ZONES[zone], SERVICES[(n + n // 3) % 3]))
-        self.flows += [Flow(*row[:3], per_s * row[4] / shape.many, *row[5:]) for row in ROUTES]
+        self.flows += [Flow(*row[:3], per_s * row[4] / shape.node_count, *row[5:]) for row in ROUTES]
         outside = Process(Machine(self.network, "10.9.0.1", "outside"), "operator", self._operator)
         self.version, self.replaced = 10, 0
         outside.start()
-        for process in self.programs():
+        for process in self.mesh_processes():
             self.world.at(self.world.random.uniform(0.0, 0.5), process.start)
         for sidecar_node in self.sidecar_nodes:
             self.world.at(1.0, sidecar_node.backend.start)
@@ -211,7 +218,7 @@
 
     @property
     def initial(self) -> bool:
-        """Whether a process that starts now belongs to the very first start."""
+        """Whether a process that starts now belongs to the first start of the deployment."""
         return self.world.now < 1.0
 
     def _core(self, ip: str, zone: str) -> Process:
@@ -220,14 +227,14 @@
 
         return Process(Machine(self.network, ip, zone, Disk(spread=1.5)), f"control node-{ip}", make)
 
-    def core_instead(self, old: Process) -> Process:
-        """Another core machine of the same zone, not started yet; `listed` has the operator know of it."""
+    def make_replacement_core(self, old: Process) -> Process:
+        """Creates a control node in the same zone without starting it; `replace_core` lists it."""
         self.replaced += 1
         ip = f"{old.machine.ip.rpartition('.')[0]}.{9 + self.replaced}"
         return self._core(ip, old.machine.zone)
 
-    def listed(self, old: Process, new: Process) -> None:
-        """The operator's list and the seeds name one in place of another."""
+    def replace_core(self, old: Process, new: Process) -> None:
+        """Replaces a control node in the operator's list and among the seed nodes."""
         self.cores[self.cores.index(old)] = new
         self.seeds = [core.machine.ip for core in self.cores]
 
@@ -237,16 +244,18 @@
         )
         return self.operator
 
-    def programs(self) -> list[Process]:
-        """Processes of the mesh."""
+    def mesh_processes(self) -> list[Process]:
+        """Returns the control nodes and the proxies."""
         return [*self.cores, *(sidecar_node.proxy for sidecar_node in self.sidecar_nodes)]
 
-    def moved(self, version: int, moves: dict[str, dict[str, int]], timeout: int = 3000) -> Order:
-        """A configuration where the routes named (by prefix) are split as told."""
+    def make_configuration(
+        self, version: int, traffic_splits: dict[str, dict[str, int]], timeout: int = 3000
+    ) -> Order:
+        """Creates a configuration; `moves` contains the traffic splits of some routes by prefix."""
         routes, order = [], Order("config", version)
         present = {sidecar_node.service for sidecar_node in self.sidecar_nodes}
-        for host, prefix, kind, service in (*(row[:4] for row in ROUTES), *self.idlers):
-            split = moves.get(prefix, {service: 1})
+        for host, prefix, kind, service in (*(row[:4] for row in ROUTES), *self.idle_routes):
+            split = traffic_splits.get(prefix, {service: 1})
             routes.append(
                 {
                     "name": f"r-{prefix.strip('/')}",
@@ -288,16 +297,16 @@
         ).encode()
         return order
 
-    def idle(self, add: bool) -> None:
-        """Have one more route with little traffic, or drop the last one; its clients go on to ask."""
-        if add or not self.idlers:
+    def change_idle_route(self, add: bool) -> None:
+        """Adds a route with little traffic, or removes the last one, whose clients go on sending."""
+        if add or not self.idle_routes:
             prefix = f"/idle{len(self.flows)}/"
-            self.idlers.append(("maps.example", prefix, "read_only", SERVICES[len(self.flows) % 3]))
+            self.idle_routes.append(("maps.example", prefix, "read_only", SERVICES[len(self.flows) % 3]))
             self.flows.append(Flow("maps.example", prefix, "read_only", 1.0 / len(self.sidecar_nodes)))
         else:
-            self.idlers.pop()
+            self.idle_routes.pop()
 
     def next_version(self) -> int:
-        """A version above all that were used, by an uneven step."""
+        """Returns a version above all used ones, by a random step."""
         self.version += self.world.random.randint(1, 4)
         return self.version
--- a/honeywharf/simulation/disk.py
+++ b/honeywharf/simulation/disk.py
@@ -26,12 +26,12 @@
         files[operation.to] = files.pop(operation.name)
 
 
-def torn(files: dict[str, bytes], operation: Operation, chance: random.Random) -> None:
+def torn(files: dict[str, bytes], operation: Operation, rng: random.Random) -> None:
     """Do a part of a write: the beginning is new, the rest is old or missing. A name is never half there."""
     if operation.kind != "write":
         return
-    part = chance.randint(0, len(operation.data))
-    rest = files.get(operation.name, b"")[part:] if chance.random() < 0.5 else b""
+    part = rng.randint(0, len(operation.data))
+    rest = files.get(operation.name, b"")[part:] if rng.random() < 0.5 else b""
     files[operation.name] = operation.data[:part] + rest
 
 
@@ -45,7 +45,7 @@
         self.safe: dict[str, bytes] = {}
         self.pending: list[Operation] = []
         self.stalled_until = 0.0  # nothing is begun before
-        self.times = 1.0  # how much longer everything takes
+        self.slowdown = 1.0  # how much longer everything takes
         self.full = False  # takes no more bytes
         self.names_safe_at: dict[str, float] = {}  # of new files: when the folder was synced after them
         self.operations = 0  # counted since the first start, for crashes at the n-th
@@ -56,7 +56,7 @@
         folder = kind in ("rename", "sync")  # these sync the folder
         slow = 1.0 + self.spread * (hash((self.operations, round(now * 1e6))) % 997) / 997
         begun = max(now, self.stalled_until)
-        takes = 0.0 if kind == "remove" else (self.sync * slow + len(data) * self.per_byte) * self.times
+        takes = 0.0 if kind == "remove" else (self.sync * slow + len(data) * self.per_byte) * self.slowdown
         over = begun + takes
         operation = Operation(kind, name, data, to, now, float("inf") if kind == "remove" else over)
         for earlier in self.pending:  # a rename syncs the folder; a write syncs the file and its own name
@@ -83,16 +83,16 @@
                 apply(self.safe, operation)
         self.pending = [operation for operation in self.pending if operation.done > now]
 
-    def stop(self, now: float, power: bool, chance: random.Random) -> None:
+    def stop(self, now: float, power: bool, rng: random.Random) -> None:
         """The process died at `now`; with the power gone too, what is not safe is there, missing or torn."""
         self.settle(now)
         self.files = dict(self.safe)
-        none = power and chance.random() < 0.25  # at some losses all of it is gone
+        none = power and rng.random() < 0.25  # at some losses all of it is gone
         kept = []
         for operation in self.pending:
             if operation.start > now or none:
                 continue
-            luck = chance.random()
+            luck = rng.random()
             if not power and operation.done == float("inf"):
                 luck = 0.0  # what was over for a process stays so while there is power
             if luck < 0.4:
@@ -100,18 +100,18 @@
                 operation.done = float("inf")
                 kept.append(operation)
             elif luck < 0.7:
-                torn(self.files, operation, chance)
+                torn(self.files, operation, rng)
                 operation.data, operation.done = self.files.get(operation.name, b""), float("inf")
                 kept += [operation] * (operation.kind == "write")
         self.pending = [] if power else kept
         if power:
-            self._lose_names(now, chance)
+            self._lose_names(now, rng)
             self.safe = dict(self.files)
 
-    def _lose_names(self, now: float, chance: random.Random) -> None:
+    def _lose_names(self, now: float, rng: random.Random) -> None:
         """Each file whose name was not synced yet is kept or lost by itself."""
         for name, safe_at in self.names_safe_at.items():
-            if safe_at > now and chance.random() < NAME_LOST:
+            if safe_at > now and rng.random() < NAME_LOST:
                 self.files.pop(name, None)
         self.names_safe_at.clear()
 
--- a/honeywharf/simulation/invariants.py
+++ b/honeywharf/simulation/invariants.py
@@ -495,7 +495,7 @@
         if not attempt.repeatable or not backends:
             return
         self.long_runs += 1
-        self.still_at_work += any(at.works_on(attempt.id) for at in backends)
+        self.still_at_work += any(at.is_running(attempt.id) for at in backends)
         if self.still_at_work > max(MAX_LATE_CANCELLATIONS, MAX_LATE_CANCELLATION_SHARE * self.long_runs):
             runs = f"{self.still_at_work} of {self.long_runs}"
             self.report_violation(f"{attempt.id} and others, {runs}, ran on after a disconnect")
--- a/honeywharf/simulation/machine.py
+++ b/honeywharf/simulation/machine.py
@@ -223,7 +223,7 @@
         elif self.other is not None and self.other.state == "lost" and not self.silent():
             self.take(RESET)
 
-    def torn(self) -> None:
+    def reset_both_ends(self) -> None:
         """Something on the way resets the connection: both ends are told, what was under way is lost."""
         for end in (self, self.other):
             if end is not None:
--- a/honeywharf/simulation/run.py
+++ b/honeywharf/simulation/run.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from honeywharf.simulation.deployment import SMALL, TERM, Deployment, ProgramFactory, Shape
-from honeywharf.simulation.fault_schedule import Fault, draw
+from honeywharf.simulation.deployment import SIGTERM, SMALL_SHAPE, Deployment, ProgramFactory, Shape
+from honeywharf.simulation.fault_schedule import Fault, draw_faults
 from honeywharf.simulation.machine import Process
-from honeywharf.simulation.rare_faults import RareFaultSchedule, draw_any
+from honeywharf.simulation.rare_faults import RareFaultSchedule, draw_any_faults
 
 LEAD, QUIET = 5.0, 5.0  # seconds until traffic, and of traffic before troubles
 TROUBLES, AFTER = 10.0, 26.0  # seconds of troubles, and of traffic after the last may have begun
@@ -55,7 +55,7 @@
     from honeywharf.programs.sidecar import Sidecar
 
     sidecar = Sidecar(host, parse(settings))
-    host.on_signal(TERM, sidecar.terminate)
+    host.on_signal(SIGTERM, sidecar.terminate)
     return sidecar
 
 
@@ -65,7 +65,7 @@
     from honeywharf.programs.control import ControlNode
 
     control_node = ControlNode(host, parse(settings))
-    host.on_signal(TERM, control_node.stop)
+    host.on_signal(SIGTERM, control_node.stop)
     return control_node
 
 
@@ -74,7 +74,7 @@
     faults: list[Fault] | None = None,
     sidecar: ProgramFactory = real_sidecar,
     control_node: ProgramFactory = real_control_node,
-    shape: Shape = SMALL,
+    shape: Shape = SMALL_SHAPE,
     after: float = AFTER,
     any_kind: bool = False,
 ) -> Report:
@@ -87,7 +87,7 @@
     until = begin + TROUBLES + after
     deployment = Deployment(seed, sidecar, control_node, shape, LEAD, until)
     if faults is None:
-        faults = (draw_any if any_kind else draw)(seed, begin, begin + TROUBLES)
+        faults = (draw_any_faults if any_kind else draw_faults)(seed, begin, begin + TROUBLES)
     RareFaultSchedule(deployment, faults)
     deployment.world.strict = True
     deployment.world.run(until + 2.0)
@@ -102,7 +102,7 @@
     report: Report,
     sidecar: ProgramFactory = real_sidecar,
     control_node: ProgramFactory = real_control_node,
-    shape: Shape = SMALL,
+    shape: Shape = SMALL_SHAPE,
 ) -> Report:
     """Leave out one fault after the other while the same rule is still broken."""
     least, tried = report, 0
@@ -116,7 +116,7 @@
     return least
 
 
-def play(seed: int, shape: Shape = SMALL, any_kind: bool = False) -> Report:
+def play(seed: int, shape: Shape = SMALL_SHAPE, any_kind: bool = False) -> Report:
     """The day of a seed; where it breaks a rule, with as few of its faults as still do."""
     report = run(seed, shape=shape, any_kind=any_kind)
     return shrink(report, shape=shape) if report.broken else report
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -17,7 +17,7 @@
 from honeywharf.drift.requests import DriftMonitor
 from honeywharf.mesh_config.routes import Route, RoutingTable
 from honeywharf.sidecar.inbound import Job
-from honeywharf.simulation.deployment import SERVICES, SMALL, ZONES, Deployment, SidecarNode
+from honeywharf.simulation.deployment import SERVICES, SMALL_SHAPE, ZONES, Deployment, SidecarNode
 from honeywharf.simulation.invariants import Attempt, Order
 from honeywharf.simulation.run import real_control_node, real_sidecar
 
@@ -40,19 +40,19 @@
     return sidecar.mesh_state.table._hosts
 
 
-def _place(sidecar: Any, chance: random.Random, strict: bool = True) -> tuple[Any, bytes]:
+def _place(sidecar: Any, rng: random.Random, strict: bool = True) -> tuple[Any, bytes]:
     places = [
         (of, prefix)
         for of in _hosts(sidecar).values()
         for prefix in of.routes
         if not strict or prefix in STRICT
     ]
-    return chance.choice(places)
+    return rng.choice(places)
 
 
-def _change(sidecar: Any, chance: random.Random, **fields: Any) -> Undo:
+def _change(sidecar: Any, rng: random.Random, **fields: Any) -> Undo:
     """A copy of an entry with other fields in its place."""
-    of, prefix = _place(sidecar, chance)
+    of, prefix = _place(sidecar, rng)
     before = of.routes[prefix]
     of.routes[prefix] = _copy(before, **fields)
     return lambda: of.routes.__setitem__(prefix, before)
@@ -64,15 +64,15 @@
     def __init__(self, trial: Trial) -> None:
         self.trial = trial
 
-    def stored(self, sidecar: Any, chance: random.Random) -> Undo:
+    def stored(self, sidecar: Any, rng: random.Random) -> Undo:
         """The stored version is not the one in force."""
         word, value = sidecar.mesh_state, sidecar.mesh_state.value
         table, revision, version = word.table, word.revision, word.version
-        how = chance.randrange(3)
+        how = rng.randrange(3)
         if how == 0:
-            word.revision += chance.randint(1, 9)
+            word.revision += rng.randint(1, 9)
         elif how == 1:
-            word.value = {**value, "version": value["version"] + chance.choice((-1, 1))}
+            word.value = {**value, "version": value["version"] + rng.choice((-1, 1))}
         else:
             word.table = RoutingTable(self.trial.older)
 
@@ -81,26 +81,26 @@
 
         return undo
 
-    def weights(self, sidecar: Any, chance: random.Random) -> Undo:
+    def weights(self, sidecar: Any, rng: random.Random) -> Undo:
         """Weights are turned, or another service stands there."""
-        of, prefix = _place(sidecar, chance)
+        of, prefix = _place(sidecar, rng)
         before = of.routes[prefix]
-        split = before.split[::-1] if len(before.split) > 1 else ((chance.choice(SERVICES[:1]), 1.0),)
+        split = before.split[::-1] if len(before.split) > 1 else ((rng.choice(SERVICES[:1]), 1.0),)
         of.routes[prefix] = _copy(
             before,
             split=tuple((name, weight) for (name, _), (_, weight) in zip(split, before.split, strict=True)),
         )
         return lambda: of.routes.__setitem__(prefix, before)
 
-    def lost(self, sidecar: Any, chance: random.Random) -> Undo:
+    def lost(self, sidecar: Any, rng: random.Random) -> Undo:
         """An entry is missing."""
-        of, prefix = _place(sidecar, chance)
+        of, prefix = _place(sidecar, rng)
         before = of.routes.pop(prefix)
         return lambda: of.routes.__setitem__(prefix, before)
 
-    def added(self, sidecar: Any, chance: random.Random) -> Undo:
+    def added(self, sidecar: Any, rng: random.Random) -> Undo:
         """An entry that nobody ordered stands before one that must not run twice."""
-        of, prefix = _place(sidecar, chance)
+        of, prefix = _place(sidecar, rng)
         before = of.routes[prefix]
         odd = prefix + b"1" + b"/"
         of.routes[odd] = _copy(before, prefix=odd, kind="read_only")
@@ -113,19 +113,19 @@
 
         return undo
 
-    def timeout(self, sidecar: Any, chance: random.Random) -> Undo:
+    def timeout(self, sidecar: Any, rng: random.Random) -> Undo:
         """A timeout of another route."""
-        return _change(sidecar, chance, timeout_s=chance.choice((1.5, 2.0, 6.0, 60.0)))
+        return _change(sidecar, rng, timeout_s=rng.choice((1.5, 2.0, 6.0, 60.0)))
 
-    def kind(self, sidecar: Any, chance: random.Random) -> Undo:
+    def kind(self, sidecar: Any, rng: random.Random) -> Undo:
         """What must not run twice is held for `read_only`."""
-        return _change(sidecar, chance, kind="read_only")
+        return _change(sidecar, rng, kind="read_only")
 
-    def limits(self, sidecar: Any, chance: random.Random) -> Undo:
+    def limits(self, sidecar: Any, rng: random.Random) -> Undo:
         """Bounds or attempts of an older version are kept."""
-        how = chance.randrange(4)
+        how = rng.randrange(4)
         if how == 0:
-            return _change(sidecar, chance, max_attempts=5)
+            return _change(sidecar, rng, max_attempts=5)
         if how == 1:
             most, sidecar.backend_connections.most = (
                 sidecar.backend_connections.most,
@@ -139,31 +139,31 @@
         body, limits.max_body_bytes = limits.max_body_bytes, 1 << 30
         return lambda: setattr(limits, "max_body_bytes", body)
 
-    def evacuation(self, sidecar: Any, chance: random.Random) -> Undo:
+    def evacuation(self, sidecar: Any, rng: random.Random) -> Undo:
         """An evacuation is forgotten, or never withdrawn."""
         word, gate = sidecar.mesh_state, sidecar.gate
         before, evacuated = set(word.evacuated), gate.evacuated
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             gate.evacuated = not gate.evacuated
         else:
-            word.evacuated ^= {chance.choice(ZONES)}
+            word.evacuated ^= {rng.choice(ZONES)}
 
         def undo() -> None:
             word.evacuated, gate.evacuated = before, evacuated
 
         return undo
 
-    def list(self, sidecar: Any, chance: random.Random) -> Undo:
+    def list(self, sidecar: Any, rng: random.Random) -> Undo:
         """The list has one id, zone or draining mark wrong, or this backend's cold time."""
         source = sidecar.source
-        node = chance.choice([node for node in source.list if node != sidecar.settings.ip])
-        entry, how = source.list[node], chance.randrange(4)
+        node = rng.choice([node for node in source.list if node != sidecar.settings.ip])
+        entry, how = source.list[node], rng.randrange(4)
         target = source.levels_of(entry.service).targets[node]
         kept = (entry.instance, entry.zone, entry.state, target.zone, target.usable)
         if how == 0:
             entry.instance = "i-odd"
         elif how == 1:
-            entry.zone = target.zone = chance.choice([zone for zone in ZONES if zone != entry.zone])
+            entry.zone = target.zone = rng.choice([zone for zone in ZONES if zone != entry.zone])
         elif how == 2:
             entry.state = 2 if entry.state == 1 else 1
             target.usable = entry.state == 1
@@ -175,12 +175,12 @@
 
         return undo
 
-    def freeze(self, sidecar: Any, chance: random.Random) -> Undo:
+    def freeze(self, sidecar: Any, rng: random.Random) -> Undo:
         """The process stands still while the word changes."""
         sidecar_node = self.trial.victim
         sidecar_node.proxy.freeze()
         self.trial.deployment.invariant_checker.mark_fault(sidecar_node.ip, 1)
-        self.trial.order(chance)
+        self.trial.order(rng)
 
         def thaw() -> None:
             self.trial.deployment.invariant_checker.mark_fault(sidecar_node.ip, -1)
@@ -189,13 +189,13 @@
         self.trial.later(3.0, thaw)
         return lambda: None
 
-    def content(self, sidecar: Any, chance: random.Random) -> Undo:
+    def content(self, sidecar: Any, rng: random.Random) -> Undo:
         """Two nodes believe one revision and differ in content; half of them with a digest that fits."""
         word = sidecar.mesh_state
         kept = word.table, word.packed, word.digest, word.value
-        text, other = self.trial.odd(chance)
+        text, other = self.trial.odd(rng)
         word.table, word.packed = RoutingTable(text), other
-        if chance.random() < 0.5:  # as if somebody had told it so
+        if rng.random() < 0.5:  # as if somebody had told it so
             word.restore({**word.value, "digest": self.trial.digest(text)}, word.table, other)
 
         def undo() -> None:
@@ -205,7 +205,7 @@
 
         return undo
 
-    def build(self, sidecar: Any, chance: random.Random) -> Undo:
+    def build(self, sidecar: Any, rng: random.Random) -> Undo:
         """A program of another build reads the same text otherwise, each time."""
         drift_monitor, word = sidecar.drift_monitor, sidecar.mesh_state
 
@@ -224,11 +224,11 @@
 
         return undo
 
-    def liar(self, sidecar: Any, chance: random.Random) -> Undo:
+    def liar(self, sidecar: Any, rng: random.Random) -> Undo:
         """It says the right digest and decides otherwise; its own second reading is blind to it."""
         drift_monitor, source, word = sidecar.drift_monitor, sidecar.source, sidecar.mesh_state
         find = word.find
-        if chance.random() < 0.5:  # another service
+        if rng.random() < 0.5:  # another service
             source.draw_service = lambda route: (
                 SERVICES[0] if route.prefix in STRICT else Route.service(route, source.draw())
             )
@@ -261,20 +261,20 @@
 
         return undo
 
-    def checker(self, sidecar: Any, chance: random.Random) -> Undo:
+    def checker(self, sidecar: Any, rng: random.Random) -> Undo:
         """What was read a second time is itself wrong."""
         told = sidecar.drift_monitor.told
-        at = chance.randrange(len(told.rules))
-        told.rules[at] ^= 1 << chance.randrange(64)
+        at = rng.randrange(len(told.rules))
+        told.rules[at] ^= 1 << rng.randrange(64)
         return lambda: None
 
-    def disk(self, sidecar: Any, chance: random.Random) -> Undo:
+    def disk(self, sidecar: Any, rng: random.Random) -> Undo:
         """A control node's disk gives back an older word."""
         deployment = self.trial.deployment
-        core = self.trial.core = chance.choice(deployment.cores)
+        core = self.trial.core = rng.choice(deployment.cores)
         disk = cast(Any, core.machine.disk)
         older = dict(disk.files)
-        self.trial.order(chance)
+        self.trial.order(rng)
 
         def strike() -> None:
             deployment.invariant_checker.mark_fault(core.machine.ip, 1, True)
@@ -324,10 +324,10 @@
     """One field with slips of one kind. `ways`: those of `WAYS` that are on."""
 
     def __init__(self, seed: int, kind: str, many: int, ways: tuple[str, ...] = WAYS) -> None:
-        self.chance, self.kind, self.many, self.ways = random.Random(seed), kind, many, ways
+        self.rng, self.kind, self.many, self.ways = random.Random(seed), kind, many, ways
         self.gap = LONG.get(kind, UNDONE) + 0.4
         self.deployment = Deployment(
-            seed, self._sidecar, real_control_node, SMALL, LEAD, FIRST + many * self.gap + 2.0
+            seed, self._sidecar, real_control_node, SMALL_SHAPE, LEAD, FIRST + many * self.gap + 2.0
         )
         self.world, self.invariant_checker = self.deployment.world, self.deployment.invariant_checker
         self.slips: list[Slip] = []
@@ -340,7 +340,7 @@
         self.alarms: list[tuple[float, str, str]] = []
         self.older = b""
         self.core: Any = None  # the control node whose disk went back
-        self.moves: dict[str, dict[str, int]] = {"/orders/": {"order-desk": 3, "survey-intake": 1}}
+        self.traffic_splits: dict[str, dict[str, int]] = {"/orders/": {"order-desk": 3, "survey-intake": 1}}
         self.world.at(2.0, self.order, random.Random(seed))
         self.world.at(6.5, self.order, random.Random(seed + 1))
         for n in range(many):
@@ -375,13 +375,16 @@
         """Call so much later."""
         self.world.at(self.world.now + seconds, call)
 
-    def order(self, chance: random.Random) -> None:
+    def order(self, rng: random.Random) -> None:
         """An honest change, which touches what must not run twice."""
         self.older = self.newest
-        self.moves["/orders/"] = {"order-desk": chance.randint(2, 5), "survey-intake": chance.randint(1, 2)}
-        self.moves["/parcels/"] = {chance.choice(SERVICES): 1}
-        order = self.deployment.moved(
-            self.deployment.next_version(), self.moves, 2500 + 100 * (len(self.told) % 9)
+        self.traffic_splits["/orders/"] = {
+            "order-desk": rng.randint(2, 5),
+            "survey-intake": rng.randint(1, 2),
+        }
+        self.traffic_splits["/parcels/"] = {rng.choice(SERVICES): 1}
+        order = self.deployment.make_configuration(
+            self.deployment.next_version(), self.traffic_splits, 2500 + 100 * (len(self.told) % 9)
         )
         self.told.append(order)
         self.deployment.operator.order(order)
@@ -391,14 +394,14 @@
         """The text that was ordered last."""
         return self.told[-1].text if self.told else b""
 
-    def odd(self, chance: random.Random) -> tuple[bytes, bytes]:
+    def odd(self, rng: random.Random) -> tuple[bytes, bytes]:
         """A text under the newest version with another rule, plain and packed."""
         import zlib
 
         whole = json.loads(self.newest)
         for route in whole["routes"]:
             if route["route-kind"] != "read_only":
-                route["max-attempts"] = 3 + chance.randrange(3)
+                route["max-attempts"] = 3 + rng.randrange(3)
                 route["traffic-split"] = route["traffic-split"][:1]
         text = json.dumps(whole).encode()
         return text, zlib.compress(text)
@@ -417,9 +420,9 @@
             if sidecar_node.proxy.program is not None
             and cast(Any, sidecar_node.proxy.program).mesh_state.table is not None
         ]
-        self.victim = self.chance.choice(running)
+        self.victim = self.rng.choice(running)
         self.slips.append(Slip(self.victim.ip, self.world.now))
-        self.undo = getattr(Kinds(self), self.kind)(self.victim.proxy.program, self.chance)
+        self.undo = getattr(Kinds(self), self.kind)(self.victim.proxy.program, self.rng)
 
     def _take_out(self) -> None:
         undo, self.undo = self.undo, lambda: None
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -205,7 +205,8 @@
         self.loop = EventLoop(None)
         self.world = World(self.loop, seed)
         self.invariant_checker = InvariantChecker(
-            cast(Any, self.world), {**deployment.BOUNDS, **deployment.NUMBERS, **deployment.WINDOW}
+            cast(Any, self.world),
+            {**deployment.BOUNDS, **deployment.NUMERIC_BOUNDS, **deployment.WINDOW_BOUNDS},
         )
         self.heard = Heard(self.invariant_checker)
         self.invariant_checker.invariants.append(self.heard)
@@ -276,7 +277,7 @@
             caller.close()
 
         caller = Caller(cast(Any, self.operator.host), to, answered)
-        caller.ask(None, text(f"GET {path} HTTP/1.1", {"Host": "mesh"}))
+        caller.send_request(None, text(f"GET {path} HTTP/1.1", {"Host": "mesh"}))
 
     def stop(self) -> None:
         """End whatever still runs."""
@@ -412,7 +413,7 @@
         self.left = self.leaver.backend
         self.say(f"  the backend at {self.leaver.ip} drains, and one that is cold takes its place")
         if self.left is not None:
-            self.left.leave(partial(self.leaver.live, deployment.COLD))
+            self.left.leave(partial(self.leaver.live, deployment.COLD_START_S))
 
     def _kill(self) -> None:
         self.say(f"  the sidecar at {self.victim.ip} is killed by SIGKILL, and starts again")
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -53,14 +53,14 @@
     )
     ask.body = bytes(40_000)
     ask.deadline, ask.sent = trial.world.now + 2.0, trial.world.now
-    caller.ask(
+    caller.send_request(
         None,
         b"PUT /uploads/9 HTTP/1.1\r\nHost: shop.example\r\nX-Honeywharf-Attempt-Id: aa01\r\n"
         b"Content-Length: 40000\r\n\r\n" + ask.body[:20_000],
     )
     trial.play(8.5)
     if moved:
-        trial.moves["/uploads/"] = {"tile-vault": 1}
+        trial.traffic_splits["/uploads/"] = {"tile-vault": 1}
     ordered(trial)
     trial.play(9.2)
     assert len({program(one).mesh_state.version for one in trial.deployment.sidecar_nodes}) == 1
@@ -128,7 +128,7 @@
 
 def test_a_thousand_routes_changed_at_once_are_compared_within_the_bound() -> None:
     trial = Trial(15, "none", 0)
-    trial.deployment.idlers = [
+    trial.deployment.idle_routes = [
         (
             "maps.example" if n % 2 else "shop.example",
             f"/many{n}/",
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -107,7 +107,7 @@
         "f0f0", side.ip, side.service, "POST", "shop.example", "/orders/9", "mutating"
     )
     ask.deadline = trial.world.now + 2.0
-    caller.ask(
+    caller.send_request(
         None,
         b"POST /orders/9 HTTP/1.1\r\nHost: shop.example\r\nX-Honeywharf-Attempt-Id: f0f0\r\n"
         b"X-Honeywharf-Revision: 9999\r\nX-Honeywharf-Rule: 00000000\r\nContent-Length: 0\r\n\r\n",
--- a/tests/sessions/test_sidecars.py
+++ b/tests/sessions/test_sidecars.py
@@ -12,7 +12,7 @@
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sessions.gateway_location import GatewayLocation
 from honeywharf.simulation import deployment, fault_schedule
-from honeywharf.simulation.deployment import SMALL, TERM, Deployment
+from honeywharf.simulation.deployment import SIGTERM, SMALL_SHAPE, Deployment
 from honeywharf.simulation.machine import Machine, Process
 from honeywharf.simulation.run import real_control_node
 
@@ -37,14 +37,14 @@
         host,
         parse(json.dumps({**json.loads(text), "zones": ZONES, "region": ZONES[zone], "gateways": gateways})),
     )
-    host.on_signal(TERM, sidecar.terminate)
+    host.on_signal(SIGTERM, sidecar.terminate)
     return sidecar
 
 
 def gateway_program(location: GatewayLocation) -> Any:
     def make(host: Process) -> GatewayNode:
         one = GatewayNode(host, location, LOCATIONS, deployment.INTERNAL + 1, GatewayOptions(grace_s=5.0))
-        host.on_signal(TERM, one.terminate)
+        host.on_signal(SIGTERM, one.terminate)
         return one
 
     return make
@@ -52,7 +52,7 @@
 
 def day(seed: int, plan: Plan, faults: list[fault_schedule.Fault]) -> Deployment:
     """A simulated day; `plan`: time, "drain", "back", "term" or "kill", and the index of the gateway."""
-    made = Deployment(seed, sidecar_with_gateways, real_control_node, SMALL, 5.0, END_S)
+    made = Deployment(seed, sidecar_with_gateways, real_control_node, SMALL_SHAPE, 5.0, END_S)
     gateways = [
         Process(
             Machine(made.network, location.address[0], location.zone),
@@ -76,7 +76,7 @@
     if what == "kill":
         process.kill()
     elif what == "term":
-        process.signal(TERM)
+        process.signal(SIGTERM)
     elif isinstance(one, GatewayNode):
         (one.order_drain if what == "drain" else one.cancel_drain)()
 
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -32,7 +32,7 @@
 from honeywharf.sidecar.shutdown import Shutdown
 from honeywharf.sidecar.source import Source
 from honeywharf.simulation.actors import Caller, Message, text
-from honeywharf.simulation.deployment import APPLICATION, INTERNAL, OUTBOUND, TERM
+from honeywharf.simulation.deployment import APPLICATION, INTERNAL, OUTBOUND, SIGTERM
 from honeywharf.simulation.machine import RESET, End, Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.framing import FrameReader
@@ -188,7 +188,7 @@
             gate_closed=lambda: None,
             ended=lambda: None,
         )
-        host.on_signal(TERM, self.shutdown.begin)
+        host.on_signal(SIGTERM, self.shutdown.begin)
         for gate in pair.gates():
             self.source.told(gate, {"s": SERVICE, "b": f"i-{gate}", "st": 1, "sl": 4}, ZONE)
         life = pair.life(ip)
@@ -222,7 +222,7 @@
             self.other = Try("o1")
             caller = self._connect()
             within = GIVEN_UP_S if before == "given up" else DEADLINE_S
-            caller.ask(self.other, self._bytes(self.other, "GET", "read_only", 0, within))
+            caller.send_request(self.other, self._bytes(self.other, "GET", "read_only", 0, within))
         if before in ("", "pipelined"):
             self._send(caller if before else None)
 
@@ -237,7 +237,7 @@
         made = Try(f"t{len(self.tries) + 1}")
         self.tries.append(made)
         kind = "upload" if scene.size > SHORT_BYTES else "mutating"
-        used.ask(made, self._bytes(made, scene.method, kind, scene.size, left))
+        used.send_request(made, self._bytes(made, scene.method, kind, scene.size, left))
         self.host.after(left, lambda: None if made.over else used.close())
 
     def _bytes(self, made: Try, method: str, kind: str, size: int, left: float) -> bytes:
@@ -367,7 +367,7 @@
             if verb == "kill":
                 process.kill()
             else:
-                process.signal(TERM)
+                process.signal(SIGTERM)
 
     # The run.
 
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -8,7 +8,7 @@
 from honeywharf.sidecar.gate import DRAINING, READY
 from honeywharf.sidecar.shutdown import GATE_S, UNTIL_QUIET_S
 from honeywharf.simulation.actors import Clients
-from honeywharf.simulation.deployment import TERM, Deployment
+from honeywharf.simulation.deployment import SIGTERM, Deployment
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.run import real_control_node, real_sidecar
 from tests.simulation.mutants import end_without_a_word, wrong
@@ -24,7 +24,7 @@
     told, other = sidecar.inbound, deployment.sidecar_nodes[1].proxy.program
     assert isinstance(other, Sidecar)
     at_term = told.served
-    side.proxy.signal(TERM)
+    side.proxy.signal(SIGTERM)
     world.run(9.0 + UNTIL_QUIET_S - GATE_S - 0.05)
     assert not told.leaving
     assert other.source.list[side.ip].state == READY
@@ -79,13 +79,13 @@
     assert isinstance(sidecar, Sidecar)
     clients = side.clients.program
     assert isinstance(clients, Clients)
-    clients.presses = True
-    side.proxy.signal(TERM)
+    clients.ignores_readiness = True
+    side.proxy.signal(SIGTERM)
     world.run(9.0 + 1.5)
     for each in deployment.sidecar_nodes:
-        backend = each.life()
+        backend = each.live_backend()
         assert backend is not None
-        backend.mean = 60.0  # what runs from here on is at work until after the end
+        backend.mean_work_s = 60.0  # what runs from here on is at work until after the end
     world.run(9.0 + 5.59)
     under_way = [
         attempt
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -11,7 +11,7 @@
 
 
 def test_the_machines_of_a_shape_stand_where_they_are_told() -> None:
-    shape = Shape.told("400,90,7/5")
+    shape = Shape.from_text("400,90,7/5")
     deployment = Deployment(1, real_sidecar, real_control_node, shape)
     assert str(shape) == "400,90,7/5"
     assert Counter(sidecar_node.machine.zone for sidecar_node in deployment.sidecar_nodes) == dict(
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from honeywharf.simulation.fault_schedule import KINDS, Fault, draw
+from honeywharf.simulation.fault_schedule import KINDS, Fault, draw_faults
 from honeywharf.simulation.run import Report, run, shrink
 from tests.simulation.toymesh import toys
 
@@ -57,12 +57,12 @@
 
 
 def test_the_same_seed_is_the_same_day() -> None:
-    days = [day("", draw(3, 10.0, 20.0), seed) for seed in (3, 3, 4)]
+    days = [day("", draw_faults(3, 10.0, 20.0), seed) for seed in (3, 3, 4)]
     assert days[0].digest == days[1].digest != days[2].digest
 
 
 def test_every_kind_of_trouble_can_be_drawn_and_is_carried_out() -> None:
-    drawn = {(fault.kind, fault.how) for seed in range(400) for fault in draw(seed, 10.0, 20.0)}
+    drawn = {(fault.kind, fault.how) for seed in range(400) for fault in draw_faults(seed, 10.0, 20.0)}
     assert {(kind, how) for kind, hows in KINDS.items() for how in hows} < drawn
     for n in range(0, len(KINDS), 5):
         some = list(KINDS)[n : n + 5]
--- a/tests/simulation/test_rare_faults.py
+++ b/tests/simulation/test_rare_faults.py
@@ -9,10 +9,10 @@
 from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.rare_faults import (
     EVERY_KIND,
-    RARE_COUNTED,
     RARE_KINDS,
+    RARE_SERIALIZED_KINDS,
     RareFaultSchedule,
-    draw_any,
+    draw_any_faults,
 )
 from honeywharf.simulation.run import run
 from tests.simulation.toymesh import toys
@@ -29,9 +29,9 @@
 
 
 def test_every_kind_can_be_drawn() -> None:
-    drawn = {(fault.kind, fault.how) for seed in range(800) for fault in draw_any(seed, 10.0, 20.0)}
+    drawn = {(fault.kind, fault.how) for seed in range(800) for fault in draw_any_faults(seed, 10.0, 20.0)}
     assert {(kind, how) for kind, hows in EVERY_KIND.items() for how in hows} <= drawn
-    assert set(RARE_COUNTED) <= {*EVERY_KIND, "closing"}
+    assert set(RARE_SERIALIZED_KINDS) <= {*EVERY_KIND, "closing"}
 
 
 @pytest.mark.parametrize("first", range(0, len(VARIANTS), 6))
@@ -54,9 +54,11 @@
 
 def test_clocks_step_and_come_back() -> None:
     day = struck("clock_step", "hour", 7.9)
-    before = {process.name: process.machine.skew for process in day.deployment.programs()}
+    before = {process.name: process.machine.skew for process in day.deployment.mesh_processes()}
     day.world.run(8.1)
-    moved = [process for process in day.deployment.programs() if process.machine.skew > before[process.name]]
+    moved = [
+        process for process in day.deployment.mesh_processes() if process.machine.skew > before[process.name]
+    ]
     assert {process.machine.skew - before[process.name] for process in moved} == {3600.0}
     assert len(moved) == len(before) // 3
     day.world.run(14.0)
@@ -75,16 +77,16 @@
     faults = [Fault(8.0, "closing", "wipe_after_ack", 1), Fault(8.5, "core_replace", "", 2)]
     day = RareFaultSchedule(Deployment(3, *toys("")), faults)
     day.world.run(16.9)
-    assert day.struck == {"closing": 1}
+    assert day.injected == {"closing": 1}
     day.world.run(17.1)
-    assert day.struck == {"closing": 1, "core_replace": 1}
+    assert day.injected == {"closing": 1, "core_replace": 1}
 
 
 def test_what_finds_no_turn_before_the_end_is_left_out() -> None:
     faults = [Fault(8.0 + n, "core_replace", "", n) for n in range(9)]
     day = RareFaultSchedule(Deployment(3, *toys(""), until=30.0), faults)
     day.world.run(60.0)
-    assert day.struck == {"core_replace": 2}
+    assert day.injected == {"core_replace": 2}
 
 
 def test_a_torn_connection_is_told_at_both_ends() -> None:
@@ -92,7 +94,7 @@
     log = two.asked()
     two.world.run(0.1)
     two.on(two.here, lambda: log.connection.send(b"lost"))
-    log.connection.torn()  # type: ignore[attr-defined]
+    log.connection.reset_both_ends()  # type: ignore[attr-defined]
     two.world.run(0.2)
     assert log.names()[-1] == "closed reset"
     assert two.taken[0].names()[-1] == "closed reset"
@@ -104,7 +106,7 @@
     well = disk.do("write", "a", 1.0, b"1") - 1.0
     disk.stalled_until = 5.0
     assert disk.do("write", "a", 2.0, b"1") == pytest.approx(5.0 + well)
-    disk.times = 30.0
+    disk.slowdown = 30.0
     assert disk.do("write", "a", 6.0, b"1") == pytest.approx(6.0 + 30 * well)
 
 
--- a/tests/simulation/toymesh.py
+++ b/tests/simulation/toymesh.py
@@ -13,7 +13,7 @@
     INBOUND,
     OUTBOUND,
     READINESS,
-    TERM,
+    SIGTERM,
     ProgramFactory,
 )
 from honeywharf.simulation.machine import Process
@@ -126,7 +126,7 @@
         self.serve(INBOUND, self.inbound)
         self.serve(READINESS, self.ready)
         self.serve(CONTROL, self.beat)
-        host.on_signal(TERM, self.stop)
+        host.on_signal(SIGTERM, self.stop)
 
     def serve(self, port: int, take: Any) -> None:
         self.host.listen((self.ip, port), lambda connection: Serving(connection, take))
@@ -208,14 +208,14 @@
 
         caller = Caller(self.host, (self.truth.backends[name]["ip"], INBOUND), told)
         first = f"{message.method} {message.path} HTTP/1.1"
-        caller.ask(None, text(first, {**headers, "toy": name}, message.body))
+        caller.send_request(None, text(first, {**headers, "toy": name}, message.body))
         self.heed(reply, caller)
 
     def heed(self, reply: Any, caller: Caller) -> None:
         """Give a request up when the one that waits for it has left."""
 
         def given_up() -> None:
-            self.open -= caller.live
+            self.open -= caller.is_open
             caller.close()
 
         if self.truth.fault != "GONE":
@@ -268,7 +268,7 @@
 
         self.open += 1
         caller = Caller(self.host, (self.ip, APPLICATION), told)
-        caller.ask(
+        caller.send_request(
             None,
             text(
                 f"{message.method} {message.path} HTTP/1.1",
