--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -92,7 +92,7 @@
         with _pool(1) as pool:
             report = pool.submit(run, self.seed, shape=self.shape, any_kind=self.any_kind).result()
         print(report)
-        for line in [*report.notes, *report.history()]:
+        for line in [*report.trace_lines, *report.history()]:
             print(f"    {line}")
         return 1 if report.broken else 0
 
--- a/honeywharf/simulation/__init__.py
+++ b/honeywharf/simulation/__init__.py
@@ -1,6 +1,6 @@
-"""The simulated network: the mesh's own programs in virtual time, by seed, the rules checked as they run.
+"""A deterministic simulation of the mesh's own programs in virtual time, with injected faults.
 
-`world` is time, `machine` what a program is given (`transport/host.py`), `standins` who is met outside,
-`rules` what must hold, `days` what goes wrong, `run` the whole, and the search for the least that breaks a
-rule.
+`world` is the event queue, `machine` the machines, processes and network (`transport/host.py`), `disk`
+their disks, `deployment` a mesh, `actors` its clients, backends and operators, `invariants` the rules,
+`fault_schedule` and `rare_faults` the faults, and `run` a run by seed and the reduction of its faults.
 """
--- a/honeywharf/simulation/actors.py
+++ b/honeywharf/simulation/actors.py
@@ -271,7 +271,11 @@
             name, self.ip, self.service(), method, flow.host, f"{flow.prefix}{self.count}", flow.kind
         )
         attempt.body = zlib.compress(name.encode()) * (flow.size // 20) if method == "POST" else b""
-        attempt.deadline, attempt.is_pipelined, attempt.life = ends, is_pipelined, self.proxy.life
+        attempt.deadline, attempt.is_pipelined, attempt.incarnation = (
+            ends,
+            is_pipelined,
+            self.proxy.incarnation,
+        )
         return attempt
 
     def _send(self, caller: Caller, attempt: Attempt, flow: Flow, tries: int) -> None:
@@ -642,7 +646,7 @@
         """Sends an order, and retries until it has a final answer."""
         self.invariant_checker.orders.append(order)
         order.sent = self.host.world.now
-        self.host.world.tell("operator", "sends", order)
+        self.host.world.record_event("operator", "sends", order)
         self.invariant_checker.notify("ordered", order)
         path = "configuration/replace" if order.kind == "config" else f"evacuations/{order.zone}/{order.kind}"
         headers: dict[str, object] = {"Host": "mesh", "Content-Type": "application/json"}
@@ -655,11 +659,11 @@
     def _finish_order(self, order: Order, message: Message, ip: str) -> None:
         if message.status < 300:
             order.acked, self.acked_by = self.host.world.now, ip
-            self.host.world.tell("operator", "has an ack of", order, "from", ip)
+            self.host.world.record_event("operator", "has an ack of", order, "from", ip)
             self.invariant_checker.notify("acked", order)
             self.on_ack(order, ip)
         else:
-            self.host.world.tell("operator", "is refused", order, "by", ip, message.status)
+            self.host.world.record_event("operator", "is refused", order, "by", ip, message.status)
             self.invariant_checker.notify("refused", order, message.status)
 
     def read_back(self, tries: int = 40) -> None:
--- a/honeywharf/simulation/disk.py
+++ b/honeywharf/simulation/disk.py
@@ -1,14 +1,16 @@
-"""A disk that may lose, keep or tear what was not synced when the power went."""
+"""A simulated disk, which may lose, keep or tear unsynced data at a power loss."""
 
 from __future__ import annotations
 
 import random
 
-NAME_LOST = 0.5  # chance that a new file whose folder was not synced is gone with the power
+NAME_LOSS_PROBABILITY = (
+    0.5  # The probability that a power loss removes a new file whose directory was not synced.
+)
 
 
 class Operation:
-    """One write, rename or removal: begun at `start`, safe from `done` on (seconds)."""
+    """One write, rename or removal, begun at `start` and durable from `done` on (seconds)."""
 
     __slots__ = ("data", "done", "kind", "name", "start", "to")
 
@@ -17,7 +19,7 @@
 
 
 def apply(files: dict[str, bytes], operation: Operation) -> None:
-    """Do one operation whole."""
+    """Applies one operation completely."""
     if operation.kind == "write":
         files[operation.name] = operation.data
     elif operation.kind == "remove":
@@ -26,95 +28,98 @@
         files[operation.to] = files.pop(operation.name)
 
 
-def torn(files: dict[str, bytes], operation: Operation, rng: random.Random) -> None:
-    """Do a part of a write: the beginning is new, the rest is old or missing. A name is never half there."""
+def apply_partly(files: dict[str, bytes], operation: Operation, rng: random.Random) -> None:
+    """Applies a prefix of a write; the rest stays old or is missing. Renames and removals are atomic."""
     if operation.kind != "write":
         return
-    part = rng.randint(0, len(operation.data))
-    rest = files.get(operation.name, b"")[part:] if rng.random() < 0.5 else b""
-    files[operation.name] = operation.data[:part] + rest
+    length = rng.randint(0, len(operation.data))
+    rest = files.get(operation.name, b"")[length:] if rng.random() < 0.5 else b""
+    files[operation.name] = operation.data[:length] + rest
 
 
 class Disk:
-    """Files as a process sees them, what of them is safe, and what is still under way."""
+    """The files as a process sees them, the durable files, and the operations in flight."""
 
     def __init__(self, sync: float = 0.005, per_byte: float = 1 / 60e6, spread: float = 0.0) -> None:
-        self.sync, self.per_byte = sync, per_byte  # seconds
-        self.spread = spread  # a sync takes up to so many times longer, evenly
+        self.sync, self.per_byte = sync, per_byte  # The time of a sync and of each byte, in seconds.
+        self.spread = spread  # A sync takes 1 to 1 + `spread` times as long.
         self.files: dict[str, bytes] = {}
-        self.safe: dict[str, bytes] = {}
+        self.durable: dict[str, bytes] = {}
         self.pending: list[Operation] = []
-        self.stalled_until = 0.0  # nothing is begun before
-        self.slowdown = 1.0  # how much longer everything takes
-        self.full = False  # takes no more bytes
-        self.names_safe_at: dict[str, float] = {}  # of new files: when the folder was synced after them
-        self.operations = 0  # counted since the first start, for crashes at the n-th
-        self.crash_at: tuple[int, str] | None = None  # n, "before" | "torn" | "after"
-
-    def do(self, kind: str, name: str, now: float, data: bytes = b"", to: str = "") -> float:
-        """Do one operation at `now`; when it is over. A removal is safe with a later sync only."""
-        folder = kind in ("rename", "sync")  # these sync the folder
+        self.stalled_until = 0.0  # No operation begins before this time.
+        self.slowdown = 1.0  # The factor by which all operations take longer.
+        self.full = False  # Whether writes fail with ENOSPC.
+        self.names_durable_at: dict[
+            str, float
+        ] = {}  # By new file, the time of the next sync of the directory.
+        self.operations = 0  # The number of operations so far, to crash at one of them.
+        self.crash_at: tuple[int, str] | None = None  # The operation and "before", "torn" or "after".
+
+    def run(self, kind: str, name: str, now: float, data: bytes = b"", to: str = "") -> float:
+        """Begins an operation at `now` and returns its end. A removal is durable only after a later sync."""
+        folder = kind in ("rename", "sync")  # These operations sync the directory.
         slow = 1.0 + self.spread * (hash((self.operations, round(now * 1e6))) % 997) / 997
         begun = max(now, self.stalled_until)
         takes = 0.0 if kind == "remove" else (self.sync * slow + len(data) * self.per_byte) * self.slowdown
-        over = begun + takes
-        operation = Operation(kind, name, data, to, now, float("inf") if kind == "remove" else over)
-        for earlier in self.pending:  # a rename syncs the folder; a write syncs the file and its own name
+        done_at = begun + takes
+        operation = Operation(kind, name, data, to, now, float("inf") if kind == "remove" else done_at)
+        # A rename syncs the directory; a write syncs the file and its own name.
+        for earlier in self.pending:
             synced = earlier.kind != "write" if folder else name in (earlier.name, earlier.to)
             if synced and kind != "remove":
-                earlier.done = min(earlier.done, over)
-        self._name(operation, folder)
+                earlier.done = min(earlier.done, done_at)
+        self._track_name(operation, folder)
         self.pending.append(operation)
         apply(self.files, operation)
-        return over
+        return done_at
 
-    def _name(self, operation: Operation, syncs_folder: bool) -> None:
-        """Note a file that is new, and which names a sync of the folder makes safe."""
+    def _track_name(self, operation: Operation, syncs_folder: bool) -> None:
+        """Tracks a new file, and the names that a sync of the directory makes durable."""
         if operation.kind == "write" and operation.name not in self.files:
-            self.names_safe_at[operation.name] = float("inf")
+            self.names_durable_at[operation.name] = float("inf")
         if syncs_folder:
-            for name, safe_at in self.names_safe_at.items():
-                self.names_safe_at[name] = min(safe_at, operation.done)
+            for name, durable_at in self.names_durable_at.items():
+                self.names_durable_at[name] = min(durable_at, operation.done)
 
     def settle(self, now: float) -> None:
-        """Move what has been synced by `now` to what is safe."""
+        """Makes the operations that were synced by `now` durable."""
         for operation in self.pending:
             if operation.done <= now:
-                apply(self.safe, operation)
+                apply(self.durable, operation)
         self.pending = [operation for operation in self.pending if operation.done > now]
 
-    def stop(self, now: float, power: bool, rng: random.Random) -> None:
-        """The process died at `now`; with the power gone too, what is not safe is there, missing or torn."""
+    def crash(self, now: float, power: bool, rng: random.Random) -> None:
+        """The process ended at `now`; at a power loss, pending operations are kept, lost or torn."""
         self.settle(now)
-        self.files = dict(self.safe)
-        none = power and rng.random() < 0.25  # at some losses all of it is gone
-        kept = []
+        self.files = dict(self.durable)
+        loses_all = power and rng.random() < 0.25  # Some power losses drop all pending operations.
+        surviving = []
         for operation in self.pending:
-            if operation.start > now or none:
+            if operation.start > now or loses_all:
                 continue
             luck = rng.random()
             if not power and operation.done == float("inf"):
-                luck = 0.0  # what was over for a process stays so while there is power
+                luck = 0.0  # Without a power loss, a finished removal stays.
             if luck < 0.4:
                 apply(self.files, operation)
                 operation.done = float("inf")
-                kept.append(operation)
+                surviving.append(operation)
             elif luck < 0.7:
-                torn(self.files, operation, rng)
+                apply_partly(self.files, operation, rng)
                 operation.data, operation.done = self.files.get(operation.name, b""), float("inf")
-                kept += [operation] * (operation.kind == "write")
-        self.pending = [] if power else kept
+                surviving += [operation] * (operation.kind == "write")
+        self.pending = [] if power else surviving
         if power:
             self._lose_names(now, rng)
-            self.safe = dict(self.files)
+            self.durable = dict(self.files)
 
     def _lose_names(self, now: float, rng: random.Random) -> None:
-        """Each file whose name was not synced yet is kept or lost by itself."""
-        for name, safe_at in self.names_safe_at.items():
-            if safe_at > now and rng.random() < NAME_LOST:
+        """Keeps or loses each file whose name was not synced, independently of the others."""
+        for name, durable_at in self.names_durable_at.items():
+            if durable_at > now and rng.random() < NAME_LOSS_PROBABILITY:
                 self.files.pop(name, None)
-        self.names_safe_at.clear()
+        self.names_durable_at.clear()
 
     def wipe(self) -> None:
-        """Another disk, empty."""
-        self.files, self.safe, self.pending, self.names_safe_at = {}, {}, [], {}
+        """Replaces the disk by an empty one."""
+        self.files, self.durable, self.pending, self.names_durable_at = {}, {}, [], {}
--- a/honeywharf/simulation/fault_schedule.py
+++ b/honeywharf/simulation/fault_schedule.py
@@ -113,7 +113,7 @@
                     self.world.at(self.serialized_until, self._inject, fault)
                 return
             self.serialized_until = self.world.now + takes
-        self.world.tell("FAULT", repr(fault))
+        self.world.record_event("FAULT", repr(fault))
         self.injected[fault.kind] += STORM_CHANGES if fault.kind == "config_storm" else 1
         getattr(self, fault.kind)(fault, random.Random(fault.seed))
 
@@ -136,7 +136,9 @@
 
     def _kill(self, process: Process, power: bool, seconds: float = 3.0) -> None:
         machine = process.machine
-        self._mark_fault(machine, seconds + process.back if power else process.back + 0.1)
+        self._mark_fault(
+            machine, seconds + process.restart_delay_s if power else process.restart_delay_s + 0.1
+        )
         if power and machine.power:
             machine.power_off()
             self._schedule(seconds, machine.power_on)
@@ -190,7 +192,7 @@
 
     def _replace_core(self, old: Process) -> None:
         self._mark_fault(old.machine, 4.0)
-        old.kept = False
+        old.is_restarted = False
         old.machine.power_off()
         new = self.deployment.make_replacement_core(old)
         self._mark_fault(new.machine, 1.5)
@@ -216,7 +218,7 @@
         pairs += [] if one_way else [(b, a) for a, b in pairs]
         self.deployment.network.cut(pairs)
         self._mark_fault(machine, seconds)
-        self._schedule(seconds, self.deployment.network.join, pairs)
+        self._schedule(seconds, self.deployment.network.remove_cuts, pairs)
 
     def core_cut(self, fault: Fault, rng: random.Random) -> None:
         """Partitions a control node from the others."""
@@ -256,7 +258,7 @@
         self._terminate(sidecar_node)
 
     def _terminate(self, sidecar_node: SidecarNode) -> None:
-        life = sidecar_node.proxy.life
+        incarnation = sidecar_node.proxy.incarnation
         self.invariant_checker.notify("terminated", sidecar_node.ip)
         self.invariant_checker.last_fault_at[sidecar_node.ip] = (
             self.world.now + self.invariant_checker.bounds["grace-period"]
@@ -264,7 +266,7 @@
         sidecar_node.proxy.signal(SIGTERM)
         self._schedule(
             self.invariant_checker.bounds["grace-period"],
-            lambda: sidecar_node.proxy.kill() if sidecar_node.proxy.life == life else None,
+            lambda: sidecar_node.proxy.kill() if sidecar_node.proxy.incarnation == incarnation else None,
         )
 
     # Faults of backends.
@@ -281,7 +283,7 @@
 
     def _restart_drained(self, sidecar_node: SidecarNode, service: str) -> None:
         """Ends the drained backend, then terminates its proxy, and starts new ones later."""
-        sidecar_node.backend.kept, sidecar_node.service = False, service
+        sidecar_node.backend.is_restarted, sidecar_node.service = False, service
         sidecar_node.backend.end()
         self._terminate(sidecar_node)
         self._schedule(
@@ -305,12 +307,14 @@
         )
 
     def _remove_node(self, sidecar_node: SidecarNode) -> None:
-        sidecar_node.backend.kept = sidecar_node.clients.kept = sidecar_node.proxy.kept = False
+        sidecar_node.backend.is_restarted = sidecar_node.clients.is_restarted = (
+            sidecar_node.proxy.is_restarted
+        ) = False
         sidecar_node.backend.end()
         self._terminate(sidecar_node)
 
     def _start_backend(self, sidecar_node: SidecarNode) -> None:
-        sidecar_node.backend.kept = True
+        sidecar_node.backend.is_restarted = True
         sidecar_node.backend.start()
 
     def replace_with_reuse(self, fault: Fault, rng: random.Random) -> None:
@@ -333,7 +337,7 @@
 
     def _crash_backend(self, sidecar_node: SidecarNode) -> None:
         self.invariant_checker.last_any_fault_at = self.world.now
-        sidecar_node.backend.kept = False
+        sidecar_node.backend.is_restarted = False
         sidecar_node.backend.end()
 
     def life_swap(self, fault: Fault, rng: random.Random) -> None:
--- a/honeywharf/simulation/invariants.py
+++ b/honeywharf/simulation/invariants.py
@@ -41,7 +41,7 @@
         "id",
         "is_pipelined",
         "kind",
-        "life",
+        "incarnation",
         "machine",
         "method",
         "path",
@@ -56,7 +56,7 @@
     ) -> None:
         self.id, self.machine, self.service, self.method = id_, machine, service, method
         self.host, self.path, self.kind = host, path, kind
-        self.body, self.life, self.sent, self.deadline, self.status = b"", 0, 0.0, 0.0, 0
+        self.body, self.incarnation, self.sent, self.deadline, self.status = b"", 0, 0.0, 0.0, 0
         self.arrivals: list[tuple[float, Any]] = []
         self.runs: list[tuple[float, Any]] = []
         self.ends: list[tuple[float, Any]] = []  # The time at which each run ends unless it is cancelled.
@@ -96,7 +96,7 @@
 
     def __str__(self) -> str:
         """Returns the description in the history of a run."""
-        what = f"r{self.version}{'' if self.valid else ', invalid'}" if self.kind == "config" else self.zone
+        what = f"r{self.version}{'' if self.valid else ', not valid'}" if self.kind == "config" else self.zone
         return f"{self.kind} {what}"
 
     def services(self, host: str, path: str) -> frozenset[str]:
@@ -168,7 +168,7 @@
         """Records the first violation and halts the simulation."""
         if not self.invariant_checker.violations:
             self.invariant_checker.violations.append((type(self).__name__.upper(), self.now, what))
-            self.invariant_checker.world.tell("BROKEN", type(self).__name__.upper(), what)
+            self.invariant_checker.world.record_event("BROKEN", type(self).__name__.upper(), what)
             self.invariant_checker.world.halted = True
 
 
@@ -339,7 +339,7 @@
             for order in self.invariant_checker.configs()
             if backend.service in order.services(attempt.host, attempt.path)
         ]
-        seen = self.effects.setdefault((attempt.machine, attempt.life), [])
+        seen = self.effects.setdefault((attempt.machine, attempt.incarnation), [])
         before = [version for when, version in seen if when < attempt.sent - self.bound["rollback-slack"]]
         if matching and before and max(matching) < max(before):
             self.report_violation(f"{attempt.machine} rolled back from r{max(before)} to r{max(matching)}")
--- a/honeywharf/simulation/machine.py
+++ b/honeywharf/simulation/machine.py
@@ -1,14 +1,15 @@
-"""Machines, processes and the network between them: `transport/host.py` in virtual time.
-
-Theory of operation. A `Process` is the `Host` of one program. All calls into it go through `Process.call`:
-they wait while it is frozen or blocked by its disk, and are dropped when it has died. A disk operation moves
-the process's own clock on; what it sends afterwards leaves only then, and not at all if it dies before.
-
-A connection is two `End`s. What flies from one to the other is bytes, acknowledgements of bytes *read*
-(numbers), and the marks below, in order. At most `WINDOW` bytes are unread or on the way: the rest is held
-by the sender (`unsent`). Where the path is cut or the far side has no power, what arrives is stuck with its
-sender until the path is whole; a peer silent for `SILENT` seconds is lost (`closed("timeout")`), as
-keep-alive probes and `TCP_USER_TIMEOUT` would tell. A reset drops what is unread at both ends.
+"""Simulated machines, processes and the network between them: `transport/host.py` in virtual time.
+
+Theory of operation. A `Process` is the `Host` of one program. All calls into the program go through
+`Process.call`: they wait while the process is frozen or blocked by its disk, and are dropped when it has
+ended. A disk operation advances the process's own clock. What the process sends afterwards leaves only at
+that time, and not at all if the process ends before.
+
+A connection consists of two `End`s. An end transmits bytes, acknowledgements of bytes that were *read*
+(numbers) and the marks below, in order. At most `WINDOW_BYTES` are unread or in flight; the sender buffers
+the rest (`unsent`). While the path is cut or the peer has no power, items stay undelivered at their sender
+until the path is restored. A peer that is silent for `SILENCE_TIMEOUT_S` is lost (`closed("timeout")`), as
+with keep-alive probes and `TCP_USER_TIMEOUT`. A reset drops what is unread at both ends.
 """
 
 from __future__ import annotations
@@ -26,173 +27,189 @@
 if TYPE_CHECKING:
     from honeywharf.transport.host import Address, Connection, Handler
 
-WINDOW = 65_536  # bytes unread or on the way, each direction
-PIECE = 16_384  # bytes of one delivery at most
-SILENT = 3.0  # seconds without a sign of the peer until a connection is lost
-BACKLOG = 512  # connections that a process has not taken yet; further opening packets are dropped
-DATAGRAM = 1_400  # bytes
-EARS = 256  # datagrams that wait for a process; further ones are lost
-LINES = 2_000  # log lines kept of a process
-UP, END, RESET = "up", "end", "reset"  # marks
+WINDOW_BYTES = 65_536  # The limit of bytes unread or in flight, in each direction.
+MAX_SEGMENT_BYTES = 16_384
+SILENCE_TIMEOUT_S = 3.0  # After this time without a sign of the peer a connection is lost.
+LISTEN_BACKLOG = 512  # Connections to be accepted; further opening packets are dropped.
+MAX_DATAGRAM_BYTES = 1_400
+MAX_PENDING_DATAGRAMS = 256  # Datagrams that wait for a process; further ones are lost.
+MAX_LOG_LINES = 2_000
+ESTABLISHED, END, RESET = "up", "end", "reset"  # The marks between ends.
 
 
-class Dead(BaseException):
-    """The process died within a call (a crash at a disk operation)."""
+class ProcessDied(BaseException):
+    """The process ended within a call, by an injected crash at a disk operation."""
 
 
 class Network:
-    """Who hears whom, and how late."""
+    """The paths between machines, their delays and cuts."""
 
     def __init__(
-        self, world: World, in_zone: float = 2e-4, cross: float = 1.4e-3, loss: float = 2e-3
+        self,
+        world: World,
+        in_zone_delay_s: float = 2e-4,
+        cross_zone_delay_s: float = 1.4e-3,
+        loss: float = 2e-3,
     ) -> None:
-        self.world, self.in_zone, self.cross, self.loss = world, in_zone, cross, loss
-        self.window = WINDOW  # bytes unread or on the way, each direction of a connection
+        self.world, self.in_zone_delay_s, self.cross_zone_delay_s, self.loss = (
+            world,
+            in_zone_delay_s,
+            cross_zone_delay_s,
+            loss,
+        )
+        self.window = WINDOW_BYTES  # The limit of unread and in-flight bytes of each connection.
         self.machines: dict[str, Machine] = {}
-        self.between: dict[tuple[str, str], int] = {}  # bytes sent, by (zone, zone)
+        self.bytes_between: dict[tuple[str, str], int] = {}  # Bytes sent by (zone, zone).
         self._cuts: dict[tuple[str, str], int] = {}
         self._ends: dict[End, None] = {}
 
     def delay(self, a: Machine, b: Machine) -> float:
-        """Seconds from machine to machine, a little different each time."""
-        base = 0.00005 if a is b else self.in_zone if a.zone == b.zone else self.cross
+        """Returns the delay between two machines in seconds, with random jitter."""
+        base = 0.00005 if a is b else self.in_zone_delay_s if a.zone == b.zone else self.cross_zone_delay_s
         return base * (1 + 0.2 * self.world.random.random())
 
     def cut(self, pairs: Iterable[tuple[str, str]]) -> None:
-        """Let nothing pass from the first to the second address of each pair; cuts add up."""
+        """Blocks the path from the first to the second address of each pair; cuts of a pair are counted."""
         for pair in pairs:
             self._cuts[pair] = self._cuts.get(pair, 0) + 1
-        self.silence()
+        self.watch_silent_peers()
 
-    def join(self, pairs: Iterable[tuple[str, str]]) -> None:
-        """Take back one cut of each pair."""
+    def remove_cuts(self, pairs: Iterable[tuple[str, str]]) -> None:
+        """Removes one cut of each pair."""
         for pair in pairs:
             self._cuts[pair] -= 1
             if not self._cuts[pair]:
                 del self._cuts[pair]
-        self.heal()
+        self.resume_delivery()
 
     def blocked(self, a: Machine, b: Machine) -> bool:
-        """Whether nothing arrives at `b` from `a` now."""
+        """Whether nothing from `a` arrives at `b` now."""
         return not b.power or (bool(self._cuts) and (a.ip, b.ip) in self._cuts)
 
-    def silence(self) -> None:
-        """Something went silent: whoever still waits for it in `SILENT` seconds gives up."""
+    def watch_silent_peers(self) -> None:
+        """Starts the time-outs of connections whose peers have become silent."""
         for end in list(self._ends):
             end.watch()
 
-    def heal(self) -> None:
-        """Something can be heard again: what is stuck is sent once more, after a moment."""
+    def resume_delivery(self) -> None:
+        """Stops the time-outs of connections whose paths are restored, and resends undelivered items."""
         for end in list(self._ends):
-            if end.quiet is not None and not end.silent():
-                end.quiet.cancel()
-                end.quiet = None
-            self.world.at(self.world.now + self.world.random.uniform(0.05, 0.5), end.again)
+            if end.silence_timer is not None and not end.is_peer_silent():
+                end.silence_timer.cancel()
+                end.silence_timer = None
+            self.world.at(self.world.now + self.world.random.uniform(0.05, 0.5), end.resend)
 
     def add(self, end: End) -> None:
-        """Keep a live end."""
+        """Registers an open end."""
         self._ends[end] = None
 
     def forget(self, end: End) -> None:
-        """An end is gone."""
+        """Unregisters a closed end."""
         self._ends.pop(end, None)
 
 
 class End:
-    """One end of a connection (`host.Connection`). Programs see the methods that the interface names."""
+    """One end of a connection, which implements `host.Connection`."""
 
     __slots__ = (
         "end_watcher",
         "finished",
-        "flying",
+        "in_flight",
         "handler",
-        "held",
-        "inbox",
-        "last",
-        "life",
+        "send_buffer",
+        "receive_buffer",
+        "last_arrival",
+        "incarnation",
         "other",
         "paused",
         "peer",
         "process",
-        "quiet",
-        "short",
+        "silence_timer",
+        "is_blocked",
         "state",
-        "stuck",
+        "undelivered",
         "unsent",
     )
 
     def __init__(self, process: Process, peer: Address, state: str) -> None:
-        self.process, self.peer, self.state, self.life = process, peer, state, process.life
+        self.process, self.peer, self.state, self.incarnation = process, peer, state, process.incarnation
         self.other: End | None = None
         self.handler: Handler | None = None
-        self.unsent = self.flying = 0
-        self.held: deque[bytes] = deque()
-        self.inbox: deque[bytes | str] = deque()
-        self.stuck: list[bytes | int | str] = []
-        self.paused = self.short = False
-        self.finished = 0  # 1 when nothing more is to be sent, 2 when the far side has been told
-        self.last = 0.0
-        self.quiet: Event | None = None
+        self.unsent = self.in_flight = 0
+        self.send_buffer: deque[bytes] = deque()
+        self.receive_buffer: deque[bytes | str] = deque()
+        self.undelivered: list[bytes | int | str] = []
+        self.paused = self.is_blocked = False
+        self.finished = 0  # 1 when nothing more will be sent, 2 when the end mark was sent.
+        self.last_arrival = 0.0
+        self.silence_timer: Event | None = None
         self.end_watcher: Callable[[], None] | None = None
         process.machine.network.add(self)
         process.ends[self] = None
 
-    # What programs call.
+    # The interface for programs.
 
     def send(self, data: bytes) -> None:
-        """Send, later if need be."""
+        """Sends bytes, or buffers them while the window is full."""
         if self.state in ("closed", "closing") or self.finished or not data:
             return
-        self.held.append(bytes(data))
+        self.send_buffer.append(bytes(data))
         self.unsent += len(data)
-        self.process.out(self._pump)
+        self.process.after_disk(self._send_buffered)
 
     def finish(self) -> None:
-        """Send nothing more, and read on (half close; only those outside the mesh do it)."""
+        """Closes the sending direction only; clients and backends outside the mesh use it."""
         self.finished = 1
-        self.process.out(self._pump)
+        self.process.after_disk(self._send_buffered)
 
     def close(self) -> None:
-        """Send what is held, then close."""
+        """Sends the buffered bytes, then closes."""
         if self.state == "opening":
             self.abort()
         elif self.state == "open":
             self.state = "closing"
-            self.process.out(self._pump)
+            self.process.after_disk(self._send_buffered)
 
     def abort(self) -> None:
-        """Close at once and drop what is held."""
+        """Resets the connection and drops the buffered bytes."""
         if self.state != "closed":
             self.state = "closing"
-            self._drop()
-            self.stuck.clear()
-            self.process.out(self._reset_and_go)
+            self._clear_send_buffer()
+            self.undelivered.clear()
+            self.process.after_disk(self._reset_and_report)
 
     def pause(self) -> None:
-        """Read nothing more."""
+        """Stops reading."""
         self.paused = True
 
     def resume(self) -> None:
-        """Read again."""
+        """Resumes reading."""
         if self.paused:
             self.paused = False
-            self.process.world.at(self.process.now_here(), self.process.call, self.life, self._read)
+            self.process.world.at(self.process.now_here(), self.process.call, self.incarnation, self._read)
 
     def watch_end(self, call: Callable[[], None]) -> None:
-        """Call once if the far side ends its bytes while reading is paused."""
+        """Calls once if the peer closes its direction while reading is paused."""
         self.end_watcher = call
-        self.process.world.at(self.process.now_here(), self.process.call, self.life, self._show_end)
+        self.process.world.at(
+            self.process.now_here(), self.process.call, self.incarnation, self._notify_end_watcher
+        )
 
-    # What the network does.
+    # Delivery by the network.
 
-    def _show_end(self) -> None:
-        """Tell who watches that the end has come and is not read."""
-        if self.paused and self.state == "open" and self.end_watcher is not None and END in self.inbox:
+    def _notify_end_watcher(self) -> None:
+        """Notifies the watcher of an unread end mark."""
+        if (
+            self.paused
+            and self.state == "open"
+            and self.end_watcher is not None
+            and END in self.receive_buffer
+        ):
             call, self.end_watcher = self.end_watcher, None
             call()
 
-    def silent(self) -> bool:
-        """Whether the far side gives no sign of life now."""
+    def is_peer_silent(self) -> bool:
+        """Whether the peer is frozen or unreachable now."""
         if self.other is None:
             return False
         here, there = self.process.machine, self.other.process
@@ -202,174 +219,180 @@
         )
 
     def watch(self) -> None:
-        """Give up in `SILENT` seconds, if the far side stays silent until then."""
-        if self.quiet is None and self.silent():
+        """Starts the time-out if the peer is silent."""
+        if self.silence_timer is None and self.is_peer_silent():
             world = self.process.world
-            self.quiet = world.at(world.now + SILENT, self.give_up)
-
-    def give_up(self) -> None:
-        """The far side was silent all the time."""
-        self.quiet = None
-        if self.silent():
-            self.process.call(self.life, self.gone, "timeout")
-
-    def again(self) -> None:
-        """Send again what was stuck; a machine that came back without the connection resets it."""
-        stuck, self.stuck = self.stuck, []
-        for item in stuck:
-            self._arrive(item)
+            self.silence_timer = world.at(world.now + SILENCE_TIMEOUT_S, self.close_if_silent)
+
+    def close_if_silent(self) -> None:
+        """Closes the connection if the peer was silent until the time-out."""
+        self.silence_timer = None
+        if self.is_peer_silent():
+            self.process.call(self.incarnation, self.report_closed, "timeout")
+
+    def resend(self) -> None:
+        """Resends undelivered items; a machine that came back without the connection resets it."""
+        undelivered, self.undelivered = self.undelivered, []
+        for item in undelivered:
+            self._deliver(item)
         if self.state in ("closed", "lost"):
-            self._leave()
-        elif self.other is not None and self.other.state == "lost" and not self.silent():
-            self.take(RESET)
+            self._unregister()
+        elif self.other is not None and self.other.state == "lost" and not self.is_peer_silent():
+            self.receive(RESET)
 
     def reset_both_ends(self) -> None:
-        """Something on the way resets the connection: both ends are told, what was under way is lost."""
+        """Resets the connection at both ends, as a middlebox does; items in flight are lost."""
         for end in (self, self.other):
             if end is not None:
-                end.stuck.clear()
-                end.take(RESET)
+                end.undelivered.clear()
+                end.receive(RESET)
 
-    def vanish(self) -> None:
-        """The power went: nobody is told."""
+    def lose_power(self) -> None:
+        """Drops the connection without any notification, as a power loss does."""
         self.state = "lost"
-        self._drop()
-        self.inbox.clear()
-        self.stuck.clear()
-        self._leave()
-
-    def die(self) -> None:
-        """The process ended: its kernel closes, with a reset where bytes were unread."""
-        self._drop()
+        self._clear_send_buffer()
+        self.receive_buffer.clear()
+        self.undelivered.clear()
+        self._unregister()
+
+    def reset_or_close(self) -> None:
+        """Closes the connection of a process that has ended, with a reset if bytes are unread."""
+        self._clear_send_buffer()
         if self.state in ("open", "closing") and self.other is not None:
-            self._fly(RESET if self._unread() else END)
+            self._transmit(RESET if self._has_unread() else END)
         self.state = "closed"
-        self._leave()
+        self._unregister()
 
-    def gone(self, why: str) -> None:
-        """Tell the program, once."""
+    def report_closed(self, why: str) -> None:
+        """Reports the end of the connection to the program, once."""
         if self.state not in ("closed", "lost"):
             self.state = "lost" if why == "timeout" else "closed"
-            self._drop()
-            self.inbox.clear()
-            self._leave()
-            self.process.world.note(self.process.name, "closed", self.peer[1], why)
+            self._clear_send_buffer()
+            self.receive_buffer.clear()
+            self._unregister()
+            self.process.world.record(self.process.name, "closed", self.peer[1], why)
             if self.handler is not None:
                 self.handler.closed(why)
 
-    def _leave(self) -> None:
-        if self.quiet is not None:
-            self.quiet.cancel()
+    def _unregister(self) -> None:
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         self.process.ends.pop(self, None)
-        if not self.stuck:  # else its last words may still be heard
+        if not self.undelivered:  # Otherwise undelivered items may still arrive.
             self.process.machine.network.forget(self)
 
-    def _unread(self) -> bool:
-        return any(isinstance(item, bytes) for item in self.inbox)
+    def _has_unread(self) -> bool:
+        return any(isinstance(item, bytes) for item in self.receive_buffer)
 
-    def _drop(self) -> None:
-        self.held.clear()
+    def _clear_send_buffer(self) -> None:
+        self.send_buffer.clear()
         self.unsent = 0
 
-    def _reset_and_go(self) -> None:
+    def _reset_and_report(self) -> None:
         if self.other is not None:
-            self._fly(RESET)
-        self._go()
+            self._transmit(RESET)
+        self._report_closed_soon()
 
-    def _go(self) -> None:
-        self.process.world.at(self.process.world.now, self.process.call, self.life, self.gone, "")
+    def _report_closed_soon(self) -> None:
+        self.process.world.at(
+            self.process.world.now, self.process.call, self.incarnation, self.report_closed, ""
+        )
 
-    def _pump(self) -> None:
-        """Put on the wire what the window takes; tell when the last that was held has gone."""
+    def _send_buffered(self) -> None:
+        """Transmits what the window admits, and reports when the buffer is empty."""
         if self.state not in ("open", "closing") or self.process.frozen or self.other is None:
             return
         window = self.process.machine.network.window
-        while self.held and self.flying < window:
-            room, data = min(PIECE, window - self.flying), self.held.popleft()
+        while self.send_buffer and self.in_flight < window:
+            room, data = min(MAX_SEGMENT_BYTES, window - self.in_flight), self.send_buffer.popleft()
             if len(data) > room:
-                self.held.appendleft(data[room:])
+                self.send_buffer.appendleft(data[room:])
                 data = data[:room]
-            self.flying += len(data)
+            self.in_flight += len(data)
             self.unsent -= len(data)
-            self._fly(data)
-        if self.held:
-            self.short = True
+            self._transmit(data)
+        if self.send_buffer:
+            self.is_blocked = True
             return
         if self.state == "closing":
-            self._tell_closed()
-            self._go()
+            self._send_end()
+            self._report_closed_soon()
         elif self.finished == 1:
             self.finished = 2
-            self._fly(END)
-        elif self.short:
-            self.short = False
+            self._transmit(END)
+        elif self.is_blocked:
+            self.is_blocked = False
             if self.handler is not None:
-                self.process.call(self.life, self.handler.drained)
+                self.process.call(self.incarnation, self.handler.drained)
 
-    def _tell_closed(self) -> None:
-        """The last on the wire: a reset where bytes are unread, nothing where the end was told before."""
-        if self._unread():
-            self._fly(RESET)
+    def _send_end(self) -> None:
+        """Transmits a reset if bytes are unread, or else the end mark unless it was sent."""
+        if self._has_unread():
+            self._transmit(RESET)
         elif self.finished != 2:
-            self._fly(END)
+            self._transmit(END)
 
-    def _fly(self, item: bytes | int | str) -> None:
+    def _transmit(self, item: bytes | int | str) -> None:
         assert self.other is not None
         here, there = self.process.machine, self.other.process.machine
         size = len(item) + 60 if isinstance(item, bytes) else 60
-        self.last = max(self.last + 1e-9, here.depart(size, there) + here.network.delay(here, there))
-        self.process.world.at(self.last, self._arrive, item)
+        self.last_arrival = max(
+            self.last_arrival + 1e-9, here.depart(size, there) + here.network.delay(here, there)
+        )
+        self.process.world.at(self.last_arrival, self._deliver, item)
 
-    def _arrive(self, item: bytes | int | str) -> None:
-        """At the far side, or stuck."""
+    def _deliver(self, item: bytes | int | str) -> None:
+        """Passes an item to the peer, or keeps it while the path is cut."""
         assert self.other is not None
         here, there = self.process.machine, self.other.process.machine
         if self.state == "lost" and here.network.blocked(here, there):
             return
-        if self.stuck or here.network.blocked(here, there):
-            self.stuck.append(item)
+        if self.undelivered or here.network.blocked(here, there):
+            self.undelivered.append(item)
             here.network.add(self)
             self.watch()
             self.other.watch()
         elif self.other.state in ("closed", "lost"):
-            if (isinstance(item, bytes) or item == UP) and not here.network.blocked(there, here):
+            if (isinstance(item, bytes) or item == ESTABLISHED) and not here.network.blocked(there, here):
                 world = self.process.world
-                world.at(world.now + here.network.delay(there, here), self.take, RESET)
+                world.at(world.now + here.network.delay(there, here), self.receive, RESET)
         else:
-            self.other.take(item)
+            self.other.receive(item)
 
-    def take(self, item: bytes | int | str) -> None:
-        """Something arrived here."""
+    def receive(self, item: bytes | int | str) -> None:
+        """Handles an item that has arrived."""
         if isinstance(item, int):
-            self.flying -= item
-            self.process.call(self.life, self._pump)
+            self.in_flight -= item
+            self.process.call(self.incarnation, self._send_buffered)
         elif item == RESET:
-            self.inbox.clear()
-            self.process.call(self.life, self.gone, "refused" if self.state == "opening" else RESET)
-        elif item == UP:
-            self.process.call(self.life, self._up)
+            self.receive_buffer.clear()
+            self.process.call(
+                self.incarnation, self.report_closed, "refused" if self.state == "opening" else RESET
+            )
+        elif item == ESTABLISHED:
+            self.process.call(self.incarnation, self._establish)
         else:
-            self.inbox.append(item)
-            self.process.call(self.life, self._read)
-            self.process.call(self.life, self._show_end)
+            self.receive_buffer.append(item)
+            self.process.call(self.incarnation, self._read)
+            self.process.call(self.incarnation, self._notify_end_watcher)
 
-    def _up(self) -> None:
+    def _establish(self) -> None:
         if self.state == "opening":
             self.state = "open"
             if self.handler is not None:
                 self.handler.opened()
-            self._pump()
+            self._send_buffered()
         else:
-            self._fly(RESET)  # it was given up before
+            self._transmit(RESET)  # The connection was abandoned before.
 
     def _read(self) -> None:
-        while self.inbox and not self.paused and self.handler and self.state in ("open", "closing"):
-            item = self.inbox.popleft()
+        while self.receive_buffer and not self.paused and self.handler and self.state in ("open", "closing"):
+            item = self.receive_buffer.popleft()
             if isinstance(item, bytes):
-                self._fly(len(item))
-                self.process.world.note(self.process.name, "read", len(item), self.peer[1])
+                self._transmit(len(item))
+                self.process.world.record(self.process.name, "read", len(item), self.peer[1])
             if self.state == "closing":
-                continue  # read and dropped while the last bytes go
+                continue  # Bytes are read and dropped while the last ones are sent.
             if isinstance(item, bytes):
                 self.handler.received(item)
             else:
@@ -377,7 +400,7 @@
 
 
 class Machine:
-    """A box with an address, a link, power, and maybe a disk."""
+    """A machine with an address, a network link, power, and maybe a disk."""
 
     def __init__(
         self, network: Network, ip: str, zone: str, disk: Disk | None = None, mbps: float = 1e3
@@ -386,270 +409,270 @@
         self.power = True
         self.processes: list[Process] = []
         self.listeners: dict[int, tuple[Process, Callable[[Connection], Handler]]] = {}
-        self.ears: dict[int, tuple[Process, Callable[[Address, bytes], None]]] = {}
-        self.free = 0.0  # when the link has sent all that it was given
-        self.skew = network.world.random.uniform(-0.05, 0.05)
-        self.steady = network.world.random.uniform(100.0, 1000.0)
-        self.ports = 32_768
+        self.datagram_receivers: dict[int, tuple[Process, Callable[[Address, bytes], None]]] = {}
+        self.link_free_at = 0.0  # The time when the link has sent all its bytes.
+        self.clock_skew_s = network.world.random.uniform(-0.05, 0.05)
+        self.clock_start_s = network.world.random.uniform(100.0, 1000.0)
+        self.last_port = 32_768
         network.machines[ip] = self
 
     def depart(self, size: int, to: Machine) -> float:
-        """When so many bytes have left for another machine."""
+        """Returns the time when that many bytes have left for another machine."""
         now = self.network.world.now
         if to is self:
             return now
         key = (self.zone, to.zone)
-        self.network.between[key] = self.network.between.get(key, 0) + size
-        self.free = max(now, self.free) + size * self.per_byte
-        return self.free
+        self.network.bytes_between[key] = self.network.bytes_between.get(key, 0) + size
+        self.link_free_at = max(now, self.link_free_at) + size * self.per_byte
+        return self.link_free_at
 
     def power_off(self) -> None:
-        """All at once: connections go silent, writes that were not synced are as luck has it."""
+        """Cuts the power: connections become silent, and unsynced writes are kept or lost at random."""
         self.power = False
         for process in self.processes:
             process.end(quiet=True)
         if self.disk is not None:
-            self.disk.stop(self.network.world.now, True, self.network.world.random)
-        self.network.silence()
+            self.disk.crash(self.network.world.now, True, self.network.world.random)
+        self.network.watch_silent_peers()
 
     def power_on(self) -> None:
-        """The power is back; processes start again after their delay."""
+        """Restores the power; processes start after their delay."""
         self.power = True
-        self.network.heal()
+        self.network.resume_delivery()
         for process in self.processes:
-            process.again()
+            process.restart_later()
 
 
 class Process:
-    """One process of a machine: the `Host` of one program. `make` builds the program at each start."""
+    """One process of a machine: the `Host` of one program, which `make` creates at each start."""
 
     def __init__(
-        self, machine: Machine, name: str, make: Callable[[Process], object], back: float = 0.3
+        self, machine: Machine, name: str, make: Callable[[Process], object], restart_delay_s: float = 0.3
     ) -> None:
-        self.machine, self.name, self.make, self.back = machine, name, make, back
-        self.world, self.life = machine.network.world, 0
-        self.alive, self.frozen, self.kept = False, False, True
+        self.machine, self.name, self.make, self.restart_delay_s = machine, name, make, restart_delay_s
+        self.world, self.incarnation = machine.network.world, 0
+        self.alive, self.frozen, self.is_restarted = False, False, True
         self.program: object = None
-        self.busy = 0.0  # its disk has it until then
+        self.disk_busy_until = 0.0  # The end of its disk operation.
         self.ends: dict[End, None] = {}
         self.waiting: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
-        self.lines: deque[str] = deque(maxlen=LINES)
+        self.lines: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self.signals: dict[int, Callable[[], None]] = {}
-        self.mouth: Address | None = None
+        self.datagram_source: Address | None = None
         self.status: int | None = None
-        self.deaf = 0
+        self.dropped_datagrams = 0
         machine.processes.append(self)
 
-    # Its life.
+    # Start and end of the process.
 
     def start(self) -> None:
-        """Start the program, where it does not run and there is power."""
-        if not self.alive and self.machine.power and self.kept:
-            self.life += 1
-            self.alive, self.frozen, self.status, self.busy = True, False, None, self.world.now
-            self.world.tell(self.name, "starts")
-            self.call(self.life, self._make)
-
-    def _make(self) -> None:
+        """Starts the program if it is not running and the machine has power."""
+        if not self.alive and self.machine.power and self.is_restarted:
+            self.incarnation += 1
+            self.alive, self.frozen, self.status, self.disk_busy_until = True, False, None, self.world.now
+            self.world.record_event(self.name, "starts")
+            self.call(self.incarnation, self._create_program)
+
+    def _create_program(self) -> None:
         self.program = self.make(self)
 
-    def again(self) -> None:
-        """Start again after the delay of a restart."""
-        self.world.at(self.world.now + self.back, self.start)
+    def restart_later(self) -> None:
+        """Starts the process after its restart delay."""
+        self.world.at(self.world.now + self.restart_delay_s, self.start)
 
     def end(self, quiet: bool = False) -> None:
-        """The process is gone: by a kill, by itself or (quiet) with the power."""
+        """Ends the process; `quiet` is a power loss, which sends nothing to peers."""
         if not self.alive:
             return
         self.alive, self.frozen, self.program = False, False, None
-        self.world.tell(self.name, "ends")
+        self.world.record_event(self.name, "ends")
         self.waiting.clear()
         self.signals.clear()
-        for table in (self.machine.listeners, self.machine.ears):
+        for table in (self.machine.listeners, self.machine.datagram_receivers):
             for port in [port for port, (process, _) in table.items() if process is self]:
                 del table[port]
         for end in list(self.ends):
-            end.vanish() if quiet else end.die()
+            end.lose_power() if quiet else end.reset_or_close()
         if not quiet and self.machine.disk is not None:
-            self.machine.disk.stop(self.world.now, False, self.world.random)
+            self.machine.disk.crash(self.world.now, False, self.world.random)
 
     def kill(self) -> None:
-        """SIGKILL; it starts again by itself."""
+        """Kills the process, which then restarts."""
         if self.alive:
             self.end()
-            self.again()
+            self.restart_later()
 
     def signal(self, number: int) -> None:
-        """A signal; without somebody who takes it, the process ends."""
+        """Sends a signal, which kills the process if it has no handler."""
         if self.alive and number in self.signals:
-            self.call(self.life, self.signals[number])
+            self.call(self.incarnation, self.signals[number])
         else:
             self.kill()
 
     def freeze(self) -> None:
-        """Stand still: no event, no timer, nothing sent."""
+        """Stops the process: no events, no timers, no sending."""
         self.frozen = True
-        self.machine.network.silence()
+        self.machine.network.watch_silent_peers()
 
     def thaw(self) -> None:
-        """Go on: all that was due is done at once."""
+        """Continues the process; all due calls run at once."""
         if self.frozen:
             self.frozen = False
-            self._go_on()
+            self._run_waiting()
             for end in list(self.ends):
-                self.call(self.life, end._pump)
-            self.machine.network.heal()
+                self.call(self.incarnation, end._send_buffered)
+            self.machine.network.resume_delivery()
 
     # Calls into the program.
 
-    def call(self, life: int, do: Callable[..., None], *args: Any) -> None:
-        """Do a thing within the process, in order, when it runs; nothing if that life of it is over."""
-        if not self.alive or life != self.life:
+    def call(self, incarnation: int, do: Callable[..., None], *args: Any) -> None:
+        """Calls within the process, in order, when it can run; drops calls for an earlier incarnation."""
+        if not self.alive or incarnation != self.incarnation:
             return
-        if self.frozen or self.waiting or self.world.now < self.busy:
-            self.waiting.append((life, do, args))
+        if self.frozen or self.waiting or self.world.now < self.disk_busy_until:
+            self.waiting.append((incarnation, do, args))
             if len(self.waiting) == 1 and not self.frozen:
-                self.world.at(self.busy, self._go_on)
+                self.world.at(self.disk_busy_until, self._run_waiting)
         else:
-            self._do(do, args)
+            self._run(do, args)
 
-    def _go_on(self) -> None:
+    def _run_waiting(self) -> None:
         while self.waiting and not self.frozen:
-            if self.world.now < self.busy:
-                self.world.at(self.busy, self._go_on)
+            if self.world.now < self.disk_busy_until:
+                self.world.at(self.disk_busy_until, self._run_waiting)
                 return
             _, do, args = self.waiting.popleft()
-            self._do(do, args)
+            self._run(do, args)
 
-    def _do(self, do: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _run(self, do: Callable[..., None], args: tuple[Any, ...]) -> None:
         try:
             do(*args)
-        except Dead:
+        except ProcessDied:
             return
         except Exception:
-            self.world.crashed(self.name, traceback.format_exc(limit=-4))
+            self.world.record_crash(self.name, traceback.format_exc(limit=-4))
             self.status = 1
         if self.status is not None and self.alive:
-            self.world.at(self.now_here(), self._exited, self.life)
+            self.world.at(self.now_here(), self._end_exited, self.incarnation)
 
-    def _exited(self, life: int) -> None:
-        if life == self.life:
+    def _end_exited(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
             self.kill()
 
     def now_here(self) -> float:
-        """Virtual time as the process has it, after what its disk took."""
-        now, busy = self.world.now, self.busy
-        return busy if busy > now else now
+        """Returns the virtual time of the process, after its disk operations."""
+        now, disk_busy_until = self.world.now, self.disk_busy_until
+        return disk_busy_until if disk_busy_until > now else now
 
-    def out(self, do: Callable[[], None]) -> None:
-        """Let something out of the process: now, or when its disk lets it go on, if it lives then."""
+    def after_disk(self, do: Callable[[], None]) -> None:
+        """Runs a call now, or after the disk operation if the process still runs then."""
         here = self.now_here()
         if here <= self.world.now:
             do()
         else:
-            life = self.life
-            self.world.at(here, lambda: do() if self.alive and life == self.life else None)
+            incarnation = self.incarnation
+            self.world.at(here, lambda: do() if self.alive and incarnation == self.incarnation else None)
 
-    # The interface of a machine.
+    # The interface of `Host`.
 
     def now(self) -> float:
-        """Seconds on the steady clock."""
-        return self.machine.steady + self.now_here()
+        """Returns the monotonic time in seconds."""
+        return self.machine.clock_start_s + self.now_here()
 
     def wall(self) -> float:
-        """Seconds of the time of day."""
-        return 1.7e9 + self.machine.skew + self.now_here()
+        """Returns the time of day in seconds."""
+        return 1.7e9 + self.machine.clock_skew_s + self.now_here()
 
     def after(self, seconds: float, call: Callable[[], None]) -> Event:
-        """Call once, so much later and a little more."""
+        """Calls once after the given time and a small random delay."""
         late = self.world.random.uniform(0.00005, 0.001)
         timer = Event(call)
-        self.world.at(self.now_here() + max(0.0, seconds) + late, self.call, self.life, _fire, timer)
+        self.world.at(self.now_here() + max(0.0, seconds) + late, self.call, self.incarnation, _fire, timer)
         return timer
 
     def connect(self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0) -> End:
-        """Ask for a connection."""
+        """Opens a connection."""
         end = End(self, to, "opening")
         end.handler = handler(end)
-        self.out(lambda: self._knock(end, 1.0))
-        self.after(within, lambda: end.gone("timeout") if end.state == "opening" else None)
+        self.after_disk(lambda: self._send_syn(end, 1.0))
+        self.after(within, lambda: end.report_closed("timeout") if end.state == "opening" else None)
         return end
 
-    def _knock(self, end: End, pause: float) -> None:
-        """Send the opening packet, again and again while nobody hears it."""
+    def _send_syn(self, end: End, pause: float) -> None:
+        """Sends the opening packet, with retries and backoff while the peer is unreachable."""
         there = self.machine.network.machines.get(end.peer[0])
         if end.state != "opening" or self.frozen:
             return
         if there is None or self.machine.network.blocked(self.machine, there):
-            self.world.at(self.world.now + pause, self._knock, end, 2 * pause)
+            self.world.at(self.world.now + pause, self._send_syn, end, 2 * pause)
             return
         arrival = self.machine.depart(60, there) + self.machine.network.delay(self.machine, there)
-        self.world.at(arrival, self._answer, end, there)
+        self.world.at(arrival, self._answer_syn, end, there)
 
-    def _answer(self, end: End, there: Machine) -> None:
+    def _answer_syn(self, end: End, there: Machine) -> None:
         network = self.machine.network
         if network.blocked(self.machine, there):
             return
         listener = there.listeners.get(end.peer[1])
         if listener is None:
             if not network.blocked(there, self.machine):
-                self.world.at(self.world.now + network.delay(there, self.machine), end.take, RESET)
+                self.world.at(self.world.now + network.delay(there, self.machine), end.receive, RESET)
             return
         process, accept = listener
         if process.frozen:
-            self.world.at(self.world.now + 1.0, self._knock, end, 2.0)
+            self.world.at(self.world.now + 1.0, self._send_syn, end, 2.0)
             return
-        if sum(1 for _, do, _ in process.waiting if do == process.taken) < BACKLOG:
-            self.machine.ports = self.machine.ports + 1 if self.machine.ports < 60_999 else 32_768
-            far = End(process, (self.machine.ip, self.machine.ports), "open")
+        if sum(1 for _, do, _ in process.waiting if do == process.accept_connection) < LISTEN_BACKLOG:
+            self.machine.last_port = self.machine.last_port + 1 if self.machine.last_port < 60_999 else 32_768
+            far = End(process, (self.machine.ip, self.machine.last_port), "open")
             far.other, end.other = end, far
-            far._fly(UP)
-            process.call(process.life, process.taken, far, accept)
+            far._transmit(ESTABLISHED)
+            process.call(process.incarnation, process.accept_connection, far, accept)
 
-    def taken(self, far: End, accept: Callable[[Connection], Handler]) -> None:
-        """A connection of the queue is taken by the program."""
+    def accept_connection(self, far: End, accept: Callable[[Connection], Handler]) -> None:
+        """Passes a queued connection to the program."""
         far.handler = accept(far)
         far._read()
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections."""
+        """Accepts connections at an address."""
         if at[1] in self.machine.listeners or at[0] != self.machine.ip:
-            raise OSError(f"address in use or not of this machine: {at}")
+            raise OSError(f"address is in use or belongs to another machine: {at}")
         self.machine.listeners[at[1]] = (self, accept)
 
     def unlisten(self, at: Address) -> None:
-        """Take no further ones."""
+        """Stops accepting connections."""
         self.machine.listeners.pop(at[1], None)
 
     def datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
-        """Take datagrams."""
-        if at[1] in self.machine.ears or at[0] != self.machine.ip:
-            raise OSError(f"address in use or not of this machine: {at}")
-        self.machine.ears[at[1]] = (self, received)
-        self.mouth = at
+        """Receives datagrams at an address."""
+        if at[1] in self.machine.datagram_receivers or at[0] != self.machine.ip:
+            raise OSError(f"address is in use or belongs to another machine: {at}")
+        self.machine.datagram_receivers[at[1]] = (self, received)
+        self.datagram_source = at
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        """Send; it may be lost, late, or overtaken."""
-        if len(data) > DATAGRAM:
-            raise ValueError(f"found a datagram of {len(data)} bytes, wanted at most {DATAGRAM}")
-        mouth = self.mouth or (self.machine.ip, 0)
-        self.out(lambda: self._throw(to, mouth, bytes(data)))
+        """Sends a datagram, which may be lost, delayed or reordered."""
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram: expected at most {MAX_DATAGRAM_BYTES} bytes, got {len(data)}")
+        datagram_source = self.datagram_source or (self.machine.ip, 0)
+        self.after_disk(lambda: self._transmit_datagram(to, datagram_source, bytes(data)))
 
-    def _throw(self, to: Address, mouth: Address, data: bytes) -> None:
+    def _transmit_datagram(self, to: Address, datagram_source: Address, data: bytes) -> None:
         network, there = self.machine.network, self.machine.network.machines.get(to[0])
         if there is not None:
             arrival = self.machine.depart(len(data) + 28, there) + network.delay(self.machine, there)
             if self.world.random.random() >= network.loss:
                 late = 0.004 if self.world.random.random() < 0.02 else 0.0
-                self.world.at(arrival + late, self._land, there, to[1], mouth, data)
+                self.world.at(arrival + late, self._deliver_datagram, there, to[1], datagram_source, data)
 
-    def _land(self, there: Machine, port: int, mouth: Address, data: bytes) -> None:
-        ear = there.ears.get(port)
-        if ear is not None and not self.machine.network.blocked(self.machine, there):
-            if len(ear[0].waiting) < EARS:
-                ear[0].call(ear[0].life, ear[1], mouth, data)
+    def _deliver_datagram(self, there: Machine, port: int, datagram_source: Address, data: bytes) -> None:
+        receiver = there.datagram_receivers.get(port)
+        if receiver is not None and not self.machine.network.blocked(self.machine, there):
+            if len(receiver[0].waiting) < MAX_PENDING_DATAGRAMS:
+                receiver[0].call(receiver[0].incarnation, receiver[1], datagram_source, data)
             else:
-                ear[0].deaf += 1
+                receiver[0].dropped_datagrams += 1
 
     def _disk(self) -> Disk:
         if self.machine.disk is None:
@@ -665,59 +688,59 @@
         here = self.now_here()
         disk.settle(self.world.now)
         if crash is None or crash[1] != "before":
-            self.busy = disk.do(kind, name, here, data, to)
+            self.disk_busy_until = disk.run(kind, name, here, data, to)
         if crash is not None:
-            when = self.busy if crash[1] == "after" else here
-            disk.crash_at, self.busy = None, float("inf")
-            self.world.at(when, self.machine.power_off)  # after all that it had sent before
-            raise Dead
+            when = self.disk_busy_until if crash[1] == "after" else here
+            disk.crash_at, self.disk_busy_until = None, float("inf")
+            self.world.at(when, self.machine.power_off)  # What was sent before leaves first.
+            raise ProcessDied
 
     def read(self, name: str) -> bytes | None:
-        """A file's bytes."""
+        """Returns the bytes of a file, or None."""
         return self._disk().files.get(name)
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a file whole and sync it."""
+        """Writes and syncs a whole file."""
         self._operate("write", name, bytes(data))
 
     def sync_names(self) -> None:
-        """Sync the folder."""
+        """Syncs the directory."""
         self._operate("sync", "")
 
     def rename(self, name: str, to: str) -> None:
-        """Give a file another name, and sync the folder."""
+        """Renames a file and syncs the directory."""
         if name not in self._disk().files:
             raise FileNotFoundError(name)
         self._operate("rename", name, to=to)
 
     def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Removes a file if it exists."""
         if name in self._disk().files:
             self._operate("remove", name)
 
     def names(self) -> list[str]:
-        """All files."""
+        """Returns the names of all files."""
         return sorted(self._disk().files)
 
     def random(self, size: int) -> bytes:
-        """Random bytes, by the seed of the world."""
+        """Returns random bytes from the seeded generator."""
         return self.world.random.randbytes(size)
 
     def log(self, line: str) -> None:
-        """Keep a line."""
+        """Stores a log line."""
         self.lines.append(f"{self.world.now:.3f} {line}")
 
     def exit(self, status: int) -> None:
-        """End the process after this call."""
+        """Ends the process after this call."""
         self.status = status
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Call when the process is sent a signal."""
+        """Registers the handler of a signal."""
         self.signals[number] = call
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call when what is under way has returned."""
-        self.world.at(self.now_here(), self.call, self.life, call)
+        """Calls once the current call has returned."""
+        self.world.at(self.now_here(), self.call, self.incarnation, call)
 
 
 def _fire(timer: Event) -> None:
--- a/honeywharf/simulation/rare_faults.py
+++ b/honeywharf/simulation/rare_faults.py
@@ -113,7 +113,7 @@
         self.deployment.network.cut(pairs)
         for machine in (*groups[0], *groups[1]):
             self._mark_fault(machine, seconds)
-        self._schedule(seconds, self.deployment.network.join, pairs)
+        self._schedule(seconds, self.deployment.network.remove_cuts, pairs)
 
     def _machines(self, zone: str) -> list[Machine]:
         return [
@@ -173,7 +173,7 @@
             self._schedule(5.0, self._step_clock, process.machine, -CLOCK_STEPS_S[fault.how])
 
     def _step_clock(self, machine: Machine, seconds: float) -> None:
-        machine.skew += seconds
+        machine.clock_skew_s += seconds
         self.invariant_checker.mark_fault(machine.ip, 0, machine.disk is not None)
 
     def node_slow(self, fault: Fault, rng: random.Random) -> None:
--- a/honeywharf/simulation/regions.py
+++ b/honeywharf/simulation/regions.py
@@ -320,7 +320,7 @@
 
     def _trouble(self, kind: str) -> None:
         draw, keeper = self.world.random, self.world.random.choice(self.keepers)
-        self.world.note("trouble", kind, keeper.name)
+        self.world.record("trouble", kind, keeper.name)
         if kind == "kill":
             keeper.kill()
         elif kind == "term":
@@ -337,7 +337,9 @@
             there = draw.choice([*self.quarries, *self.sources]).machine.ip
             pairs = [(keeper.machine.ip, there), (there, keeper.machine.ip)][: draw.choice((1, 2))]
             self.network.cut(pairs)
-            self.world.at(self.world.now + draw.choice((0.05, 0.5, 2.0, 4.0)), self.network.join, pairs)
+            self.world.at(
+                self.world.now + draw.choice((0.05, 0.5, 2.0, 4.0)), self.network.remove_cuts, pairs
+            )
 
     @staticmethod
     def _back(keeper: Process) -> None:
--- a/honeywharf/simulation/run.py
+++ b/honeywharf/simulation/run.py
@@ -1,6 +1,7 @@
-"""A day by seed, and the least of its faults that breaks a rule (`honeywharf simulation` plays them).
+"""Runs a deployment by seed, and reduces the faults of a run that breaks a rule (`honeywharf simulation`).
 
-The order of sets of texts belongs to a day, so one is played again only under the same PYTHONHASHSEED: 0.
+The iteration order of sets of strings affects a run. A run is therefore repeatable only under the same
+PYTHONHASHSEED, which is 0.
 """
 
 from __future__ import annotations
@@ -10,12 +11,12 @@
 from honeywharf.simulation.machine import Process
 from honeywharf.simulation.rare_faults import RareFaultSchedule, draw_any_faults
 
-LEAD, QUIET = 5.0, 5.0  # seconds until traffic, and of traffic before troubles
-TROUBLES, AFTER = 10.0, 26.0  # seconds of troubles, and of traffic after the last may have begun
+TRAFFIC_START_S, FAULT_FREE_S = 5.0, 5.0  # The start of traffic, and the time from there to the first fault.
+FAULTS_S, AFTER_FAULTS_S = 10.0, 26.0  # The period of faults, and the time of traffic after it.
 
 
 class Report:
-    """What a day showed. `broken` is (rule, seconds, what); `digest` is equal for equal days."""
+    """The result of a run. `broken` are (rule, seconds, description); equal runs have equal digests."""
 
     def __init__(self, seed: int, faults: list[Fault], deployment: Deployment) -> None:
         attempts = deployment.invariant_checker.attempts.values()
@@ -26,31 +27,31 @@
         self.asked, self.served = len(attempts), sum(200 <= attempt.status < 300 for attempt in attempts)
         if not self.served and not self.broken:
             self.broken.append(("FAULT", deployment.world.now, "no request was served"))
-        self.notes = list(deployment.world.notes)
-        self.story = list(deployment.world.story)
-        words = self.broken[0][2].split() if self.broken else []
-        self.about = [
+        self.trace_lines = list(deployment.world.trace_lines)
+        self.event_lines = list(deployment.world.event_lines)
+        description = self.broken[0][2].split() if self.broken else []
+        self.attempt_history = [
             line
-            for word in words[:1]
+            for word in description[:1]
             if word in deployment.invariant_checker.attempts
             for line in deployment.invariant_checker.attempts[word].history()
         ]
 
     def __str__(self) -> str:
-        """One line for the day, one for each rule that was broken."""
-        told = [f"day {self.seed}: {self.served} of {self.asked} served, {self.steps} steps, {self.faults}"]
-        told += [
+        """Returns a line for the run and a line for each broken rule."""
+        lines = [f"day {self.seed}: {self.served} of {self.asked} served, {self.steps} steps, {self.faults}"]
+        lines += [
             f"  BROKEN {rule} at {when:.3f}, step {self.steps}: {what}" for rule, when, what in self.broken
         ]
-        return "\n".join(told)
+        return "\n".join(lines)
 
     def history(self) -> list[str]:
-        """What led to the break: troubles, starts, ends, orders, then the request that shows it."""
-        return [*self.story, *self.about]
+        """Returns the faults, starts, ends and orders before the violation, then the affected request."""
+        return [*self.event_lines, *self.attempt_history]
 
 
 def real_sidecar(host: Process, settings: str) -> object:
-    """The data plane's program."""
+    """Creates the program of the data plane."""
     from honeywharf.mesh_config.settings import parse
     from honeywharf.programs.sidecar import Sidecar
 
@@ -60,7 +61,7 @@
 
 
 def real_control_node(host: Process, settings: str) -> object:
-    """The control plane's program."""
+    """Creates the program of the control plane."""
     from honeywharf.mesh_config.settings import parse
     from honeywharf.programs.control import ControlNode
 
@@ -75,19 +76,19 @@
     sidecar: ProgramFactory = real_sidecar,
     control_node: ProgramFactory = real_control_node,
     shape: Shape = SMALL_SHAPE,
-    after: float = AFTER,
+    after: float = AFTER_FAULTS_S,
     any_kind: bool = False,
 ) -> Report:
-    """Play a day, with the faults that its seed draws or with those given; stop at the first broken rule.
+    """Runs the given faults, or those drawn from the seed; stops at the first broken rule.
 
-    `after`: seconds of traffic after the last trouble may have begun; RECOVER needs all of them.
-    `any_kind`: the seed draws from every kind of trouble, not just from those that sites list.
+    `after`: the time in seconds of traffic after the period of faults; RECOVER needs the default.
+    `any_kind`: draws from every kind of fault, not only from those that sites list.
     """
-    begin = LEAD + QUIET
-    until = begin + TROUBLES + after
-    deployment = Deployment(seed, sidecar, control_node, shape, LEAD, until)
+    begin = TRAFFIC_START_S + FAULT_FREE_S
+    until = begin + FAULTS_S + after
+    deployment = Deployment(seed, sidecar, control_node, shape, TRAFFIC_START_S, until)
     if faults is None:
-        faults = (draw_any_faults if any_kind else draw_faults)(seed, begin, begin + TROUBLES)
+        faults = (draw_any_faults if any_kind else draw_faults)(seed, begin, begin + FAULTS_S)
     RareFaultSchedule(deployment, faults)
     deployment.world.strict = True
     deployment.world.run(until + 2.0)
@@ -104,19 +105,19 @@
     control_node: ProgramFactory = real_control_node,
     shape: Shape = SMALL_SHAPE,
 ) -> Report:
-    """Leave out one fault after the other while the same rule is still broken."""
-    least, tried = report, 0
-    while tried < len(least.faults):
-        fewer = least.faults[:tried] + least.faults[tried + 1 :]
-        again = run(report.seed, fewer, sidecar, control_node, shape)
+    """Removes faults one by one while the same rule is still broken."""
+    smallest, position = report, 0
+    while position < len(smallest.faults):
+        remaining_faults = smallest.faults[:position] + smallest.faults[position + 1 :]
+        again = run(report.seed, remaining_faults, sidecar, control_node, shape)
         if again.broken and again.broken[0][0] == report.broken[0][0]:
-            least = again
+            smallest = again
         else:
-            tried += 1
-    return least
+            position += 1
+    return smallest
 
 
 def play(seed: int, shape: Shape = SMALL_SHAPE, any_kind: bool = False) -> Report:
-    """The day of a seed; where it breaks a rule, with as few of its faults as still do."""
+    """Runs a seed; reduces the faults if a rule is broken."""
     report = run(seed, shape=shape, any_kind=any_kind)
     return shrink(report, shape=shape) if report.broken else report
--- a/honeywharf/simulation/world.py
+++ b/honeywharf/simulation/world.py
@@ -1,4 +1,4 @@
-"""Virtual time: one heap of what is due, one seed. The same seed gives the same steps."""
+"""The event queue of a simulation in virtual time. The same seed gives the same steps."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
-KEPT_NOTES = 400  # last lines kept to tell what happened before a rule broke
-KEPT_STORY = 120  # last lines of what a reader of a broken day wants to know
+MAX_TRACE_LINES = 400
+MAX_EVENT_LINES = 120
 
 
 class Event:
-    """A call that is due."""
+    """A scheduled call."""
 
     __slots__ = ("args", "call")
 
@@ -22,49 +22,51 @@
         self.call, self.args = call, args
 
     def cancel(self) -> None:
-        """Do not call; harmless when it has been called."""
+        """Cancels the call; has no effect after it was made."""
         self.call = None
 
 
 class World:
-    """Seconds since the start, what is due, chance, and a checksum of all that was noted."""
+    """The virtual time in seconds, the scheduled calls, the random generator and the trace."""
 
     def __init__(self, seed: int) -> None:
         self.now, self.steps, self.digest = 0.0, 0, 0
         self.random = random.Random(seed)
-        self.notes: deque[str] = deque(maxlen=KEPT_NOTES)
-        self.story: deque[str] = deque(maxlen=KEPT_STORY)
-        self.strict = False  # whether a program's error halts the world
-        self.halted = False  # something was found: nothing more is done
-        self.crashes: list[tuple[float, str, str]] = []  # programs that ended by an error: when, who, where
-        self._heap: list[tuple[float, int, Event]] = []  # when, the order of asking: no two are equal
+        self.trace_lines: deque[str] = deque(maxlen=MAX_TRACE_LINES)
+        self.event_lines: deque[str] = deque(maxlen=MAX_EVENT_LINES)
+        self.strict = False  # Whether an exception of a program halts the simulation.
+        self.halted = False  # Whether the simulation has stopped at a violation or an exception.
+        self.crashes: list[tuple[float, str, str]] = []  # Exceptions of programs: (time, process, traceback).
+        self._heap: list[
+            tuple[float, int, Event]
+        ] = []  # (time, sequence number, event); the number makes entries distinct.
         self._count = 0
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> Event:
-        """Call at `when`, or now where that has passed; equal times in the order of asking."""
+        """Schedules a call at `when`, at the earliest now; equal times run in the order of scheduling."""
         self._count += 1
         event = Event(call, args)
         heapq.heappush(self._heap, (when if when > self.now else self.now, self._count, event))
         return event
 
-    def note(self, *what: object) -> None:
-        """Keep a line of history, and take it into the checksum of the run."""
+    def record(self, *what: object) -> None:
+        """Appends a line to the trace and to its checksum."""
         line = f"{self.now:.6f} " + " ".join(map(str, what))
         self.digest = zlib.crc32(line.encode(), self.digest)
-        self.notes.append(line)
+        self.trace_lines.append(line)
 
-    def tell(self, *what: object) -> None:
-        """Note what belongs to the story of the day: starts, ends, troubles, orders."""
-        self.note(*what)
-        self.story.append(self.notes[-1])
+    def record_event(self, *what: object) -> None:
+        """Records one of the main events of a run: starts, ends, faults and orders."""
+        self.record(*what)
+        self.event_lines.append(self.trace_lines[-1])
 
-    def crashed(self, who: str, trace: str) -> None:
-        """A program ended by an error of its own."""
+    def record_crash(self, who: str, trace: str) -> None:
+        """Records an exception that ended a program."""
         self.crashes.append((self.now, who, trace))
         self.halted = self.halted or self.strict
 
     def run(self, until: float) -> None:
-        """Do all that is due up to `until`, or until something halts the world."""
+        """Runs all calls due up to `until`, or until the simulation is halted."""
         heap = self._heap
         while heap and heap[0][0] <= until and not self.halted:
             when, _, event = heapq.heappop(heap)
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -68,10 +68,10 @@
         """Seconds since the begin."""
         return self.loop.now() - self.begun
 
-    def note(self, *what: object) -> None:
+    def record(self, *what: object) -> None:
         """Nothing is kept: what was broken is in the book."""
 
-    tell = note  # the day's story, which nobody reads here
+    record_event = record  # the day's story, which nobody reads here
 
 
 class Quay:
@@ -115,10 +115,10 @@
 
 
 class Program:
-    """A program of the mesh: its settings file, its log, its process. `life` counts the starts."""
+    """A program of the mesh: its settings file, its log, its process. `incarnation` counts the starts."""
 
     def __init__(self, folder: Path, name: str, ip: str, settings: dict[str, Any]) -> None:
-        self.name, self.ip, self.life = name, ip, 0
+        self.name, self.ip, self.incarnation = name, ip, 0
         self.module = f"honeywharf.programs.{name}"
         self.file, self.log = folder / f"{name}-{ip}.yaml", folder / f"{name}-{ip}.log"
         self.file.write_text(json.dumps(settings))
@@ -126,7 +126,7 @@
 
     def start(self) -> None:
         """Begin a life."""
-        self.life += 1
+        self.incarnation += 1
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module],
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -155,7 +155,9 @@
 def view_drift(trial: slips.Trial) -> None:
     """Lets a control node request the drift view of every sidecar."""
     core: Any = trial.deployment.cores[0].program
-    trial.deployment.cores[0].call(trial.deployment.cores[0].life, core.operator.handle, OperatorCall())
+    trial.deployment.cores[0].call(
+        trial.deployment.cores[0].incarnation, core.operator.handle, OperatorCall()
+    )
     trial.world.run(trial.world.now + VIEW_S)
 
 
--- a/tests/lease/test_control_leases.py
+++ b/tests/lease/test_control_leases.py
@@ -110,7 +110,7 @@
     trial = Trial(12, "none", 0)
     trial.world.run(8.5)
     for core in trial.deployment.cores[:2]:
-        core.kept = False
+        core.is_restarted = False
         core.machine.power_off()
     assert play(trial, 13.0) == 0
     drift_monitors = [
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -124,7 +124,7 @@
 
     def __init__(self, host: Process, pair: Pair) -> None:
         super().__init__(host)
-        self.pair, self.life = pair, f"i-{host.machine.ip}-{host.life}"
+        self.pair, self.life = pair, f"i-{host.machine.ip}-{host.incarnation}"
         self.serve = self._take
         pair.tell_gate(host.machine.ip, self.life)
 
@@ -351,12 +351,12 @@
             way, seconds = CUTS[what]
             pairs = [(SOURCE, DESTINATION)] * (way != "b-a") + [(DESTINATION, SOURCE)] * (way != "a-b")
             self.network.cut(pairs)
-            world.at(world.now + seconds, self.network.join, pairs)
+            world.at(world.now + seconds, self.network.remove_cuts, pairs)
         elif what in RESETS:
             if what != "reset the receiver":
-                end.take(RESET)
+                end.receive(RESET)
             if what != "reset the sender" and other is not None:
-                other.take(RESET)
+                other.receive(RESET)
         elif what in FREEZES:
             name, seconds = FREEZES[what]
             self.processes[name].freeze()
@@ -398,7 +398,7 @@
 @contextmanager
 def watched() -> Iterator[None]:
     """Have each delivery of a `Pair` pass through it."""
-    was = End._arrive
+    was = End._deliver
 
     def arrive(end: End, item: bytes | int | str) -> None:
         world = end.process.world
@@ -407,7 +407,7 @@
         else:
             was(end, item)
 
-    with wrong(lambda put: put(End, "_arrive", arrive)):
+    with wrong(lambda put: put(End, "_deliver", arrive)):
         yield
 
 
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -37,6 +37,6 @@
         kinds = ("scale_in", "replace_with_reuse")
         FaultSchedule(deployment, [Fault(6.0 + n, kinds[n % 2], "", 7 * seed + n) for n in range(14)])
         deployment.world.run(30.0)
-        left = [sidecar_node for sidecar_node in deployment.sidecar_nodes if sidecar_node.proxy.kept]
+        left = [sidecar_node for sidecar_node in deployment.sidecar_nodes if sidecar_node.proxy.is_restarted]
         assert {sidecar_node.service for sidecar_node in left} == set(SERVICES), seed
         assert len(left) < len(deployment.sidecar_nodes)
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -44,11 +44,11 @@
     found = set()
     for seed in range(60):
         disk = Disk()
-        disk.do("write", "a", 0.0, b"old " * 100)
-        disk.do("sync", "", 0.5)
+        disk.run("write", "a", 0.0, b"old " * 100)
+        disk.run("sync", "", 0.5)
         disk.settle(1.0)
-        disk.do("write", "a", 1.0, b"NEW " * 100)
-        disk.stop(1.001, True, random.Random(seed))
+        disk.run("write", "a", 1.0, b"NEW " * 100)
+        disk.crash(1.001, True, random.Random(seed))
         found.add(disk.files["a"])
     assert {b"old " * 100, b"NEW " * 100} < found
     assert len(found) > 10
@@ -59,21 +59,21 @@
     for seed in range(40):
         disk = Disk()
         for name in "ab":
-            disk.do("write", name, 0.0, b"1")
-        disk.do("sync", "", 0.5)
+            disk.run("write", name, 0.0, b"1")
+        disk.run("sync", "", 0.5)
         disk.settle(1.0)
-        disk.do("remove", "a", 1.0)
-        disk.stop(5.0, False, random.Random(seed))
+        disk.run("remove", "a", 1.0)
+        disk.crash(5.0, False, random.Random(seed))
         assert sorted(disk.files) == ["b"]  # a process that ends takes nothing back
-        disk.stop(6.0, True, random.Random(seed))
+        disk.crash(6.0, True, random.Random(seed))
         found.add("".join(sorted(disk.files)))
     assert found == {"ab", "b"}
     disk = Disk()
     for name in "ab":
-        disk.do("write", name, 0.0, b"1")
-    disk.do("remove", "a", 1.0)
-    disk.do("rename", "b", 1.0, to="c")
-    disk.stop(2.0, True, random.Random(1))
+        disk.run("write", name, 0.0, b"1")
+    disk.run("remove", "a", 1.0)
+    disk.run("rename", "b", 1.0, to="c")
+    disk.crash(2.0, True, random.Random(1))
     assert sorted(disk.files) == ["c"]
 
 
@@ -83,10 +83,10 @@
         for seed in range(40):
             disk = Disk()
             for name in "ab":
-                disk.do("write", name, 0.0, b"1")
+                disk.run("write", name, 0.0, b"1")
             if folder_synced:
-                disk.do("sync", "", 0.5)
-            disk.stop(2.0, True, random.Random(seed))
+                disk.run("sync", "", 0.5)
+            disk.crash(2.0, True, random.Random(seed))
             found.add(len(disk.files))
         assert found == wanted
 
--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from honeywharf.simulation.machine import SILENT, WINDOW, End
+from honeywharf.simulation.machine import SILENCE_TIMEOUT_S, WINDOW_BYTES, End
 from honeywharf.transport.host import Address
 from tests.simulation.toys import HERE, THERE, Log, Two
 
@@ -20,7 +20,7 @@
     assert two.taken[0].data == sent
     assert log.data == sent
     assert log.told[0][1] == "opened"
-    assert log.told[0][0] >= 0.01 + 2 * two.network.cross
+    assert log.told[0][0] >= 0.01 + 2 * two.network.cross_zone_delay_s
     two.on(two.here, log.connection.close)
     two.world.run(6.0)
     assert log.names() == ["opened", "drained", "closed "]
@@ -32,15 +32,15 @@
     log = two.asked()
     two.world.run(0.1)
     two.on(two.there, two.taken[0].connection.pause)
-    two.on(two.here, lambda: log.connection.send(bytes(3 * WINDOW)))
+    two.on(two.here, lambda: log.connection.send(bytes(3 * WINDOW_BYTES)))
     two.world.run(20.0)
-    assert log.connection.unsent == 2 * WINDOW
+    assert log.connection.unsent == 2 * WINDOW_BYTES
     assert two.taken[0].data == b""
     assert log.names() == ["opened"]
     two.on(two.there, two.taken[0].connection.resume)
     two.world.run(21.0)
     assert log.connection.unsent == 0
-    assert len(two.taken[0].data) == 3 * WINDOW
+    assert len(two.taken[0].data) == 3 * WINDOW_BYTES
     assert log.names()[-1] == "drained"
 
 
@@ -111,11 +111,11 @@
     two.world.run(1.5)
     assert log.data == b""
     assert log.names() == ["opened"]
-    two.network.join(pairs)
+    two.network.remove_cuts(pairs)
     two.world.run(3.0)
     assert log.data == b"held up"
     two.network.cut(pairs)
-    two.world.run(3.0 + SILENT + 0.1)
+    two.world.run(3.0 + SILENCE_TIMEOUT_S + 0.1)
     assert log.names()[-1] == "closed timeout" == two.taken[0].names()[-1]
 
 
@@ -128,7 +128,7 @@
     two.world.run(0.2)
     two.on(two.here, log.connection.abort)
     two.world.run(0.3)
-    two.network.join(FORTH)
+    two.network.remove_cuts(FORTH)
     two.world.run(2.0)
     assert two.taken[0].data == b""
     assert two.taken[0].names() == ["closed reset"]
@@ -146,7 +146,7 @@
     assert log.names() == ["opened", "closed reset"]
     assert two.taken[0].names() == []
     two.world.run(1.0)
-    assert two.there.life == 2
+    assert two.there.incarnation == 2
     again = two.asked()
     two.world.run(1.1)
     assert again.names() == ["opened"]
@@ -237,7 +237,7 @@
         two.here.send_datagram((THERE, 7), b"x")
     two.world.run(1.0)
     assert len(two.there.waiting) == 256
-    assert two.there.deaf == 744
+    assert two.there.dropped_datagrams == 744
 
 
 def test_a_sync_takes_time_and_what_is_sent_after_it_waits_for_it() -> None:
@@ -295,5 +295,5 @@
     two = Two()
     two.on(two.there, lambda: [][0])
     two.world.run(1.0)
-    assert two.there.life == 2
+    assert two.there.incarnation == 2
     assert "IndexError" in two.world.crashes[0][2]
--- a/tests/simulation/test_rare_faults.py
+++ b/tests/simulation/test_rare_faults.py
@@ -54,15 +54,17 @@
 
 def test_clocks_step_and_come_back() -> None:
     day = struck("clock_step", "hour", 7.9)
-    before = {process.name: process.machine.skew for process in day.deployment.mesh_processes()}
+    before = {process.name: process.machine.clock_skew_s for process in day.deployment.mesh_processes()}
     day.world.run(8.1)
     moved = [
-        process for process in day.deployment.mesh_processes() if process.machine.skew > before[process.name]
+        process
+        for process in day.deployment.mesh_processes()
+        if process.machine.clock_skew_s > before[process.name]
     ]
-    assert {process.machine.skew - before[process.name] for process in moved} == {3600.0}
+    assert {process.machine.clock_skew_s - before[process.name] for process in moved} == {3600.0}
     assert len(moved) == len(before) // 3
     day.world.run(14.0)
-    assert all(abs(process.machine.skew - before[process.name]) < 1e-6 for process in moved)
+    assert all(abs(process.machine.clock_skew_s - before[process.name]) < 1e-6 for process in moved)
 
 
 def test_an_operator_whose_answers_are_lost_asks_again_until_one_comes() -> None:
@@ -103,11 +105,11 @@
 
 def test_a_stalled_disk_begins_nothing_and_a_slow_one_takes_longer() -> None:
     disk = Disk()
-    well = disk.do("write", "a", 1.0, b"1") - 1.0
+    well = disk.run("write", "a", 1.0, b"1") - 1.0
     disk.stalled_until = 5.0
-    assert disk.do("write", "a", 2.0, b"1") == pytest.approx(5.0 + well)
+    assert disk.run("write", "a", 2.0, b"1") == pytest.approx(5.0 + well)
     disk.slowdown = 30.0
-    assert disk.do("write", "a", 6.0, b"1") == pytest.approx(6.0 + 30 * well)
+    assert disk.run("write", "a", 6.0, b"1") == pytest.approx(6.0 + 30 * well)
 
 
 def test_a_full_disk_refuses_writes_and_keeps_what_it_has() -> None:
--- a/tests/simulation/toys.py
+++ b/tests/simulation/toys.py
@@ -79,4 +79,4 @@
         return logs[0]
 
     def on(self, process: Process, do: Callable[[], None]) -> None:
-        process.call(process.life, do)
+        process.call(process.incarnation, do)
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -331,7 +331,7 @@
     _, told = pair.open()
     pair.run(5 * LINK_TIMEOUT_S)
     assert told.events == []
-    assert pair.link.round_trip_s == pytest.approx(2 * pair.network.cross, rel=0.5)
+    assert pair.link.round_trip_s == pytest.approx(2 * pair.network.cross_zone_delay_s, rel=0.5)
     pair.there.freeze()
     pair.run(LINK_TIMEOUT_S + 0.6)
     assert told.events == [("failed", MAY_HAVE_RUN, LOST, False, 0.0)]
@@ -446,7 +446,7 @@
             pair.run(0.0005)
             if len(pair.works) > 1 and not pair.works[-1].answers.is_over:
                 pair.works[-1].answers.answer(200, b"", 3, LOAD, b"yes")
-        assert pair.world.now - begun < 6 * pair.network.cross
+        assert pair.world.now - begun < 6 * pair.network.cross_zone_delay_s
     assert len(slow.body) == WINDOW_SIZE
 
 
