--- a/bench/drift.py
+++ b/bench/drift.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
-from honeywharf.simulation.slips import FIRST, KINDS, LONG, WAYS, Trial
+from honeywharf.simulation.slips import FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, DETECTORS, Trial
 
 ONE_RUN = {False: 20, True: 10}  # slips of one run: of short kinds, and of long ones
 TROUBLES = (
@@ -46,9 +46,9 @@
 STORMS, TROUBLED, SPAN = 16, 58, 60.0  # of one honest day: storms of changes, other events, seconds
 SHARE = 1 / 3  # of the traffic of trials, on honest days: it is the events that are tried
 ON = {
-    "all": WAYS,
-    **{f"{way} alone": (way,) for way in WAYS},
-    **{f"{way} off": tuple(other for other in WAYS if other != way) for way in WAYS},
+    "all": DETECTORS,
+    **{f"{way} alone": (way,) for way in DETECTORS},
+    **{f"{way} off": tuple(other for other in DETECTORS if other != way) for way in DETECTORS},
 }
 FIRST_SEED = 1000
 Task = tuple[str, str, int, int]  # ways or "honest", kind, seed, slips
@@ -89,9 +89,9 @@
 
 def _row(trial: Trial) -> Row:
     row = Row()
-    row.after = [slip.after for slip in trial.slips]
-    row.by = Counter(slip.by or "nobody" for slip in trial.slips)
-    row.runs, row.slipped = trial.strict["runs"], trial.strict["slipped"]
+    row.after = [slip.requests_until_noticed for slip in trial.injected_drifts]
+    row.by = Counter(slip.noticed_by or "nobody" for slip in trial.injected_drifts)
+    row.runs, row.slipped = trial.non_repeatable["runs"], trial.non_repeatable["slipped"]
     row.alarms, row.statuses = len(trial.alarms), Counter(trial.statuses())
     row.faults = [
         str(fault) for fault in [*trial.invariant_checker.violations, *trial.world.crashes]
@@ -107,19 +107,19 @@
 def honest(seed: int) -> Row:
     """One day of honest changes and troubles; `slips` holds how many of each kind really came."""
     trial, chance = Trial(seed, "none", 0), random.Random(seed)
-    trial.deployment.until = FIRST + SPAN + 4.0
+    trial.deployment.until = FIRST_DRIFT_S + SPAN + 4.0
     faults = [
-        Fault(FIRST + SPAN * chance.random(), "config_storm", "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + SPAN * chance.random(), "config_storm", "", chance.getrandbits(32))
         for _ in range(STORMS)
     ]
     faults += [
-        Fault(FIRST + SPAN * chance.random(), chance.choice(TROUBLES), "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + SPAN * chance.random(), chance.choice(TROUBLES), "", chance.getrandbits(32))
         for _ in range(TROUBLED)
     ]
     for flow in trial.deployment.flows:
         flow.per_s *= SHARE
     day = FaultSchedule(trial.deployment, sorted(faults, key=lambda fault: fault.at))
-    trial.play(FIRST + SPAN + 10.0)
+    trial.play(FIRST_DRIFT_S + SPAN + 10.0)
     row = _row(trial)
     row.faults += [f"{seed}: {alarm}" for alarm in trial.alarms[:2]]
     running: list[Any] = [
@@ -206,7 +206,7 @@
     tasks: list[Task] = []
     for on in told.ways.split(","):
         for kind in told.kinds.split(",") if told.each else ():
-            one = ONE_RUN[kind in LONG]
+            one = ONE_RUN[kind in LONG_PERIODS_S]
             tasks += [(on, kind, FIRST_SEED + n, min(one, told.each - n)) for n in range(0, told.each, one)]
     tasks += [("honest", "days", told.first_day + n, 0) for n in range(told.days)]
     runs = _written([told.into] if told.into else [])
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -111,7 +111,7 @@
         kinds = [("", True, True), (", lanes off", True, False), (", sessions off", False, True)]
         for title, sessions, lanes in kinds if chosen.compare else kinds[:1]:
             days = [
-                GatewayScenario(seed, plan, trouble, sessions, lanes).work()
+                GatewayScenario(seed, plan, trouble, sessions, lanes).run_scenario()
                 for seed in range(chosen.seed, chosen.seed + chosen.days)
             ]
             report(f"{trouble}{title}", days, chosen.plot)
@@ -119,10 +119,12 @@
 
 def report(title: str, days: list[GatewayScenario], folder: str) -> None:
     """Print what some days of one kind showed."""
-    troubles = sum(len(day.at) for day in days)
+    troubles = sum(len(day.fault_times) for day in days)
     print(f"{title}: {len(days)} days, {troubles} troubles")
     for name in ("inner", "manifest", "tile"):
-        took = {window: [t for day in days for t in day.took(name)[window]] for window, _, _ in WINDOWS}
+        took = {
+            window: [t for day in days for t in day.durations_s(name)[window]] for window, _, _ in WINDOWS
+        }
         p99 = {window: quantile(values, 0.99) for window, values in took.items()}
         words = ", ".join(
             f"{window} {quantile(values, 0.5) * 1e3:.1f} / {p99[window] * 1e3:.1f} of {len(values)}"
@@ -135,10 +137,10 @@
         for one in day.clients:
             group = "uploads" if one.kind == UPLOAD else "reads" if one.kind == READ else "orders"
             ends[f"{group} begun"] += 1
-            ends[f"{group} {one.end}"] += 1
+            ends[f"{group} {one.outcome}"] += 1
             ends[f"{group} sent again whole"] += one.kind == UPLOAD and one.tries > 1
-            if isinstance(one, ScenarioRequest) and one.kind == READ and one.end == "done":
-                ends["reads over 0.4 s"] += one.ended_at - one.began > 0.4
+            if isinstance(one, ScenarioRequest) and one.kind == READ and one.outcome == "done":
+                ends["reads over 0.4 s"] += one.ended_at - one.begun_at > 0.4
     sides = [side.program for day in days for side in day.sources if isinstance(side.program, Source)]
     twice = sum(side.session_client.retransmitted_bytes for side in sides)
     print("  " + ", ".join(f"{key} {value}" for key, value in sorted(ends.items()) if value))
@@ -149,7 +151,7 @@
     empty = sorted(took for day in days for took in day.empty_s)
     if empty:
         print(f"  empty after: median {empty[len(empty) // 2]:.2f} s, longest {empty[-1]:.2f} s")
-    told = ([keeper.machine.ip for keeper in days[0].keepers], days[0].samples, days[0].at)
+    told = ([keeper.machine.ip for keeper in days[0].gateways], days[0].samples, days[0].fault_times)
     print("\n".join(chart(*told)), flush=True)
     plot(folder, f"simulation, {title}", *told)
 
--- a/honeywharf/simulation/gateway_scenario.py
+++ b/honeywharf/simulation/gateway_scenario.py
@@ -1,8 +1,8 @@
-"""A working day of two regions in virtual time: uploads, short requests, drains or kills at some hours.
+"""A working day of two regions in virtual time: uploads and short requests, drains or kills.
 
-What is measured is what the machines' links and the distance cost: no processor is busy here, so the same
-seed gives the same figures on any machine. Shapes of traffic come from an experiment file
-(`bench/days/gateway.toml`), as `ScenarioPlan` reads it.
+The result shows the costs of the links and of the distance. Processors are never busy in the simulation, so
+the same seed gives the same figures on any machine. The shapes of requests come from an experiment file
+(`bench/days/gateway.toml`), which `ScenarioPlan` reads.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from honeywharf.simulation.machine import Process
 from honeywharf.simulation.regions import READ, UPLOAD, Client, Day, Source
 
-BACK_S = 2.5  # after its order a drained gateway is taken back
-WINDOWS = (("before", -2.0, 0.0), ("during", 0.0, 1.0), ("after", 1.0, 2.5))  # seconds from a trouble
-PATIENCE_S, UPLOAD_S = 5.0, 60.0
-SAMPLE_S = 0.1
+DRAIN_CANCEL_DELAY_S = 2.5  # A drain is cancelled after this time.
+WINDOWS = (("before", -2.0, 0.0), ("during", 0.0, 1.0), ("after", 1.0, 2.5))  # Seconds relative to a fault.
+REQUEST_TIMEOUT_S, UPLOAD_TIMEOUT_S = 5.0, 60.0
+SAMPLE_INTERVAL_S = 0.1
 MEMORY_MB = 300.0
-WIDE = 1 << 20  # of a connection's window: what kernels grow to on a long way
+WIDE_WINDOW_BYTES = 1 << 20  # Kernels grow the window of a distant connection to this size.
 
 
 class RequestShape:
-    """One kind of request; `body` and `answer` are (least, most) bytes."""
+    """One kind of request; `body` and `answer` are the (smallest, largest) sizes in bytes."""
 
     __slots__ = ("answer", "body", "kind", "name", "share")
 
@@ -41,7 +41,7 @@
 
 
 class ScenarioPlan:
-    """An experiment file's table, checked. ValueError names what was found and wanted."""
+    """The checked table of an experiment file; raises ValueError for an invalid one."""
 
     def __init__(self, table: dict[str, Any]) -> None:
         try:
@@ -51,34 +51,36 @@
             self.troubled = [int(hour) for hour in table["troubled"]]
             self.shapes = [RequestShape(**shape) for shape in table["shape"]]
         except (KeyError, TypeError) as fault:
-            raise ValueError(f"found {fault}, wanted an experiment of gateways") from None
+            raise ValueError(f"experiment: wanted the keys of a gateway experiment, got {fault}") from None
         if not self.hours or not all(0 <= hour < len(self.hours) for hour in self.troubled):
-            raise ValueError(f"found troubles at {self.troubled}, wanted hours below {len(self.hours)}")
+            raise ValueError(f"troubled: wanted hours below {len(self.hours)}, got {self.troubled}")
         for kind in (READ, UPLOAD):
             if not any(shape.kind == kind for shape in self.shapes):
-                raise ValueError(f"found no shape of kind {kind}, wanted one")
+                raise ValueError(f"shape: wanted one of kind {kind}, got none")
 
-    def of(self, uploads: bool) -> list[RequestShape]:
-        """The shapes of uploads, or of all others."""
+    def shapes_of(self, uploads: bool) -> list[RequestShape]:
+        """Returns the shapes of uploads, or of all other requests."""
         return [shape for shape in self.shapes if (shape.kind == UPLOAD) == uploads]
 
 
 class ScenarioRequest(Client):
-    """One request of the plan's."""
+    """One request of the scenario."""
 
     def __init__(self, day: GatewayScenario, source: Source, shape: RequestShape) -> None:
-        self.name, self.bulk = shape.name, shape.kind == UPLOAD
+        self.name, self.is_upload = shape.name, shape.kind == UPLOAD
         size = day.world.random.randint(*(shape.answer if shape.kind == READ else shape.body))
-        super().__init__(day, source, shape.kind, size, UPLOAD_S if self.bulk else PATIENCE_S)
+        super().__init__(
+            day, source, shape.kind, size, UPLOAD_TIMEOUT_S if self.is_upload else REQUEST_TIMEOUT_S
+        )
 
-    def _over(self, end: str) -> None:
-        super()._over(end)
-        if self.bulk and isinstance(self.day, GatewayScenario):
+    def _finish(self, end: str) -> None:
+        super()._finish(end)
+        if self.is_upload and isinstance(self.day, GatewayScenario):
             self.day.next_upload()
 
 
 class GatewayScenario(Day):
-    """The day. `trouble`: "drain" or "kill". `lanes=False`: bodies go out as they come, for comparison."""
+    """The run with "drain" or "kill" faults; without `schedules_sending`, bodies are sent unscheduled."""
 
     def __init__(
         self,
@@ -86,7 +88,7 @@
         plan: ScenarioPlan,
         trouble: str,
         sessions: bool = True,
-        lanes: bool = True,
+        schedules_sending: bool = True,
     ) -> None:
         super().__init__(
             seed,
@@ -99,30 +101,30 @@
             sources=plan.sources,
             most_bytes=granted_bytes(MEMORY_MB, plan.mbps),
         )
-        self.network.window = WIDE
-        self.plan, self.trouble, self.lanes = plan, trouble, lanes
-        self.refuse, self.work_s, self.slow_s = 0.0, (0.002, 0.01), 0.03
-        self.at: list[float] = []  # of troubles
-        self.up = 0  # uploads under way
-        self.samples: list[tuple[float, list[int]]] = []  # when; uploads by gateway
-        self.empty_s: list[float] = []  # from a drain's order until the gateway was empty
+        self.network.window = WIDE_WINDOW_BYTES
+        self.plan, self.fault, self.schedules_sending = plan, trouble, schedules_sending
+        self.refusal_share, self.work_range_s, self.client_delay_s = 0.0, (0.002, 0.01), 0.03
+        self.fault_times: list[float] = []  # The times of faults.
+        self.uploads_in_flight = 0
+        self.samples: list[tuple[float, list[int]]] = []  # (time, uploads by gateway)
+        self.empty_s: list[float] = []  # The times from the orders to drain until the gateways were empty.
         self.ends_at = 1.0 + plan.hour_s * len(plan.hours)
 
     @property
-    def hour(self) -> float:
-        """How busy it is now; 0 when the day is over."""
+    def load_factor(self) -> float:
+        """The load of the current hour; 0 after the last hour."""
         number = int((self.world.now - 1.0) / self.plan.hour_s)
         return self.plan.hours[number] if number < len(self.plan.hours) else 0.0
 
-    def work(self) -> GatewayScenario:
-        """Play it, to the end of what was begun, and judge it."""
+    def run_scenario(self) -> GatewayScenario:
+        """Runs until all requests have ended, and checks the outcomes."""
         self.world.run(1.0)
-        if not self.lanes:
-            for process in (*self.sources, *self.keepers, *self.quarries):
-                self._open_lanes(process.program)
+        if not self.schedules_sending:
+            for process in (*self.sources, *self.gateways, *self.destinations):
+                self._disable_scheduling(process.program)
         for number in self.plan.troubled:
-            self.world.at(1.0 + number * self.plan.hour_s, self._strike, number)
-        self._ask()
+            self.world.at(1.0 + number * self.plan.hour_s, self._inject, number)
+        self._send_requests()
         self._sample()
         self.next_upload()
         self.seconds = self.ends_at + 10.0
@@ -130,119 +132,121 @@
         return self
 
     @staticmethod
-    def _open_lanes(program: Any) -> None:
-        """Let everything out at once, as without a spillway."""
+    def _disable_scheduling(program: Any) -> None:
+        """Sends everything at once, as without a send scheduler."""
         part = getattr(program, "session_client", None) or getattr(program, "destination", None) or program
         part.send_scheduler.__class__ = UnscheduledSender
 
     # Traffic.
 
-    def _here(self) -> Source | None:
-        """A source of region a that runs."""
+    def _choose_source(self) -> Source | None:
+        """Returns a running source in region a."""
         mine = [one for one in self.sources if one.machine.zone[0] == "a"]
         program = self.world.random.choice(mine).program
         return program if isinstance(program, Source) else None
 
     def _begin(self, uploads: bool) -> bool:
-        shapes, source = self.plan.of(uploads), self._here()
+        shapes, source = self.plan.shapes_of(uploads), self._choose_source()
         if source is None:
             return False
         shape = self.world.random.choices(shapes, [each.share for each in shapes])[0]
         ScenarioRequest(self, source, shape)
         return True
 
-    def _ask(self) -> None:
-        if self.hour:
+    def _send_requests(self) -> None:
+        if self.load_factor:
             self._begin(False)
             self.world.at(
-                self.world.now + self.world.random.expovariate(self.plan.rate * self.hour), self._ask
+                self.world.now + self.world.random.expovariate(self.plan.rate * self.load_factor),
+                self._send_requests,
             )
 
     def next_upload(self) -> None:
-        """Keep as many uploads under way as the hour has."""
-        if self.hour:
-            self.world.at(self.world.now + 0.02, self._fill_up)
+        """Keeps the number of uploads in flight at that of the hour."""
+        if self.load_factor:
+            self.world.at(self.world.now + 0.02, self._start_upload)
 
-    def _fill_up(self) -> None:
+    def _start_upload(self) -> None:
         under_way = sum(
-            isinstance(one, ScenarioRequest) and one.bulk and one.end is None for one in self.clients
+            isinstance(one, ScenarioRequest) and one.is_upload and one.outcome is None for one in self.clients
         )
-        if under_way < self.plan.uploads * self.hour and self._begin(True):
+        if under_way < self.plan.uploads * self.load_factor and self._begin(True):
             self.next_upload()
 
     def _sample(self) -> None:
-        """Note how many uploads each gateway carries."""
+        """Records the number of uploads of each gateway."""
         self.samples.append(
             (
                 self.world.now,
                 [
                     sum(
-                        not 0 <= row.length <= 32768 for row in keeper.program.relay.relayed_sessions.values()
+                        not 0 <= row.length <= 32768
+                        for row in gateway.program.relay.relayed_sessions.values()
                     )
-                    if isinstance(keeper.program, GatewayNode)
+                    if isinstance(gateway.program, GatewayNode)
                     else 0
-                    for keeper in self.keepers
+                    for gateway in self.gateways
                 ],
             )
         )
-        if self.hour:
+        if self.load_factor:
             self.next_upload()
-            self.world.at(self.world.now + SAMPLE_S, self._sample)
+            self.world.at(self.world.now + SAMPLE_INTERVAL_S, self._sample)
 
-    # Troubles.
+    # Faults.
 
-    def _strike(self, number: int) -> None:
-        """Drain or kill the one of region a's gateways that has more uploads."""
-        self.at.append(self.world.now)
+    def _inject(self, number: int) -> None:
+        """Drains or kills the gateway of region a with the most uploads."""
+        self.fault_times.append(self.world.now)
         mine = [
-            keeper
-            for keeper in self.keepers
-            if isinstance(keeper.program, GatewayNode) and keeper.machine.zone[0] == "a"
+            gateway
+            for gateway in self.gateways
+            if isinstance(gateway.program, GatewayNode) and gateway.machine.zone[0] == "a"
         ]
-        keeper = max(mine, key=lambda each: len(each.program.relay.relayed_sessions))  # type: ignore[attr-defined]
-        if self.trouble == "kill":
-            keeper.kill()
+        gateway = max(mine, key=lambda each: len(each.program.relay.relayed_sessions))  # type: ignore[attr-defined]
+        if self.fault == "kill":
+            gateway.kill()
         else:
-            keeper.program.order_drain()  # type: ignore[attr-defined]
-            self._look(keeper, self.world.now)
-            self.world.at(self.world.now + BACK_S, self._back, keeper)
+            gateway.program.order_drain()  # type: ignore[attr-defined]
+            self._check_empty(gateway, self.world.now)
+            self.world.at(self.world.now + DRAIN_CANCEL_DELAY_S, self._cancel_drain, gateway)
 
-    def _look(self, keeper: Process, since: float) -> None:
-        if isinstance(keeper.program, GatewayNode) and keeper.program.relay.relayed_sessions:
-            self.world.at(self.world.now + 0.01, self._look, keeper, since)
+    def _check_empty(self, gateway: Process, since: float) -> None:
+        if isinstance(gateway.program, GatewayNode) and gateway.program.relay.relayed_sessions:
+            self.world.at(self.world.now + 0.01, self._check_empty, gateway, since)
         else:
             self.empty_s.append(self.world.now - since)
 
-    # Figures.
+    # Results.
 
-    def took(self, name: str) -> dict[str, list[float]]:
-        """Seconds of the requests of a shape that began before, during and after troubles."""
+    def durations_s(self, name: str) -> dict[str, list[float]]:
+        """Returns the durations of the requests of a shape that began before, during and after faults."""
         calls = [
             one
             for one in self.clients
-            if isinstance(one, ScenarioRequest) and one.name == name and one.end == "done"
+            if isinstance(one, ScenarioRequest) and one.name == name and one.outcome == "done"
         ]
         return {
             window: [
-                one.ended_at - one.began
+                one.ended_at - one.begun_at
                 for one in calls
-                if any(low <= one.began - at < high for at in self.at)
+                if any(low <= one.begun_at - at < high for at in self.fault_times)
             ]
             for window, low, high in WINDOWS
         }
 
 
 class UnscheduledSender(SendScheduler):
-    """Without turns: everything goes out as it comes."""
+    """A scheduler that sends everything at once."""
 
     __slots__ = ()
 
     def send(self, line: Any, frame: list[Any]) -> None:
-        """Send at once."""
+        """Sends at once."""
         line.send(frame)
 
 
 def quantile(values: list[float], part: float) -> float:
-    """Of a list that is not sorted; 0.0 of an empty one."""
+    """Returns a quantile of an unsorted list; 0.0 for an empty list."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -1,9 +1,9 @@
-"""Slips put into running sidecars by seed: who catches them, how soon, and what ran meanwhile.
+"""Injects drift into running sidecars by seed: which detector notices it, how soon, and what runs meanwhile.
 
-Theory of operation. A `Trial` plays a field with traffic and, one after the other, puts slips of one kind
-into sidecars drawn by seed. What runs is judged here, by the operator's orders and a hook where a request's
-head goes to a backend, not by the sidecars. A slip that is not healed in time is undone, and counts as not
-caught unless somebody noticed. The three ways of noticing can be switched off.
+Theory of operation. A `Trial` runs a deployment with traffic and injects drift of one kind, one after the
+other, into sidecars drawn from the seed. A hook where the head of a request goes to a backend checks what
+runs against the operator's orders, independently of the sidecars. Drift that is not repaired in time is
+undone, and counts as unnoticed unless a detector noticed it. Each of the three detectors can be disabled.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from honeywharf.simulation.invariants import Attempt, Order
 from honeywharf.simulation.run import real_control_node, real_sidecar
 
-LEAD = 4.0
-FIRST = 9.0  # seconds, when the first slip comes
-UNDONE = 1.4  # seconds that a slip may stay; longer kinds below
-WAYS = ("scanning", "judging", "reading")
-STRICT = (b"/orders/", b"/uploads/")
+TRAFFIC_START_S = 4.0
+FIRST_DRIFT_S = 9.0
+DRIFT_PERIOD_S = 1.4  # The time until drift is undone; some kinds have a longer one below.
+DETECTORS = ("scanning", "judging", "reading")
+NON_REPEATABLE_PREFIXES = (b"/orders/", b"/uploads/")
 Undo = Callable[[], None]
 
 
-def _copy(route: Route, **fields: Any) -> Route:
+def _copy_route(route: Route, **fields: Any) -> Route:
     made = Route()
     for name in Route.__slots__:
         setattr(made, name, fields.get(name, getattr(route, name)))
@@ -40,71 +40,76 @@
     return sidecar.mesh_state.table._hosts
 
 
-def _place(sidecar: Any, rng: random.Random, strict: bool = True) -> tuple[Any, bytes]:
+def _choose_route(sidecar: Any, rng: random.Random, strict: bool = True) -> tuple[Any, bytes]:
     places = [
         (of, prefix)
         for of in _hosts(sidecar).values()
         for prefix in of.routes
-        if not strict or prefix in STRICT
+        if not strict or prefix in NON_REPEATABLE_PREFIXES
     ]
     return rng.choice(places)
 
 
-def _change(sidecar: Any, rng: random.Random, **fields: Any) -> Undo:
-    """A copy of an entry with other fields in its place."""
-    of, prefix = _place(sidecar, rng)
+def _replace_route(sidecar: Any, rng: random.Random, **fields: Any) -> Undo:
+    """Replaces a route by a copy with other fields."""
+    of, prefix = _choose_route(sidecar, rng)
     before = of.routes[prefix]
-    of.routes[prefix] = _copy(before, **fields)
+    of.routes[prefix] = _copy_route(before, **fields)
     return lambda: of.routes.__setitem__(prefix, before)
 
 
-class Kinds:
-    """Each method puts one slip into a sidecar and gives what undoes it."""
+class DriftKinds:
+    """Each method injects drift of one kind into a sidecar, and returns the call that undoes it."""
 
     def __init__(self, trial: Trial) -> None:
         self.trial = trial
 
     def stored(self, sidecar: Any, rng: random.Random) -> Undo:
-        """The stored version is not the one in force."""
-        word, value = sidecar.mesh_state, sidecar.mesh_state.value
-        table, revision, version = word.table, word.revision, word.version
+        """The stored version differs from the version in force."""
+        node_state, value = sidecar.mesh_state, sidecar.mesh_state.value
+        table, revision, version = node_state.table, node_state.revision, node_state.version
         how = rng.randrange(3)
         if how == 0:
-            word.revision += rng.randint(1, 9)
+            node_state.revision += rng.randint(1, 9)
         elif how == 1:
-            word.value = {**value, "version": value["version"] + rng.choice((-1, 1))}
+            node_state.value = {**value, "version": value["version"] + rng.choice((-1, 1))}
         else:
-            word.table = RoutingTable(self.trial.older)
+            node_state.table = RoutingTable(self.trial.previous_text)
 
         def undo() -> None:
-            word.table, word.revision, word.version, word.value = table, revision, version, value
+            node_state.table, node_state.revision, node_state.version, node_state.value = (
+                table,
+                revision,
+                version,
+                value,
+            )
 
         return undo
 
     def weights(self, sidecar: Any, rng: random.Random) -> Undo:
-        """Weights are turned, or another service stands there."""
-        of, prefix = _place(sidecar, rng)
+        """The weights are swapped, or a route has another service."""
+        of, prefix = _choose_route(sidecar, rng)
         before = of.routes[prefix]
         split = before.split[::-1] if len(before.split) > 1 else ((rng.choice(SERVICES[:1]), 1.0),)
-        of.routes[prefix] = _copy(
+        of.routes[prefix] = _copy_route(
             before,
             split=tuple((name, weight) for (name, _), (_, weight) in zip(split, before.split, strict=True)),
         )
         return lambda: of.routes.__setitem__(prefix, before)
 
     def lost(self, sidecar: Any, rng: random.Random) -> Undo:
-        """An entry is missing."""
-        of, prefix = _place(sidecar, rng)
+        """A route is missing."""
+        of, prefix = _choose_route(sidecar, rng)
         before = of.routes.pop(prefix)
         return lambda: of.routes.__setitem__(prefix, before)
 
     def added(self, sidecar: Any, rng: random.Random) -> Undo:
-        """An entry that nobody ordered stands before one that must not run twice."""
-        of, prefix = _place(sidecar, rng)
+        """A route that nobody ordered takes requests of a route that must not run twice."""
+        of, prefix = _choose_route(sidecar, rng)
         before = of.routes[prefix]
         odd = prefix + b"1" + b"/"
-        of.routes[odd] = _copy(before, prefix=odd, kind="read_only")
-        of.routes[prefix] = _copy(before, max_attempts=before.max_attempts + 1)
+        of.routes[odd] = _copy_route(before, prefix=odd, kind="read_only")
+        of.routes[prefix] = _copy_route(before, max_attempts=before.max_attempts + 1)
         longest, of.longest = of.longest, max(of.longest, len(odd))
 
         def undo() -> None:
@@ -114,18 +119,18 @@
         return undo
 
     def timeout(self, sidecar: Any, rng: random.Random) -> Undo:
-        """A timeout of another route."""
-        return _change(sidecar, rng, timeout_s=rng.choice((1.5, 2.0, 6.0, 60.0)))
+        """A route has the time-out of another route."""
+        return _replace_route(sidecar, rng, timeout_s=rng.choice((1.5, 2.0, 6.0, 60.0)))
 
     def kind(self, sidecar: Any, rng: random.Random) -> Undo:
-        """What must not run twice is held for `read_only`."""
-        return _change(sidecar, rng, kind="read_only")
+        """A route that must not run twice is treated as `read_only`."""
+        return _replace_route(sidecar, rng, kind="read_only")
 
     def limits(self, sidecar: Any, rng: random.Random) -> Undo:
-        """Bounds or attempts of an older version are kept."""
+        """Limits or attempts of an older version stay in force."""
         how = rng.randrange(4)
         if how == 0:
-            return _change(sidecar, rng, max_attempts=5)
+            return _replace_route(sidecar, rng, max_attempts=5)
         if how == 1:
             most, sidecar.backend_connections.most = (
                 sidecar.backend_connections.most,
@@ -140,21 +145,21 @@
         return lambda: setattr(limits, "max_body_bytes", body)
 
     def evacuation(self, sidecar: Any, rng: random.Random) -> Undo:
-        """An evacuation is forgotten, or never withdrawn."""
-        word, gate = sidecar.mesh_state, sidecar.gate
-        before, evacuated = set(word.evacuated), gate.evacuated
+        """An evacuation is missing, or stays after its end."""
+        node_state, gate = sidecar.mesh_state, sidecar.gate
+        before, evacuated = set(node_state.evacuated), gate.evacuated
         if rng.random() < 0.5:
             gate.evacuated = not gate.evacuated
         else:
-            word.evacuated ^= {rng.choice(ZONES)}
+            node_state.evacuated ^= {rng.choice(ZONES)}
 
         def undo() -> None:
-            word.evacuated, gate.evacuated = before, evacuated
+            node_state.evacuated, gate.evacuated = before, evacuated
 
         return undo
 
     def list(self, sidecar: Any, rng: random.Random) -> Undo:
-        """The list has one id, zone or draining mark wrong, or this backend's cold time."""
+        """The backend list has a wrong instance, zone, state or usability of one node."""
         source = sidecar.source
         node = rng.choice([node for node in source.list if node != sidecar.settings.ip])
         entry, how = source.list[node], rng.randrange(4)
@@ -176,7 +181,7 @@
         return undo
 
     def freeze(self, sidecar: Any, rng: random.Random) -> Undo:
-        """The process stands still while the word changes."""
+        """The process is frozen while the configuration changes."""
         sidecar_node = self.trial.victim
         sidecar_node.proxy.freeze()
         self.trial.deployment.invariant_checker.mark_fault(sidecar_node.ip, 1)
@@ -190,24 +195,26 @@
         return lambda: None
 
     def content(self, sidecar: Any, rng: random.Random) -> Undo:
-        """Two nodes believe one revision and differ in content; half of them with a digest that fits."""
-        word = sidecar.mesh_state
-        kept = word.table, word.packed, word.digest, word.value
-        text, other = self.trial.odd(rng)
-        word.table, word.packed = RoutingTable(text), other
-        if rng.random() < 0.5:  # as if somebody had told it so
-            word.restore({**word.value, "digest": self.trial.digest(text)}, word.table, other)
+        """The content differs from that of others at the same revision, at random with a matching digest."""
+        node_state = sidecar.mesh_state
+        kept = node_state.table, node_state.packed, node_state.digest, node_state.value
+        text, other = self.trial.make_differing_text(rng)
+        node_state.table, node_state.packed = RoutingTable(text), other
+        if rng.random() < 0.5:  # The digest matches the differing content.
+            node_state.restore(
+                {**node_state.value, "digest": self.trial.digest(text)}, node_state.table, other
+            )
 
         def undo() -> None:
-            word.table, word.packed, word.digest, word.value = kept
+            node_state.table, node_state.packed, node_state.digest, node_state.value = kept
             sidecar.drift_monitor.told_digest = ""
             sidecar.drift_monitor._read()
 
         return undo
 
     def build(self, sidecar: Any, rng: random.Random) -> Undo:
-        """A program of another build reads the same text otherwise, each time."""
-        drift_monitor, word = sidecar.drift_monitor, sidecar.mesh_state
+        """A program of another build parses the same text differently, each time."""
+        drift_monitor, node_state = sidecar.drift_monitor, sidecar.mesh_state
 
         def other(text: bytes) -> RoutingTable:
             table = RoutingTable(text)
@@ -216,44 +223,48 @@
                     route.latency_target_s, route.max_attempts = route.timeout_s, 1
             return table
 
-        drift_monitor.build, kept = other, word.table
-        word.table = other(self.trial.newest)
+        drift_monitor.build, kept = other, node_state.table
+        node_state.table = other(self.trial.latest_text)
 
         def undo() -> None:
-            drift_monitor.build, word.table = RoutingTable, kept
+            drift_monitor.build, node_state.table = RoutingTable, kept
 
         return undo
 
     def liar(self, sidecar: Any, rng: random.Random) -> Undo:
-        """It says the right digest and decides otherwise; its own second reading is blind to it."""
-        drift_monitor, source, word = sidecar.drift_monitor, sidecar.source, sidecar.mesh_state
-        find = word.find
-        if rng.random() < 0.5:  # another service
+        """The sidecar reports the right digest but decides differently, and its own check does not see it."""
+        drift_monitor, source, node_state = sidecar.drift_monitor, sidecar.source, sidecar.mesh_state
+        find = node_state.find
+        if rng.random() < 0.5:  # It chooses another service.
             source.draw_service = lambda route: (
-                SERVICES[0] if route.prefix in STRICT else Route.service(route, source.draw())
+                SERVICES[0]
+                if route.prefix in NON_REPEATABLE_PREFIXES
+                else Route.service(route, source.draw())
             )
-        else:  # another kind
+        else:  # It uses another kind.
 
             def found(host: bytes, path: bytes) -> Route | None:
                 route = find(host, path)
                 return (
-                    route if route is None or route.prefix not in STRICT else _copy(route, kind="read_only")
+                    route
+                    if route is None or route.prefix not in NON_REPEATABLE_PREFIXES
+                    else _copy_route(route, kind="read_only")
                 )
 
             told = {
                 prefix: drift_monitor.rules.of(of.routes[prefix])
                 for of in _hosts(sidecar).values()
                 for prefix in of.routes
-                if prefix in STRICT
+                if prefix in NON_REPEATABLE_PREFIXES
             }
-            word.find = found
+            node_state.find = found
             drift_monitor.look = lambda host, path, route: (found(host, path), 0.0)
             source.rule = lambda route: told.get(route.prefix) or drift_monitor.rules.of(route)
 
         def undo() -> None:
             for thing, name in (
                 (source, "draw_service"),
-                (word, "find"),
+                (node_state, "find"),
                 (drift_monitor, "look"),
                 (source, "rule"),
             ):
@@ -262,14 +273,14 @@
         return undo
 
     def checker(self, sidecar: Any, rng: random.Random) -> Undo:
-        """What was read a second time is itself wrong."""
+        """The second reading, which the checks compare with, is itself wrong."""
         told = sidecar.drift_monitor.told
         at = rng.randrange(len(told.rules))
         told.rules[at] ^= 1 << rng.randrange(64)
         return lambda: None
 
     def disk(self, sidecar: Any, rng: random.Random) -> Undo:
-        """A control node's disk gives back an older word."""
+        """The disk of a control node returns an older state."""
         deployment = self.trial.deployment
         core = self.trial.core = rng.choice(deployment.cores)
         disk = cast(Any, core.machine.disk)
@@ -308,51 +319,56 @@
     "checker",
     "disk",
 )
-LONG = {"freeze": 4.5, "build": 8.0, "liar": 8.0, "disk": 6.0, "content": 6.0}  # seconds that each may stay
+LONG_PERIODS_S = {"freeze": 4.5, "build": 8.0, "liar": 8.0, "disk": 6.0, "content": 6.0}  # Seconds.
 
 
-class Slip:
-    """One that was put in. `after`: requests sent at its node until it was noticed; -1: never."""
+class InjectedDrift:
+    """One injected drift; `requests_until_noticed` counts requests sent at its node, -1 if unnoticed."""
 
-    __slots__ = ("after", "at", "by", "ran", "victim")
+    __slots__ = ("at", "noticed_by", "ran", "requests_until_noticed", "victim")
 
     def __init__(self, victim: str, at: float) -> None:
-        self.victim, self.at, self.after, self.by, self.ran = victim, at, -1, "", 0
+        self.victim, self.at, self.requests_until_noticed, self.noticed_by, self.ran = victim, at, -1, "", 0
 
 
 class Trial:
-    """One field with slips of one kind. `ways`: those of `WAYS` that are on."""
+    """A run with drift of one kind; `detectors` are those of `DETECTORS` that are enabled."""
 
-    def __init__(self, seed: int, kind: str, many: int, ways: tuple[str, ...] = WAYS) -> None:
-        self.rng, self.kind, self.many, self.ways = random.Random(seed), kind, many, ways
-        self.gap = LONG.get(kind, UNDONE) + 0.4
+    def __init__(self, seed: int, kind: str, count: int, detectors: tuple[str, ...] = DETECTORS) -> None:
+        self.rng, self.kind, self.count, self.detectors = random.Random(seed), kind, count, detectors
+        self.period_s = LONG_PERIODS_S.get(kind, DRIFT_PERIOD_S) + 0.4
         self.deployment = Deployment(
-            seed, self._sidecar, real_control_node, SMALL_SHAPE, LEAD, FIRST + many * self.gap + 2.0
+            seed,
+            self._sidecar,
+            real_control_node,
+            SMALL_SHAPE,
+            TRAFFIC_START_S,
+            FIRST_DRIFT_S + count * self.period_s + 2.0,
         )
         self.world, self.invariant_checker = self.deployment.world, self.deployment.invariant_checker
-        self.slips: list[Slip] = []
+        self.injected_drifts: list[InjectedDrift] = []
         self.victim: SidecarNode = self.deployment.sidecar_nodes[0]
         self.undo: Undo = lambda: None
-        self.told: list[Order] = []
+        self.orders_sent: list[Order] = []
         self.readings: dict[bytes, second.Told] = {}
-        self.strict = {"runs": 0, "slipped": 0}
-        self.wrong: list[str] = []  # mutating requests that ran by another rule than told
+        self.non_repeatable = {"runs": 0, "slipped": 0}
+        self.wrong: list[str] = []  # Requests that must not run twice and ran by another rule than ordered.
         self.alarms: list[tuple[float, str, str]] = []
-        self.older = b""
-        self.core: Any = None  # the control node whose disk went back
+        self.previous_text = b""
+        self.core: Any = None  # The control node whose disk returned an older state.
         self.traffic_splits: dict[str, dict[str, int]] = {"/orders/": {"order-desk": 3, "survey-intake": 1}}
         self.world.at(2.0, self.order, random.Random(seed))
         self.world.at(6.5, self.order, random.Random(seed + 1))
-        for n in range(many):
-            self.world.at(FIRST + n * self.gap, self._put)
-            self.world.at(FIRST + n * self.gap + self.gap - 0.4, self._take_out)
+        for n in range(count):
+            self.world.at(FIRST_DRIFT_S + n * self.period_s, self._inject)
+            self.world.at(FIRST_DRIFT_S + n * self.period_s + self.period_s - 0.4, self._undo_injection)
 
-    # What the trial does.
+    # Injection.
 
     def _sidecar(self, host: Any, settings: str) -> object:
         sidecar: Any = real_sidecar(host, settings)
-        for way in WAYS:
-            setattr(sidecar.drift_monitor, way, way in self.ways)
+        for detector in DETECTORS:
+            setattr(sidecar.drift_monitor, detector, detector in self.detectors)
         ip, drift_monitor = sidecar.settings.ip, sidecar.drift_monitor
 
         def slip(by: str, what: str, renew: bool = False) -> None:
@@ -372,33 +388,33 @@
         return sidecar
 
     def later(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call so much later."""
+        """Calls after a delay in seconds."""
         self.world.at(self.world.now + seconds, call)
 
     def order(self, rng: random.Random) -> None:
-        """An honest change, which touches what must not run twice."""
-        self.older = self.newest
+        """Sends a valid change of routes that must not run twice."""
+        self.previous_text = self.latest_text
         self.traffic_splits["/orders/"] = {
             "order-desk": rng.randint(2, 5),
             "survey-intake": rng.randint(1, 2),
         }
         self.traffic_splits["/parcels/"] = {rng.choice(SERVICES): 1}
         order = self.deployment.make_configuration(
-            self.deployment.next_version(), self.traffic_splits, 2500 + 100 * (len(self.told) % 9)
+            self.deployment.next_version(), self.traffic_splits, 2500 + 100 * (len(self.orders_sent) % 9)
         )
-        self.told.append(order)
+        self.orders_sent.append(order)
         self.deployment.operator.order(order)
 
     @property
-    def newest(self) -> bytes:
-        """The text that was ordered last."""
-        return self.told[-1].text if self.told else b""
+    def latest_text(self) -> bytes:
+        """The text of the last order."""
+        return self.orders_sent[-1].text if self.orders_sent else b""
 
-    def odd(self, rng: random.Random) -> tuple[bytes, bytes]:
-        """A text under the newest version with another rule, plain and packed."""
+    def make_differing_text(self, rng: random.Random) -> tuple[bytes, bytes]:
+        """Returns another text of the newest version, plain and compressed."""
         import zlib
 
-        whole = json.loads(self.newest)
+        whole = json.loads(self.latest_text)
         for route in whole["routes"]:
             if route["route-kind"] != "read_only":
                 route["max-attempts"] = 3 + rng.randrange(3)
@@ -408,12 +424,12 @@
 
     @staticmethod
     def digest(text: bytes) -> str:
-        """As words name a text."""
+        """Returns the digest of a configuration text."""
         from honeywharf.mesh_config.configuration import digest
 
         return digest(text)
 
-    def _put(self) -> None:
+    def _inject(self) -> None:
         running = [
             sidecar_node
             for sidecar_node in self.deployment.sidecar_nodes
@@ -421,13 +437,16 @@
             and cast(Any, sidecar_node.proxy.program).mesh_state.table is not None
         ]
         self.victim = self.rng.choice(running)
-        self.slips.append(Slip(self.victim.ip, self.world.now))
-        self.undo = getattr(Kinds(self), self.kind)(self.victim.proxy.program, self.rng)
+        self.injected_drifts.append(InjectedDrift(self.victim.ip, self.world.now))
+        self.undo = getattr(DriftKinds(self), self.kind)(self.victim.proxy.program, self.rng)
 
-    def _take_out(self) -> None:
+    def _undo_injection(self) -> None:
         undo, self.undo = self.undo, lambda: None
         if self.core is not None and self.core.program is not None and self.core.program.gather.went_back:
-            self.slips[-1].after, self.slips[-1].by = 0, "register"
+            self.injected_drifts[-1].requests_until_noticed, self.injected_drifts[-1].noticed_by = (
+                0,
+                "register",
+            )
         sidecar: Any = self.victim.proxy.program
         if sidecar is None:
             return
@@ -440,16 +459,16 @@
         if sidecar.drift_monitor.state.aside:
             sidecar.drift_monitor._event(2, "undone by the trial")
 
-    # What it sees.
+    # Observation.
 
     def _noticed(self, ip: str, by: str, what: str) -> None:
-        slip = self.slips[-1] if self.slips else None
-        if slip is None or slip.victim != ip or self.world.now > slip.at + self.gap:
-            if by != "judge" and what != "refused":  # an honest change is decided again
+        slip = self.injected_drifts[-1] if self.injected_drifts else None
+        if slip is None or slip.victim != ip or self.world.now > slip.at + self.period_s:
+            if by != "judge" and what != "refused":  # A valid change also causes these.
                 self.alarms.append((self.world.now, ip, f"{by}: {what}"))
-        elif slip.after < 0:
-            slip.by = by
-            slip.after = sum(
+        elif slip.requests_until_noticed < 0:
+            slip.noticed_by = by
+            slip.requests_until_noticed = sum(
                 ask.machine == ip and ask.sent >= slip.at for ask in self.invariant_checker.attempts.values()
             )
 
@@ -459,8 +478,8 @@
             found = self.readings[order.text] = second.Told(order.text)
         return found
 
-    def _may(self, sent: Attempt) -> list[Order]:
-        """Configurations by which a request may run. Without slips, only machines in touch are held to it."""
+    def _applicable_orders(self, sent: Attempt) -> list[Order]:
+        """Returns the configurations by which a request may run; without drift, all for a disturbed machine."""
         bound = sent.sent - self.invariant_checker.bounds["config-apply"]
         orders = [order for order in self.invariant_checker.configs() if order.sent <= self.world.now]
         if self.kind == "none" and not self.invariant_checker.is_undisturbed(sent.machine, sent.sent):
@@ -469,26 +488,26 @@
         return [order for order in orders if order.version >= floor]
 
     def ran(self, job: Job) -> None:
-        """A request's head goes to a backend now."""
+        """Checks a request whose head goes to a backend."""
         ask = job.ask
         sent = self.invariant_checker.attempts.get(ask.attempt_id.decode())
         if sent is None or sent.repeatable:
             return
-        self.strict["runs"] += 1
-        for order in self._may(sent):
+        self.non_repeatable["runs"] += 1
+        for order in self._applicable_orders(sent):
             made, kind = self._read(order).decide(sent.host.encode(), sent.path.encode())
             if made == ask.rule and kind == ask.kind and ask.service in order.services(sent.host, sent.path):
                 return
-        self.strict["slipped"] += 1
-        if self.slips:
-            self.slips[-1].ran += 1
+        self.non_repeatable["slipped"] += 1
+        if self.injected_drifts:
+            self.injected_drifts[-1].ran += 1
         self.wrong.append(
             f"{self.world.now:.3f} {sent.id} {sent.path} of {sent.machine} at {ask.service}, "
             f"kind {ask.kind}, from {ask.peer or 'home'}"
         )
 
     def play(self, until: float = 0.0) -> Trial:
-        """Play it whole, or until a time."""
+        """Runs the trial completely, or until a time."""
         plain = Job._head_bytes
 
         def heads(job: Job) -> bytes:
@@ -498,13 +517,13 @@
         cast(Any, Job)._head_bytes = heads
         try:
             self.world.strict = True
-            self.world.run(until or FIRST + self.many * self.gap + 4.0)
+            self.world.run(until or FIRST_DRIFT_S + self.count * self.period_s + 4.0)
         finally:
             cast(Any, Job)._head_bytes = plain
         return self
 
     def statuses(self) -> dict[int, int]:
-        """Final statuses of all tries; 0 and 1: no answer."""
+        """Counts the final statuses of all attempts; 0 and 1 are no answer."""
         found: dict[int, int] = {}
         for ask in self.invariant_checker.attempts.values():
             found[ask.status] = found.get(ask.status, 0) + 1
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -21,7 +21,7 @@
 
 from honeywharf.simulation import deployment
 from honeywharf.simulation.actors import Flow, Message
-from honeywharf.simulation.slips import Kinds
+from honeywharf.simulation.slips import DriftKinds
 from honeywharf.standins.meshdemo import LOOK_S, ROUTES, Day, Mesh, Program, place
 
 SLIPS = ("kind", "weights", "lost", "evacuation", "timeout")
@@ -155,7 +155,7 @@
     """Put the slip in that the file names."""
     kind = Path(file).read_text()
     trial = cast(Any, SimpleNamespace(older=b"", newest=b""))
-    getattr(Kinds(trial), kind)(sidecar, random.Random(kind))
+    getattr(DriftKinds(trial), kind)(sidecar, random.Random(kind))
 
 
 def main() -> int:
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -12,7 +12,7 @@
 from honeywharf.simulation.deployment import ZONES, SidecarNode
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.invariants import Attempt
-from honeywharf.simulation.slips import Kinds, Trial
+from honeywharf.simulation.slips import DriftKinds, Trial
 from honeywharf.verdict import TURNED_AWAY
 
 
@@ -38,7 +38,7 @@
 def ordered(trial: Trial) -> int:
     """An honest change of what must not run twice; its version."""
     trial.order(random.Random(17))
-    return trial.told[-1].version
+    return trial.orders_sent[-1].version
 
 
 @pytest.mark.parametrize("moved", [False, True])
@@ -141,7 +141,7 @@
     ordered(trial)  # another timeout in each
     whole = [program(side) for side in trial.deployment.sidecar_nodes]
     trial.play(8.6)
-    assert {sidecar.mesh_state.version for sidecar in whole} == {trial.told[-1].version}
+    assert {sidecar.mesh_state.version for sidecar in whole} == {trial.orders_sent[-1].version}
     assert all(sidecar.drift_monitor.state.at == states.APPLYING for sidecar in whole)
     trial.play(8.6 + rounds.WHOLE_STEPS * rounds.STEP_S + 0.5)
     assert all(sidecar.drift_monitor.state.at == states.AGREED for sidecar in whole)
@@ -156,10 +156,10 @@
     for core in trial.deployment.cores[:2]:
         core.machine.power_off()
     chance, (first, second) = random.Random(2), trial.deployment.sidecar_nodes[:2]
-    Kinds(trial).kind(program(first), chance)
+    DriftKinds(trial).kind(program(first), chance)
     trial.play(9.5)
     assert program(first).drift_monitor.state.at in (states.HEALED, states.AGREED)
-    Kinds(trial).build(program(second), chance)
+    DriftKinds(trial).build(program(second), chance)
     before = program(second).source.handed
     trial.play(14.0)
     drift_monitor = program(second).drift_monitor
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -116,7 +116,7 @@
 
 def test_a_control_node_whose_disk_gives_back_an_older_word_has_no_vote_until_admitted_anew() -> None:
     trial = Trial(3, "disk", 2).play()
-    assert [slip.by for slip in trial.slips] == ["register", "register"]
+    assert [slip.noticed_by for slip in trial.injected_drifts] == ["register", "register"]
     assert trial.wrong == []
     assert trial.invariant_checker.violations == []
     replicas = [cast(Any, core.program).replica for core in trial.deployment.cores]
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -18,12 +18,12 @@
 @pytest.mark.parametrize("kind", [kind for kind in KINDS if kind != "disk"])
 def test_a_slip_is_caught_and_nothing_that_must_not_run_twice_runs_by_it(kind: str) -> None:
     trial = Trial(5, kind, 3).play()
-    assert trial.strict["runs"] > 100
+    assert trial.non_repeatable["runs"] > 100
     assert trial.wrong == []
     assert trial.invariant_checker.violations == []
     assert trial.world.crashes == []
     if kind not in QUIET:
-        assert all(slip.after >= 0 for slip in trial.slips)
+        assert all(slip.requests_until_noticed >= 0 for slip in trial.injected_drifts)
     assert trial.alarms == []
 
 
@@ -56,8 +56,8 @@
 @pytest.mark.parametrize("way", ["scanning", "judging", "reading"])
 def test_each_way_catches_a_wrong_kind_alone(way: str) -> None:
     trial = Trial(6, "kind", 4, (way,)).play()
-    assert sum(slip.after >= 0 for slip in trial.slips) >= 1
-    assert {slip.by for slip in trial.slips if slip.by} == {
+    assert sum(slip.requests_until_noticed >= 0 for slip in trial.injected_drifts) >= 1
+    assert {slip.noticed_by for slip in trial.injected_drifts if slip.noticed_by} == {
         "scanning": {"scan"},
         "judging": {"judge"},
         "reading": {"reading"},
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -45,7 +45,7 @@
     assert drift.judged(found) == 0
     slips = [line for line in drift.lines(found) if line.startswith("slip")]
     assert len(slips) == 2
-    view = next(one for one in found["views"] if one["node"] == trial.slips[0].victim)
+    view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     told = list(drift.explained(view, found))
     assert "runs in every branch what a majority holds" in told
     assert any(line.startswith("slip ") for line in told)
@@ -54,7 +54,7 @@
 def test_a_node_that_cannot_heal_is_told_with_the_branch_that_differs() -> None:
     trial = played("build")
     found = json.loads(asked(trial, b"/api/drift").answered)
-    view = next(one for one in found["views"] if one["node"] == trial.slips[0].victim)
+    view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     assert view["state"] in ("doubted", "quarantined")
     assert drift.judged(found) == 1
     told = list(drift.explained(view, found))
@@ -64,7 +64,7 @@
 
 def test_what_changed_between_two_versions_is_told() -> None:
     trial = played("kind")
-    first, second = [order.version for order in trial.told[:2]]
+    first, second = [order.version for order in trial.orders_sent[:2]]
     call = asked(trial, b"/api/drift/between/r%d/r%d" % (first, second))
     assert call.status == 200
     assert b"/orders/" in call.answered
--- a/tests/sessions/test_days.py
+++ b/tests/sessions/test_days.py
@@ -11,7 +11,7 @@
 from honeywharf.sessions.drain import EMPTY
 from honeywharf.sessions.gateway_location import GatewayLocation
 from honeywharf.simulation import deployment
-from honeywharf.simulation.regions import READ, TROUBLES, UPLOAD, Client, Day, Source
+from honeywharf.simulation.regions import FAULT_KINDS, READ, UPLOAD, Client, Day, Source
 from honeywharf.simulation.world import World
 
 
@@ -22,9 +22,9 @@
 
 def day_with_uploads(count: int, size: int, timeout_s: float) -> tuple[Day, Source, GatewayNode]:
     """A day without faults that begins with many uploads through one gateway."""
-    day = Day(5, 2, troubles="", seconds=1.5, uploads=0)
+    day = Day(5, 2, fault_kinds="", seconds=1.5, uploads=0)
     day.world.run(1.0)
-    source, gateway = day.sources[0].program, day.keepers[0].program
+    source, gateway = day.sources[0].program, day.gateways[0].program
     assert isinstance(source, Source)
     assert isinstance(gateway, GatewayNode)
     for _ in range(count):
@@ -37,12 +37,12 @@
     day, source, _ = day_with_uploads(20, 400_000, 30.0)
     source.session_client.resumes_sessions = sessions
     day.world.run(1.3)
-    day.keepers[0].kill()
+    day.gateways[0].kill()
     day.world.run(30.0)
     uploads = [client for client in day.clients if client.kind == UPLOAD]
     again = sum(client.tries > 1 for client in uploads)
-    refused = sum(each.refused for each in day.gates())
-    assert all(client.end == "done" for client in uploads)
+    refused = sum(each.refusals for each in day.running_destinations())
+    assert all(client.outcome == "done" for client in uploads)
     assert again <= refused if sessions else again >= 10
 
 
@@ -56,37 +56,37 @@
     assert gateway.drain.state == EMPTY
     day.world.run(30.0)
     uploads = [client for client in day.clients if client.kind == UPLOAD]
-    assert sum(client.end == "done" for client in uploads) == 500
+    assert sum(client.outcome == "done" for client in uploads) == 500
     assert source.session_client.moves > 0
 
 
 def test_a_lost_destination_is_given_up_with_a_proof_long_before_the_deadline() -> None:
     day, source, _ = day_with_uploads(0, 0, 0.0)
-    lost = day.quarries[-1].machine
+    lost = day.destinations[-1].machine
     lost.power_off()
-    day.others = lambda region: [lost.ip]  # type: ignore[method-assign]
-    day.proofs.clear()
+    day.other_destinations = lambda region: [lost.ip]  # type: ignore[method-assign]
+    day.not_run_attempts.clear()
     # Otherwise END would follow OPEN at once, and the read may have run.
     source.session_client.incarnations.clear()
     clients = [Client(day, source, READ, 10, 30.0), Client(day, source, UPLOAD, 400_000, 30.0)]
     day.world.run(7.0)
-    assert all(client.tries > 1 and client.attempts[0] in day.proofs for client in clients)
+    assert all(client.tries > 1 and client.attempts[0] in day.not_run_attempts for client in clients)
 
 
 def test_a_slow_client_whose_deadline_passes_gets_the_correct_verdict() -> None:
     day, _, gateway = day_with_uploads(1, 60_000_000, 6.0)
-    day.slow_s = 0.05
+    day.client_delay_s = 0.05
     day.world.run(2.0)
     gateway.order_drain()
     day.play()
     uploads = [client for client in day.clients if client.kind == UPLOAD]
-    assert [client.end for client in uploads] == ["not run"]
+    assert [client.outcome for client in uploads] == ["not run"]
     assert day.faults == []
 
 
 def test_the_last_gateway_of_a_region_drains_only_after_a_second_order() -> None:
     day, _, gateway = day_with_uploads(4, 400_000, 20.0)
-    other = day.keepers[1].program
+    other = day.gateways[1].program
     assert isinstance(other, GatewayNode)
     other.order_drain()
     day.world.run(3.0)
@@ -103,7 +103,7 @@
 def test_the_same_seed_gives_the_same_day() -> None:
     assert Day(3).play().world.digest == Day(3).play().world.digest
     assert isinstance(Day(3).world, World)
-    assert set(TROUBLES.split()) == {"drain", "term", "kill", "cut", "restart"}
+    assert set(FAULT_KINDS.split()) == {"drain", "term", "kill", "cut", "restart"}
 
 
 def settings(gateways: object) -> Settings:
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -149,9 +149,9 @@
 
 
 def test_the_operators_api() -> None:
-    day = Day(1, troubles="", uploads=0)
+    day = Day(1, fault_kinds="", uploads=0)
     day.world.run(2.0)
-    keeper = cast(GatewayNode, day.keepers[0].program)
+    keeper = cast(GatewayNode, day.gateways[0].program)
     answers: list[tuple[int, bytes]] = []
 
     def call(method: bytes, path: bytes) -> Any:
--- a/tests/sessions/test_shift.py
+++ b/tests/sessions/test_shift.py
@@ -21,17 +21,17 @@
 
 def day(trouble: str, sessions: bool = True) -> GatewayScenario:
     plan = ScenarioPlan(table(hours=[0.5, 1.0, 1.0, 1.0, 0.5], troubled=[2], rate=110.0))
-    return GatewayScenario(4, plan, trouble, sessions).work()
+    return GatewayScenario(4, plan, trouble, sessions).run_scenario()
 
 
 def test_inner_calls_keep_their_p99_while_a_gateway_drains_and_every_upload_finishes() -> None:
     made = day("drain")
-    took = made.took("inner")
+    took = made.durations_s("inner")
     assert min(len(values) for values in took.values()) > 15
     assert quantile(took["during"], 0.99) <= 1.2 * quantile(took["before"], 0.99)
     uploads = [client for client in made.clients if client.kind == UPLOAD]
     assert len(uploads) > 10
-    assert {client.end for client in uploads} == {"done"}
+    assert {client.outcome for client in uploads} == {"done"}
     assert made.faults == []
     assert max(made.empty_s) < 1.5
 
