--- a/bench/drift.py
+++ b/bench/drift.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
-from honeywharf.simulation.slips import FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, DETECTORS, Trial
+from honeywharf.simulation.slips import DETECTORS, FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, Trial
 
 ONE_RUN = {False: 20, True: 10}  # slips of one run: of short kinds, and of long ones
 TROUBLES = (
--- a/bench/mesh_mutants.py
+++ b/bench/mesh_mutants.py
@@ -15,13 +15,13 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from tests.simulation.mutants import MUTANTS, caught
+from tests.simulation.mutants import MUTANTS, seeds_until_detected
 
 
 def one(number: int, first: int, most: int) -> tuple[str, int, str, float]:
     """Play one mutant: its name, the seeds needed (0: not found), the rule, seconds."""
     begun = time.monotonic()
-    count, rule = caught(MUTANTS[number], first, most)
+    count, rule = seeds_until_detected(MUTANTS[number], first, most)
     return MUTANTS[number].name, count, rule, time.monotonic() - begun
 
 
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -479,7 +479,7 @@
         return found
 
     def _applicable_orders(self, sent: Attempt) -> list[Order]:
-        """Returns the configurations by which a request may run; without drift, all for a disturbed machine."""
+        """Returns the configurations by which a request may run; without drift all at a disturbed node."""
         bound = sent.sent - self.invariant_checker.bounds["config-apply"]
         orders = [order for order in self.invariant_checker.configs() if order.sent <= self.world.now]
         if self.kind == "none" and not self.invariant_checker.is_undisturbed(sent.machine, sent.sent):
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -14,10 +14,10 @@
 from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.order_model import SCENES, play, singles, watched
-from tests.simulation.mutants import Put, refuses_what_may_have_run, repeats_what_may_have_run, wrong
+from tests.simulation.mutants import Patch, refuses_what_may_have_run, repeats_what_may_have_run, wrong
 
 
-def lost_link_proves(put: Put) -> None:
+def lost_link_proves(put: Patch) -> None:
     """What was sent on a link that is lost counts as not run."""
 
     def lose(self: Link) -> None:
@@ -28,7 +28,7 @@
     put(Link, "fail", lose)
 
 
-def asked_for_body_proves(put: Put) -> None:
+def asked_for_body_proves(put: Patch) -> None:
     """A body that was asked for on a link that is lost counts as not sent."""
 
     def lose(self: Link) -> None:
@@ -40,7 +40,7 @@
     put(Link, "fail", lose)
 
 
-def broken_connection_proves(put: Put) -> None:
+def broken_connection_proves(put: Patch) -> None:
     """What was written to a backend whose connection ends counts as not run."""
 
     def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
@@ -50,7 +50,7 @@
     put(Job, "broken", broken)
 
 
-def own_timeout_proves(put: Put) -> None:
+def own_timeout_proves(put: Patch) -> None:
     """What no gate has answered in time counts as not run."""
 
     def late(self: Course) -> None:
@@ -62,7 +62,7 @@
     put(Course, "_late", late)
 
 
-def end_proves(put: Put) -> None:
+def end_proves(put: Patch) -> None:
     """What is under way when the process ends counts as not run."""
 
     def finish(self: Course, again_s: float) -> None:
@@ -74,7 +74,7 @@
     put(Course, "finish", finish)
 
 
-def leaving_gate_proves(put: Put) -> None:
+def leaving_gate_proves(put: Patch) -> None:
     """A job at work when its process ends is refused."""
 
     def finish(self: Job) -> None:
@@ -85,7 +85,7 @@
     put(Job, "finish", finish)
 
 
-def failure_is_refusal(put: Put) -> None:
+def failure_is_refusal(put: Patch) -> None:
     """A gate's word that a request may have run is read as a refusal."""
 
     def failed(self: Course, verdict: Verdict) -> None:
@@ -97,7 +97,7 @@
     put(Course, "failed", failed)
 
 
-def echo_not_checked(put: Put) -> None:
+def echo_not_checked(put: Patch) -> None:
     """A backend's answer is taken for whatever request is out on its connection."""
 
     def answer(self: Tap, answer: Any) -> None:
@@ -109,7 +109,7 @@
     put(Tap, "answer", answer)
 
 
-def answers_as_they_come(put: Put) -> None:
+def answers_as_they_come(put: Patch) -> None:
     """Answers on a client's connection are written in the order in which they come."""
 
     def write(self: ClientConnection) -> None:
@@ -120,7 +120,7 @@
     put(ClientConnection, "_write", write)
 
 
-def stream_number_again(put: Put) -> None:
+def stream_number_again(put: Patch) -> None:
     """The number of a stream that was given up is used for the next one, and the destination lets it."""
 
     def cancel(self: ClientStream) -> None:
@@ -138,7 +138,7 @@
     put(LinkServer, "_open", opened)
 
 
-def closes_on_pipelined(put: Put) -> None:
+def closes_on_pipelined(put: Patch) -> None:
     """A process that leaves closes a connection behind an answer though more is at work on it."""
     put(ClientConnection, "_is_last_answer", lambda self, exchange: self.outbound.draining)
 
@@ -147,7 +147,7 @@
     """One guard left out; `scene` and `manner`: where single faults show it."""
 
     name: str
-    make: Callable[[Put], None]
+    make: Callable[[Patch], None]
     scene: str = "short body"
     manner: str = "well"
 
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -1,7 +1,7 @@
-"""Meshes with one thing left out or done wrong, each found out by a rule, with the troubles that show it.
+"""Mutants of the mesh, each with a defect, the faults that reveal it and the rules that must detect it.
 
-Where two guards hold one rule, leaving out one breaks nothing; such a mutant leaves out both, and says so
-("and"). `kinds` are drawn into every day of the mutant, at times and with chances by the day's seed.
+Where two mechanisms guard one rule, a mutant disables both. The faults of `kinds` are part of every run of
+the mutant, at times and with random generators drawn from the seed.
 """
 
 from __future__ import annotations
@@ -41,37 +41,42 @@
 from honeywharf.transport.link import Link
 from honeywharf.verdict import BROKEN_OFF, MAY_HAVE_RUN, NOT_RUN, Verdict
 
-Put = Callable[[object, str, Any], None]  # owner, name, what stands there instead
+Patch = Callable[[object, str, Any], None]  # The owner, the name of the attribute, and its replacement.
 Kinds = tuple[tuple[str, str], ...]
 
 
 class Mutant:
-    """One wrong mesh: how it is made, the troubles of its days, and the rules that may tell it."""
+    """A mutant: how it is made, the faults of its runs, and the rules that may detect it."""
 
     def __init__(
-        self, name: str, make: Callable[[Put], None], kinds: Kinds, rules: tuple[str, ...], after: float = 5.0
+        self,
+        name: str,
+        make: Callable[[Patch], None],
+        kinds: Kinds,
+        rules: tuple[str, ...],
+        after: float = 5.0,
     ) -> None:
         self.name, self.make, self.kinds, self.rules, self.after = name, make, kinds, rules, after
 
     def day(self, seed: int) -> list[Fault]:
-        """The troubles of one of its days."""
+        """Returns the faults of one run."""
         chance = random.Random(f"{self.name} {seed}")
         faults = []
         for kind, how in self.kinds:
             at = chance.uniform(10.2, 12.0) + 5.0 * (kind == "late_again")
-            at = 17.0 if kind == "closing" else at  # after every other change: a later one would hide a loss
+            at = 17.0 if kind == "closing" else at  # A later change would hide a loss.
             faults.append(Fault(at, kind, how, chance.getrandbits(32)))
         return sorted(faults, key=lambda fault: fault.at)
 
     def play(self, seed: int) -> Report:
-        """One of its days."""
+        """Plays one run."""
         with wrong(self.make):
             return run(seed, self.day(seed), after=self.after)
 
 
 @contextmanager
-def wrong(make: Callable[[Put], None]) -> Iterator[None]:
-    """Have the mesh be wrong for a while."""
+def wrong(make: Callable[[Patch], None]) -> Iterator[None]:
+    """Applies a defect to the mesh within the context."""
     undone: list[tuple[Any, str, Any]] = []
 
     def put(owner: Any, name: str, what: Any) -> None:
@@ -86,8 +91,8 @@
             setattr(owner, name, what)
 
 
-def caught(mutant: Mutant, first: int, most: int) -> tuple[int, str]:
-    """After how many seeds a rule told it, and which; 0 and "" where none of `most` did."""
+def seeds_until_detected(mutant: Mutant, first: int, most: int) -> tuple[int, str]:
+    """Returns the number of seeds until detection and the rule; 0 and "" if none detects it."""
     for count in range(1, most + 1):
         report = mutant.play(first + count - 1)
         if report.broken and report.broken[0][0] in mutant.rules:
@@ -98,7 +103,7 @@
 # The register and its disk.
 
 
-def ack_before_sync(put: Put) -> None:
+def ack_before_sync(put: Patch) -> None:
     def keep(self: Voter, state: Any) -> None:
         if state is not self.state:
             self.acceptor.state = state
@@ -107,7 +112,7 @@
     put(Voter, "persist", keep)
 
 
-def text_before_sync(put: Put) -> None:
+def text_before_sync(put: Patch) -> None:
     def keep(self: Store, digest: str, packed: bytes) -> None:
         if digest not in self.digests:
             self.digests.append(digest)
@@ -127,8 +132,8 @@
     put(Store, "read_text", get)
 
 
-def majority_of_the_living(put: Put) -> None:
-    """Who does not answer counts as having agreed."""
+def majority_of_the_living(put: Patch) -> None:
+    """Counts a voter that does not answer as one that agreed."""
 
     def lost(asking: QuorumOperation, now: float, key: Any) -> Any:
         asking.message_lost(now, key)
@@ -144,7 +149,7 @@
     put(QuorumClient, "_message_lost", staticmethod(lost))
 
 
-def one_vote_is_enough(put: Put) -> None:
+def one_vote_is_enough(put: Patch) -> None:
     put(
         Quorums,
         "covered",
@@ -155,7 +160,7 @@
     )
 
 
-def wiped_disk_votes(put: Put) -> None:
+def wiped_disk_votes(put: Patch) -> None:
     def answer(self: Acceptor, request: Any) -> Any:
         return was(self, replaced(request, disk=self.state.disk))
 
@@ -163,7 +168,7 @@
     put(Acceptor, "answer", answer)
 
 
-def promise_not_kept(put: Put) -> None:
+def promise_not_kept(put: Patch) -> None:
     def accept(self: Acceptor, state: Any, asked: Any, value: Any) -> Any:
         return was(self, state, max(asked, state.promised), value)
 
@@ -171,8 +176,8 @@
     put(Acceptor, "_accept", accept)
 
 
-def begins_from_own_word(put: Put) -> None:
-    """A round takes its own acceptor's value, not the one accepted under the highest ballot."""
+def begins_from_own_word(put: Patch) -> None:
+    """A round proposes its own acceptor's value, not the one accepted under the highest ballot."""
 
     def cover(self: QuorumWrite) -> Any:
         mine = [told for key, told in self.promises.items() if key.address == self.proposer.address]
@@ -184,17 +189,17 @@
     put(QuorumWrite, "_propose_when_promised", cover)
 
 
-# The operator's word.
+# Orders of the operator.
 
 
-def ack_without_majority(put: Put) -> None:
+def ack_without_majority(put: Patch) -> None:
     def replaced(self: OperatorApi, call: Any, result: Any, answer: Any) -> None:
         self.answer(call, 200, b"{}")
 
     put(OperatorApi, "_replaced", replaced)
 
 
-def version_by_arrival(put: Put) -> None:
+def version_by_arrival(put: Patch) -> None:
     def replace(version: int, digest: str) -> Any:
         taken = mesh_state.Confirmation(mesh_state.Outcome.IN_FORCE, version, digest, digest)
         return lambda state: (state.with_changes(version=version, digest=digest), taken)
@@ -202,7 +207,7 @@
     put(mesh_state, "replace_configuration", replace)
 
 
-def invalid_is_taken(put: Put) -> None:
+def invalid_is_taken(put: Patch) -> None:
     def load(self: OperatorApi) -> None:
         from honeywharf.mesh_config import configuration
 
@@ -226,7 +231,7 @@
     put(OperatorApi, "preload", load)
 
 
-def change_drops_evacuations(put: Put) -> None:
+def change_drops_evacuations(put: Patch) -> None:
     def replace(version: int, digest: str) -> Any:
         def change(value: Any) -> Any:
             made, answer = was(version, digest)(value)
@@ -238,8 +243,8 @@
     put(mesh_state, "replace_configuration", replace)
 
 
-def word_from_the_first(put: Put) -> None:
-    """And no news of a newer one, which mend it."""
+def word_from_the_first(put: Patch) -> None:
+    """Takes the state of the first control node; rumours, which would repair it, are disabled too."""
 
     def start(self: Word) -> None:
         if not self.ready:
@@ -250,11 +255,11 @@
     put(Word, "heard", lambda self, revision, holder: None)
 
 
-def word_never_renewed(put: Put) -> None:
+def word_never_renewed(put: Patch) -> None:
     put(Word, "heard", lambda self, revision, holder: None)
 
 
-def evacuations_not_taken_over(put: Put) -> None:
+def evacuations_not_taken_over(put: Patch) -> None:
     def apply(self: Word, value: Any, table: Any, packed: bytes) -> None:
         was(self, {**value, "evac": {}}, table, packed)
 
@@ -265,8 +270,8 @@
 # The gate.
 
 
-def gate_does_not_heed(put: Put, **fields: Any) -> None:
-    """Judge as if some of what the gate knows were otherwise."""
+def gate_does_not_heed(put: Patch, **fields: Any) -> None:
+    """Decides as if some attributes of the gate had other values."""
 
     def refusal(self: Gate, now: float, service: str, expected: str = "") -> Any:
         kept = {name: getattr(self, name) for name in fields}
@@ -288,7 +293,7 @@
     put(Gate, "refusal", refusal)
 
 
-def list_is_never_renewed(put: Put) -> None:
+def list_is_never_renewed(put: Patch) -> None:
     def told(self: Source, node: str, say: Any, zone: str) -> None:
         before = self.list.get(node)
         if say is not None and (before is None or before.state != READY):
@@ -298,14 +303,14 @@
     put(Source, "told", told)
 
 
-def nobody_heeds_draining(put: Put) -> None:
-    """Neither gate nor list."""
+def nobody_heeds_draining(put: Patch) -> None:
+    """Disables the check at the gate and the renewal of the list."""
     gate_does_not_heed(put, state=READY)
     list_is_never_renewed(put)
 
 
-def nobody_heeds_evacuations(put: Put) -> None:
-    """Neither gate nor list."""
+def nobody_heeds_evacuations(put: Patch) -> None:
+    """Disables the check at the gate and the renewal of the list."""
     gate_does_not_heed(put, evacuated=False)
 
     def relist(self: Source, node: str, renewed: bool) -> None:
@@ -317,16 +322,16 @@
     put(Source, "_relist", relist)
 
 
-def cold_bound_off(put: Put) -> None:
+def cold_bound_off(put: Patch) -> None:
     put(Gate, "is_cold", lambda self, now: False)
 
 
-def cold_is_not_told(put: Put) -> None:
+def cold_is_not_told(put: Patch) -> None:
     put(Gate, "_told_cold", lambda self, now, cold_s: setattr(self, "doubted", False))
 
 
-def new_process_knows_no_cold(put: Put) -> None:
-    """A life is taken for warm until something tells otherwise, and coldness is not asked for."""
+def new_process_knows_no_cold(put: Patch) -> None:
+    """Treats a new incarnation as warm until it reports otherwise, and does not ask for its state."""
 
     def life(self: Gate, now: float, instance: str) -> None:
         was(self, now, instance)
@@ -337,7 +342,7 @@
     put(Gate, "_told_cold", lambda self, now, cold_s: None)
 
 
-def cold_bound_by_slices(put: Put) -> None:
+def cold_bound_by_slices(put: Patch) -> None:
     def wait(self: ColdBound, now: float) -> float:
         while self.sent and int(self.sent[0]) < int(now):
             self.sent.popleft()
@@ -346,8 +351,8 @@
     put(ColdBound, "wait_s", wait)
 
 
-def any_service(put: Put) -> None:
-    """The gate does not look at the service, the list is not renewed, the backend's id is not expected."""
+def any_service(put: Patch) -> None:
+    """Disables the check of the service, the renewal of the list and the expected instance id."""
 
     def refusal(self: Gate, now: float, service: str, expected: str = "") -> Any:
         return was(self, now, self.service, expected)
@@ -358,7 +363,7 @@
     id_not_expected(put)
 
 
-def id_not_expected(put: Put) -> None:
+def id_not_expected(put: Patch) -> None:
     def head(self: Job) -> bytes:
         expected = b"X-Honeywharf-Expected-Instance"
         return b"\r\n".join([line for line in was(self).split(b"\r\n") if not line.startswith(expected)])
@@ -367,8 +372,8 @@
     put(Job, "_head_bytes", head)
 
 
-def life_not_told_apart(put: Put) -> None:
-    """And no id is expected: another life at the address is taken for the one before it."""
+def life_not_told_apart(put: Patch) -> None:
+    """Treats a new incarnation as the previous one; the expected instance id is disabled too."""
 
     def beat(
         self: Gate, now: float, instance: str, sequence: int, draining: bool, slots: int, cold_s: float
@@ -384,11 +389,11 @@
 # Answers.
 
 
-def seal_not_checked(put: Put) -> None:
+def seal_not_checked(put: Patch) -> None:
     put(Job, "_good", lambda self: self.head is not None and not self.head.unexecuted)
 
 
-def echo_not_checked(put: Put) -> None:
+def echo_not_checked(put: Patch) -> None:
     def answer(self: Tap, head: Any) -> None:
         if self.user is not None:
             head.attempt = self.user.attempt
@@ -398,8 +403,8 @@
     put(Tap, "answer", answer)
 
 
-def excess_is_used(put: Put) -> None:
-    """What comes while nobody waits is kept for who comes next, and no id is looked at."""
+def excess_is_used(put: Patch) -> None:
+    """Keeps bytes that answer no request for the next one, and does not check the attempt id."""
 
     def discard(self: Tap) -> None:
         if not self.up or self.connection.peer != self.pool.address or self.user is not None:
@@ -410,7 +415,7 @@
     echo_not_checked(put)
 
 
-def half_an_answer_is_whole(put: Put) -> None:
+def half_an_answer_is_whole(put: Patch) -> None:
     def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
         if heard and self.head is not None and not self.streaming:
             self.whole()
@@ -421,7 +426,7 @@
     put(Job, "broken", broken)
 
 
-def answers_as_they_come(put: Put) -> None:
+def answers_as_they_come(put: Patch) -> None:
     def write(self: ClientConnection) -> None:
         self.exchanges.sort(key=lambda exchange: not exchange.done)
         was(self)
@@ -430,7 +435,7 @@
     put(ClientConnection, "_write", write)
 
 
-def caller_as_sent(put: Put) -> None:
+def caller_as_sent(put: Patch) -> None:
     def start(self: Course) -> None:
         self.source.service = "forged"
         was(self)
@@ -439,7 +444,7 @@
     put(Course, "start", start)
 
 
-def pieces_from_the_beginning(put: Put) -> None:
+def pieces_from_the_beginning(put: Patch) -> None:
     def piece(self: Course) -> bytes:
         return b"".join(self.kept)[: len(was(self))]
 
@@ -450,7 +455,7 @@
 # Run, not run, may have run.
 
 
-def reset_means_not_run(put: Put) -> None:
+def reset_means_not_run(put: Patch) -> None:
     def broken(self: Job, why: str, sent: bool, heard: bool) -> None:
         was(self, why, False, heard)
 
@@ -458,7 +463,7 @@
     put(Job, "broken", broken)
 
 
-def lost_link_means_not_run(put: Put) -> None:
+def lost_link_means_not_run(put: Patch) -> None:
     def lose(self: Link) -> None:
         self.is_up = False
         was(self)
@@ -467,11 +472,11 @@
     put(Link, "fail", lose)
 
 
-def repeats_what_may_have_run(put: Put) -> None:
+def repeats_what_may_have_run(put: Patch) -> None:
     put(Verdict, "may_repeat", lambda self, repeatable: True)
 
 
-def refuses_what_may_have_run(put: Put) -> None:
+def refuses_what_may_have_run(put: Patch) -> None:
     def give_up(self: Course, again_s: float) -> None:
         self.ran = False
         was(self, again_s)
@@ -480,7 +485,7 @@
     put(Course, "_give_up", give_up)
 
 
-def ledger_off(put: Put) -> None:
+def ledger_off(put: Patch) -> None:
     """A source forgets that a request may have run once it is given to another gate."""
 
     def ask(self: Course, key: str, patience_s: float) -> None:
@@ -492,34 +497,34 @@
     put(Course, "_arrived", lambda self, verdict: self._not_run(Verdict(NOT_RUN, verdict.why)))
 
 
-def budget_off(put: Put) -> None:
+def budget_off(put: Patch) -> None:
     put(Source, "spend", lambda self, service: True)
 
 
 # The platform.
 
 
-def term_ends_at_once(put: Put) -> None:
+def term_ends_at_once(put: Patch) -> None:
     put(Sidecar, "terminate", lambda self: self.host.exit(0))
 
 
-def always_ready(put: Put) -> None:
-    """And SIGTERM waits for nobody."""
+def always_ready(put: Patch) -> None:
+    """Reports ready at all times, and exits after SIGTERM without waiting for requests."""
     put(Sidecar, "_readiness", lambda self, call: call.answer(200))
     put(Sidecar, "terminate", lambda self: self.host.after(1.0, lambda: self.host.exit(0)))
 
 
-def end_without_a_word(put: Put) -> None:
-    """Requests are taken until the process ends, and what is under way then gets no answer.
+def end_without_a_word(put: Patch) -> None:
+    """Accepts requests until the process ends; requests in flight then get no answer.
 
-    Days of `MUTANTS` have too little traffic to show it; `tests/sidecar/test_leaving.py` brings it about.
+    Runs of `MUTANTS` have too little traffic to show it; `tests/sidecar/test_leaving.py` covers it.
     """
     put(Outbound, "ends_before", lambda self, now, route: False)
     put(Outbound, "finish", lambda self: None)
 
 
-def leaving_refuses_who_is_there(put: Put) -> None:
-    """Those at work at a gate that leaves are given up."""
+def leaving_refuses_who_is_there(put: Patch) -> None:
+    """Fails the running requests of a gate that is shutting down."""
 
     def terminate(self: Sidecar) -> None:
         was(self)
@@ -530,29 +535,29 @@
     put(Sidecar, "terminate", terminate)
 
 
-def digest_never_sent(put: Put) -> None:
-    """Nor any head that tells of a revision, nor rumours of the word."""
+def digest_never_sent(put: Patch) -> None:
+    """Disables summaries, revisions in message heads and rumours of revisions."""
     put(AntiEntropy, "summary", lambda self: b"")
     put(Gossip, "note_revision", lambda self, sender, revision: None)
     put(RevisionRumours, "pass_on", lambda self, now, rumour: [])
 
 
-def slots_never_given_back(put: Put) -> None:
+def slots_never_given_back(put: Patch) -> None:
     put(Admission, "finish", lambda self, now, short, took: None)
 
 
-def close_is_a_half_close(put: Put) -> None:
-    """Clients that have ended their bytes are not asked whether they are still there."""
+def close_is_a_half_close(put: Patch) -> None:
+    """Disables the probe of clients that have closed their direction."""
     put(DisconnectProbe, "start", lambda self: None)
 
 
-def cancellation_is_lost(put: Put) -> None:
-    """The gate is not told that nobody waits any more."""
+def cancellation_is_lost(put: Patch) -> None:
+    """Does not send the cancellation to the gate."""
     put(Course, "cancel", lambda self: self._end() if not self.over else None)
 
 
-def reset_is_not_heeded(put: Put) -> None:
-    """A client's connection breaks off, and its requests go on."""
+def reset_is_not_heeded(put: Patch) -> None:
+    """Keeps the requests of a reset client connection running."""
 
     def closed(self: ClientConnection, why: str) -> None:
         for exchange in self.exchanges:
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -1,4 +1,4 @@
-"""`honeywharf simulation`: days by seed on several processes, and what is told of a broken one."""
+"""`honeywharf simulation`: seeded runs on several processes, and the report of a broken one."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_copies.py
+++ b/tests/simulation/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of a deployment's file: numbers change before the first day, and nowhere else."""
+"""Copies of a deployment's file: numbers change only before the first day."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -1,4 +1,4 @@
-"""A field's shape: how many machines of each kind stand in each zone, and that all of them serve."""
+"""The shape of a deployment: the machines of each kind in each zone, all of which serve."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -1,27 +1,27 @@
-"""What of a disk is there after the power went, for every moment of a write beside and a rename."""
+"""The contents of a disk after a power loss at any moment of a write and a rename."""
 
 from __future__ import annotations
 
 import random
 
 from honeywharf.simulation.disk import Disk
-from tests.simulation.toys import Two
+from tests.simulation.toys import TwoMachines
 
 
-def save(two: Two, data: bytes) -> None:
+def save(two: TwoMachines, data: bytes) -> None:
     two.there.write("new", data)
     two.there.rename("new", "word")
 
 
 def after(crash: tuple[int, str], seed: int) -> dict[str, bytes]:
-    """The files after a crash at one operation of the second save."""
-    two = Two(seed)
-    two.on(two.there, lambda: save(two, b"old " * 100))
+    """Returns the files after a crash at one operation of the second save."""
+    two = TwoMachines(seed)
+    two.call_in(two.there, lambda: save(two, b"old " * 100))
     two.world.run(0.5)
     disk = two.there.machine.disk
     assert disk is not None
     disk.crash_at = (2 + crash[0], crash[1])
-    two.on(two.there, lambda: save(two, b"NEW " * 100))
+    two.call_in(two.there, lambda: save(two, b"NEW " * 100))
     two.world.run(1.0)
     assert not two.there.machine.power
     return disk.files
@@ -64,7 +64,7 @@
         disk.settle(1.0)
         disk.run("remove", "a", 1.0)
         disk.crash(5.0, False, random.Random(seed))
-        assert sorted(disk.files) == ["b"]  # a process that ends takes nothing back
+        assert sorted(disk.files) == ["b"]  # The end of a process undoes nothing.
         disk.crash(6.0, True, random.Random(seed))
         found.add("".join(sorted(disk.files)))
     assert found == {"ab", "b"}
@@ -93,9 +93,9 @@
 
 def test_an_operation_that_had_not_begun_leaves_nothing() -> None:
     for seed in range(20):
-        two = Two(seed)
-        two.on(two.there, lambda two=two: save(two, b"1"))  # type: ignore[misc]
-        two.world.run(0.013)  # within the first of the two syncs
+        two = TwoMachines(seed)
+        two.call_in(two.there, lambda two=two: save(two, b"1"))  # type: ignore[misc]
+        two.world.run(0.013)  # This is within the first of the two syncs.
         two.there.kill()
         assert two.there.machine.disk is not None
         assert "word" not in two.there.machine.disk.files
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""A mesh that keeps the rules is found to, one that breaks any is found out, and the day is made small."""
+"""A mesh that keeps the rules passes, one that breaks a rule is detected, and its faults are reduced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 QUIET: list[Fault] = []
-#: What is wrong with the toy, what happens, and the rule that must be found broken.
+#: The defect of the toy mesh, the fault, and the rule that must be reported as broken.
 WRONG = [
     ("MIXED", "", "MIXED"),
     ("UNASKED", "", "UNASKED"),
--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -1,4 +1,4 @@
-"""What the simulated machine promises to programs, and what it does to them."""
+"""The guarantees of the simulated machine to programs, and its faults."""
 
 from __future__ import annotations
 
@@ -6,108 +6,108 @@
 
 from honeywharf.simulation.machine import SILENCE_TIMEOUT_S, WINDOW_BYTES, End
 from honeywharf.transport.host import Address
-from tests.simulation.toys import HERE, THERE, Log, Two
+from tests.simulation.toys import HERE, THERE, CallbackLog, TwoMachines
 
 FORTH, BACK = [(HERE, THERE)], [(THERE, HERE)]
 
 
 def test_bytes_come_whole_in_order_and_not_before_the_delay() -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     sent = bytes(range(256)) * 2000
-    two.on(two.here, lambda: log.connection.send(sent))
+    two.call_in(two.here, lambda: log.connection.send(sent))
     two.world.run(5.0)
-    assert two.taken[0].data == sent
+    assert two.accepted[0].data == sent
     assert log.data == sent
     assert log.told[0][1] == "opened"
     assert log.told[0][0] >= 0.01 + 2 * two.network.cross_zone_delay_s
-    two.on(two.here, log.connection.close)
+    two.call_in(two.here, log.connection.close)
     two.world.run(6.0)
     assert log.names() == ["opened", "drained", "closed "]
-    assert two.taken[0].names()[-2:] == ["ended", "closed "]
+    assert two.accepted[0].names()[-2:] == ["ended", "closed "]
 
 
 def test_a_peer_that_does_not_read_holds_the_writer() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
-    two.on(two.there, two.taken[0].connection.pause)
-    two.on(two.here, lambda: log.connection.send(bytes(3 * WINDOW_BYTES)))
+    two.call_in(two.there, two.accepted[0].connection.pause)
+    two.call_in(two.here, lambda: log.connection.send(bytes(3 * WINDOW_BYTES)))
     two.world.run(20.0)
     assert log.connection.unsent == 2 * WINDOW_BYTES
-    assert two.taken[0].data == b""
+    assert two.accepted[0].data == b""
     assert log.names() == ["opened"]
-    two.on(two.there, two.taken[0].connection.resume)
+    two.call_in(two.there, two.accepted[0].connection.resume)
     two.world.run(21.0)
     assert log.connection.unsent == 0
-    assert len(two.taken[0].data) == 3 * WINDOW_BYTES
+    assert len(two.accepted[0].data) == 3 * WINDOW_BYTES
     assert log.names()[-1] == "drained"
 
 
 def test_a_dead_port_refuses_and_a_dark_machine_says_nothing() -> None:
-    two = Two()
-    refused = two.asked(port=81)
+    two = TwoMachines()
+    refused = two.open_connection(port=81)
     two.world.run(0.1)
     assert refused.names() == ["closed refused"]
     two.there.machine.power_off()
-    hung = two.asked(within=0.7)
+    hung = two.open_connection(within=0.7)
     two.world.run(2.0)
     assert hung.names() == ["closed timeout"]
     assert 0.8 <= hung.told[0][0] < 0.83
 
 
 def test_half_close_leaves_the_other_way_open() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
     assert isinstance(log.connection, End)
-    two.on(two.here, log.connection.finish)
+    two.call_in(two.here, log.connection.finish)
     two.world.run(0.2)
-    assert two.taken[0].names() == ["ended"]
-    two.on(two.there, lambda: two.taken[0].connection.send(b"late"))
+    assert two.accepted[0].names() == ["ended"]
+    two.call_in(two.there, lambda: two.accepted[0].connection.send(b"late"))
     two.world.run(0.3)
     assert log.data == b"late"
     assert log.names() == ["opened"]
 
 
 def test_a_close_after_a_half_close_says_nothing_more_and_resets_what_is_sent_then() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
     assert isinstance(log.connection, End)
-    two.on(two.here, log.connection.finish)
-    two.on(two.here, log.connection.close)
+    two.call_in(two.here, log.connection.finish)
+    two.call_in(two.here, log.connection.close)
     two.world.run(0.2)
-    assert two.taken[0].names() == ["ended"]
-    two.on(two.there, lambda: two.taken[0].connection.send(b"are you there?"))
+    assert two.accepted[0].names() == ["ended"]
+    two.call_in(two.there, lambda: two.accepted[0].connection.send(b"are you there?"))
     two.world.run(0.3)
-    assert two.taken[0].names() == ["ended", "closed reset"]
+    assert two.accepted[0].names() == ["ended", "closed reset"]
 
 
 def test_the_end_of_a_paused_connection_is_told_before_it_is_read() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
-    there, seen = two.taken[0], list[bytes]()
-    two.on(two.there, there.connection.pause)
-    two.on(two.there, lambda: there.connection.watch_end(lambda: seen.append(there.data)))
-    two.on(two.here, lambda: log.connection.send(b"late"))
-    two.on(two.here, log.connection.close)
+    there, seen = two.accepted[0], list[bytes]()
+    two.call_in(two.there, there.connection.pause)
+    two.call_in(two.there, lambda: there.connection.watch_end(lambda: seen.append(there.data)))
+    two.call_in(two.here, lambda: log.connection.send(b"late"))
+    two.call_in(two.here, log.connection.close)
     two.world.run(0.2)
     assert seen == [b""]
     assert there.names() == []
-    two.on(two.there, there.connection.resume)
+    two.call_in(two.there, there.connection.resume)
     two.world.run(0.3)
     assert (there.data, there.names(), len(seen)) == (b"late", ["ended"], 1)
 
 
 @pytest.mark.parametrize("pairs", [FORTH, BACK, FORTH + BACK])
 def test_a_cut_is_silent_and_what_it_held_up_comes_afterwards(pairs: list[tuple[str, str]]) -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     two.world.run(0.1)
     two.network.cut(pairs)
-    two.on(two.here, lambda: log.connection.send(b"held up"))
+    two.call_in(two.here, lambda: log.connection.send(b"held up"))
     two.world.run(1.5)
     assert log.data == b""
     assert log.names() == ["opened"]
@@ -116,45 +116,45 @@
     assert log.data == b"held up"
     two.network.cut(pairs)
     two.world.run(3.0 + SILENCE_TIMEOUT_S + 0.1)
-    assert log.names()[-1] == "closed timeout" == two.taken[0].names()[-1]
+    assert log.names()[-1] == "closed timeout" == two.accepted[0].names()[-1]
 
 
 def test_bytes_held_up_are_lost_when_their_sender_aborts() -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     two.world.run(0.1)
     two.network.cut(FORTH)
-    two.on(two.here, lambda: log.connection.send(b"x"))
+    two.call_in(two.here, lambda: log.connection.send(b"x"))
     two.world.run(0.2)
-    two.on(two.here, log.connection.abort)
+    two.call_in(two.here, log.connection.abort)
     two.world.run(0.3)
     two.network.remove_cuts(FORTH)
     two.world.run(2.0)
-    assert two.taken[0].data == b""
-    assert two.taken[0].names() == ["closed reset"]
+    assert two.accepted[0].data == b""
+    assert two.accepted[0].names() == ["closed reset"]
 
 
 def test_a_kill_resets_and_the_next_life_is_another() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
-    two.on(two.there, two.taken[0].connection.pause)
-    two.on(two.here, lambda: log.connection.send(b"unread"))
+    two.call_in(two.there, two.accepted[0].connection.pause)
+    two.call_in(two.here, lambda: log.connection.send(b"unread"))
     two.world.run(0.2)
     two.there.kill()
     two.world.run(0.3)
     assert log.names() == ["opened", "closed reset"]
-    assert two.taken[0].names() == []
+    assert two.accepted[0].names() == []
     two.world.run(1.0)
     assert two.there.incarnation == 2
-    again = two.asked()
+    again = two.open_connection()
     two.world.run(1.1)
     assert again.names() == ["opened"]
 
 
 def test_a_process_may_die_just_after_it_gave_up_a_connection_that_was_not_up() -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     log.connection.abort()
     two.here.kill()
     two.world.run(1.0)
@@ -163,8 +163,8 @@
 
 
 def test_a_machine_back_from_the_dark_resets_what_it_no_longer_knows() -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     two.world.run(0.1)
     two.there.machine.power_off()
     two.world.run(1.0)
@@ -175,14 +175,14 @@
 
 
 def test_a_frozen_process_does_all_at_once_when_it_thaws() -> None:
-    two = Two()
+    two = TwoMachines()
     fired: list[float] = []
-    log = two.asked()
+    log = two.open_connection()
     two.world.run(0.1)
     for n in range(5):
         two.there.after(n / 10, lambda: fired.append(two.world.now))
     two.there.freeze()
-    two.on(two.here, lambda: log.connection.send(b"x"))
+    two.call_in(two.here, lambda: log.connection.send(b"x"))
     two.world.run(1.0)
     assert fired == []
     assert log.data == b""
@@ -193,7 +193,7 @@
 
 
 def test_timers_are_a_little_late_and_a_cancelled_one_is_not_called() -> None:
-    two = Two()
+    two = TwoMachines()
     fired: list[str] = []
     two.here.after(1.0, lambda: fired.append("kept"))
     two.here.after(0.5, lambda: fired.append("cancelled")).cancel()
@@ -206,7 +206,7 @@
 
 
 def test_datagrams_are_lost_overtaken_and_dropped_by_a_cut() -> None:
-    two = Two(loss=0.1)
+    two = TwoMachines(loss=0.1)
     heard: list[int] = []
 
     def ear(sender: Address, data: bytes) -> None:
@@ -230,7 +230,7 @@
 
 
 def test_what_waits_for_a_frozen_process_is_bounded() -> None:
-    two = Two()
+    two = TwoMachines()
     two.there.datagrams((THERE, 7), lambda sender, data: None)
     two.there.freeze()
     for _ in range(1000):
@@ -241,17 +241,17 @@
 
 
 def test_a_sync_takes_time_and_what_is_sent_after_it_waits_for_it() -> None:
-    two = Two(echo=False)
-    log = two.asked()
+    two = TwoMachines(echo=False)
+    log = two.open_connection()
     two.world.run(0.1)
 
     def save() -> None:
         before = two.there.now()
         two.there.write("a", b"1")
         assert two.there.now() - before >= 0.005
-        two.taken[0].connection.send(b"safe")
+        two.accepted[0].connection.send(b"safe")
 
-    two.on(two.there, save)
+    two.call_in(two.there, save)
     two.world.run(0.1049)
     assert log.data == b""
     two.world.run(0.2)
@@ -260,14 +260,14 @@
 
 def test_a_promise_of_a_process_that_lost_power_before_its_sync_is_never_heard() -> None:
     for moment in (0.001, 0.004, 0.0049):
-        two = Two(echo=False)
-        log = two.asked()
+        two = TwoMachines(echo=False)
+        log = two.open_connection()
         two.world.run(0.1)
-        two.on(
+        two.call_in(
             two.there,
             lambda two=two: (  # type: ignore[misc]
                 two.there.write("a", b"1"),
-                two.taken[0].connection.send(b"safe"),
+                two.accepted[0].connection.send(b"safe"),
             )[0],
         )
         two.world.run(0.1 + moment)
@@ -278,10 +278,10 @@
 
 def test_the_same_seed_gives_the_same_trace_and_another_another() -> None:
     def trace(seed: int) -> tuple[int, int]:
-        two = Two(seed, loss=0.1)
-        logs: list[Log] = [two.asked() for _ in range(5)]
+        two = TwoMachines(seed, loss=0.1)
+        logs: list[CallbackLog] = [two.open_connection() for _ in range(5)]
         for log in logs:
-            two.on(two.here, lambda log=log: log.connection.send(two.here.random(100_000)))  # type: ignore[misc]
+            two.call_in(two.here, lambda log=log: log.connection.send(two.here.random(100_000)))  # type: ignore[misc]
         two.world.run(0.012)
         two.there.kill()
         two.world.run(3.0)
@@ -292,8 +292,8 @@
 
 
 def test_an_error_in_a_program_ends_its_process_and_is_kept() -> None:
-    two = Two()
-    two.on(two.there, lambda: [][0])
+    two = TwoMachines()
+    two.call_in(two.there, lambda: [][0])
     two.world.run(1.0)
     assert two.there.incarnation == 2
     assert "IndexError" in two.world.crashes[0][2]
--- a/tests/simulation/test_mesh.py
+++ b/tests/simulation/test_mesh.py
@@ -1,4 +1,4 @@
-"""The mesh's own programs through whole days of trouble: no rule is broken, and most is served."""
+"""The mesh's own programs under faults: no rule is broken, and most requests are served."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.run import run
 
-#: What happens, and the share that must be served nevertheless.
+#: The faults, and the share of requests that must be served nevertheless.
 DAYS = {
     "quiet": ([], 0.99),
     "core": ([Fault(10.5, "core_cut", "one_way", 1), Fault(11.0, "config_storm", "", 2)], 0.9),
--- a/tests/simulation/test_mutants.py
+++ b/tests/simulation/test_mutants.py
@@ -1,10 +1,10 @@
-"""Wrong meshes are found out: those that need a second or two here, all of them in bench/mesh_mutants.py."""
+"""Mutants of the mesh are detected: the quick ones here, all of them in bench/mesh_mutants.py."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.simulation.mutants import MUTANTS, caught
+from tests.simulation.mutants import MUTANTS, seeds_until_detected
 
 QUICK = (
     "change drops evacuations",
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("name", QUICK)
 def test_a_wrong_mesh_is_found_out(name: str) -> None:
     mutant = next(one for one in MUTANTS if one.name == name)
-    count, rule = caught(mutant, 1, 4)
+    count, rule = seeds_until_detected(mutant, 1, 4)
     assert count, f"{name} was not found out in 4 days"
     assert rule in mutant.rules
 
--- a/tests/simulation/test_operator_days.py
+++ b/tests/simulation/test_operator_days.py
@@ -1,4 +1,4 @@
-"""Days of an operator's orders: drawn as told, and a control plane that forgets contents is found out."""
+"""Runs of an operator's orders; a control plane that compares only versions is detected."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_rare_faults.py
+++ b/tests/simulation/test_rare_faults.py
@@ -1,4 +1,4 @@
-"""Troubles that sites don't list: each is carried out, does what it says, and the mesh keeps its rules."""
+"""Faults that sites don't list: each is injected and has its effect, and the mesh keeps the rules."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 )
 from honeywharf.simulation.run import run
 from tests.simulation.toymesh import toys
-from tests.simulation.toys import Two
+from tests.simulation.toys import TwoMachines
 
 VARIANTS = [(kind, how) for kind, hows in RARE_KINDS.items() for how in hows]
 
 
-def struck(kind: str, how: str, until: float) -> RareFaultSchedule:
-    """A day of the toy mesh with one trouble at 8 s, at a moment."""
+def run_with_fault(kind: str, how: str, until: float) -> RareFaultSchedule:
+    """Runs the toy mesh with one fault at 8 s until a time."""
     day = RareFaultSchedule(Deployment(3, *toys("")), [Fault(8.0, kind, how, 1)])
     day.world.run(until)
     return day
@@ -43,7 +43,7 @@
 
 def test_zones_of_a_bridge_cut_are_deaf_to_each_other_and_the_third_to_none() -> None:
     for kind, pairs in (("bridge_cut", 2), ("zone_cut", 4)):
-        day = struck(kind, "", 8.1)
+        day = run_with_fault(kind, "", 8.1)
         machines = [sidecar_node.machine for sidecar_node in day.deployment.sidecar_nodes]
         network = day.deployment.network
         deaf = {(a.zone, b.zone) for a in machines for b in machines if network.blocked(a, b)}
@@ -53,7 +53,7 @@
 
 
 def test_clocks_step_and_come_back() -> None:
-    day = struck("clock_step", "hour", 7.9)
+    day = run_with_fault("clock_step", "hour", 7.9)
     before = {process.name: process.machine.clock_skew_s for process in day.deployment.mesh_processes()}
     day.world.run(8.1)
     moved = [
@@ -68,7 +68,7 @@
 
 
 def test_an_operator_whose_answers_are_lost_asks_again_until_one_comes() -> None:
-    day = struck("ack_lost", "", 20.0)
+    day = run_with_fault("ack_lost", "", 20.0)
     sent = [order for order in day.invariant_checker.orders if order.sent >= 8.0]
     assert len(sent) == 8
     assert all(order.acked < 20.0 for order in sent)
@@ -92,14 +92,14 @@
 
 
 def test_a_torn_connection_is_told_at_both_ends() -> None:
-    two = Two()
-    log = two.asked()
+    two = TwoMachines()
+    log = two.open_connection()
     two.world.run(0.1)
-    two.on(two.here, lambda: log.connection.send(b"lost"))
+    two.call_in(two.here, lambda: log.connection.send(b"lost"))
     log.connection.reset_both_ends()  # type: ignore[attr-defined]
     two.world.run(0.2)
     assert log.names()[-1] == "closed reset"
-    assert two.taken[0].names()[-1] == "closed reset"
+    assert two.accepted[0].names()[-1] == "closed reset"
     assert log.data == b""
 
 
@@ -113,8 +113,8 @@
 
 
 def test_a_full_disk_refuses_writes_and_keeps_what_it_has() -> None:
-    two = Two()
-    two.on(two.there, lambda: two.there.write("a", b"kept"))
+    two = TwoMachines()
+    two.call_in(two.there, lambda: two.there.write("a", b"kept"))
     two.world.run(0.5)
     disk = two.there.machine.disk
     assert disk is not None
@@ -126,7 +126,7 @@
     assert two.there.names() == []
 
 
-#: What happens on the mesh's own programs, and the share that must be served nevertheless.
+#: The faults of the mesh's own programs, and the share of requests that must be served nevertheless.
 DAYS = {
     "cut off": ([Fault(10.2, "core_cut", "long one_way", 1), Fault(11.0, "ack_lost", "", 2)], 0.9),
     "disks": ([Fault(10.5, "disk_stall", "", 3), Fault(10.6, "config_storm", "long", 4)], 0.9),
--- a/tests/simulation/toymesh.py
+++ b/tests/simulation/toymesh.py
@@ -1,4 +1,4 @@
-"""A mesh in little that knows the truth without asking, and can be told to break each rule."""
+"""A toy mesh whose programs share their state directly, and which can be made to break each rule."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 KEEP = ("x-honeywharf-attempt-id", "x-honeywharf-deadline-remaining", "host", "x-honeywharf-caller-service")
 
 
-class Truth:
-    """What all toy programs share. `fault` names the rule to break."""
+class SharedState:
+    """The state that all toy programs share; `fault` names the rule to break."""
 
     def __init__(self, fault: str = "") -> None:
         self.fault = fault
@@ -37,7 +37,7 @@
         self.last: Message | None = None
 
     def take(self, body: bytes) -> int:
-        """A configuration, for its answer's status."""
+        """Takes a configuration, and returns the status of the answer."""
         try:
             word = json.loads(body)
         except ValueError:
@@ -68,13 +68,13 @@
 
 
 class Serving:
-    """A connection to a toy: requests in order, one at a time; `take(message, reply)`."""
+    """A connection to a toy program; requests go in order, one at a time, to `take(message, reply)`."""
 
     def __init__(self, connection: Connection, take: Any) -> None:
         self.connection, self.take, self.reader = connection, take, Reader(requests=True)
         self.queue: deque[Message] = deque()
         self.busy = False
-        self.given_up: Any = lambda: None  # called when the other end has left
+        self.given_up: Any = lambda: None  # Called when the peer has closed the connection.
 
     def opened(self) -> None: ...
 
@@ -116,10 +116,10 @@
 
 
 class ToySidecar:
-    """Outbound, inbound and the list, by the truth."""
+    """The outbound and inbound sides of a sidecar and its backend list, from the shared state."""
 
-    def __init__(self, host: Process, settings: str, truth: Truth) -> None:
-        self.host, self.truth, self.mine = host, truth, json.loads(settings)
+    def __init__(self, host: Process, settings: str, shared: SharedState) -> None:
+        self.host, self.shared, self.mine = host, shared, json.loads(settings)
         self.ip, self.open = self.mine["ip-address"], 0
         self.cold: deque[float] = deque()
         self.serve(OUTBOUND, self.outbound)
@@ -132,7 +132,7 @@
         self.host.listen((self.ip, port), lambda connection: Serving(connection, take))
 
     def stop(self) -> None:
-        if self.truth.fault == "LOST":
+        if self.shared.fault == "LOST":
             self.host.exit(0)
             return
         for port in (OUTBOUND, READINESS):
@@ -146,16 +146,16 @@
             self.host.after(0.3, lambda: self.host.exit(0))
 
     def ready(self, message: Message, reply: Any) -> None:
-        reply(answer(200 if self.truth.version else 503))
+        reply(answer(200 if self.shared.version else 503))
 
     def beat(self, message: Message, reply: Any) -> None:
         name = message.path.split("/")[3]
         if message.path.endswith("deregister"):
-            self.truth.backends.pop(name, None)
+            self.shared.backends.pop(name, None)
         else:
             told = json.loads(message.body)
             cold = int(told["status"]["cold-remaining"][:-2]) / 1000
-            self.truth.backends[name] = {
+            self.shared.backends[name] = {
                 "ip": self.ip,
                 "zone": told["details"]["zone"],
                 "service": told["details"]["target-service"],
@@ -166,20 +166,20 @@
         reply(answer(200))
 
     def usable(self, service: str) -> list[str]:
-        now, truth = self.host.world.now, self.truth
+        now, shared = self.host.world.now, self.shared
         return [
             name
-            for name, at in truth.backends.items()
+            for name, at in shared.backends.items()
             if at["service"] == service
-            and (at["state"] == "ready" or truth.fault == "DRAIN")
-            and (at["zone"] not in truth.empty or truth.fault == "EVAC")
+            and (at["state"] == "ready" or shared.fault == "DRAIN")
+            and (at["zone"] not in shared.empty or shared.fault == "EVAC")
             and now - at["seen"] < 3.0
         ]
 
     def route(self, message: Message) -> str:
-        routes = self.truth.routes
-        if self.truth.fault == "CONFIG BACK" and self.host.random(1)[0] < 20 and self.truth.words:
-            word = json.loads(self.truth.words[0])
+        routes = self.shared.routes
+        if self.shared.fault == "CONFIG BACK" and self.host.random(1)[0] < 20 and self.shared.words:
+            word = json.loads(self.shared.words[0])
             routes = {(route["hostname"], route["path-prefix"]): route for route in word["routes"]}
         for (host, prefix), route in routes.items():
             if host == message.headers["host"] and message.path.startswith(prefix):
@@ -188,7 +188,7 @@
         return ""
 
     def outbound(self, message: Message, reply: Any, tries: int = 3) -> None:
-        fault, service = self.truth.fault, self.route(message)
+        fault, service = self.shared.fault, self.route(message)
         if fault == "ROUTE" and self.host.random(1)[0] < 8:
             service = "order-desk" if service == "tile-vault" else "tile-vault"
         usable = self.usable(service)
@@ -206,23 +206,23 @@
             caller.close()
             self.over(message, reply, tries, got)
 
-        caller = Caller(self.host, (self.truth.backends[name]["ip"], INBOUND), told)
+        caller = Caller(self.host, (self.shared.backends[name]["ip"], INBOUND), told)
         first = f"{message.method} {message.path} HTTP/1.1"
         caller.send_request(None, text(first, {**headers, "toy": name}, message.body))
         self.heed(reply, caller)
 
     def heed(self, reply: Any, caller: Caller) -> None:
-        """Give a request up when the one that waits for it has left."""
+        """Cancels a request when its client has disconnected."""
 
         def given_up() -> None:
             self.open -= caller.is_open
             caller.close()
 
-        if self.truth.fault != "GONE":
+        if self.shared.fault != "GONE":
             reply.__self__.given_up = given_up
 
     def over(self, message: Message, reply: Any, tries: int, got: Message | None) -> None:
-        fault, repeat = self.truth.fault, message.method == "GET"
+        fault, repeat = self.shared.fault, message.method == "GET"
         refused = got is not None and "toy" in got.headers
         if tries and (
             refused
@@ -230,26 +230,26 @@
             or (fault == "BUDGET" and repeat)
         ):
             self.outbound(message, reply, tries - 1)
-        elif got is None and repeat and tries and self.truth.extra < 20:
-            self.truth.extra += 1
+        elif got is None and repeat and tries and self.shared.extra < 20:
+            self.shared.extra += 1
             self.outbound(message, reply, 0)
         elif got is None:
             reply(answer(502))
         elif fault == "REFUSED" and self.host.random(1)[0] < 8:
             reply(answer(503))
-        elif fault == "MIXED" and self.truth.last is not None and self.host.random(1)[0] < 8:
-            reply(self.truth.last)
+        elif fault == "MIXED" and self.shared.last is not None and self.host.random(1)[0] < 8:
+            reply(self.shared.last)
         else:
-            self.truth.last = got
+            self.shared.last = got
             reply(got)
 
     def inbound(self, message: Message, reply: Any) -> None:
         name, now = message.headers["toy"], self.host.world.now
-        here = self.truth.backends.get(name)
+        here = self.shared.backends.get(name)
         refused = here is None or here["ip"] != self.ip or name not in self.usable(here["service"])
         while self.cold and self.cold[0] < now - 1.05:
             self.cold.popleft()
-        if here is not None and now < here["cold"] + 0.5 and self.truth.fault != "FAILBACK":
+        if here is not None and now < here["cold"] + 0.5 and self.shared.fault != "FAILBACK":
             refused = refused or len(self.cold) >= COLD_PER_S
             self.cold.append(now)
         if refused:
@@ -280,10 +280,10 @@
 
 
 class ToyControlNode:
-    """The operator's door, by the truth."""
+    """The operator interface, from the shared state."""
 
-    def __init__(self, host: Process, settings: str, truth: Truth) -> None:
-        self.truth = truth
+    def __init__(self, host: Process, settings: str, shared: SharedState) -> None:
+        self.shared = shared
         host.listen(
             (json.loads(settings)["ip-address"], CONTROL), lambda connection: Serving(connection, self.take)
         )
@@ -291,22 +291,22 @@
     def take(self, message: Message, reply: Any) -> None:
         path = message.path.split("/")
         if path[-1] == "replace":
-            reply(answer(self.truth.take(message.body)))
+            reply(answer(self.shared.take(message.body)))
         elif path[-1] == "describe":
-            reply(answer(200, self.truth.words[0 if self.truth.fault == "READ BACK" else -1]))
+            reply(answer(200, self.shared.words[0 if self.shared.fault == "READ BACK" else -1]))
         else:
-            {"start": self.truth.empty.add, "complete": self.truth.empty.discard}[path[-1]](path[-2])
+            {"start": self.shared.empty.add, "complete": self.shared.empty.discard}[path[-1]](path[-2])
             reply(answer(200))
 
 
 def toys(fault: str) -> tuple[ProgramFactory, ProgramFactory]:
-    """Programs that share one truth for each world."""
-    truths: dict[World, Truth] = {}
+    """Returns factories of programs that share one state in each simulation."""
+    shared_states: dict[World, SharedState] = {}
 
-    def truth(host: Process) -> Truth:
-        return truths.setdefault(host.world, Truth(fault))
+    def shared(host: Process) -> SharedState:
+        return shared_states.setdefault(host.world, SharedState(fault))
 
     return (
-        lambda host, text: ToySidecar(host, text, truth(host)),
-        lambda host, text: ToyControlNode(host, text, truth(host)),
+        lambda host, text: ToySidecar(host, text, shared(host)),
+        lambda host, text: ToyControlNode(host, text, shared(host)),
     )
--- a/tests/simulation/toys.py
+++ b/tests/simulation/toys.py
@@ -1,4 +1,4 @@
-"""Small programs for the machine's own tests: one that asks, one that answers, and what each of them saw."""
+"""Small programs for tests of the simulated machine: a client, a server, and logs of their callbacks."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 HERE, THERE = "10.1.0.1", "10.2.0.1"
 
 
-class Log:
-    """A handler that keeps what it was told, and echoes where it is asked to."""
+class CallbackLog:
+    """A handler that records its callbacks, and echoes on request."""
 
     def __init__(self, process: Process, connection: Connection, echo: bool = False) -> None:
         self.process, self.connection, self.echo = process, connection, echo
@@ -46,13 +46,13 @@
         return [what for _, what in self.told if what != "data"]
 
 
-class Two:
-    """Two machines in two zones, a process on each; the second takes connections at port 80."""
+class TwoMachines:
+    """Two machines in two zones with a process each; the second accepts connections at port 80."""
 
     def __init__(self, seed: int = 1, echo: bool = True, loss: float = 0.0) -> None:
         self.world = World(seed)
         self.network = Network(self.world, loss=loss)
-        self.taken: list[Log] = []
+        self.accepted: list[CallbackLog] = []
         self.here = Process(Machine(self.network, HERE, "a"), "here", lambda process: None)
         self.there = Process(Machine(self.network, THERE, "b", Disk()), "there", self._serve)
         self.echo = echo
@@ -64,19 +64,19 @@
         process.listen((THERE, 80), self._accept)
         return None
 
-    def _accept(self, connection: Connection) -> Log:
-        self.taken.append(Log(self.there, connection, self.echo))
-        return self.taken[-1]
+    def _accept(self, connection: Connection) -> CallbackLog:
+        self.accepted.append(CallbackLog(self.there, connection, self.echo))
+        return self.accepted[-1]
 
-    def asked(self, port: int = 80, within: float = 1.0) -> Log:
-        logs: list[Log] = []
+    def open_connection(self, port: int = 80, within: float = 1.0) -> CallbackLog:
+        logs: list[CallbackLog] = []
 
-        def made(connection: Connection) -> Log:
-            logs.append(Log(self.here, connection))
+        def made(connection: Connection) -> CallbackLog:
+            logs.append(CallbackLog(self.here, connection))
             return logs[0]
 
         self.here.connect((THERE, port), made, within)
         return logs[0]
 
-    def on(self, process: Process, do: Callable[[], None]) -> None:
+    def call_in(self, process: Process, do: Callable[[], None]) -> None:
         process.call(process.incarnation, do)
