--- a/bench/drift.py
+++ b/bench/drift.py
@@ -27,8 +27,8 @@
 from statistics import median
 from typing import Any
 
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.slips import FIRST, KINDS, LONG, WAYS, Trial
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
+from honeywharf.simulation.slips import DETECTORS, FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, Trial
 
 INJECTIONS_PER_RUN = {False: 20, True: 10}  # For kinds that last short and long.
 FAULT_KINDS = (
@@ -48,9 +48,9 @@
 CHANGE_STORMS, OTHER_FAULTS, DAY_S = 16, 58, 60.0  # For one day without drift.
 TRAFFIC_FRACTION = 1 / 3  # Of a trial's traffic, on days without drift.
 WAY_SETS = {
-    "all": WAYS,
-    **{f"{way} alone": (way,) for way in WAYS},
-    **{f"{way} off": tuple(other for other in WAYS if other != way) for way in WAYS},
+    "all": DETECTORS,
+    **{f"{way} alone": (way,) for way in DETECTORS},
+    **{f"{way} off": tuple(other for other in DETECTORS if other != way) for way in DETECTORS},
 }
 FIRST_SEED = 1000
 Task = tuple[str, str, int, int]  # Ways or "honest", kind, seed, number of injections.
@@ -91,11 +91,13 @@
 
 def _row(trial: Trial) -> Row:
     row = Row()
-    row.after = [slip.after for slip in trial.slips]
-    row.by = Counter(slip.by or "nobody" for slip in trial.slips)
-    row.runs, row.slipped = trial.strict["runs"], trial.strict["slipped"]
+    row.after = [slip.requests_until_noticed for slip in trial.injected_drifts]
+    row.by = Counter(slip.noticed_by or "nobody" for slip in trial.injected_drifts)
+    row.runs, row.slipped = trial.non_repeatable["runs"], trial.non_repeatable["slipped"]
     row.alarms, row.statuses = len(trial.alarms), Counter(trial.statuses())
-    row.faults = [str(fault) for fault in [*trial.book.found, *trial.world.crashes]] + trial.wrong[:3]
+    row.faults = [
+        str(fault) for fault in [*trial.invariant_checker.violations, *trial.world.crashes]
+    ] + trial.wrong[:3]
     return row
 
 
@@ -107,24 +109,26 @@
 def run_without_drift(seed: int) -> Row:
     """Runs a day of valid changes and faults; `by` holds how many of each kind occurred."""
     trial, chance = Trial(seed, "none", 0), random.Random(seed)
-    trial.field.until = FIRST + DAY_S + 4.0
+    trial.deployment.until = FIRST_DRIFT_S + DAY_S + 4.0
     faults = [
-        Fault(FIRST + DAY_S * chance.random(), "config_storm", "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + DAY_S * chance.random(), "config_storm", "", chance.getrandbits(32))
         for _ in range(CHANGE_STORMS)
     ]
     faults += [
-        Fault(FIRST + DAY_S * chance.random(), chance.choice(FAULT_KINDS), "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + DAY_S * chance.random(), chance.choice(FAULT_KINDS), "", chance.getrandbits(32))
         for _ in range(OTHER_FAULTS)
     ]
-    for flow in trial.field.flows:
+    for flow in trial.deployment.flows:
         flow.per_s *= TRAFFIC_FRACTION
-    day = Day(trial.field, sorted(faults, key=lambda fault: fault.at))
-    trial.play(FIRST + DAY_S + 10.0)
+    day = FaultSchedule(trial.deployment, sorted(faults, key=lambda fault: fault.at))
+    trial.play(FIRST_DRIFT_S + DAY_S + 10.0)
     row = _row(trial)
     row.faults += [f"{seed}: {alarm}" for alarm in trial.alarms[:2]]
-    running: list[Any] = [side.proxy.program for side in trial.field.sides if side.proxy.program is not None]
+    running: list[Any] = [
+        side.proxy.program for side in trial.deployment.sidecar_nodes if side.proxy.program is not None
+    ]
     row.alarms += sum(program.drift_monitor.state.is_suspect for program in running)
-    row.by = day.struck
+    row.by = day.injected
     return row
 
 
@@ -208,7 +212,7 @@
     tasks: list[Task] = []
     for enabled in args.ways.split(","):
         for kind in args.kinds.split(",") if args.each else ():
-            one = INJECTIONS_PER_RUN[kind in LONG]
+            one = INJECTIONS_PER_RUN[kind in LONG_PERIODS_S]
             tasks += [
                 (enabled, kind, FIRST_SEED + n, min(one, args.each - n)) for n in range(0, args.each, one)
             ]
--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -21,7 +21,7 @@
 
 import cappa
 
-from honeywharf.simulation.field import Shape
+from honeywharf.simulation.deployment import Shape
 from honeywharf.simulation.run import Report, play, run
 
 HASHES = "PYTHONHASHSEED"  # the order of sets of texts belongs to a day
@@ -31,7 +31,9 @@
 Shaped = Annotated[
     Shape,
     cappa.Arg(
-        long="--shape", parse=Shape.told, help="Sidecar machines of each zone, and core machines: 2,2,2/3."
+        long="--shape",
+        parse=Shape.from_text,
+        help="Sidecar machines of each zone, and core machines: 2,2,2/3.",
     ),
 ]
 Seed = Annotated[int, cappa.Arg(help="The number that a day is drawn from.")]
@@ -90,7 +92,7 @@
         with _pool(1) as pool:
             report = pool.submit(run, self.seed, shape=self.shape, any_kind=self.any_kind).result()
         print(report)
-        for line in [*report.notes, *report.history()]:
+        for line in [*report.trace_lines, *report.history()]:
             print(f"    {line}")
         return 1 if report.broken else 0
 
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -19,9 +19,9 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from honeywharf.simulation import field
-from honeywharf.simulation.slips import Kinds
-from honeywharf.simulation.standins import Flow, Message
+from honeywharf.simulation import deployment
+from honeywharf.simulation.actors import Flow, Message
+from honeywharf.simulation.slips import DriftKinds
 from honeywharf.standins.meshdemo import LOOK_S, ROUTES, Day, Mesh, Program, place
 
 KINDS = ("kind", "weights", "lost", "evacuation", "timeout")
@@ -80,7 +80,9 @@
 
     def _poll(self, drift: _InjectedDrift) -> None:
         core = self.mesh.cores[0]
-        self.mesh.ask((core.ip, self.mesh.port(field.CONTROL)), "/api/drift", partial(self._on_views, drift))
+        self.mesh.ask(
+            (core.ip, self.mesh.port(deployment.CONTROL)), "/api/drift", partial(self._on_views, drift)
+        )
 
     def _on_views(self, drift: _InjectedDrift, message: Message | None) -> None:
         views = json.loads(message.body)["views"] if message is not None and message.status == 200 else []
@@ -90,7 +92,7 @@
             drift.by = ", ".join(sorted(view["caught"]))
             drift.sent = sum(
                 ask.machine == drift.ip and drift.at <= ask.sent <= self.mesh.world.now
-                for ask in self.mesh.book.asks.values()
+                for ask in self.mesh.invariant_checker.attempts.values()
             )
             self.day.say(f"  {drift.kind}: caught by {drift.by}, {drift.state}: {view['slips'][-1][2]}")
         elif self.mesh.world.now < drift.at + INTERVAL_S - POLL_INTERVAL_S:
@@ -98,18 +100,18 @@
 
     def print_summary(self) -> int:
         """Prints the table. Returns the exit status."""
-        asks = list(self.mesh.book.asks.values())
+        attempts = list(self.mesh.invariant_checker.attempts.values())
         figures = {
             "requests run twice that may not be": sum(
-                not ask.repeatable and len(ask.runs) > 1 for ask in asks
+                not ask.repeatable and len(ask.runs) > 1 for ask in attempts
             ),
             "requests run by a service that no rule names": sum(
                 name != at.service
-                for ask in asks
+                for ask in attempts
                 for _, at in ask.runs
                 for name in self.day.first.services(ask.host, ask.path)
             ),
-            "requests refused though their rule is there": sum(ask.status == 404 for ask in asks),
+            "requests refused though their rule is there": sum(ask.status == 404 for ask in attempts),
             "slips not caught": sum(drift.detected_s < 0 for drift in self.drifts),
             "slips not healed": sum(drift.state not in ("healed", "agreed") for drift in self.drifts),
         }
@@ -119,13 +121,19 @@
                 f"{drift.kind:<12} {drift.ip:<14} {drift.detected_s:>8.2f} s {drift.sent:>15}  "
                 f"{drift.by or 'nobody'}, {drift.state}"
             )
-        served = sum(200 <= ask.status < 300 for ask in asks)
-        self.day.say(f"{served} of {len(asks)} requests served")
+        served = sum(200 <= ask.status < 300 for ask in attempts)
+        self.day.say(f"{served} of {len(attempts)} requests served")
         for title, number in figures.items():
             self.day.say(f"{number:>8}  {title}")
-        for rule, when, what in self.mesh.book.found:
+        for rule, when, what in self.mesh.invariant_checker.violations:
             self.day.say(f"  BROKEN: {rule} at {when:.1f} s: {what}")
-        return 1 if any(figures.values()) or self.mesh.book.found or served < 0.95 * len(asks) else 0
+        return (
+            1
+            if any(figures.values())
+            or self.mesh.invariant_checker.violations
+            or served < 0.95 * len(attempts)
+            else 0
+        )
 
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
@@ -151,7 +159,7 @@
     """Injects the kind of drift that the file names."""
     kind = Path(file).read_text()
     trial = cast(Any, SimpleNamespace(older=b"", newest=b""))
-    getattr(Kinds(trial), kind)(sidecar, random.Random(kind))
+    getattr(DriftKinds(trial), kind)(sidecar, random.Random(kind))
 
 
 def main() -> int:
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.rules import Ask
+from honeywharf.simulation.actors import Caller
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
+from honeywharf.simulation.invariants import Attempt
 from honeywharf.simulation.slips import KINDS, Trial
-from honeywharf.simulation.standins import Caller
 
 #: Kinds that may go undetected while no request is in flight: the node first confirms its state by itself.
 SELF_DETECTED = ("freeze",)
@@ -18,12 +18,12 @@
 @pytest.mark.parametrize("kind", [kind for kind in KINDS if kind != "disk"])
 def test_drift_is_detected_and_no_request_that_must_not_run_twice_runs_by_it(kind: str) -> None:
     trial = Trial(5, kind, 3).play()
-    assert trial.strict["runs"] > 100
+    assert trial.non_repeatable["runs"] > 100
     assert trial.wrong == []
-    assert trial.book.found == []
+    assert trial.invariant_checker.violations == []
     assert trial.world.crashes == []
     if kind not in SELF_DETECTED:
-        assert all(slip.after >= 0 for slip in trial.slips)
+        assert all(slip.requests_until_noticed >= 0 for slip in trial.injected_drifts)
     assert trial.alarms == []
 
 
@@ -33,15 +33,15 @@
     assert set(trial.statuses()) <= {200, 500}  # The stand-in backends answer 500 themselves.
     assert trial.wrong == []
     assert trial.alarms == []
-    assert sum(cast(Any, side.proxy.program).source.delegated for side in trial.field.sides) > 10
+    assert sum(cast(Any, side.proxy.program).source.delegated for side in trial.deployment.sidecar_nodes) > 10
 
 
 def test_disagreements_of_quarantined_peers_and_on_confirmed_rules_do_not_count() -> None:
     trial = Trial(3, "none", 0)
     trial.world.run(8.0)
-    sidecar = cast(Any, trial.field.sides[0].proxy.program)
-    peers, rule = [side.ip for side in trial.field.sides[1:4]], b"12345678"
-    trial.field.sides[1].proxy.program.membership.publish(q=1)  # type: ignore[attr-defined]
+    sidecar = cast(Any, trial.deployment.sidecar_nodes[0].proxy.program)
+    peers, rule = [side.ip for side in trial.deployment.sidecar_nodes[1:4]], b"12345678"
+    trial.deployment.sidecar_nodes[1].proxy.program.membership.publish(q=1)  # type: ignore[attr-defined]
     trial.world.run(9.0)
     for peer in peers[:2]:
         sidecar.drift_monitor._record_disagreement(peer, rule)
@@ -56,8 +56,8 @@
 @pytest.mark.parametrize("way", ["scanning", "judging", "reading"])
 def test_each_way_of_detection_finds_a_wrong_kind_alone(way: str) -> None:
     trial = Trial(6, "kind", 4, (way,)).play()
-    assert sum(slip.after >= 0 for slip in trial.slips) >= 1
-    assert {slip.by for slip in trial.slips if slip.by} == {
+    assert sum(slip.requests_until_noticed >= 0 for slip in trial.injected_drifts) >= 1
+    assert {slip.noticed_by for slip in trial.injected_drifts if slip.noticed_by} == {
         "scanning": {"scan"},
         "judging": {"judge"},
         "reading": {"reading"},
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize("name", FAULTS_WITHOUT_DRIFT)
 def test_valid_changes_and_faults_raise_no_alarm(name: str) -> None:
     trial = Trial(7, "none", 0)
-    trial.field.until = 20.0
-    Day(trial.field, FAULTS_WITHOUT_DRIFT[name])
+    trial.deployment.until = 20.0
+    FaultSchedule(trial.deployment, FAULTS_WITHOUT_DRIFT[name])
     trial.world.strict = True
     trial.world.run(24.0)
-    assert trial.book.found == []
+    assert trial.invariant_checker.violations == []
     assert trial.world.crashes == []
     assert trial.alarms == []
 
@@ -100,14 +100,14 @@
 def test_revisions_and_rules_in_client_headers_are_ignored() -> None:
     trial = Trial(9, "none", 0)
     trial.world.run(5.5)
-    side = trial.field.sides[0]
+    side = trial.deployment.sidecar_nodes[0]
     caller = Caller(side.clients, (side.ip, 8304), lambda tag, message: statuses.append(message))
     statuses: list[Any] = []
-    trial.book.asks["f0f0"] = ask = Ask(
+    trial.invariant_checker.attempts["f0f0"] = ask = Attempt(
         "f0f0", side.ip, side.service, "POST", "shop.example", "/orders/9", "mutating"
     )
     ask.deadline = trial.world.now + 2.0
-    caller.ask(
+    caller.send_request(
         None,
         b"POST /orders/9 HTTP/1.1\r\nHost: shop.example\r\nX-Honeywharf-Attempt-Id: f0f0\r\n"
         b"X-Honeywharf-Revision: 9999\r\nX-Honeywharf-Rule: 00000000\r\nContent-Length: 0\r\n\r\n",
@@ -115,4 +115,4 @@
     trial.world.run(8.0)
     assert [message.status for message in statuses] == [200]
     assert trial.alarms == []
-    assert all(cast(Any, one.proxy.program).mesh_state.newest < 100 for one in trial.field.sides)
+    assert all(cast(Any, one.proxy.program).mesh_state.newest < 100 for one in trial.deployment.sidecar_nodes)
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -24,7 +24,7 @@
 
 
 def get(trial: Trial, path: bytes) -> OperatorCall:
-    call, core = OperatorCall(path), cast(Any, trial.field.cores[0].program)
+    call, core = OperatorCall(path), cast(Any, trial.deployment.cores[0].program)
     core.operator.handle(call)
     trial.world.run(trial.world.now + 1.5)
     return call
@@ -45,7 +45,7 @@
     assert drift.judged(found) == 0
     slips = [line for line in drift.lines(found) if line.startswith("slip")]
     assert len(slips) == 2
-    view = next(one for one in found["views"] if one["node"] == trial.slips[0].victim)
+    view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     explanation = list(drift.explained(view, found))
     assert "runs in every branch what a majority holds" in explanation
     assert any(line.startswith("slip ") for line in explanation)
@@ -54,7 +54,7 @@
 def test_the_view_of_a_node_that_cannot_heal_names_the_branch_that_differs() -> None:
     trial = run_trial("build")
     found = json.loads(get(trial, b"/api/drift").answered)
-    view = next(one for one in found["views"] if one["node"] == trial.slips[0].victim)
+    view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     assert view["state"] in ("doubted", "quarantined")
     assert drift.judged(found) == 1
     explanation = list(drift.explained(view, found))
@@ -64,7 +64,7 @@
 
 def test_the_changes_between_two_versions_are_listed() -> None:
     trial = run_trial("kind")
-    first, second = [order.version for order in trial.told[:2]]
+    first, second = [order.version for order in trial.orders_sent[:2]]
     call = get(trial, b"/api/drift/between/r%d/r%d" % (first, second))
     assert call.status == 200
     assert b"/orders/" in call.answered
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -31,9 +31,9 @@
 from honeywharf.sidecar.outbound import Outbound
 from honeywharf.sidecar.shutdown import Shutdown
 from honeywharf.sidecar.source import Source
-from honeywharf.simulation.field import APPLICATION, INTERNAL, OUTBOUND, TERM
+from honeywharf.simulation.actors import Caller, Message, text
+from honeywharf.simulation.deployment import APPLICATION, INTERNAL, OUTBOUND, SIGTERM
 from honeywharf.simulation.machine import RESET, End, Machine, Network, Process
-from honeywharf.simulation.standins import Caller, Message, text
 from honeywharf.simulation.world import World
 from honeywharf.transport.framing import FrameReader
 from honeywharf.transport.host import Connection, Handler
@@ -133,7 +133,7 @@
 
     def __init__(self, host: Process, deployment: TwoSidecars) -> None:
         super().__init__(host)
-        self.deployment, self.instance = deployment, f"i-{host.machine.ip}-{host.life}"
+        self.deployment, self.instance = deployment, f"i-{host.machine.ip}-{host.incarnation}"
         self.serve = self._take
         deployment.send_first_heartbeat(host.machine.ip, self.instance)
 
@@ -197,7 +197,7 @@
             gate_closed=lambda: None,
             ended=lambda: None,
         )
-        host.on_signal(TERM, self.shutdown.begin)
+        host.on_signal(SIGTERM, self.shutdown.begin)
         for gate in deployment.gates():
             self.source.update_backend(gate, {"s": SERVICE, "b": f"i-{gate}", "st": 1, "sl": 4}, ZONE)
         instance = deployment.instance(ip)
@@ -231,7 +231,9 @@
             self.other_attempt = ClientAttempt("o1")
             caller = self._connect()
             within = GIVEN_UP_S if before == "given up" else DEADLINE_S
-            caller.ask(self.other_attempt, self._bytes(self.other_attempt, "GET", "read_only", 0, within))
+            caller.send_request(
+                self.other_attempt, self._bytes(self.other_attempt, "GET", "read_only", 0, within)
+            )
         if before in ("", "pipelined"):
             self._send(caller if before else None)
 
@@ -246,7 +248,7 @@
         client_attempt = ClientAttempt(f"t{len(self.attempts) + 1}")
         self.attempts.append(client_attempt)
         kind = "upload" if scene.size > SHORT_BYTES else "mutating"
-        used.ask(client_attempt, self._bytes(client_attempt, scene.method, kind, scene.size, left))
+        used.send_request(client_attempt, self._bytes(client_attempt, scene.method, kind, scene.size, left))
         self.host.after(left, lambda: None if client_attempt.over else used.close())
 
     def _bytes(self, client_attempt: ClientAttempt, method: str, kind: str, size: int, left: float) -> bytes:
@@ -365,12 +367,12 @@
             way, seconds = CUTS[what]
             pairs = [(SOURCE, DESTINATION)] * (way != "b-a") + [(DESTINATION, SOURCE)] * (way != "a-b")
             self.network.cut(pairs)
-            world.at(world.now + seconds, self.network.join, pairs)
+            world.at(world.now + seconds, self.network.remove_cuts, pairs)
         elif what in RESETS:
             if what != "reset the receiver":
-                end.take(RESET)
+                end.receive(RESET)
             if what != "reset the sender" and other is not None:
-                other.take(RESET)
+                other.receive(RESET)
         elif what in FREEZES:
             name, seconds = FREEZES[what]
             self.processes[name].freeze()
@@ -381,7 +383,7 @@
             if verb == "kill":
                 process.kill()
             else:
-                process.signal(TERM)
+                process.signal(SIGTERM)
 
     # The run.
 
@@ -419,7 +421,7 @@
 @contextmanager
 def watched() -> Iterator[None]:
     """Passes each delivery of a `TwoSidecars` through its `deliver`."""
-    was = End._arrive
+    was = End._deliver
 
     def arrive(end: End, item: bytes | int | str) -> None:
         world = end.process.world
@@ -428,7 +430,7 @@
         else:
             was(end, item)
 
-    with wrong(lambda put: put(End, "_arrive", arrive)):
+    with wrong(lambda put: put(End, "_deliver", arrive)):
         yield
 
 
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -14,10 +14,10 @@
 from honeywharf.transport.stream import ForwardedRequest
 from honeywharf.verdict import MAY_HAVE_RUN, NOT_RUN, Verdict
 from tests.sidecar.order_model import SCENES, play, singles, watched
-from tests.simulation.mutants import Put, refuses_what_may_have_run, repeats_what_may_have_run, wrong
+from tests.simulation.mutants import Patch, refuses_what_may_have_run, repeats_what_may_have_run, wrong
 
 
-def lost_link_proves(put: Put) -> None:
+def lost_link_proves(put: Patch) -> None:
     """Requests sent on a link that is lost count as not run."""
 
     def lose(self: Link) -> None:
@@ -28,7 +28,7 @@
     put(Link, "fail", lose)
 
 
-def asked_for_body_proves(put: Put) -> None:
+def asked_for_body_proves(put: Patch) -> None:
     """A body that was asked for on a link that is lost counts as not sent."""
 
     def lose(self: Link) -> None:
@@ -40,7 +40,7 @@
     put(Link, "fail", lose)
 
 
-def broken_connection_proves(put: Put) -> None:
+def broken_connection_proves(put: Patch) -> None:
     """Requests written to a backend whose connection ends count as not run."""
 
     def broken(self: InboundRequest, why: str, sent: bool, heard: bool) -> None:
@@ -50,7 +50,7 @@
     put(InboundRequest, "broken", broken)
 
 
-def own_timeout_proves(put: Put) -> None:
+def own_timeout_proves(put: Patch) -> None:
     """Requests that no gate has answered in time count as not run."""
 
     def late(self: OutboundRequest) -> None:
@@ -62,7 +62,7 @@
     put(OutboundRequest, "_deadline_passed", late)
 
 
-def end_proves(put: Put) -> None:
+def end_proves(put: Patch) -> None:
     """Requests under way when the process ends count as not run."""
 
     def finish(self: OutboundRequest, retry_after_s: float) -> None:
@@ -74,7 +74,7 @@
     put(OutboundRequest, "finish", finish)
 
 
-def leaving_gate_proves(put: Put) -> None:
+def leaving_gate_proves(put: Patch) -> None:
     """An inbound request that runs when its process ends is reported as rejected."""
 
     def finish(self: InboundRequest) -> None:
@@ -85,7 +85,7 @@
     put(InboundRequest, "finish", finish)
 
 
-def failure_is_refusal(put: Put) -> None:
+def failure_is_refusal(put: Patch) -> None:
     """A gate's failure of a request that may have run is read as a rejection."""
 
     def failed(self: OutboundRequest, verdict: Verdict) -> None:
@@ -97,7 +97,7 @@
     put(OutboundRequest, "failed", failed)
 
 
-def echo_not_checked(put: Put) -> None:
+def echo_not_checked(put: Patch) -> None:
     """A backend's answer is taken for the connection's request without a check of the attempt id."""
 
     def answer(self: BackendConnection, answer: Any) -> None:
@@ -109,7 +109,7 @@
     put(BackendConnection, "answer", answer)
 
 
-def answers_as_they_come(put: Put) -> None:
+def answers_as_they_come(put: Patch) -> None:
     """Answers on a client's connection are written in the order in which they arrive."""
 
     def write(self: ClientConnection) -> None:
@@ -120,7 +120,7 @@
     put(ClientConnection, "_write", write)
 
 
-def stream_number_again(put: Put) -> None:
+def stream_number_again(put: Patch) -> None:
     """The number of a cancelled stream is reused, and the destination accepts it."""
 
     def cancel(self: ClientStream) -> None:
@@ -138,7 +138,7 @@
     put(LinkServer, "_open", opened)
 
 
-def closes_on_pipelined(put: Put) -> None:
+def closes_on_pipelined(put: Patch) -> None:
     """A process that shuts down closes a connection after any answer, with requests still under way."""
     put(ClientConnection, "_is_last_answer", lambda self, exchange: self.outbound.draining)
 
@@ -147,7 +147,7 @@
     """One guard left out; single faults in `scene` with `manner` show it."""
 
     name: str
-    make: Callable[[Put], None]
+    make: Callable[[Patch], None]
     scene: str = "short body"
     manner: str = "well"
 
--- a/tests/sidecar/test_heartbeat_api.py
+++ b/tests/sidecar/test_heartbeat_api.py
@@ -10,7 +10,7 @@
 from honeywharf.sidecar.gate import DRAINING, ENDED, READY, UNKNOWN, Gate
 from honeywharf.sidecar.heartbeat_api import MAX_ID, HeartbeatApi
 from honeywharf.sidecar.probe import FIRST_DELAY_S, MAX_RETRY_DELAY_S, TIMEOUT_S, Probe
-from honeywharf.simulation.field import APPLICATION, CONTROL
+from honeywharf.simulation.deployment import APPLICATION, CONTROL
 from honeywharf.simulation.machine import Machine, Network, Process
 from honeywharf.simulation.world import World
 from honeywharf.transport.http_server import HttpServer
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -7,24 +7,24 @@
 from honeywharf.programs.sidecar import Sidecar
 from honeywharf.sidecar.gate import DRAINING, READY
 from honeywharf.sidecar.shutdown import GATE_CLOSES_BEFORE_S, QUIET_AFTER_S
-from honeywharf.simulation.days import Day, Fault
-from honeywharf.simulation.field import TERM, Field
+from honeywharf.simulation.actors import Clients
+from honeywharf.simulation.deployment import SIGTERM, Deployment
+from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.run import real_control_node, real_sidecar
-from honeywharf.simulation.standins import Clients
 from tests.simulation.mutants import end_without_a_word, wrong
 
 
 def test_the_gate_takes_requests_until_shortly_before_the_end_of_a_shutdown() -> None:
-    field = Field(31, real_sidecar, real_control_node, until=16.0)
-    world, side = field.world, field.sides[0]
-    Day(field, [])
+    deployment = Deployment(31, real_sidecar, real_control_node, until=16.0)
+    world, side = deployment.world, deployment.sidecar_nodes[0]
+    FaultSchedule(deployment, [])
     world.run(9.0)
     sidecar = side.proxy.program
     assert isinstance(sidecar, Sidecar)
-    told, other = sidecar.inbound, field.sides[1].proxy.program
+    told, other = sidecar.inbound, deployment.sidecar_nodes[1].proxy.program
     assert isinstance(other, Sidecar)
     at_term = told.served
-    side.proxy.signal(TERM)
+    side.proxy.signal(SIGTERM)
     world.run(9.0 + QUIET_AFTER_S - GATE_CLOSES_BEFORE_S - 0.05)
     assert not told.shutting_down
     assert other.source.backends[side.ip].state == READY
@@ -37,53 +37,61 @@
     assert side.proxy.program is not sidecar
     assert told.served - closed <= 1
     assert not told.pending_requests
-    assert field.book.found == []
+    assert deployment.invariant_checker.violations == []
 
 
-def loaded_until_the_end(seed: int) -> Field:
+def loaded_until_the_end(seed: int) -> Deployment:
     """Rolls so many sidecars at a time that the platform sends clients to those that shut down."""
-    field = Field(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
-    Day(field, [Fault(9.0, "roll_term", "busy", seed)])
-    world = field.world
+    deployment = Deployment(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
+    FaultSchedule(deployment, [Fault(9.0, "roll_term", "busy", seed)])
+    world = deployment.world
     world.strict = True
     world.run(19.0)
     assert not world.crashes
-    return field
+    return deployment
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_requests_until_the_end_of_a_sidecar_get_whole_answers(seed: int) -> None:
-    field = loaded_until_the_end(seed)
-    assert field.book.found == []  # the LOST rule is among those checked
-    rolled = {ip for ip, until in field.book.last.items() if until > 9.0}
-    late = [ask for ask in field.book.asks.values() if ask.machine in rolled and 13.0 < ask.sent < 15.0]
+    deployment = loaded_until_the_end(seed)
+    assert deployment.invariant_checker.violations == []  # the LOST rule is among those checked
+    rolled = {ip for ip, until in deployment.invariant_checker.last_fault_at.items() if until > 9.0}
+    late = [
+        attempt
+        for attempt in deployment.invariant_checker.attempts.values()
+        if attempt.machine in rolled and 13.0 < attempt.sent < 15.0
+    ]
     assert len(late) > 50
 
 
 def test_a_process_that_ends_without_final_answers_is_detected() -> None:
     with wrong(end_without_a_word):
-        found = loaded_until_the_end(1).book.found
+        found = loaded_until_the_end(1).invariant_checker.violations
     assert [rule for rule, _, _ in found] == ["LOST"]
 
 
 def test_every_request_under_way_at_the_end_gets_a_final_answer() -> None:
-    field = Field(5, real_sidecar, real_control_node, until=16.0, per_s=2.0)
-    world, side = field.world, field.sides[0]
-    Day(field, [])
+    deployment = Deployment(5, real_sidecar, real_control_node, until=16.0, per_s=2.0)
+    world, side = deployment.world, deployment.sidecar_nodes[0]
+    FaultSchedule(deployment, [])
     world.run(9.0)
     sidecar = side.proxy.program
     assert isinstance(sidecar, Sidecar)
     clients = side.clients.program
     assert isinstance(clients, Clients)
-    clients.presses = True
-    side.proxy.signal(TERM)
+    clients.ignores_readiness = True
+    side.proxy.signal(SIGTERM)
     world.run(9.0 + 1.5)
-    for each in field.sides:
-        backend = each.life()
+    for each in deployment.sidecar_nodes:
+        backend = each.live_backend()
         assert backend is not None
-        backend.mean = 60.0  # requests from here on run until after the end
+        backend.mean_work_s = 60.0  # requests from here on run until after the end
     world.run(9.0 + 5.59)
-    under_way = [ask for ask in field.book.asks.values() if ask.machine == side.ip and not ask.status]
+    under_way = [
+        attempt
+        for attempt in deployment.invariant_checker.attempts.values()
+        if attempt.machine == side.ip and not attempt.status
+    ]
     assert under_way
     assert sidecar.source.active_requests
     world.run(9.0 + 5.62)
@@ -91,4 +99,4 @@
     assert not sidecar.inbound.pending_requests
     world.run(9.0 + 6.0)
     assert side.proxy.program is not sidecar
-    assert all(ask.status >= 500 for ask in under_way), [ask.status for ask in under_way]
+    assert all(attempt.status >= 500 for attempt in under_way), [attempt.status for attempt in under_way]
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -1,11 +1,11 @@
-"""`honeywharf simulation`: days by seed on several processes, and what is told of a broken one."""
+"""`honeywharf simulation`: seeded runs on several processes, and the report of a broken one."""
 
 from __future__ import annotations
 
 import pytest
 
 from honeywharf.cli import simulation as command
-from honeywharf.simulation.days import Fault
+from honeywharf.simulation.fault_schedule import Fault
 from honeywharf.simulation.run import run
 from tests.simulation.toymesh import toys
 
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_invariants.py
@@ -1,10 +1,10 @@
-"""A mesh that keeps the rules is found to, one that breaks any is found out, and the day is made small."""
+"""A mesh that keeps the rules passes, one that breaks a rule is detected, and its faults are reduced."""
 
 from __future__ import annotations
 
 import pytest
 
-from honeywharf.simulation.days import KINDS, Fault, draw
+from honeywharf.simulation.fault_schedule import KINDS, Fault, draw_faults
 from honeywharf.simulation.run import Report, run, shrink
 from tests.simulation.toymesh import toys
 
@@ -14,7 +14,7 @@
 
 
 QUIET: list[Fault] = []
-#: What is wrong with the toy, what happens, and the rule that must be found broken.
+#: The defect of the toy mesh, the fault, and the rule that must be reported as broken.
 WRONG = [
     ("MIXED", "", "MIXED"),
     ("UNASKED", "", "UNASKED"),
@@ -57,12 +57,12 @@
 
 
 def test_the_same_seed_is_the_same_day() -> None:
-    days = [day("", draw(3, 10.0, 20.0), seed) for seed in (3, 3, 4)]
+    days = [day("", draw_faults(3, 10.0, 20.0), seed) for seed in (3, 3, 4)]
     assert days[0].digest == days[1].digest != days[2].digest
 
 
 def test_every_kind_of_trouble_can_be_drawn_and_is_carried_out() -> None:
-    drawn = {(fault.kind, fault.how) for seed in range(400) for fault in draw(seed, 10.0, 20.0)}
+    drawn = {(fault.kind, fault.how) for seed in range(400) for fault in draw_faults(seed, 10.0, 20.0)}
     assert {(kind, how) for kind, hows in KINDS.items() for how in hows} < drawn
     for n in range(0, len(KINDS), 5):
         some = list(KINDS)[n : n + 5]
--- a/tests/simulation/test_operator_days.py
+++ b/tests/simulation/test_operator_days.py
@@ -1,4 +1,4 @@
-"""Days of an operator's orders: drawn as told, and a control plane that forgets contents is found out."""
+"""Runs of an operator's orders; a control plane that compares only versions is detected."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from bench.operator_days import TROUBLES, drawn
 from honeywharf.control import mesh_state
 from honeywharf.control.mesh_state import Change, Confirmation, MeshState, Outcome
-from honeywharf.simulation.days import Fault
-from honeywharf.simulation.rare_troubles import EVERY_KIND
+from honeywharf.simulation.fault_schedule import Fault
+from honeywharf.simulation.rare_faults import EVERY_KIND
 from honeywharf.simulation.run import run
 
 RACE = [Fault(11.0, "config_race", "", 1)]
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -339,7 +339,7 @@
     _, response = fixture.open()
     fixture.run(5 * LINK_TIMEOUT_S)
     assert response.events == []
-    assert fixture.link.round_trip_s == pytest.approx(2 * fixture.network.cross, rel=0.5)
+    assert fixture.link.round_trip_s == pytest.approx(2 * fixture.network.cross_zone_delay_s, rel=0.5)
     fixture.destination_process.freeze()
     fixture.run(LINK_TIMEOUT_S + 0.6)
     assert response.events == [("failed", MAY_HAVE_RUN, LINK_LOST, False, 0.0)]
@@ -464,7 +464,7 @@
             fixture.run(0.0005)
             if len(fixture.request_handlers) > 1 and not fixture.request_handlers[-1].responder.is_over:
                 fixture.request_handlers[-1].responder.answer(200, b"", 3, LOAD, b"yes")
-        assert fixture.world.now - begun < 6 * fixture.network.cross
+        assert fixture.world.now - begun < 6 * fixture.network.cross_zone_delay_s
     assert len(slow_response.body) == WINDOW_SIZE
 
 
