--- a/honeywharf/storms/__init__.py
+++ b/honeywharf/storms/__init__.py
@@ -1,28 +1,28 @@
-"""Retry and reconnect storms: noticed, damped, and told when to return. Rules without I/O.
+"""Detects and damps retry and reconnect storms. Rules without I/O.
 
-Theory of operation. After many nodes die at once their clients try again and reconnect together, and the wave
-knocks over what survived. Five parts, each with its bounds; times are ms on the caller's clock:
+Theory of operation. After many nodes fail at once, their clients retry and reconnect together, which can
+overload the nodes that are left. The parts, each with bounded state; times are ms on the caller's clock:
 
-    sketch     which requests are repeats, marked or not, and which of those come as they were told: Bloom
-               filters under a secret, a fixed number of bytes whatever the number of clients
-    detector   what comes in a window beside what is usual for the hour; the state as a table of transitions
-    budget     how many repeats may be begun, as a part of first tries, by tenant and over all
-    advice     when the refused are told to come back: a calendar that promises no time twice
-    storms     the four together: what the decision module asks for each request
+    sketch            which requests are repeats, marked or not, and which of those come at their return time:
+                      keyed Bloom filters of a fixed size, whatever the number of clients
+    detector          compares the last window with the baseline for the hour; the state machine
+    budget            how many repeats are admitted, as a ratio of first attempts, for each tenant
+    return_schedule   when refused clients are told to return, bounded by slot
+    storms            joins these parts for the decision module, which asks for each request
 
-    CALM -> RISING -> STORM -> EBBING -> CALM        the states; `detector.TABLE` has every transition
+    CALM -> RISING -> STORM -> EBBING -> CALM    the states; `detector.TRANSITIONS` has every transition
 
-What holds, whatever comes:
+Invariants:
 
-- A first try is never turned away here, and a rise of first tries alone is no storm.
-- In a storm repeats that are begun stay within RATIO of first tries, each tenant's within its own; so one
-  customer's storm costs the others nothing.
-- Those that come as told are served before those that come early or were told nothing, and an early repeat
-  gains nothing: it takes no promise of another's, and its own stays where it was.
+- A first attempt is never refused here, and a rise of first attempts alone is not a storm.
+- In a storm the admitted repeats stay within `ratio` of first attempts, for each tenant separately. One
+  tenant's storm takes nothing from the others.
+- Repeats at their return time are served before those that come early or without one. An early repeat gains
+  nothing: it takes no other client's promised time and keeps its own.
 - After a storm the budget is widened in steps, and the state falls back one step at a time.
-- Nothing is answered late: what is turned away is refused at once, with a time to return.
+- A repeat is refused at once, with a time to return, never late.
 
-Two proxies never agree on anything here: each draws its own times, so they do not step in time.
+Proxies share no state here: each draws its own return times, which keeps them out of step with each other.
 """
 
 from __future__ import annotations
@@ -43,31 +43,31 @@
 
 
 class StormsPart(Component):
-    """The storms that one proxy sees."""
+    """Storm control of one proxy."""
 
     def __init__(self, storms: Storms) -> None:
         self.storms = storms
 
     def counts(self) -> Mapping[str, int]:
-        """Repeats turned away, promises kept and broken, times told beyond use, forgotten too early."""
+        """Returns counts of refused repeats, promises kept and broken, late return times, early rotations."""
         s = self.storms
         return {
-            "storms:turned away": s.turned_away,
+            "storms:turned away": s.refused_repeats,
             "storms:promises kept": s.kept_promises,
             "storms:promises broken": s.broken_promises,
-            "storms:told beyond": s.advice.beyond,
-            "storms:forgotten early": s.seen.early,
+            "storms:told beyond": s.schedule.past_horizon,
+            "storms:forgotten early": s.seen.early_rotations,
         }
 
 
 def attach(proxy: ProxyContext, features: Features) -> Component:
-    """Let the proxy's decision module watch for storms, and its listener be paced."""
+    """Attaches storm control to the proxy's decision module and lets its listener be paced."""
     settings = proxy.driver.settings
     rules = Rules(
         span_ms=max(c.deadline_ms for c in settings.classes),
-        most=features.names,
+        max_names=features.names,
         ratio=features.ratio,
-        cap_ms=max(200.0, settings.limits.max_retry_after_ms),
+        max_return_ms=max(200.0, settings.limits.max_retry_after_ms),
         aim_ms=min(c.aim_ms for c in settings.classes),
     )
     storms = Storms(rules, random.Random(secrets.randbits(64)), secrets.token_bytes(32))
--- a/honeywharf/storms/detector.py
+++ b/honeywharf/storms/detector.py
@@ -1,4 +1,4 @@
-"""What comes beside what is usual, and the state that follows: a table of transitions with reasons."""
+"""Detects storms by comparing recent traffic with the hour's baseline: a table of state transitions."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST, REPEAT, CONNECTION, REFUSED = KINDS = range(4)  # what is counted
+FIRST, REPEAT, CONNECTION, REFUSED = KINDS = range(4)  # the kinds of events counted
 SLOT_MS = 250.0
-SLOTS = 8  # of a window: 2 s, longer than a client's back-off and shorter than an outage
+WINDOW_SLOTS = 8  # a window of 2 s: longer than a client's backoff and shorter than an outage
 HOUR_MS = 3_600_000.0
-MIN_REPEATS = 10  # in a window: fewer are chance, whatever part of first tries they are
+MIN_REPEATS = 10  # in a window; fewer are taken for chance, whatever their ratio to first attempts
 MIN_CONNECTIONS = 40
-USUAL_OVER = 240  # slots, a minute, over which what is usual for an hour is formed
-RISE_AT, STORM_AT, EBB_AT = 0.2, 0.4, 0.15  # repeats for each first try; below the budget all is well
-RECONNECT_AT = 4.0  # times the connections that are usual
-HOLD_MS = 1000.0  # that a sign has to last before the state falls: no swing from chance
-QUIET_MS = 3000.0  # of quiet after which an ebb has ended
+BASELINE_SLOTS = 240  # the baseline of an hour averages over a minute of slots
+RISING_RATIO, STORM_RATIO, EBBING_RATIO = 0.2, 0.4, 0.15  # repeats for each first attempt
+RECONNECT_FACTOR = 4.0  # times the baseline of connections
+MIN_QUIET_MS = 1000.0  # without a sign before the state falls: guards against swings by chance
+EBBING_MS = 3000.0  # without a sign before an ebbing storm ends
 
 
 class State(Enum):
-    """How repeats and reconnects stand."""
+    """The state of storm detection."""
 
     CALM = "calm"
     RISING = "rising"
@@ -31,109 +31,114 @@
 
 @dataclass(slots=True)
 class Window:
-    """What came in the last SLOTS slots, and for how long the signs have stood."""
+    """Counts of the last WINDOW_SLOTS slots, their baselines, and the time without a sign of a storm."""
 
     first: int = 0
     repeats: int = 0
     connections: int = 0
-    refused: int = 0  # for want of room
-    usual_ratio: float = 0.0
-    usual_connections: float = float("inf")  # in a window; without bound while it is not known
-    quiet_ms: float = 0.0  # for so long neither sign has stood
+    refused: int = 0  # for lack of room
+    baseline_ratio: float = 0.0
+    baseline_connections: float = float("inf")  # for each window; infinite while unknown
+    quiet_ms: float = 0.0  # since repeats or reconnects were last a sign
 
     @property
     def ratio(self) -> float:
-        """Repeats for each first try."""
+        """Repeats for each first attempt."""
         return self.repeats / max(1, self.first)
 
     @property
     def repeating(self) -> bool:
-        """Whether repeats are more than chance and more than usual."""
-        return self.repeats >= MIN_REPEATS and self.ratio > max(RISE_AT, 2.0 * self.usual_ratio)
+        """Whether repeats exceed both chance and the baseline."""
+        return self.repeats >= MIN_REPEATS and self.ratio > max(RISING_RATIO, 2.0 * self.baseline_ratio)
 
     @property
     def reconnecting(self) -> bool:
-        """Whether connections come as after a cut."""
-        return self.connections >= max(MIN_CONNECTIONS, RECONNECT_AT * self.usual_connections)
+        """Whether connections come in numbers that suggest a mass reconnect."""
+        return self.connections >= max(MIN_CONNECTIONS, RECONNECT_FACTOR * self.baseline_connections)
 
     @property
-    def stormy(self) -> bool:
-        """Whether it is worse than a rise: repeats alone, or reconnects while requests are refused."""
-        return (self.repeating and self.ratio > STORM_AT) or (self.reconnecting and self.refused > 0)
+    def severe(self) -> bool:
+        """Whether it is a storm: by repeats alone, or by reconnects while requests are refused."""
+        return (self.repeating and self.ratio > STORM_RATIO) or (self.reconnecting and self.refused > 0)
 
     @property
-    def ebbs(self) -> bool:
-        """Whether repeats are few again, for some time."""
-        return self.ratio < EBB_AT + self.usual_ratio and self.quiet_ms >= HOLD_MS
+    def receding(self) -> bool:
+        """Whether repeats have been few for some time."""
+        return self.ratio < EBBING_RATIO + self.baseline_ratio and self.quiet_ms >= MIN_QUIET_MS
 
 
-Sign = Callable[[Window], bool]
-#: State, sign, next state, reason: the first row that applies is taken; no other transition is possible.
-TABLE: tuple[tuple[State, Sign, State, str], ...] = (
+Condition = Callable[[Window], bool]
+#: State, condition, next state, reason. The first row that applies is taken; no other transition is possible.
+TRANSITIONS: tuple[tuple[State, Condition, State, str], ...] = (
     (State.CALM, lambda w: w.repeating, State.RISING, "repeats"),
     (State.CALM, lambda w: w.reconnecting, State.RISING, "connections"),
-    (State.RISING, lambda w: w.repeating and w.stormy, State.STORM, "repeats"),
-    (State.RISING, lambda w: w.stormy, State.STORM, "connections while refusing"),
-    (State.RISING, lambda w: w.quiet_ms >= HOLD_MS, State.CALM, "passed"),
-    (State.STORM, lambda w: w.ebbs, State.EBBING, "fewer repeats"),
-    (State.EBBING, lambda w: w.stormy, State.STORM, "again"),
-    (State.EBBING, lambda w: w.quiet_ms >= QUIET_MS, State.CALM, "quiet"),
+    (State.RISING, lambda w: w.repeating and w.severe, State.STORM, "repeats"),
+    (State.RISING, lambda w: w.severe, State.STORM, "connections while refusing"),
+    (State.RISING, lambda w: w.quiet_ms >= MIN_QUIET_MS, State.CALM, "passed"),
+    (State.STORM, lambda w: w.receding, State.EBBING, "fewer repeats"),
+    (State.EBBING, lambda w: w.severe, State.STORM, "again"),
+    (State.EBBING, lambda w: w.quiet_ms >= EBBING_MS, State.CALM, "quiet"),
 )
 
 
 class Detector:
-    """Counts by slot, what is usual by hour of the day (24 figures each), and the state."""
+    """Counts by slot, baselines by hour of the day (24 entries each), and the state."""
 
     def __init__(self) -> None:
         self.state, self.reason, self.since_ms = State.CALM, "start", 0.0
-        self.slots: deque[list[int]] = deque([[0] * len(KINDS) for _ in range(SLOTS)], maxlen=SLOTS)
+        self.slots: deque[list[int]] = deque(
+            [[0] * len(KINDS) for _ in range(WINDOW_SLOTS)], maxlen=WINDOW_SLOTS
+        )
         self.window = Window()
         self.slot = -1
         self.quiet_slots = 0
-        self.ratios, self.connects, self.heard = [0.0] * 24, [0.0] * 24, [0] * 24
+        self.baseline_ratios, self.baseline_connects, self.baseline_samples = [0.0] * 24, [0.0] * 24, [0] * 24
 
     def count(self, now: float, kind: int, number: int = 1) -> bool:
-        """So many more of one of KINDS; whether the state has changed."""
-        changed = self.turn(now)
+        """Counts events of one of KINDS; returns whether the state has changed."""
+        changed = self.advance(now)
         self.slots[-1][kind] += number
         return changed
 
-    def turn(self, now: float) -> bool:
-        """Time has passed; whether the state has changed. Judged once a slot, on whole slots."""
+    def advance(self, now: float) -> bool:
+        """Advances time; returns whether the state has changed. Evaluates once a slot, on whole slots."""
         slot = int(now // SLOT_MS)
         if slot == self.slot:
             return False
-        if self.slot < 0 or not 0 < slot - self.slot <= 4 * SLOTS:  # the start, or a clock that jumped
-            passed, self.quiet_slots = SLOTS, 0 if self.slot >= 0 and slot < self.slot else self.quiet_slots
+        if self.slot < 0 or not 0 < slot - self.slot <= 4 * WINDOW_SLOTS:  # the start, or the clock jumped
+            passed, self.quiet_slots = (
+                WINDOW_SLOTS,
+                0 if self.slot >= 0 and slot < self.slot else self.quiet_slots,
+            )
         else:
             passed = slot - self.slot
         before = self.state
-        self._judge(now)
-        for _ in range(min(passed, SLOTS)):
+        self._evaluate(now)
+        for _ in range(min(passed, WINDOW_SLOTS)):
             self.slots.append([0] * len(KINDS))
         self.quiet_slots += passed - 1 if not self.window.repeating and not self.window.reconnecting else 0
         self.slot = slot
         return self.state is not before
 
-    def _judge(self, now: float) -> None:
+    def _evaluate(self, now: float) -> None:
         w, hour = self.window, int(now // HOUR_MS) % 24
         w.first, w.repeats, w.connections, w.refused = (
             sum(column) for column in zip(*self.slots, strict=True)
         )
-        known = self.heard[hour] >= USUAL_OVER // 8
-        w.usual_ratio = self.ratios[hour] if known else 0.0
-        w.usual_connections = self.connects[hour] if known else float("inf")
+        known = self.baseline_samples[hour] >= BASELINE_SLOTS // 8
+        w.baseline_ratio = self.baseline_ratios[hour] if known else 0.0
+        w.baseline_connections = self.baseline_connects[hour] if known else float("inf")
         if w.repeating or (known and w.reconnecting):
             self.quiet_slots = 0
         else:
             self.quiet_slots += 1
         w.quiet_ms = self.quiet_slots * SLOT_MS
-        for state, sign, then, reason in TABLE:
-            if state is self.state and sign(w):
-                self.state, self.reason, self.since_ms = then, reason, now
+        for state, condition, following, reason in TRANSITIONS:
+            if state is self.state and condition(w):
+                self.state, self.reason, self.since_ms = following, reason, now
                 return
-        if self.state is State.CALM:  # what a storm does is not usual
-            self.heard[hour] = min(USUAL_OVER, self.heard[hour] + 1)
-            part = 1.0 / self.heard[hour]
-            self.ratios[hour] += (w.ratio - self.ratios[hour]) * part
-            self.connects[hour] += (w.connections - self.connects[hour]) * part
+        if self.state is State.CALM:  # guards against a storm that becomes the baseline
+            self.baseline_samples[hour] = min(BASELINE_SLOTS, self.baseline_samples[hour] + 1)
+            weight = 1.0 / self.baseline_samples[hour]
+            self.baseline_ratios[hour] += (w.ratio - self.baseline_ratios[hour]) * weight
+            self.baseline_connects[hour] += (w.connections - self.baseline_connects[hour]) * weight
--- a/honeywharf/storms/sketch.py
+++ b/honeywharf/storms/sketch.py
@@ -1,8 +1,8 @@
-"""What has been seen lately, in Bloom filters (Bloom, 1970): bounded bytes, forgetting by age.
+"""Records names in Bloom filters (Bloom, 1970) of a fixed size, and forgets them by age.
 
-All names go through a keyed hash (BLAKE2b, RFC 7693) under a secret of the process: who doesn't know it can
-make up names, but not names that collide with another's. False positives take a first try for a repeat:
-`ERRORS` of those asked, with a filter that is full.
+All names pass a keyed hash (BLAKE2b, RFC 7693) under a secret of the process: without it, a client can make
+up names, but none that collide with another client's. A false positive takes a first attempt for a repeat:
+`FALSE_POSITIVE_RATE` of the look-ups in a full filter.
 """
 
 from __future__ import annotations
@@ -12,115 +12,124 @@
 
 from rbloom import Bloom
 
-ERRORS = 0.001
+FALSE_POSITIVE_RATE = 0.001
 
 
 def digest(name: bytes, secret: bytes) -> int:
-    """128 bits of a name, as the filters take them."""
+    """Returns 128 bits for a name, as the filters take them."""
     return int.from_bytes(blake2b(name, key=secret, digest_size=16).digest(), "big", signed=True)
 
 
-class Seen:
-    """Names seen within `span_ms`, and up to twice that. Forgets sooner where more than `most` come.
+class RecentNames:
+    """Names seen within `span_ms`, and up to twice that. Forgets sooner if more than `max_names` come.
 
-    Two filters take turns: what is added goes into the younger, what is asked for is looked for in both.
+    Two filters rotate: names are added to the current one and looked up in both.
     """
 
-    def __init__(self, span_ms: float, most: int) -> None:
-        if span_ms <= 0 or most < 1:
-            raise ValueError(f"seen: wanted over 0 ms and one name at least, found {span_ms} and {most}")
-        self.span_ms, self.most = span_ms, most
-        self.young, self.old = Bloom(most, ERRORS, int), Bloom(most, ERRORS, int)
-        self.added, self.turned_ms = 0, float("-inf")
-        self.early = 0  # turns for want of room
+    def __init__(self, span_ms: float, max_names: int) -> None:
+        if span_ms <= 0 or max_names < 1:
+            raise ValueError(
+                f"span_ms, max_names: expected over 0 and at least 1, got {span_ms} and {max_names}"
+            )
+        self.span_ms, self.max_names = span_ms, max_names
+        self.current, self.previous = (
+            Bloom(max_names, FALSE_POSITIVE_RATE, int),
+            Bloom(max_names, FALSE_POSITIVE_RATE, int),
+        )
+        self.added, self.rotated_ms = 0, float("-inf")
+        self.early_rotations = 0  # rotations because the filter was full
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the filters, whatever has come."""
-        return (self.young.size_in_bits + self.old.size_in_bits) // 8
-
-    def turn(self, now: float) -> None:
-        """Forget what is too old. A clock that went back forgets nothing early."""
-        age = now - self.turned_ms
-        if age >= self.span_ms or self.added >= self.most:
-            self.early += age < self.span_ms
-            self.young, self.old = self.old, self.young
-            self.young.clear()
+        """The size of the filters, which is fixed."""
+        return (self.current.size_in_bits + self.previous.size_in_bits) // 8
+
+    def rotate(self, now: float) -> None:
+        """Forgets names that are too old. A clock that went back forgets nothing early."""
+        age = now - self.rotated_ms
+        if age >= self.span_ms or self.added >= self.max_names:
+            self.early_rotations += age < self.span_ms
+            self.current, self.previous = self.previous, self.current
+            self.current.clear()
             if age >= 2.0 * self.span_ms:
-                self.old.clear()
-            self.added, self.turned_ms = 0, now
+                self.previous.clear()
+            self.added, self.rotated_ms = 0, now
 
     def add(self, now: float, name: int) -> bool:
-        """Whether it was seen; it is from now on."""
-        self.turn(now)
-        known = name in self.young
+        """Adds a name; returns whether it had been seen."""
+        self.rotate(now)
+        known = name in self.current
         if not known:
-            self.young.add(name)
+            self.current.add(name)
             self.added += 1
-        return known or name in self.old
+        return known or name in self.previous
 
 
 class Promises:
-    """Names by the time at which they were told to return: a filter for each `slot_ms`, `horizon_ms` ahead.
+    """Names by their promised return time: a filter for each `slot_ms`, up to `horizon_ms` ahead.
 
-    A promise is forgotten `kept_ms` after its time, when it does not matter any more that it was kept.
+    A promise is forgotten `kept_ms` after its time.
     """
 
-    def __init__(self, slot_ms: float, horizon_ms: float, kept_ms: float, most: int) -> None:
+    def __init__(self, slot_ms: float, horizon_ms: float, kept_ms: float, max_per_slot: int) -> None:
         self.slot_ms, self.kept_ms = slot_ms, kept_ms
-        self.behind = int(kept_ms // slot_ms) + 1
-        self.slots = self.behind + int(horizon_ms // slot_ms) + 2
-        self.most = most
-        self.first = 0  # the number of the oldest slot
-        self.filters: deque[Bloom] = deque(Bloom(most, ERRORS, int) for _ in range(self.slots))
-        self.counts: deque[int] = deque([0] * self.slots)
-        self.full = 0  # promises that found no room in their slot, and are not known
+        self.past_slots = int(kept_ms // slot_ms) + 1
+        self.slot_count = self.past_slots + int(horizon_ms // slot_ms) + 2
+        self.max_per_slot = max_per_slot
+        self.oldest_slot = 0
+        self.filters: deque[Bloom] = deque(
+            Bloom(max_per_slot, FALSE_POSITIVE_RATE, int) for _ in range(self.slot_count)
+        )
+        self.counts: deque[int] = deque([0] * self.slot_count)
+        self.unrecorded = 0  # promises left out because their slot was full or out of range
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the filters."""
+        """The size of the filters."""
         return sum(one.size_in_bits for one in self.filters) // 8
 
-    def _move(self, now: float) -> None:
-        wanted = int(now // self.slot_ms) - self.behind
-        if wanted - self.first >= self.slots or wanted < self.first - self.slots:  # a clock that jumped
+    def _advance(self, now: float) -> None:
+        wanted = int(now // self.slot_ms) - self.past_slots
+        if (
+            wanted - self.oldest_slot >= self.slot_count or wanted < self.oldest_slot - self.slot_count
+        ):  # the clock jumped
             for one in self.filters:
                 one.clear()
-            self.counts = deque([0] * self.slots)
-            self.first = wanted
-        while self.first < wanted:
+            self.counts = deque([0] * self.slot_count)
+            self.oldest_slot = wanted
+        while self.oldest_slot < wanted:
             one = self.filters.popleft()
             one.clear()
             self.filters.append(one)
             self.counts.rotate(-1)
             self.counts[-1] = 0
-            self.first += 1
+            self.oldest_slot += 1
 
     def promise(self, now: float, name: int, due_ms: float) -> None:
-        """The name was told to return then."""
-        self._move(now)
-        place = int(due_ms // self.slot_ms) - self.first
-        if not 0 <= place < self.slots or self.counts[place] >= self.most:
-            self.full += 1
+        """Records that the name was told to return at `due_ms`."""
+        self._advance(now)
+        place = int(due_ms // self.slot_ms) - self.oldest_slot
+        if not 0 <= place < self.slot_count or self.counts[place] >= self.max_per_slot:
+            self.unrecorded += 1
             return
         self.filters[place].add(name)
         self.counts[place] += 1
 
     def due(self, now: float, name: int) -> float | None:
-        """The latest begin of a slot that it was told to return in; None where no such promise is known."""
-        self._move(now)
-        for place in range(self.slots - 1, -1, -1):
+        """Returns the start of the latest slot promised to the name, or None."""
+        self._advance(now)
+        for place in range(self.slot_count - 1, -1, -1):
             if self.counts[place] and name in self.filters[place]:
-                return (self.first + place) * self.slot_ms
+                return (self.oldest_slot + place) * self.slot_ms
         return None
 
     def promised(self, now: float, due_ms: float) -> int:
-        """How many were told to return in the slot of that time."""
-        self._move(now)
-        place = int(due_ms // self.slot_ms) - self.first
-        return self.counts[place] if 0 <= place < self.slots else 0
+        """Returns how many names are promised the slot of `due_ms`."""
+        self._advance(now)
+        place = int(due_ms // self.slot_ms) - self.oldest_slot
+        return self.counts[place] if 0 <= place < self.slot_count else 0
 
     def outstanding(self, now: float) -> int:
-        """How many were told to return from now on."""
-        self._move(now)
-        return sum(self.counts[place] for place in range(self.behind, self.slots))
+        """Returns how many names are promised a slot from now on."""
+        self._advance(now)
+        return sum(self.counts[place] for place in range(self.past_slots, self.slot_count))
--- a/tests/storms/test_days.py
+++ b/tests/storms/test_days.py
@@ -1,4 +1,4 @@
-"""Storms in virtual time: the same days damped and not; and days on which nothing storms."""
+"""Storm control in virtual time: the same days with and without it, and days without a storm."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 def figures(seed: int, **labels: str) -> tuple[dict[str, float], dict[str, float]]:
-    """Of the days without the rules and with them."""
+    """Returns the figures of the day without storm control and with it."""
     off, on = chosen("storms", seed, **labels)
     assert (off.labels["storms"], on.labels["storms"]) == ("false", "true")
     return runs.play(off)[1]["figures"], runs.play(on)[1]["figures"]
 
 
 @pytest.mark.parametrize("clients", HABITS)
-def test_after_a_loss_of_forty_in_a_hundred_repeats_stay_within_the_budget(clients: str) -> None:
+def test_repeats_stay_within_the_budget_after_a_loss_of_40_percent(clients: str) -> None:
     off, on = figures(1, dead="0.4", clients=clients)
     assert on["repeats"] <= RATIO + 0.02
-    assert off["repeats"] > 1.4 * on["repeats"]  # the day is one on which clients do repeat
+    assert off["repeats"] > 1.4 * on["repeats"]  # clients do repeat on this day
     assert on["swing"] <= 0.1
     assert on["after"] >= off["after"] - 0.08
     for one in (off, on):
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("clients", HABITS)
-def test_after_a_loss_of_fifteen_in_a_hundred_the_level_is_back_within_five_seconds(clients: str) -> None:
+def test_goodput_recovers_within_5_seconds_after_a_loss_of_15_percent(clients: str) -> None:
     _, on = figures(2, dead="0.15", clients=clients)
     assert on["recovery_s"] <= 5.0
     assert on["swing"] <= 0.1
@@ -52,7 +52,7 @@
     assert on.get("wrong_advice", 0.0) < 0.05
 
 
-def test_a_storm_that_begins_while_nodes_are_coming_back_is_told_of_and_ends() -> None:
+def test_a_storm_that_begins_before_nodes_return_is_reported_and_ends() -> None:
     off, on = chosen("storms", 1, dead="0.4", clients="mixed")
     day = day_of(on)
     result, (dies, back) = play(day), measures.span(day)
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("flood", ["0.0", "0.75"])
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_nothing_is_taken_for_a_storm_on_calm_and_busy_days(seed: int, flood: str) -> None:
+def test_no_storm_is_reported_on_calm_and_busy_days(seed: int, flood: str) -> None:
     (cell,) = chosen("quiet", seed, flood=flood)
     assert runs.play(cell)[1]["figures"]["alarms"] == 0.0
 
--- a/tests/storms/test_sockets.py
+++ b/tests/storms/test_sockets.py
@@ -1,4 +1,4 @@
-"""Storms through a running proxy: what callers get, the pace of accepting, nothing where it is off."""
+"""Storm control through a running proxy: answers to clients, paced accepting, and no effect when off."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from honeywharf.http.accept import Acceptor
 from honeywharf.storms import StormsPart
 from honeywharf.storms.detector import State
-from honeywharf.storms.storms import SHORT_MS, Storms
+from honeywharf.storms.storms import SHORTAGE_MS, Storms
 from tests.loopback import Backend, Client, World, run, soon, until, world
 
 ON = Features(storms=On(on=True))
@@ -33,12 +33,12 @@
     return server
 
 
-def test_in_a_storm_first_tries_are_served_and_repeats_are_told_at_once_when_to_return() -> None:
+def test_in_a_storm_first_attempts_are_served_and_repeats_are_refused_with_a_return_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
             client, s = await Client.to(w.port), storms_of(w)
-            s.detector.state, s.short_ms = State.STORM, w.proxy.clock.now() + 60_000.0
+            s.detector.state, s.last_shortage_ms = State.STORM, w.proxy.clock.now() + 60_000.0
             statuses, told = [], []
             for i in range(30):
                 client.send("order", b"x", key="the same")
@@ -51,11 +51,11 @@
             assert statuses[0] == 200
             refused = statuses.count(503)
             assert refused >= 20
-            assert refused == len(told) == s.turned_away
+            assert refused == len(told) == s.refused_repeats
             assert all(0.0 < t <= 2.0 for t in told)
             assert w.proxy.driver.counts["refused:storm"] == refused
             assert len(backend.requests) == 60 - refused
-            s.short_ms = w.proxy.clock.now() - SHORT_MS - 1.0  # room is not short any more
+            s.last_shortage_ms = w.proxy.clock.now() - SHORTAGE_MS - 1.0  # room is not short any more
             client.send("order", b"x", key="the same")
             assert await client.status() == 200
         await backend.stop()
@@ -63,7 +63,7 @@
     run(main())
 
 
-def test_connections_are_accepted_late_in_a_storm_and_each_is_served() -> None:
+def test_connections_are_accepted_late_in_a_storm_and_all_are_served() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
@@ -77,7 +77,7 @@
             w.proxy.front.pace(1.0)
             waiting = [await Client.to(w.port) for _ in range(5)]
             await until(lambda: acceptor(w).waits is not None)
-            w.proxy.front.pace(0.0)  # it is over: nobody waits for the old pace
+            w.proxy.front.pace(0.0)  # the pace is lifted: no connection waits for it
             for client in waiting:
                 client.send()
             assert [await client.status() for client in waiting] == [200] * 5
@@ -87,15 +87,15 @@
 
 
 async def paced(w: World) -> None:
-    """Accept one connection now, and the next after 400 ms."""
+    """Accepts one connection now, and the next after 400 ms."""
     w.proxy.front.pace(2.5)
     known = len(w.proxy.front.connections)
     await Client.to(w.port)
     await until(lambda: len(w.proxy.front.connections) == known + 1)
 
 
-def test_what_waited_to_be_accepted_has_so_much_less_time_left() -> None:
-    """Guards against work that is begun for a client whose time is up, or goes on past it."""
+def test_the_wait_to_be_accepted_counts_against_the_deadline() -> None:
+    """Guards against work begun for a client past its deadline, or that goes on past it."""
 
     async def main() -> None:
         backend = await Backend().start()
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_work_is_begun_for_who_sends_no_more_but_not_for_who_has_left_while_waiting(leaves: bool) -> None:
+def test_work_begins_for_a_half_closed_client_but_not_for_one_that_has_left(leaves: bool) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
@@ -129,7 +129,9 @@
                 await waits.writer.wait_closed()
             else:
                 waits.writer.write_eof()
-                assert await waits.status() == 100  # which is how it is asked whether it is there
+                assert (
+                    await waits.status() == 100
+                )  # an interim answer that probes whether the client is there
                 assert await waits.status() == 200
             w.proxy.front.pace(0.0)
             after = await Client.to(w.port)  # accepted after it
@@ -141,7 +143,7 @@
     run(main())
 
 
-def test_the_module_is_told_of_connections_and_its_log_of_the_state() -> None:
+def test_connections_are_counted_and_the_counters_are_shown() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
@@ -164,31 +166,31 @@
     run(main())
 
 
-def test_without_descriptors_the_listener_waits_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Short(socket.socket):
-        """No descriptor is left for the first accepts."""
+def test_the_listener_goes_on_after_it_ran_out_of_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
+    class NoDescriptors(socket.socket):
+        """A socket without a free descriptor for its first accepts."""
 
         left = 3
 
         def accept(self) -> tuple[socket.socket, object]:
-            if Short.left:
-                Short.left -= 1
+            if NoDescriptors.left:
+                NoDescriptors.left -= 1
                 raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
             return super().accept()
 
     async def main() -> None:
         loop, made = asyncio.get_running_loop(), list[asyncio.Transport]()
 
-        class Kept(asyncio.Protocol):
+        class Recorder(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 made.append(cast(asyncio.Transport, transport))
 
-        monkeypatch.setattr(socket, "socket", Short)
-        listener = Acceptor(loop, lambda waited_ms, ended: Kept(), ("127.0.0.1", 0), 16)
+        monkeypatch.setattr(socket, "socket", NoDescriptors)
+        listener = Acceptor(loop, lambda waited_ms, ended: Recorder(), ("127.0.0.1", 0), 16)
         monkeypatch.undo()
         _, writer = await asyncio.open_connection(*listener.sockets[0].getsockname())
         await until(lambda: len(made) == 1)
-        assert Short.left == 0
+        assert NoDescriptors.left == 0
         writer.close()
         for transport in made:
             transport.abort()
@@ -200,7 +202,7 @@
     run(main())
 
 
-def test_where_it_is_off_nothing_of_it_is_imported() -> None:
+def test_nothing_of_storm_control_is_imported_when_it_is_off() -> None:
     script = (
         "import asyncio, sys; from tests.loopback import make_config; from honeywharf import proxy; "
         "from honeywharf.config.features import Features; loop = asyncio.new_event_loop(); "
