--- a/honeywharf/reports/__init__.py
+++ b/honeywharf/reports/__init__.py
@@ -1,25 +1,24 @@
-"""What nodes say of themselves: load reports as room in zones, the same for all proxies. Rules without I/O.
-
-Theory of operation. Each answer may carry what its node holds, which is the sum over all proxies and more
-than any of them can see by itself. From it three things are formed:
-
-    fields     what the fields of a report come to: calls that wait, or a time
-    node       one node's figure between reports, and whether its reports are to be believed
-    age        how old a zone's reports are, by how they follow its answers' times
-    room       one zone: the time that a call waits there, and which part of the arrivals it is open to
-    reports    all of one proxy: the decision module's one place to ask and to tell
-
-What a zone is open to is a factor on the calls that this proxy may hold there, its even part of what fits by
-Little's law. Every proxy that sees the same wait moves by the same factor, so that all together move as one
-would, whatever their number: nobody has to know the others (the known harm of stale reports is that all fill
-the same gap at once: Mitzenmacher 2000, Dahlin 1999). The factor is moved by a proportional and an integral
-term on the wait, as PIE moves its drop probability (RFC 8033, 4.2).
-
-Reports bound; they never rank, and never let in what a limit learned from answers keeps out: opened by what
-nodes say alone, fleets whose reports come seconds late are overrun (docs/design/reports.md). A level's
-servers are chosen from evenly at random as without them. Where the answers' own times do not bear the
-reports out, or none come, nothing is said, and the decision module does what it does without (`open` is
-under 0).
+"""Load control by the nodes' load reports. Rules without I/O.
+
+Theory of operation. Each answer may carry its node's load, which is the sum over all proxies and more than
+any of them can see by itself.
+
+    fields       interprets a report's fields as waiting calls or as a time
+    node         one node's wait between reports, and whether its reports are trusted
+    age          how old a zone's reports are, by the lag with which they follow answer times
+    zone_load    one zone: the wait of a call there, and the factor on the calls admitted to it
+    reports      joins these parts for the decision module
+
+A zone's factor multiplies the calls that this proxy may hold there, its even share of what fits by Little's
+law. Every proxy that sees the same wait changes its factor alike, and all together act as one proxy would,
+whatever their number, without knowing each other. This avoids the known harm of stale reports, that all
+proxies fill the same gap at once (Mitzenmacher 2000, Dahlin 1999). A proportional and an integral term on the
+wait change the factor, as in PIE's drop probability (RFC 8033, 4.2).
+
+Reports only bound. They never rank servers, and never admit calls that a limit learned from answers refuses:
+nodes whose reports are seconds late would be overloaded (docs/design/reports.md). The servers of a level are
+chosen evenly at random, as without reports. If answer times contradict the reports, or no reports come, the
+factor is negative and the decision module works as without reports.
 """
 
 from __future__ import annotations
@@ -37,24 +36,24 @@
 
 
 class ReportsPart(Component):
-    """The load reports that one proxy hears."""
+    """The load reports that one proxy receives."""
 
     def __init__(self, loads: LoadReports) -> None:
         self.loads = loads
 
     def counts(self) -> Mapping[str, int]:
-        """Reports heard, those that say nothing, and those that are not believed."""
+        """Returns counts of reports received, without a figure, distrusted and late."""
         return {f"reports:{k}": v for k, v in self.loads.counts.items()}
 
 
 def attach(proxy: ProxyContext) -> Component:
-    """Let the proxy's decision module read what nodes say; ValueError where they say nothing of load."""
+    """Attaches load control to the proxy's decision module; ValueError if no report field tells of load."""
     settings = proxy.driver.settings
     loads = LoadReports(settings)
     if not loads.reader.useful:
-        told = ", ".join(settings.report_fields) or "no fields"
+        fields = ", ".join(settings.report_fields) or "no fields"
         raise ValueError(
-            f"reports.on: found reports with {told}, wanted one of queue, in_flight, service_ms, utilization"
+            f"reports.on: expected one of queue, in_flight, service_ms, utilization, got {fields}"
         )
     proxy.balancer.choice.loads = loads
     return ReportsPart(loads)
--- a/honeywharf/reports/age.py
+++ b/honeywharf/reports/age.py
@@ -1,12 +1,12 @@
-"""How old reports are, seen by how they follow one's own calls. Without I/O.
+"""Estimates the age of load reports by the lag with which they follow the proxy's own calls. Without I/O.
 
-What a call waited shows in its answer's time at once, with noise; what reports say of the same queue shows
-later by their age. Both are gathered in bins of `BIN_MS`; the shift at which the second follows the first
-most closely (Pearson's correlation over the last bins) is the age. Where nothing moves nothing can be told,
-and the last finding stands until the waits move again: steady reports do no harm, however old.
+A call's wait shows in its answer time at once, with noise. The reports of the same queue show it later, by
+their age. Both are averaged in bins of `BIN_MS`; the shift with the highest correlation (Pearson's, over the
+last bins) is the age. Without variation nothing can be estimated, and the last estimate stands until the
+waits vary again: steady reports do no harm, however old.
 
-    young -> late     calls follow closely at a shift of LATE_MS and more, and not at all at none
-    late -> young     they follow closely at no shift; that nothing can be told ends nothing
+    current -> late    the correlation is high at a shift of LATE_MS or more, and low without a shift
+    late -> current    the correlation is high without a shift; a lack of variation changes nothing
 """
 
 from __future__ import annotations
@@ -15,82 +15,86 @@
 
 BIN_MS = 250.0
 BINS = 40
-MAX_SHIFT = 24  # bins: six seconds
-EACH_MS = 500.0  # how often it is looked
-MIN_FILLED = 12  # bins with calls
-MOVES = 0.3  # references that both have to move by, as a standard deviation
-CLOSE, CLOSER = 0.6, 0.15  # a correlation that tells something, and how much above the one of no shift
-APART = 0.4  # a correlation of no shift, under which reports may be late
+MAX_SHIFT = 24  # bins, which is six seconds
+ESTIMATE_INTERVAL_MS = 500.0
+MIN_FILLED_BINS = 12
+MIN_DEVIATION = 0.3  # standard deviation of both waits, in references
+MIN_CORRELATION, MIN_IMPROVEMENT = 0.6, 0.15  # the second: over the correlation without a shift
+MAX_UNSHIFTED_CORRELATION = 0.4  # reports count as late only below this correlation without a shift
 LATE_MS = 1000.0
 
 
-class Age:
-    """The age of one zone's reports."""
+class ReportAge:
+    """The estimated age of one zone's reports."""
 
-    __slots__ = ("calls", "first", "late", "look_ms", "ms", "own", "told")
+    __slots__ = ("age_ms", "calls", "late", "next_estimate_ms", "observed", "oldest_bin", "reported")
 
     def __init__(self) -> None:
-        self.first = 0  # the number of the oldest bin
-        self.own = [0.0] * BINS
-        self.told = [0.0] * BINS
+        self.oldest_bin = 0
+        self.observed = [0.0] * BINS
+        self.reported = [0.0] * BINS
         self.calls = [0] * BINS
-        self.look_ms = 0.0
-        self.ms, self.late = 0.0, False
+        self.next_estimate_ms = 0.0
+        self.age_ms, self.late = 0.0, False
 
-    def add(self, now: float, own_ms: float, told_ms: float, reference_ms: float) -> None:
-        """An answer: what its call waited, and what the report that came with it says of the wait."""
+    def add(self, now: float, observed_ms: float, reported_ms: float, reference_ms: float) -> None:
+        """Adds an answer: the wait of its call, and the wait by the report that came with it."""
         number = int(now // BIN_MS)
-        if number >= self.first + BINS:
-            if now >= self.look_ms:
-                self.look_ms = now + EACH_MS
-                self._look(reference_ms)
-            self._turn(number)
+        if number >= self.oldest_bin + BINS:
+            if now >= self.next_estimate_ms:
+                self.next_estimate_ms = now + ESTIMATE_INTERVAL_MS
+                self._estimate(reference_ms)
+            self._advance(number)
         at = number % BINS
         self.calls[at] += 1
         part = 1.0 / self.calls[at]
-        self.own[at] += (own_ms - self.own[at]) * part
-        self.told[at] += (told_ms - self.told[at]) * part
+        self.observed[at] += (observed_ms - self.observed[at]) * part
+        self.reported[at] += (reported_ms - self.reported[at]) * part
 
-    def _turn(self, number: int) -> None:
-        """Begin new bins: those without calls are empty."""
-        begin = max(self.first + BINS, number - BINS + 1)
+    def _advance(self, number: int) -> None:
+        """Begins new bins; those without calls are empty."""
+        begin = max(self.oldest_bin + BINS, number - BINS + 1)
         for k in range(begin, number + 1):
             self.calls[k % BINS] = 0
-            self.own[k % BINS] = self.told[k % BINS] = 0.0
-        self.first = number - BINS + 1
-
-    def _look(self, reference_ms: float) -> None:
-        """Find the shift at which reports follow the calls most closely."""
-        own: list[float] = []
-        told: list[float] = []
-        filled, last_own, last_told = 0, -1.0, -1.0
-        for k in range(self.first, self.first + BINS):
+            self.observed[k % BINS] = self.reported[k % BINS] = 0.0
+        self.oldest_bin = number - BINS + 1
+
+    def _estimate(self, reference_ms: float) -> None:
+        """Finds the shift at which reports follow the calls most closely."""
+        observed: list[float] = []
+        reported: list[float] = []
+        filled, last_observed, last_reported = 0, -1.0, -1.0
+        for k in range(self.oldest_bin, self.oldest_bin + BINS):
             at = k % BINS
             if self.calls[at]:
-                last_own, last_told = self.own[at], self.told[at]
+                last_observed, last_reported = self.observed[at], self.reported[at]
                 filled += 1
-            if last_own >= 0.0:  # a bin without calls is as the one before it
-                own.append(last_own)
-                told.append(last_told)
-        if filled < MIN_FILLED or spread(own) < MOVES * reference_ms or (spread(told) < MOVES * reference_ms):
+            if last_observed >= 0.0:  # a bin without calls repeats the one before it
+                observed.append(last_observed)
+                reported.append(last_reported)
+        if (
+            filled < MIN_FILLED_BINS
+            or standard_deviation(observed) < MIN_DEVIATION * reference_ms
+            or (standard_deviation(reported) < MIN_DEVIATION * reference_ms)
+        ):
             return
-        none = best = correlation(own, told, 0)
+        unshifted = best = correlation(observed, reported, 0)
         shift = 0
-        for k in range(1, min(MAX_SHIFT, len(own) // 2) + 1):
-            found = correlation(own, told, k)
+        for k in range(1, min(MAX_SHIFT, len(observed) // 2) + 1):
+            found = correlation(observed, reported, k)
             if found > best:
                 best, shift = found, k
-        if best >= CLOSE and none < best - CLOSER:
-            found_ms = shift * BIN_MS
-            if found_ms < LATE_MS or none < APART:
-                self.ms = found_ms
-                self.late = found_ms >= LATE_MS
-        elif none >= CLOSE:
-            self.ms, self.late = 0.0, False
+        if best >= MIN_CORRELATION and unshifted < best - MIN_IMPROVEMENT:
+            found_age_ms = shift * BIN_MS
+            if found_age_ms < LATE_MS or unshifted < MAX_UNSHIFTED_CORRELATION:
+                self.age_ms = found_age_ms
+                self.late = found_age_ms >= LATE_MS
+        elif unshifted >= MIN_CORRELATION:
+            self.age_ms, self.late = 0.0, False
 
 
-def spread(values: list[float]) -> float:
-    """The standard deviation."""
+def standard_deviation(values: list[float]) -> float:
+    """Returns the population standard deviation."""
     mean = sum(values) / len(values)
     total = 0.0
     for value in values:
@@ -99,7 +103,7 @@
 
 
 def correlation(first: list[float], second: list[float], shift: int) -> float:
-    """Pearson's, of the first with the second `shift` places later; 0 where one of them does not move."""
+    """Returns Pearson's correlation of the first with the second, `shift` places later; 0 if constant."""
     n = len(first) - shift
     sum_a = sum_b = sum_aa = sum_bb = sum_ab = 0.0
     for i in range(n):
--- a/honeywharf/reports/fields.py
+++ b/honeywharf/reports/fields.py
@@ -1,20 +1,20 @@
-"""The fields of a load report, alone or together, as what they say of a call's wait at the node. Without I/O.
+"""Interprets the fields of a load report as a call's wait at the node. Without I/O.
 
-Six fields are known (`policy.interface`, Settings.report_fields): `queue` counts the calls that wait;
-`in_flight` these and those that run; with `served_per_s` Little's law makes a time of it (held = rate x
-time); `service_ms` is a time already, of answers lately; `utilization` alone says only that nothing waits,
-where it is under `FULL`; `errors_per_s` says nothing of a wait.
+Six fields are known (`policy.interface`, Settings.report_fields): `queue` counts the waiting calls;
+`in_flight` counts waiting and running calls, and with `served_per_s` gives a time by Little's law (held =
+rate x time); `service_ms` is the time of recent answers; `utilization` alone says only that no call waits,
+if it is under `FULL_UTILIZATION`; `errors_per_s` says nothing of a wait.
 """
 
 from __future__ import annotations
 
-MOST = 1e6  # calls, or ms: what is beyond is no node's
-FULL = 0.9  # of a node's cores: under that, nothing waits for long
-MIN_RATE = 0.1  # answers a second, under which no time is made of a rate
+MAX_VALUE = 1e6  # calls or ms; a larger value is invalid
+FULL_UTILIZATION = 0.9  # part of a node's cores; under it, no call waits for long
+MIN_RATE_PER_S = 0.1  # a smaller rate is too uncertain for a time by Little's law
 
 
-class Figure:
-    """What one report comes to: calls that wait, or ms that a call takes there; -1 for what is not told."""
+class ReportedLoad:
+    """The load in one report: waiting calls, or the ms that a call takes; -1 where not reported."""
 
     __slots__ = ("took_ms", "waiting")
 
@@ -22,13 +22,13 @@
         self.waiting, self.took_ms = waiting, took_ms
 
     @property
-    def said(self) -> bool:
-        """Whether anything was told."""
+    def informative(self) -> bool:
+        """Whether the report tells anything of load."""
         return self.waiting >= 0.0 or self.took_ms >= 0.0
 
 
-class Reader:
-    """Reads reports with these fields; `useful` is False where none of them tells of a wait."""
+class ReportReader:
+    """Reads reports with the given fields; `useful` is False if none of them tells of a wait."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
         place = {name: i for i, name in enumerate(fields)}
@@ -38,26 +38,26 @@
         self.utilization = place.get("utilization", -1)
         self.useful = max(self.queue, self.in_flight, self.service, self.utilization) >= 0
 
-    def read(self, report: tuple[float, ...], cores: float) -> Figure:
-        """What a report says; `cores`: how many calls such a node runs at once, as far as is known.
+    def read(self, report: tuple[float, ...], cores: float) -> ReportedLoad:
+        """Returns the load in a report; `cores`: how many calls the node is estimated to run at once.
 
-        One of another length, or with a figure that no node has (NaN, infinite, negative, beyond MOST), says
-        nothing.
+        A report of another length, or with an invalid value (NaN, infinite, negative, over MAX_VALUE), gives
+        no load.
         """
         if len(report) != self.size:
-            return Figure()
+            return ReportedLoad()
         for value in report:
-            if not 0.0 <= value <= MOST:  # NaN is in no range
-                return Figure()
+            if not 0.0 <= value <= MAX_VALUE:  # NaN is in no range
+                return ReportedLoad()
         if self.queue >= 0:
-            return Figure(report[self.queue])
+            return ReportedLoad(report[self.queue])
         if self.in_flight >= 0:
             held = report[self.in_flight]
-            if self.rate >= 0 and report[self.rate] >= MIN_RATE and held > 0.0:
-                return Figure(took_ms=1000.0 * held / report[self.rate])
-            return Figure(max(0.0, held - cores))
+            if self.rate >= 0 and report[self.rate] >= MIN_RATE_PER_S and held > 0.0:
+                return ReportedLoad(took_ms=1000.0 * held / report[self.rate])
+            return ReportedLoad(max(0.0, held - cores))
         if self.service >= 0:
-            return Figure(took_ms=report[self.service])
-        if self.utilization >= 0 and report[self.utilization] < FULL:
-            return Figure(0.0)
-        return Figure()
+            return ReportedLoad(took_ms=report[self.service])
+        if self.utilization >= 0 and report[self.utilization] < FULL_UTILIZATION:
+            return ReportedLoad(0.0)
+        return ReportedLoad()
--- a/tests/reports/test_rules.py
+++ b/tests/reports/test_rules.py
@@ -1,4 +1,4 @@
-"""What reports come to, when they are believed, and what zones are opened to by them."""
+"""Load reports: what they tell, when they are trusted, and how many calls zones admit by them."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from honeywharf.lab.simulator import Day, Reporting, play
 from honeywharf.policy import interface as api
 from honeywharf.reports import LoadReports
-from honeywharf.reports.fields import MOST, Reader
-from honeywharf.reports.node import NOTHING_MS, STUCK_MS, STUCK_REPORTS, NodeReports
-from honeywharf.reports.room import MAX_OPEN, MIN_OPEN, OLD_MS, Room
+from honeywharf.reports.fields import MAX_VALUE, ReportReader
+from honeywharf.reports.node import MAX_REPORT_AGE_MS, STUCK_MS, STUCK_REPORTS, NodeReports
+from honeywharf.reports.zone_load import MAX_FACTOR, MAX_ZONE_AGE_MS, MIN_FACTOR, ZoneLoad
 from tests.helpers import Driver, endpoint, make_settings
 from tests.reports.model import loop
 
@@ -27,7 +27,7 @@
     ("fields", "report", "waiting", "took"),
     [
         (("queue",), (3.0,), 3.0, -1.0),
-        (("in_flight",), (5.0,), 3.0, -1.0),  # two of them run
+        (("in_flight",), (5.0,), 3.0, -1.0),  # two calls run
         (("in_flight",), (1.0,), 0.0, -1.0),
         (("in_flight", "queue"), (9.0, 3.0), 3.0, -1.0),
         (("in_flight", "served_per_s"), (6.0, 20.0), -1.0, 300.0),  # Little's law
@@ -35,7 +35,7 @@
         (("in_flight", "served_per_s"), (0.0, 20.0), 0.0, -1.0),
         (("service_ms",), (250.0,), -1.0, 250.0),
         (("utilization",), (0.5,), 0.0, -1.0),
-        (("utilization",), (0.99,), -1.0, -1.0),  # full: a queue of any length
+        (("utilization",), (0.99,), -1.0, -1.0),  # full: the queue may have any length
         (("errors_per_s",), (1.0,), -1.0, -1.0),
         (FIELDS, (5.0, 2.0, 1.0, 80.0, 20.0, 0.0), 2.0, -1.0),
         (("queue",), (NAN,), -1.0, -1.0),
@@ -47,66 +47,66 @@
         (("queue", "utilization"), (1.0, NAN), -1.0, -1.0),
     ],
 )
-def test_what_a_report_comes_to(
+def test_the_load_in_a_report(
     fields: tuple[str, ...],
     report: tuple[float, ...],
     waiting: float,
     took: float,
 ) -> None:
-    figure = Reader(fields).read(report, 2.0)
-    assert (figure.waiting, figure.took_ms) == (waiting, took)
-    assert figure.said == (waiting >= 0.0 or took >= 0.0)
+    load = ReportReader(fields).read(report, 2.0)
+    assert (load.waiting, load.took_ms) == (waiting, took)
+    assert load.informative == (waiting >= 0.0 or took >= 0.0)
 
 
-def test_fields_that_tell_of_no_wait_are_of_no_use() -> None:
-    assert not Reader(()).useful
-    assert not Reader(("errors_per_s", "served_per_s")).useful
-    assert all(Reader((name,)).useful for name in FIELDS[:4])
+def test_fields_without_a_wait_are_not_useful() -> None:
+    assert not ReportReader(()).useful
+    assert not ReportReader(("errors_per_s", "served_per_s")).useful
+    assert all(ReportReader((name,)).useful for name in FIELDS[:4])
 
 
 @given(st.lists(st.floats(allow_nan=True, allow_infinity=True), max_size=6), st.floats(0.1, 64.0))
-def test_no_report_whatever_gives_a_figure_out_of_its_range(report: list[float], cores: float) -> None:
-    figure = Reader(FIELDS[: len(report)]).read(tuple(report), cores)
-    assert figure.waiting == -1.0 or 0.0 <= figure.waiting <= MOST
-    assert figure.took_ms == -1.0 or 0.0 <= figure.took_ms <= 1000.0 * MOST / 0.1
+def test_no_report_gives_a_load_out_of_range(report: list[float], cores: float) -> None:
+    load = ReportReader(FIELDS[: len(report)]).read(tuple(report), cores)
+    assert load.waiting == -1.0 or 0.0 <= load.waiting <= MAX_VALUE
+    assert load.took_ms == -1.0 or 0.0 <= load.took_ms <= 1000.0 * MAX_VALUE / 0.1
 
 
-def test_a_report_grows_old_to_nothing_and_a_new_one_counts_at_once() -> None:
+def test_a_report_loses_its_weight_with_age_and_a_new_one_counts_at_once() -> None:
     node = NodeReports()
     assert node.weight(0.0) == 0.0
     node.heard(0.0, 5.0, 250.0)
-    weights = [node.weight(t) for t in (0.0, 500.0, 1500.0, NOTHING_MS)]
+    weights = [node.weight(t) for t in (0.0, 500.0, 1500.0, MAX_REPORT_AGE_MS)]
     assert weights == sorted(weights, reverse=True)
     assert (weights[0], weights[-1]) == (1.0, 0.0)
     node.heard(10_000.0, 0.0, 0.0)
-    assert node.wait_ms == 0.0  # nothing of what was said before is left
+    assert node.wait_ms == 0.0  # nothing is left of older reports
     node.heard(10_010.0, 8.0, 400.0)
-    assert 0.0 < node.wait_ms < 100.0  # one report soon after another is no more than a hint
+    assert 0.0 < node.wait_ms < 100.0  # a report soon after another has little weight
 
 
-def test_a_node_that_reports_nothing_and_answers_late_is_found_out_and_may_come_back() -> None:
+def test_a_node_that_reports_no_load_and_answers_late_is_distrusted_until_reports_fit() -> None:
     node = NodeReports()
     now = 0.0
     for _ in range(20):
         now += 50.0
         node.heard(now, 0.0, 0.0)
-        node.compared(4.0)  # it takes four times what its report leads one to expect
-    assert not node.believed
+        node.compare(4.0)  # four times the expected time
+    assert not node.trusted
     assert node.weight(now) == 0.0
     for _ in range(20):
-        node.compared(1.0)
-    assert node.believed
+        node.compare(1.0)
+    assert node.trusted
     assert node.weight(now) == 1.0
 
 
-def test_one_late_answer_in_some_is_no_lie() -> None:
+def test_a_few_late_answers_do_not_end_the_trust() -> None:
     node, rng = NodeReports(), random.Random(1)
     for _ in range(2000):
-        node.compared(rng.lognormvariate(0.0, 0.4))
-        assert node.believed
+        node.compare(rng.lognormvariate(0.0, 0.4))
+        assert node.trusted
 
 
-def test_a_figure_that_never_changes_is_stuck_unless_it_is_zero() -> None:
+def test_a_value_that_never_changes_is_stuck_unless_it_is_zero() -> None:
     for value, stuck in ((7.0, True), (0.0, False)):
         node = NodeReports()
         for i in range(STUCK_REPORTS + 2):
@@ -123,27 +123,27 @@
     st.sampled_from([1.0, 0.3, 0.05, 0.001]),
 )
 @settings(deadline=None)
-def test_what_a_zone_is_open_to_stays_in_its_bounds_and_is_forgotten(
+def test_a_zones_factor_stays_in_its_bounds_and_is_forgotten(
     heard: list[tuple[float, float, float]],
     part: float,
 ) -> None:
-    room, now = Room(part), 0.0
+    zone_load, now = ZoneLoad(part), 0.0
     for gap, wait, weight in heard:
         now += gap
-        room.heard(now, wait, 100.0, weight)
-        for valve in (room.own, room.away):
-            assert min(MIN_OPEN, 2.0 * part) <= valve.open <= MAX_OPEN
-        assert room.known(now) or weight <= 0.0
-        assert 0.0 <= room.wait_ms <= 1e9
-    assert not room.known(now + OLD_MS + 1.0)
+        zone_load.heard(now, wait, 100.0, weight)
+        for admission in (zone_load.own, zone_load.away):
+            assert min(MIN_FACTOR, 2.0 * part) <= admission.value <= MAX_FACTOR
+        assert zone_load.known(now) or weight <= 0.0
+        assert 0.0 <= zone_load.wait_ms <= 1e9
+    assert not zone_load.known(now + MAX_ZONE_AGE_MS + 1.0)
 
 
-def test_a_zone_that_is_heard_of_first_is_open_at_once_as_far_as_its_wait_says() -> None:
+def test_the_first_report_of_a_zone_sets_its_factor_by_the_wait() -> None:
     for wait, least, most in ((0.0, 1.0, 1.0), (100.0, 1.0, 1.0), (200.0, 0.4, 0.6), (1e6, 0.2, 0.26)):
-        room = Room(0.1)
-        room.heard(0.0, wait, 100.0, 1.0)
-        assert least <= room.own.open <= most
-        assert room.away.open <= room.own.open
+        zone_load = ZoneLoad(0.1)
+        zone_load.heard(0.0, wait, 100.0, 1.0)
+        assert least <= zone_load.own.value <= most
+        assert zone_load.away.value <= zone_load.own.value
 
 
 @pytest.mark.parametrize("proxies", [1, 3, 31])
@@ -159,7 +159,7 @@
 
 
 def driven(loads: bool, reports: bool, seed: int) -> list[list[api.Action]]:
-    """The actions of a module over some calls."""
+    """Returns the actions of a decision module over some calls."""
     told = make_settings(report_fields=("queue",))
     driver, rng = Driver(told), random.Random(seed)
     if loads:
@@ -174,10 +174,12 @@
     return actions
 
 
-def test_without_reports_every_action_is_the_same_to_the_bit() -> None:
+def test_without_reports_every_action_is_the_same() -> None:
     for seed in range(3):
         assert driven(True, False, seed) == driven(False, False, seed)
-        assert driven(False, True, seed) == driven(False, False, seed)  # and with those that nobody reads
+        assert driven(False, True, seed) == driven(
+            False, False, seed
+        )  # reports that are not read change nothing
     assert driven(True, True, 1) != driven(False, False, 1)
 
 
@@ -195,7 +197,7 @@
     return driver, loads
 
 
-def test_a_full_own_zone_sends_calls_to_one_with_room_and_takes_them_back() -> None:
+def test_a_full_own_zone_spills_calls_over_to_another() -> None:
     driver, loads = reading()
     answered(driver, 0.0, 60)
     assert loads.admitted_factor(driver.now, "a", False) >= 1.0
@@ -210,7 +212,7 @@
     assert loads.drain_ms(driver.now) >= 0.0
 
 
-def test_a_node_s_long_queue_takes_calls_from_it_and_the_others_stay_even() -> None:
+def test_a_node_with_a_long_queue_gets_fewer_calls_and_the_others_stay_even() -> None:
     driver, loads = reading()
     answered(driver, 0.0, 60)
     for _ in range(200):
@@ -219,26 +221,26 @@
             continue
         late = action.endpoint == "a0"
         driver.end(api.Outcome.OK, after_ms=500.0 if late else 50.0, report=(20.0 if late else 0.0,))
-    at = loads.nodes["a0"].at_ms  # it is soon out, for its late answers: no proxy has to wait for that
+    at = loads.nodes["a0"].at_ms  # its last report: it is soon ejected for late answers
     shares = {f"a{i}": loads.share(at, f"a{i}") for i in range(4)}
     assert shares["a0"] < 0.5
     assert set(shares.values()) - {shares["a0"]} == {1.0}  # bounded, not ranked
-    assert loads.share(at + 10_000.0, "a0") == 1.0  # what is old says nothing
+    assert loads.share(at + 10_000.0, "a0") == 1.0  # an old wait does not count
 
 
-def test_what_a_process_said_goes_with_it() -> None:
+def test_the_reports_of_a_process_are_forgotten_with_it() -> None:
     driver, loads = reading()
     answered(driver, 3.0, 60)
     known = set(loads.nodes)
     assert known
     one = sorted(known)[0]
     driver.list([endpoint(one, started_ms=driver.now)], api.ListKind.CHANGES)
-    assert one not in loads.nodes  # restarted: its new process has said nothing
+    assert one not in loads.nodes  # restarted: its new process has not reported
     driver.list([endpoint("a3")], api.ListKind.FULL)
-    assert set(loads.nodes) <= {"a3"}  # what is not listed is not kept: as many as there are endpoints
+    assert set(loads.nodes) <= {"a3"}  # bounded by the listed endpoints
 
 
-def test_a_probe_s_report_counts_and_one_of_a_server_that_is_gone_does_not() -> None:
+def test_a_probes_report_counts_unless_its_server_is_gone() -> None:
     driver, loads = reading()
     answered(driver, 0.0, 60)
     before = loads.counts["heard"]
@@ -246,7 +248,7 @@
     driver.feed(api.ProbeEnded("gone", api.Outcome.OK, 2.0, (9.0,)))
     driver.feed(api.ProbeEnded("b1", api.Outcome.OK, 2.0, None))
     assert loads.counts["heard"] == before + 1
-    assert loads.rooms["b"].known(driver.now)
+    assert loads.zone_loads["b"].known(driver.now)
 
 
 def scene(proxies: int, reports: bool, load: Reporting, seed: int = 1) -> Day:
@@ -262,7 +264,7 @@
     return days.load(replace(day, troubles=(crash,), retries=4), 0.75)
 
 
-def test_a_fleet_behind_many_proxies_comes_back_where_it_did_not() -> None:
+def test_nodes_behind_many_proxies_recover_better_with_reports() -> None:
     good = {on: play(scene(42, on, Reporting())).goodput(14_000.0, 22_000.0) for on in (False, True)}
     assert good[True] > good[False] + 0.1
 
@@ -280,7 +282,7 @@
     ],
     ids=["late", "noise", "silent", "liars: 0", "liars: 1000", "stuck at 7", "late for a while"],
 )
-def test_no_cold_node_is_pushed_over_and_nothing_is_lost_whatever_is_reported(load: Reporting) -> None:
+def test_bad_reports_overload_no_cold_node_and_lose_no_calls(load: Reporting) -> None:
     result = play(scene(12, True, load))
     assert (result.fell, result.late_drains, result.failed) == (0, 0, 0)
     assert result.goodput(14_000.0, 22_000.0) > 0.5
