--- a/honeywharf/discovery/__init__.py
+++ b/honeywharf/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's discovery: its lists, and the watch on them."""
+"""The client of the platform's discovery: endpoint lists and the watch on their changes."""
--- a/honeywharf/discovery/watch.py
+++ b/honeywharf/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: lists come in as events, and backends' addresses go to the pool."""
+"""Watches discovery: turns its lists into events and passes backends' addresses to the pool."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from honeywharf.policy import interface as api
 
 PATH = "/registry/instances"
-WAIT_MS = 5000  # of one watch call: short, since a cut connection says nothing until it is over
-SILENT_MS = 1000.0  # after that wait an answer is given up
-# An answer that has begun and brings nothing more for so long is given up, and asked for again; after
-# failures it is waited for longer.
-STALL_S = 0.25
-QUIET_S = 0.05  # before the next call where an answer came at once with nothing new; 0.2 s ends a watch
-RETRY_S = (0.02, 0.1)  # the first retry comes within a random time between these, the next within twice that
-RETRY_MOST_S = 1.0
-MAX_LIST = 16 * 1024 * 1024
-STATES = {
+WAIT_MS = 5000  # of one watch call; bounds the time until a cut connection is noticed
+TIMEOUT_MS = 1000.0  # to connect, and for an answer after its call's wait
+# A call whose answer has begun and stalls for this long is repeated. The time doubles with each failure.
+STALL_TIMEOUT_S = 0.25
+MIN_CALL_INTERVAL_S = (
+    0.05  # after an empty answer that came at once; has to stay under 0.2 s, which ends a watch
+)
+RETRY_RANGE_S = (0.02, 0.1)  # of the first retry, drawn at random; doubles with each failure
+MAX_RETRY_S = 1.0
+MAX_LIST_BYTES = 16 * 1024 * 1024
+LIFECYCLES = {
     "up": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "removed": api.EndpointState.GONE,
@@ -31,18 +32,18 @@
 
 
 def endpoint(row: Any) -> tuple[api.Endpoint, Address]:
-    """One entry; ValueError where it makes no sense."""
+    """Returns an entry's endpoint and address; ValueError if the entry is invalid."""
     if not isinstance(row, dict):
-        raise ValueError("an entry is an object")
-    name, state = row.get("instanceId"), STATES.get(str(row.get("lifecycle")))
+        raise ValueError("entry: expected an object, got another type")
+    name, state = row.get("instanceId"), LIFECYCLES.get(str(row.get("lifecycle")))
     started, weight, cell = row.get("startedAtMs") or 0, row.get("weight", 1.0), row.get("cell") or 0
     if not isinstance(name, str) or not name or state is None:
-        raise ValueError("an entry has an id and a known state")
+        raise ValueError("instanceId, lifecycle: expected an id and a known state, got others")
     figures = isinstance(started, int | float) and isinstance(weight, int | float) and isinstance(cell, int)
     if not figures or not (0 <= started < 1e15 and 0 <= weight < 1e9):
-        raise ValueError(f"{name}: figures are numbers that make sense")
+        raise ValueError(f"{name}: startedAtMs, weight, cell: expected numbers in range, got others")
     gone = state is api.EndpointState.GONE
-    where = ("", 0) if gone and not row.get("hostPort") else address(row.get("hostPort"))
+    host_port = ("", 0) if gone and not row.get("hostPort") else address(row.get("hostPort"))
     return api.Endpoint(
         name,
         str(row.get("zone", "")),
@@ -51,40 +52,44 @@
         float(started) or None,
         float(weight),
         str(row.get("machineType", "")),
-    ), where
+    ), host_port
 
 
-Row = tuple[api.Endpoint, Address, str]  # with the scheme
+ListedEndpoint = tuple[api.Endpoint, Address, str]  # the last is the scheme
 
 
 class Directory:
-    """The list as this proxy holds it: what the module is told and where the pool connects."""
+    """The endpoint list as this proxy holds it, for the decision module and the pool."""
 
-    def __init__(self, books: dict[str, AddressBook]) -> None:
-        self.books = books  # by scheme; an entry that names none is of the first
-        self.first = next(iter(books))
+    def __init__(self, address_books: dict[str, AddressBook]) -> None:
+        self.address_books = address_books  # by scheme; entries without one have the first
+        self.default_scheme = next(iter(address_books))
         self.generation = 0
-        self.rows: dict[str, Row] = {}  # all that are listed
-        self.out: frozenset[str] = frozenset()  # by an operator's word: in no book, whatever a list says
+        self.rows: dict[str, ListedEndpoint] = {}  # by id
+        self.excluded: frozenset[str] = (
+            frozenset()
+        )  # by an operator: in no address book, whatever a list says
 
     def take(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
-        """An answer as an event, after the pool has it. ValueError where it is no list."""
+        """Applies an answer to the pool and returns its event; ValueError if the answer is not a list."""
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-            raise ValueError("a list has instances")
+            raise ValueError("instances: expected a list, got another type")
         generation = raw.get("generation")
         if isinstance(generation, bool) or not isinstance(generation, int):
-            raise ValueError("a list has a generation")
+            raise ValueError("generation: expected an integer, got another type")
         full = bool(raw.get("reset")) or kind is not None
         rows = []
         for row in raw["instances"]:
             try:
-                entry, where = endpoint(row)
-                scheme = str(row.get("scheme") or self.first)
-                if scheme not in self.books:
-                    raise ValueError(f"{entry.id}: found scheme {scheme!r}, wanted {' or '.join(self.books)}")
-                rows.append((entry, where, scheme))
-            except ValueError as fault:  # one bad entry must not hide the others
-                log(f"discovery: entry left out: {fault}", "discovery.entry", "warning")
+                entry, host_port = endpoint(row)
+                scheme = str(row.get("scheme") or self.default_scheme)
+                if scheme not in self.address_books:
+                    raise ValueError(
+                        f"{entry.id}: scheme: expected {' or '.join(self.address_books)}, got {scheme!r}"
+                    )
+                rows.append((entry, host_port, scheme))
+            except ValueError as error:  # an invalid entry must not hide the others
+                log(f"discovery: entry left out: {error}", "discovery.entry", "warning")
         if full:
             for name in self.rows.keys() - {e.id for e, _, _ in rows}:
                 self._forget(name)
@@ -93,21 +98,21 @@
                 self._forget(row[0].id)
             else:
                 self.rows[row[0].id] = row
-                self._name(row)
+                self._publish(row)
         self.generation = generation
         kind = kind or (api.ListKind.FULL if full else api.ListKind.CHANGES)
         return api.EndpointsListed(kind, tuple(e for e, _, _ in rows), generation)
 
     def plain(self) -> dict[str, Any]:
-        """The list as it is held, in discovery's form."""
-        states = {state: word for word, state in STATES.items()}
+        """Returns the list in discovery's format."""
+        states = {state: lifecycle for lifecycle, state in LIFECYCLES.items()}
         return {
             "generation": self.generation,
             "reset": True,
             "instances": [
                 {
                     "instanceId": e.id,
-                    "hostPort": "{}:{}".format(*where),
+                    "hostPort": "{}:{}".format(*host_port),
                     "zone": e.zone,
                     "machineType": e.kind,
                     "cell": e.cell,
@@ -116,222 +121,234 @@
                     "startedAtMs": e.started_ms or 0,
                     "scheme": scheme,
                 }
-                for e, where, scheme in self.rows.values()
+                for e, host_port, scheme in self.rows.values()
             ],
         }
 
-    def exclude(self, out: Iterable[str]) -> None:
-        """These are out by an operator's word, and no others: nothing can be sent to one that is."""
-        before, self.out = self.out, frozenset(out)
-        for name in before ^ self.out:
-            if name in self.out:
-                for book in self.books.values():
+    def exclude(self, excluded: Iterable[str]) -> None:
+        """Sets the endpoints excluded by an operator: nothing can be sent to them."""
+        before, self.excluded = self.excluded, frozenset(excluded)
+        for name in before ^ self.excluded:
+            if name in self.excluded:
+                for book in self.address_books.values():
                     book.forget(name)
             elif name in self.rows:
-                self._name(self.rows[name])
+                self._publish(self.rows[name])
 
-    def _name(self, row: Row) -> None:
-        entry, where, scheme = row
-        for other, book in self.books.items():
-            if other != scheme or entry.id in self.out:
+    def _publish(self, row: ListedEndpoint) -> None:
+        entry, host_port, scheme = row
+        for other, book in self.address_books.items():
+            if other != scheme or entry.id in self.excluded:
                 book.forget(entry.id)
-        if entry.id not in self.out:
+        if entry.id not in self.excluded:
             ready = entry.state is api.EndpointState.READY
-            self.books[scheme].name(entry.id, where, entry.started_ms, open_for_work=ready)
+            self.address_books[scheme].name(entry.id, host_port, entry.started_ms, open_for_work=ready)
 
     def _forget(self, name: str) -> None:
         self.rows.pop(name, None)
-        for book in self.books.values():
+        for book in self.address_books.values():
             book.forget(name)
 
 
-class Line(asyncio.Protocol):
-    """One connection to discovery. What comes on it counts only while the watch holds it.
+class Connection(asyncio.Protocol):
+    """One connection to discovery. Its events count only while the watch holds it.
 
-    Guards against bytes, or the loss, of a connection that was left touching the one that took its place.
+    Guards against late bytes or the loss of an abandoned connection that affect its successor.
     """
 
     __slots__ = ("reader", "transport", "watch")
 
     def __init__(self, watch: Watch) -> None:
         self.watch = watch
-        self.reader = http1.ResponseReader(MAX_LIST)
+        self.reader = http1.ResponseReader(MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the way to write."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on what has come, if anybody still waits for it."""
-        if self.watch.line is self:
+        """Passes data to the watch if it still holds this connection."""
+        if self.watch.connection is self:
             self.watch.received(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
-        if self.watch.line is self:
+        """Reports the loss to the watch if it still holds this connection."""
+        if self.watch.connection is self:
             self.watch.lost()
 
     def close(self) -> None:
-        """Close at once."""
+        """Aborts the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Watch:
-    """One call after another on one connection; a new connection whenever one fails."""
+    """Makes one call after another on one connection, and opens a new one after a failure."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        where: Address,
+        host_port: Address,
         directory: Directory,
-        tell: Callable[[api.EndpointsListed], None],
+        notify: Callable[[api.EndpointsListed], None],
         *,
         polled: bool,
     ) -> None:
-        self.loop, self.clock, self.where, self.directory, self.tell = loop, clock, where, directory, tell
-        self.polled = polled  # the module asks for each watch, and is told when one fails
-        self.wanted = self.whole = False
-        self.moved = False  # until the new address has given a whole list: versions don't compare
-        self.up = False  # the first call has been answered, or is out with one that says nothing
+        self.loop, self.clock, self.host_port, self.directory, self.notify = (
+            loop,
+            clock,
+            host_port,
+            directory,
+            notify,
+        )
+        self.polled = polled  # the decision module asks for each watch, and is told of failures
+        self.changes_wanted = self.full_wanted = False
+        # Until the new address has sent a full list, as generations of two addresses do not compare.
+        self.address_changed = False
+        self.up = False  # the first call has been answered or has timed out
         self.failures = 0
         self.random = random.Random()
-        self.line: Line | None = None
-        self.called_ms = 0.0
-        self.calling = False
+        self.connection: Connection | None = None
+        self.call_started_ms = 0.0
+        self.call_pending = False
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def watch(self) -> None:
-        """Ask for changes from now on."""
-        self.wanted = True
-        self._next()
+        """Starts to ask for changes."""
+        self.changes_wanted = True
+        self._call_if_needed()
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
-        self.whole = True
-        self._next()
+        """Asks for the full list once."""
+        self.full_wanted = True
+        self._call_if_needed()
 
-    def move(self, where: Address) -> None:
-        """Turn to another address at once, wherever the present call stands; the list held goes on."""
-        if where == self.where:
+    def move(self, host_port: Address) -> None:
+        """Moves to another address at once, during a call as well; the list held stays in use."""
+        if host_port == self.host_port:
             return
-        self.where, self.moved, self.failures = where, True, 0
+        self.host_port, self.address_changed, self.failures = host_port, True, 0
         connecting, self.connecting = self.connecting, None
         if connecting is not None:
             connecting.cancel()
-        self.calling = False
+        self.call_pending = False
         self._disarm()
         self._close()
-        self._next()
-
-    def _next(self) -> None:
-        """Make the next call, if one is wanted and none is out."""
-        if self.calling or self.connecting is not None or not (self.wanted or self.whole or self.moved):
+        self._call_if_needed()
+
+    def _call_if_needed(self) -> None:
+        """Makes the next call if one is wanted and none is pending."""
+        if (
+            self.call_pending
+            or self.connecting is not None
+            or not (self.changes_wanted or self.full_wanted or self.address_changed)
+        ):
             return
-        line = self.line
-        if line is None or line.transport is None or line.transport.is_closing():
+        connection = self.connection
+        if connection is None or connection.transport is None or connection.transport.is_closing():
             self._disarm()
             self.connecting = self.loop.create_task(self._connect())
             return
-        whole = self.whole or self.moved
+        whole = self.full_wanted or self.address_changed
         wait = 0 if whole or not self.up else WAIT_MS
         target = PATH if whole else f"{PATH}?after={self.directory.generation}&wait_ms={wait}"
-        self.calling, self.called_ms, self.whole = True, self.clock.now(), whole
-        self._arm((wait + SILENT_MS) / 1000.0, self._silent)
-        host = f"{self.where[0]}:{self.where[1]}"
-        line.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
+        self.call_pending, self.call_started_ms, self.full_wanted = True, self.clock.now(), whole
+        self._arm((wait + TIMEOUT_MS) / 1000.0, self._timed_out)
+        host = f"{self.host_port[0]}:{self.host_port[1]}"
+        connection.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
     async def _connect(self) -> None:
-        line, task = Line(self), asyncio.current_task()
+        connection, task = Connection(self), asyncio.current_task()
         try:
-            async with asyncio.timeout(SILENT_MS / 1000.0):
-                await self.loop.create_connection(lambda: line, *self.where)
+            async with asyncio.timeout(TIMEOUT_MS / 1000.0):
+                await self.loop.create_connection(lambda: connection, *self.host_port)
         except (OSError, TimeoutError):
-            line.close()
+            connection.close()
             if self.connecting is task:
                 self.connecting = None
                 self._failed()
             return
         except asyncio.CancelledError:
-            line.close()
+            connection.close()
             raise
-        if self.connecting is not task:  # the watch has moved in the very turn in which this came up
-            line.close()
+        if self.connecting is not task:  # the watch moved while the connection came up
+            connection.close()
             return
-        self.connecting, self.line = None, line
-        self._next()
+        self.connecting, self.connection = None, connection
+        self._call_if_needed()
 
-    def received(self, line: Line, data: bytes) -> None:
-        """Take the answer, tell it, and call again at once."""
+    def received(self, connection: Connection, data: bytes) -> None:
+        """Applies an answer, notifies of it, and makes the next call."""
         try:
-            if not self.calling:
-                raise ValueError("an answer that nobody asked for")
-            response = line.reader.feed(data)
+            if not self.call_pending:
+                raise ValueError("answer: expected none without a call, got data")
+            response = connection.reader.feed(data)
             if response is None:
-                # Guards against a list that stalls half-way: the whole wait would pass before it is asked
-                # again.
-                self._arm(min(STALL_S * 2 ** min(self.failures, 6), SILENT_MS / 1000.0), self._stalled)
+                # Guards against a list that stalls half-way, which would last until the call's time-out.
+                self._arm(
+                    min(STALL_TIMEOUT_S * 2 ** min(self.failures, 6), TIMEOUT_MS / 1000.0), self._stalled
+                )
                 return
             if response.status != 200:
                 raise ValueError(f"status {response.status}")
-            kind = api.ListKind.FULL if self.whole else None
+            kind = api.ListKind.FULL if self.full_wanted else None
             event = self.directory.take(orjson.loads(response.body), kind)
-        except (http1.MalformedError, ValueError) as fault:
-            log(f"discovery: {fault}", "discovery.fault", "error")
+        except (http1.MalformedError, ValueError) as error:
+            log(f"discovery: {error}", "discovery.fault", "error")
             self._failed()
             return
-        quick = self.clock.now() - self.called_ms < 1000.0 * QUIET_S
+        quick = self.clock.now() - self.call_started_ms < 1000.0 * MIN_CALL_INTERVAL_S
         first = not self.up
-        self.calling = self.whole = self.moved = False
+        self.call_pending = self.full_wanted = self.address_changed = False
         self.up, self.failures = True, 0
         if not response.keep:
             self._close()
         if event.endpoints or event.kind is not api.ListKind.CHANGES or self.polled:
-            self.tell(event)
+            self.notify(event)
         if quick and not first and not event.endpoints:
-            self._arm(QUIET_S, self._next)  # guards against a busy loop on an agent that answers at once
+            self._arm(MIN_CALL_INTERVAL_S, self._call_if_needed)  # guards against a busy loop
         else:
             self._disarm()
-            self._next()
+            self._call_if_needed()
 
     def lost(self) -> None:
-        """The connection is gone; so is the call on it."""
-        self.line = None
-        if self.calling:
+        """Handles the loss of the connection, and with it of a pending call."""
+        self.connection = None
+        if self.call_pending:
             self._failed()
 
-    def _silent(self) -> None:
-        """Nothing came in time. The call got there, so the watch is up, on the list held last.
+    def _timed_out(self) -> None:
+        """Handles a time-out. The watch counts as up, with the list held last.
 
-        Guards against a proxy that stays out of service for as long as discovery has nothing to tell.
+        Guards against a proxy that stays out of service while discovery accepts calls without answering.
         """
         self.up = True
         self._failed()
 
     def _stalled(self) -> None:
-        """An answer has begun and does not go on. Nothing of it is taken: half a list is none."""
-        log("discovery: a list has stalled half-way", "discovery.fault", "error")
+        """Handles an answer that has begun and stalled. A partial list is not applied."""
+        log("discovery: answer stalled before its end", "discovery.fault", "error")
         self._failed()
 
     def _failed(self) -> None:
-        """Call again soon, not in step with others; where the module asks for watches, it is told instead."""
-        self.calling = self.whole = False
+        """Retries after a random delay; a decision module that asks for watches is told instead."""
+        self.call_pending = self.full_wanted = False
         self._close()
         if self.polled:
-            self.wanted = False
-            self.tell(api.EndpointsListed(api.ListKind.FAILED))
+            self.changes_wanted = False
+            self.notify(api.EndpointsListed(api.ListKind.FAILED))
             return
-        least, most = (min(RETRY_MOST_S, x * 2 ** min(self.failures, 6)) for x in RETRY_S)
+        shortest, longest = (min(MAX_RETRY_S, x * 2 ** min(self.failures, 6)) for x in RETRY_RANGE_S)
         self.failures += 1
-        self._arm(self.random.uniform(least, most), self._next)
+        self._arm(self.random.uniform(shortest, longest), self._call_if_needed)
 
     def _close(self) -> None:
-        line, self.line = self.line, None
-        if line is not None:
-            line.close()
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.close()
 
     def _arm(self, delay_s: float, callback: Callable[[], None]) -> None:
         self._disarm()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch over real sockets, and what lists do to the pool."""
+"""The watch on discovery over real sockets, and the effect of lists on the pool."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return lists(w)[number - 1]
 
 
-def test_an_entry_in_the_modules_terms() -> None:
+def test_an_entry_becomes_an_endpoint() -> None:
     entry, where = endpoint(row("s", 3000, "y", "draining", startedAtMs=17, weight=1.5, cell=3))
     assert entry == api.Endpoint("s", "y", api.EndpointState.DRAINING, 3, 17.0, 1.5, "k")
     assert where == ("127.0.0.1", 3000)
@@ -62,12 +62,12 @@
         {"weight": float("inf")},
     ],
 )
-def test_a_senseless_entry_is_told_apart(bad: dict[str, Any]) -> None:
+def test_an_invalid_entry_is_an_error(bad: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"\w"):
         endpoint({**row("s", 3000), **bad})
 
 
-def test_the_watch_goes_on_from_the_last_version_and_at_once() -> None:
+def test_the_watch_continues_at_once_from_the_last_generation() -> None:
     async def main() -> None:
         async with world([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
@@ -83,7 +83,7 @@
     run(main())
 
 
-def test_a_drained_backend_gets_nothing_new_and_a_full_list_replaces() -> None:
+def test_a_draining_backend_gets_no_new_requests_and_a_full_list_replaces() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
         async with world([one.row("one"), two.row("two")]) as w:
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("change", [{"lifecycle": "removed"}, {"lifecycle": "draining"}, {"startedAtMs": 99}])
-def test_idle_connections_to_what_has_left_or_started_anew_are_closed(change: dict[str, Any]) -> None:
+def test_idle_connections_to_removed_or_restarted_backends_are_closed(change: dict[str, Any]) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -160,7 +160,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{",
     ],
 )
-def test_the_watch_comes_back_after_a_bad_answer(bad: bytes) -> None:
+def test_the_watch_recovers_after_a_bad_answer(bad: bytes) -> None:
     async def main() -> None:
         async with world([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
@@ -171,7 +171,7 @@
                     await writer.drain()
                     writer.close()
             await until(lambda: len(w.discovery.calls) >= 3)
-            w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the sound entry counts
+            w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the valid entry counts
             event = await told(w, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert w.proxy.pool.known("b")
@@ -199,9 +199,9 @@
     run(main())
 
 
-def test_ready_on_the_list_held_last_where_discovery_is_silent() -> None:
+def test_ready_on_the_list_held_last_if_discovery_does_not_answer() -> None:
     async def main() -> None:
-        discovery = await scripted_registry()  # takes calls and answers none
+        discovery = await scripted_registry()  # accepts calls and answers none
         backend = await Backend().start()
         w = World(make_config(discovery.port, [backend.row("b")]), discovery)
         await w.start()
@@ -210,7 +210,7 @@
         assert await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
         assert await client.status() == 200
-        await until(lambda: len(discovery.calls) == 2)  # and it goes on asking
+        await until(lambda: len(discovery.calls) == 2)  # it keeps asking
         assert w.running is not None
         w.running.cancel()
         await backend.stop()
@@ -219,7 +219,7 @@
     run(main())
 
 
-def test_not_ready_where_discovery_cannot_be_reached() -> None:
+def test_not_ready_if_discovery_is_unreachable() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
         port = discovery.port
@@ -235,7 +235,7 @@
     run(main())
 
 
-def test_where_the_module_asks_for_watches_it_is_told_of_failures() -> None:
+def test_a_module_that_asks_for_watches_is_told_of_failures() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
         w = World(make_config(discovery.port, [row("b", 1)], discovery="ask"), discovery)
@@ -261,13 +261,13 @@
 
 
 async def moved(w: World, discovery: Registry) -> None:
-    """Wait until the watch stands at that discovery: the whole list asked for first, then changes."""
+    """Waits until the watch has moved to `discovery`: it asks for the full list, then for changes."""
     await until(lambda: len(discovery.calls) >= 2)
     assert discovery.calls[0] == b"GET /registry/instances HTTP/1.1"
     assert b"?after=" in discovery.calls[1]
 
 
-def test_a_moved_watch_takes_the_whole_list_first_and_keeps_what_is_held() -> None:
+def test_a_moved_watch_asks_for_the_full_list_and_keeps_the_one_held() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
         backend.then = None
@@ -280,8 +280,8 @@
             w.proxy.watch.move(("127.0.0.1", other.port))
             assert w.proxy.watch.up  # it stays in service
             await until(lambda: len(other.calls) == 1)
-            w.discovery.tell(50, row("late", 9))  # the old connection speaks up late
-            other.tell(3, backend.row("b"), row("c", 2), reset=False)  # versions start anew
+            w.discovery.tell(50, row("late", 9))  # a late answer on the old connection
+            other.tell(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
             await moved(w, other)
             assert b"after=3&" in other.calls[1]
             assert [e.kind for e in lists(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
@@ -291,7 +291,7 @@
                 writer.write(reply())
             assert await client.status() == 200
             assert backend.connections == 1
-            for writer in list(w.discovery.connections):  # and its late loss touches nothing
+            for writer in list(w.discovery.connections):  # the late loss of the old connection has no effect
                 writer.transport.abort()
             other.tell(4, row("d", 3))
             await until(lambda: w.proxy.pool.known("d"))
@@ -302,11 +302,11 @@
     run(main())
 
 
-def test_a_watch_moved_again_and_again_ends_at_the_last_address() -> None:
+def test_a_watch_moved_repeatedly_ends_at_the_last_address() -> None:
     async def main() -> None:
         first, last = await scripted_registry(), await scripted_registry()
         async with world([row("b", 1)]) as w:
-            for _ in range(5):  # each while the connection before is still coming up
+            for _ in range(5):  # each while the previous connection is being set up
                 w.proxy.watch.move(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
                 w.proxy.watch.move(("127.0.0.1", last.port))
@@ -324,7 +324,7 @@
     run(main())
 
 
-def test_an_address_that_is_not_up_yet_is_tried_until_it_gives_the_whole_list() -> None:
+def test_an_unreachable_address_is_retried_until_it_sends_the_full_list() -> None:
     async def main() -> None:
         other = await scripted_registry()
         port = other.port
@@ -367,13 +367,13 @@
 
 @pytest.mark.parametrize("at", [1, 20, 60, -1])
 @pytest.mark.parametrize("ends", [True, False])
-def test_half_a_list_is_never_taken_and_is_asked_for_again_soon(
+def test_a_partial_list_is_never_applied_and_is_soon_asked_for_again(
     at: int,
     ends: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It breaks off or stalls at some byte, in the middle of a whole list that lacks what is held."""
-    monkeypatch.setattr("honeywharf.discovery.watch.STALL_S", 0.05)
+    """Guards against a full list, cut or stalled at some byte, that removes the endpoints held."""
+    monkeypatch.setattr("honeywharf.discovery.watch.STALL_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -387,7 +387,7 @@
                 await asyncio.sleep(0.01)
                 for writer in before:
                     writer.close()
-            await until(lambda: len(w.discovery.calls) > calls)  # well before the whole wait is over
+            await until(lambda: len(w.discovery.calls) > calls)  # well before the call's time-out
             assert set(w.proxy.directory.rows) == {"b"}
             client = await Client.to(w.port)
             client.send()
