--- a/honeywharf/discovery/watch.py
+++ b/honeywharf/discovery/watch.py
@@ -66,9 +66,8 @@
         self.default_scheme = next(iter(address_books))
         self.generation = 0
         self.rows: dict[str, ListedEndpoint] = {}  # by id
-        self.excluded: frozenset[str] = (
-            frozenset()
-        )  # by an operator: in no address book, whatever a list says
+        # Excluded by an operator: in no address book, even if they are listed.
+        self.excluded: frozenset[str] = frozenset()
 
     def take(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
         """Applies an answer to the pool and returns its event; ValueError if the answer is not a list."""
--- a/honeywharf/reports/reports.py
+++ b/honeywharf/reports/reports.py
@@ -20,10 +20,8 @@
 PRIOR_SAMPLES = 3  # the weight of the initial estimate, in answers
 MIN_WAITING = 1.0  # waiting calls from which an answer gives a sample of `wait_per_call_ms`
 HOLD_MARGIN = 1.0  # times the even share of the calls that a proxy may hold
-SERVICE_SAMPLES, BASE_RISE_SAMPLES = (
-    30,
-    300.0,
-)  # answers averaged for the service time; over which the base rises
+# Answers averaged for the service time, and answers over which the base time rises.
+SERVICE_SAMPLES, BASE_RISE_SAMPLES = 30, 300.0
 IDLE_WAIT_PART = 0.25  # of `wait_per_call_ms`; a node with a shorter wait counts as idle
 MAX_WAIT_AGE_MS = 4000.0  # an older wait of a node does not reduce its share
 MIN_SHARE = 0.1
--- a/honeywharf/reports/zone_load.py
+++ b/honeywharf/reports/zone_load.py
@@ -19,10 +19,8 @@
 
 from honeywharf.reports.age import ReportAge
 
-PROPORTIONAL_GAIN, INTEGRAL_RATE = (
-    0.25,
-    0.6,
-)  # e-folds for a change by one reference, and per second at one over
+# In e-folds: for a change of the error by one reference, and per second at an error of one reference.
+PROPORTIONAL_GAIN, INTEGRAL_RATE = 0.25, 0.6
 OVERLOAD_RATE_FACTOR = 2.0  # on the integral rate, from one reference over
 MAX_ERROR = 3.0  # references over; an error under -1 is impossible
 MAX_FACTOR = 32.0  # nodes may hold more calls at once than the waits show
--- a/honeywharf/storms/budget.py
+++ b/honeywharf/storms/budget.py
@@ -84,9 +84,9 @@
         if tenant in self.buckets:
             self.buckets.move_to_end(tenant)
 
-    def admits_repeat(self, now: float, tenant: str, as_told: bool) -> bool:
-        """Whether a tenant's repeat is admitted; `as_told`: it comes at its return time."""
-        return self._bucket(now, tenant).spend(self.ratio * self.widened, as_told)
+    def admits_repeat(self, now: float, tenant: str, at_return_time: bool) -> bool:
+        """Whether a tenant's repeat is admitted; `at_return_time`: it comes at its return time."""
+        return self._bucket(now, tenant).spend(self.ratio * self.widened, at_return_time)
 
     def widen(self, ebbing_ms: float) -> None:
         """Widens the budget by a step each WIDEN_STEP_MS of ebbing, up to a repeat for each first attempt."""
--- a/tests/reports/test_rules.py
+++ b/tests/reports/test_rules.py
@@ -158,7 +158,7 @@
     assert swings[0] < swings[-1] < 60.0
 
 
-def driven(loads: bool, reports: bool, seed: int) -> list[list[api.Action]]:
+def actions_of_calls(loads: bool, reports: bool, seed: int) -> list[list[api.Action]]:
     """Returns the actions of a decision module over some calls."""
     told = make_settings(report_fields=("queue",))
     driver, rng = Driver(told), random.Random(seed)
@@ -176,20 +176,19 @@
 
 def test_without_reports_every_action_is_the_same() -> None:
     for seed in range(3):
-        assert driven(True, False, seed) == driven(False, False, seed)
-        assert driven(False, True, seed) == driven(
-            False, False, seed
-        )  # reports that are not read change nothing
-    assert driven(True, True, 1) != driven(False, False, 1)
+        assert actions_of_calls(True, False, seed) == actions_of_calls(False, False, seed)
+        # Reports that are not read change nothing.
+        assert actions_of_calls(False, True, seed) == actions_of_calls(False, False, seed)
+    assert actions_of_calls(True, True, 1) != actions_of_calls(False, False, 1)
 
 
-def answered(driver: Driver, waits: float, calls: int, took: float = 50.0) -> None:
+def complete_calls(driver: Driver, waits: float, calls: int, took: float = 50.0) -> None:
     for _ in range(calls):
         driver.request()
         driver.end(api.Outcome.OK, after_ms=took, report=(waits,))
 
 
-def reading(**changes: object) -> tuple[Driver, LoadReports]:
+def driver_with_reports(**changes: object) -> tuple[Driver, LoadReports]:
     told = make_settings(report_fields=("queue",), balancers=40, **changes)
     driver, loads = Driver(told), LoadReports(told)
     driver.balancer.choice.loads = loads
@@ -198,8 +197,8 @@
 
 
 def test_a_full_own_zone_spills_calls_over_to_another() -> None:
-    driver, loads = reading()
-    answered(driver, 0.0, 60)
+    driver, loads = driver_with_reports()
+    complete_calls(driver, 0.0, 60)
     assert loads.admitted_factor(driver.now, "a", False) >= 1.0
     full = {"a": 30.0, "b": 0.0}
     for _ in range(300):
@@ -213,8 +212,8 @@
 
 
 def test_a_node_with_a_long_queue_gets_fewer_calls_and_the_others_stay_even() -> None:
-    driver, loads = reading()
-    answered(driver, 0.0, 60)
+    driver, loads = driver_with_reports()
+    complete_calls(driver, 0.0, 60)
     for _ in range(200):
         (action,) = driver.request()
         if not isinstance(action, api.Send):
@@ -229,8 +228,8 @@
 
 
 def test_the_reports_of_a_process_are_forgotten_with_it() -> None:
-    driver, loads = reading()
-    answered(driver, 3.0, 60)
+    driver, loads = driver_with_reports()
+    complete_calls(driver, 3.0, 60)
     known = set(loads.nodes)
     assert known
     one = sorted(known)[0]
@@ -241,8 +240,8 @@
 
 
 def test_a_probes_report_counts_unless_its_server_is_gone() -> None:
-    driver, loads = reading()
-    answered(driver, 0.0, 60)
+    driver, loads = driver_with_reports()
+    complete_calls(driver, 0.0, 60)
     before = loads.counts["heard"]
     driver.feed(api.ProbeEnded("b0", api.Outcome.OK, 2.0, (9.0,)))
     driver.feed(api.ProbeEnded("gone", api.Outcome.OK, 2.0, (9.0,)))
@@ -251,7 +250,7 @@
     assert loads.zone_loads["b"].known(driver.now)
 
 
-def scene(proxies: int, reports: bool, load: Reporting, seed: int = 1) -> Day:
+def outage_day(proxies: int, reports: bool, load: Reporting, seed: int = 1) -> Day:
     day = replace(
         days.outage(seed),
         reports=reports,
@@ -265,7 +264,7 @@
 
 
 def test_nodes_behind_many_proxies_recover_better_with_reports() -> None:
-    good = {on: play(scene(42, on, Reporting())).goodput(14_000.0, 22_000.0) for on in (False, True)}
+    good = {on: play(outage_day(42, on, Reporting())).goodput(14_000.0, 22_000.0) for on in (False, True)}
     assert good[True] > good[False] + 0.1
 
 
@@ -283,6 +282,6 @@
     ids=["late", "noise", "silent", "liars: 0", "liars: 1000", "stuck at 7", "late for a while"],
 )
 def test_bad_reports_overload_no_cold_node_and_lose_no_calls(load: Reporting) -> None:
-    result = play(scene(12, True, load))
+    result = play(outage_day(12, True, load))
     assert (result.fell, result.late_drains, result.failed) == (0, 0, 0)
     assert result.goodput(14_000.0, 22_000.0) > 0.5
--- a/tests/storms/test_days.py
+++ b/tests/storms/test_days.py
@@ -19,7 +19,7 @@
 HABITS = ("obedient", "30 % deaf", "all deaf", "mixed", "several at once")
 
 
-def chosen(experiment: str, seed: int, **labels: str) -> Iterator[Cell]:
+def cells_of(experiment: str, seed: int, **labels: str) -> Iterator[Cell]:
     for cell in load(EXPERIMENTS / f"{experiment}.toml")[1]:
         if cell.seed == seed and labels.items() <= cell.labels.items():
             yield cell
@@ -27,7 +27,7 @@
 
 def figures(seed: int, **labels: str) -> tuple[dict[str, float], dict[str, float]]:
     """Returns the figures of the day without storm control and with it."""
-    off, on = chosen("storms", seed, **labels)
+    off, on = cells_of("storms", seed, **labels)
     assert (off.labels["storms"], on.labels["storms"]) == ("false", "true")
     return runs.play(off)[1]["figures"], runs.play(on)[1]["figures"]
 
@@ -53,7 +53,7 @@
 
 
 def test_a_storm_that_begins_before_nodes_return_is_reported_and_ends() -> None:
-    off, on = chosen("storms", 1, dead="0.4", clients="mixed")
+    off, on = cells_of("storms", 1, dead="0.4", clients="mixed")
     day = day_of(on)
     result, (dies, back) = play(day), measures.span(day)
     begun = [at for at, _, words in result.states if words.startswith("storm: storm")]
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("flood", ["0.0", "0.75"])
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_no_storm_is_reported_on_calm_and_busy_days(seed: int, flood: str) -> None:
-    (cell,) = chosen("quiet", seed, flood=flood)
+    (cell,) = cells_of("quiet", seed, flood=flood)
     assert runs.play(cell)[1]["figures"]["alarms"] == 0.0
 
 
--- a/tests/storms/test_rules.py
+++ b/tests/storms/test_rules.py
@@ -46,9 +46,8 @@
     assert seen.size_bytes == before < 20_000
     assert seen.early_rotations >= 20  # rotations by a full filter
     assert wrong < 50_000 * 0.004
-    assert digest(b"mine", b"s") != digest(
-        b"mine", b"t"
-    )  # another secret gives other digests: collisions cannot be prepared
+    # Another secret gives other digests: collisions cannot be prepared.
+    assert digest(b"mine", b"s") != digest(b"mine", b"t")
 
 
 @pytest.mark.parametrize("jump", [-1e7, 1e7, -3000.0])
@@ -89,7 +88,7 @@
 # States.
 
 
-def fed(d: Detector, begin: float, ms: float, rates: Mapping[int, float]) -> list[State]:
+def feed(d: Detector, begin: float, ms: float, rates: Mapping[int, float]) -> list[State]:
     """Feeds events at `rates` per second by kind; returns the states passed through."""
     passed = [d.state]
     for step in range(int(ms // 10)):
@@ -107,13 +106,13 @@
 
 def test_a_storm_rises_and_ebbs_by_the_transition_table() -> None:
     d = Detector()
-    assert fed(d, 0.0, 20_000.0, {detection.FIRST: 100}) == [State.CALM]
-    assert fed(d, 20_000.0, 5000.0, {detection.FIRST: 100, detection.REPEAT: 80}) == [
+    assert feed(d, 0.0, 20_000.0, {detection.FIRST: 100}) == [State.CALM]
+    assert feed(d, 20_000.0, 5000.0, {detection.FIRST: 100, detection.REPEAT: 80}) == [
         State.CALM,
         State.RISING,
         State.STORM,
     ]
-    assert fed(d, 25_000.0, 10_000.0, {detection.FIRST: 100, detection.REPEAT: 2}) == [
+    assert feed(d, 25_000.0, 10_000.0, {detection.FIRST: 100, detection.REPEAT: 2}) == [
         State.STORM,
         State.EBBING,
         State.CALM,
@@ -123,29 +122,29 @@
 
 def test_overlapping_storms_are_one_storm_that_ends_once() -> None:
     d = Detector()
-    fed(d, 0.0, 5000.0, {detection.FIRST: 100})
-    fed(d, 5000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 90})
-    ebbed = fed(d, 9000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 5})
+    feed(d, 0.0, 5000.0, {detection.FIRST: 100})
+    feed(d, 5000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 90})
+    ebbed = feed(d, 9000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 5})
     assert ebbed[-1] is State.EBBING
-    assert fed(d, 13_000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 90}) == [
+    assert feed(d, 13_000.0, 4000.0, {detection.FIRST: 100, detection.REPEAT: 90}) == [
         State.EBBING,
         State.STORM,
     ]
-    assert fed(d, 17_000.0, 9000.0, {detection.FIRST: 100}) == [State.STORM, State.EBBING, State.CALM]
+    assert feed(d, 17_000.0, 9000.0, {detection.FIRST: 100}) == [State.STORM, State.EBBING, State.CALM]
 
 
 def test_a_flood_of_first_attempts_is_no_storm() -> None:
     d = Detector()
-    fed(d, 0.0, 20_000.0, {detection.FIRST: 50, detection.REPEAT: 2, detection.REFUSED: 1})
+    feed(d, 0.0, 20_000.0, {detection.FIRST: 50, detection.REPEAT: 2, detection.REFUSED: 1})
     flood = {detection.FIRST: 1500, detection.REPEAT: 60, detection.REFUSED: 300}
-    assert fed(d, 20_000.0, 30_000.0, flood) == [State.CALM]
+    assert feed(d, 20_000.0, 30_000.0, flood) == [State.CALM]
 
 
 def test_reconnects_are_a_storm_only_while_requests_are_refused() -> None:
     for refused, wanted in ((0, [State.CALM, State.RISING]), (20, [State.CALM, State.RISING, State.STORM])):
         d = Detector()
-        fed(d, 0.0, 20_000.0, {detection.FIRST: 100, detection.CONNECTION: 10})
-        found = fed(
+        feed(d, 0.0, 20_000.0, {detection.FIRST: 100, detection.CONNECTION: 10})
+        found = feed(
             d, 20_000.0, 3000.0, {detection.FIRST: 100, detection.CONNECTION: 400, detection.REFUSED: refused}
         )
         assert found == wanted
@@ -153,11 +152,11 @@
 
 def test_the_baseline_is_kept_for_each_hour() -> None:
     d = Detector()
-    fed(d, 0.0, 40_000.0, {detection.FIRST: 100, detection.CONNECTION: 300})
-    assert fed(d, 40_000.0, 5000.0, {detection.FIRST: 100, detection.CONNECTION: 600}) == [State.CALM]
+    feed(d, 0.0, 40_000.0, {detection.FIRST: 100, detection.CONNECTION: 300})
+    assert feed(d, 40_000.0, 5000.0, {detection.FIRST: 100, detection.CONNECTION: 600}) == [State.CALM]
     d = Detector()
-    fed(d, 5 * HOUR, 40_000.0, {detection.FIRST: 100, detection.CONNECTION: 10})
-    assert State.RISING in fed(
+    feed(d, 5 * HOUR, 40_000.0, {detection.FIRST: 100, detection.CONNECTION: 10})
+    assert State.RISING in feed(
         d, 5 * HOUR + 40_000.0, 5000.0, {detection.FIRST: 100, detection.CONNECTION: 600}
     )
     assert len(d.baseline_ratios) == len(d.baseline_connects) == 24
--- a/tests/storms/test_sockets.py
+++ b/tests/storms/test_sockets.py
@@ -86,7 +86,7 @@
     run(main())
 
 
-async def paced(w: World) -> None:
+async def accept_one_then_pace(w: World) -> None:
     """Accepts one connection now, and the next after 400 ms."""
     w.proxy.front.pace(2.5)
     known = len(w.proxy.front.connections)
@@ -100,13 +100,13 @@
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
-            await paced(w)
+            await accept_one_then_pace(w)
             client = await Client.to(w.port)
             client.send("read", b"", "3000m")
             assert await client.status() == 200
             _, headers, _ = backend.requests[0]
             assert 0.0 < float(headers[b"x-time-left"].rstrip(b"u")) < (3000.0 - 250.0) * 1000.0
-            await paced(w)
+            await accept_one_then_pace(w)
             client = await Client.to(w.port)
             client.send("read", b"", "200m")
             assert await client.status() == 503
@@ -121,7 +121,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")], ON) as w:
-            await paced(w)
+            await accept_one_then_pace(w)
             waits = await Client.to(w.port)
             waits.send()
             if leaves:
@@ -129,9 +129,8 @@
                 await waits.writer.wait_closed()
             else:
                 waits.writer.write_eof()
-                assert (
-                    await waits.status() == 100
-                )  # an interim answer that probes whether the client is there
+                # An interim answer that probes whether the client is there.
+                assert await waits.status() == 100
                 assert await waits.status() == 200
             w.proxy.front.pace(0.0)
             after = await Client.to(w.port)  # accepted after it
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,13 +25,13 @@
 )
 
 
-def lists(w: World) -> list[api.EndpointsListed]:
+def lists_of(w: World) -> list[api.EndpointsListed]:
     return [e for e in w.events if isinstance(e, api.EndpointsListed)]
 
 
-async def told(w: World, number: int) -> api.EndpointsListed:
-    await until(lambda: len(lists(w)) >= number)
-    return lists(w)[number - 1]
+async def nth_list(w: World, number: int) -> api.EndpointsListed:
+    await until(lambda: len(lists_of(w)) >= number)
+    return lists_of(w)[number - 1]
 
 
 def test_an_entry_becomes_an_endpoint() -> None:
@@ -74,7 +74,7 @@
             assert w.discovery.calls[0].startswith(b"GET /registry/instances?after=1&wait_ms=0 ")
             assert w.discovery.calls[1].startswith(b"GET /registry/instances?after=1&wait_ms=5000 ")
             w.discovery.tell(7, row("c", 2))
-            event = await told(w, 2)
+            event = await nth_list(w, 2)
             assert (event.kind, event.serial) == (api.ListKind.CHANGES, 7)
             await until(lambda: len(w.discovery.calls) == 3)
             assert b"after=7&" in w.discovery.calls[2]
@@ -89,13 +89,13 @@
         async with world([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
             w.discovery.tell(2, one.row("one", lifecycle="draining"))
-            await told(w, 2)
+            await nth_list(w, 2)
             for _ in range(12):
                 client.send()
                 assert await client.status() == 200
             assert one.requests == []
             w.discovery.tell(3, one.row("one"), reset=True)
-            event = await told(w, 3)
+            event = await nth_list(w, 3)
             assert event.kind is api.ListKind.FULL
             assert not w.proxy.pool.known("two")
             for _ in range(3):
@@ -117,7 +117,7 @@
             client.send()
             assert await client.status() == 200
             w.discovery.tell(2, {**backend.row("b"), **change})
-            await told(w, 2)
+            await nth_list(w, 2)
             await until(lambda: backend.closed == 1)
             assert w.proxy.pool.known("b") == (change.get("lifecycle") != "removed")
         await backend.stop()
@@ -134,7 +134,7 @@
             client.send()
             await soon(old.came.wait())
             w.discovery.tell(2, new.row("b"))
-            await told(w, 2)
+            await nth_list(w, 2)
             for writer in list(old.writers):
                 writer.write(reply())
             assert await client.status() == 200
@@ -172,7 +172,7 @@
                     writer.close()
             await until(lambda: len(w.discovery.calls) >= 3)
             w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the valid entry counts
-            event = await told(w, 2)
+            event = await nth_list(w, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert w.proxy.pool.known("b")
 
@@ -188,7 +188,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
         client = await Client.to(w.port)
         assert await client.ask(ready) == 503
-        assert [e.kind for e in lists(w)] == [api.ListKind.CACHED]
+        assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED]
         discovery.tell(1)
         await until(lambda: w.proxy.watch.up)
         assert await client.ask(ready) == 200
@@ -244,13 +244,13 @@
         w.proxy.driver._perform(api.WatchEndpoints())
         await soon(discovery.called.wait())
         discovery.answers.put_nowait(reply(503))
-        await until(lambda: lists(w)[-1].kind is api.ListKind.FAILED)
+        await until(lambda: lists_of(w)[-1].kind is api.ListKind.FAILED)
         calls = len(discovery.calls)
         w.proxy.driver._perform(api.FetchEndpoints())
         await until(lambda: len(discovery.calls) > calls)
         assert discovery.calls[-1].startswith(b"GET /registry/instances ")
         discovery.tell(9, row("c", 2))
-        await until(lambda: lists(w)[-1].kind is api.ListKind.FULL)
+        await until(lambda: lists_of(w)[-1].kind is api.ListKind.FULL)
         assert not w.proxy.pool.known("b")
         assert w.running is not None
         w.running.cancel()
@@ -260,7 +260,7 @@
     run(main())
 
 
-async def moved(w: World, discovery: Registry) -> None:
+async def wait_for_move(w: World, discovery: Registry) -> None:
     """Waits until the watch has moved to `discovery`: it asks for the full list, then for changes."""
     await until(lambda: len(discovery.calls) >= 2)
     assert discovery.calls[0] == b"GET /registry/instances HTTP/1.1"
@@ -282,9 +282,9 @@
             await until(lambda: len(other.calls) == 1)
             w.discovery.tell(50, row("late", 9))  # a late answer on the old connection
             other.tell(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
-            await moved(w, other)
+            await wait_for_move(w, other)
             assert b"after=3&" in other.calls[1]
-            assert [e.kind for e in lists(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
+            assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
             assert w.proxy.balancer.endpoints.servers["b"] is record
             assert not w.proxy.pool.known("late")
             for writer in list(backend.writers):
@@ -313,7 +313,7 @@
                 await asyncio.sleep(0)
             await until(lambda: len(last.calls) >= 1)
             last.tell(1, row("e", 5))
-            await moved(w, last)
+            await wait_for_move(w, last)
             assert len(last.connections) == 1
             assert w.proxy.pool.known("e")
             assert not w.proxy.pool.known("b")
@@ -355,7 +355,7 @@
             w.proxy.drain()
             w.proxy.watch.move(("127.0.0.1", other.port))
             other.tell(1, backend.row("b"))
-            await moved(w, other)
+            await wait_for_move(w, other)
             for writer in list(backend.writers):
                 writer.write(reply())
             assert await client.status() == 200
