--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch over real sockets, and what lists do to the pool."""
+"""The watch on discovery over real sockets, and the effect of lists on the pool."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 )
 
 
-def lists(w: World) -> list[api.EndpointsListed]:
+def lists_of(w: World) -> list[api.EndpointsListed]:
     return [e for e in w.events if isinstance(e, api.EndpointsListed)]
 
 
-async def told(w: World, number: int) -> api.EndpointsListed:
-    await until(lambda: len(lists(w)) >= number)
-    return lists(w)[number - 1]
+async def nth_list(w: World, number: int) -> api.EndpointsListed:
+    await until(lambda: len(lists_of(w)) >= number)
+    return lists_of(w)[number - 1]
 
 
-def test_an_entry_in_the_modules_terms() -> None:
+def test_an_entry_becomes_an_endpoint() -> None:
     entry, where = endpoint(row("s", 3000, "y", "draining", startedAtMs=17, weight=1.5, cell=3))
     assert entry == api.Endpoint("s", "y", api.EndpointState.DRAINING, 3, 17.0, 1.5, "k")
     assert where == ("127.0.0.1", 3000)
@@ -62,19 +62,19 @@
         {"weight": float("inf")},
     ],
 )
-def test_a_senseless_entry_is_told_apart(bad: dict[str, Any]) -> None:
+def test_an_invalid_entry_is_an_error(bad: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"\w"):
         endpoint({**row("s", 3000), **bad})
 
 
-def test_the_watch_goes_on_from_the_last_version_and_at_once() -> None:
+def test_the_watch_continues_at_once_from_the_last_generation() -> None:
     async def main() -> None:
         async with world([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
             assert w.discovery.calls[0].startswith(b"GET /registry/instances?after=1&wait_ms=0 ")
             assert w.discovery.calls[1].startswith(b"GET /registry/instances?after=1&wait_ms=5000 ")
             w.discovery.tell(7, row("c", 2))
-            event = await told(w, 2)
+            event = await nth_list(w, 2)
             assert (event.kind, event.serial) == (api.ListKind.CHANGES, 7)
             await until(lambda: len(w.discovery.calls) == 3)
             assert b"after=7&" in w.discovery.calls[2]
@@ -83,19 +83,19 @@
     run(main())
 
 
-def test_a_drained_backend_gets_nothing_new_and_a_full_list_replaces() -> None:
+def test_a_draining_backend_gets_no_new_requests_and_a_full_list_replaces() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
         async with world([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
             w.discovery.tell(2, one.row("one", lifecycle="draining"))
-            await told(w, 2)
+            await nth_list(w, 2)
             for _ in range(12):
                 client.send()
                 assert await client.status() == 200
             assert one.requests == []
             w.discovery.tell(3, one.row("one"), reset=True)
-            event = await told(w, 3)
+            event = await nth_list(w, 3)
             assert event.kind is api.ListKind.FULL
             assert not w.proxy.pool.known("two")
             for _ in range(3):
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("change", [{"lifecycle": "removed"}, {"lifecycle": "draining"}, {"startedAtMs": 99}])
-def test_idle_connections_to_what_has_left_or_started_anew_are_closed(change: dict[str, Any]) -> None:
+def test_idle_connections_to_removed_or_restarted_backends_are_closed(change: dict[str, Any]) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -117,7 +117,7 @@
             client.send()
             assert await client.status() == 200
             w.discovery.tell(2, {**backend.row("b"), **change})
-            await told(w, 2)
+            await nth_list(w, 2)
             await until(lambda: backend.closed == 1)
             assert w.proxy.pool.known("b") == (change.get("lifecycle") != "removed")
         await backend.stop()
@@ -134,7 +134,7 @@
             client.send()
             await soon(old.came.wait())
             w.discovery.tell(2, new.row("b"))
-            await told(w, 2)
+            await nth_list(w, 2)
             for writer in list(old.writers):
                 writer.write(reply())
             assert await client.status() == 200
@@ -160,7 +160,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{",
     ],
 )
-def test_the_watch_comes_back_after_a_bad_answer(bad: bytes) -> None:
+def test_the_watch_recovers_after_a_bad_answer(bad: bytes) -> None:
     async def main() -> None:
         async with world([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
@@ -171,8 +171,8 @@
                     await writer.drain()
                     writer.close()
             await until(lambda: len(w.discovery.calls) >= 3)
-            w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the sound entry counts
-            event = await told(w, 2)
+            w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the valid entry counts
+            event = await nth_list(w, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert w.proxy.pool.known("b")
 
@@ -188,7 +188,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
         client = await Client.to(w.port)
         assert await client.ask(ready) == 503
-        assert [e.kind for e in lists(w)] == [api.ListKind.CACHED]
+        assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED]
         discovery.tell(1)
         await until(lambda: w.proxy.watch.up)
         assert await client.ask(ready) == 200
@@ -199,9 +199,9 @@
     run(main())
 
 
-def test_ready_on_the_list_held_last_where_discovery_is_silent() -> None:
+def test_ready_on_the_list_held_last_if_discovery_does_not_answer() -> None:
     async def main() -> None:
-        discovery = await scripted_registry()  # takes calls and answers none
+        discovery = await scripted_registry()  # accepts calls and answers none
         backend = await Backend().start()
         w = World(make_config(discovery.port, [backend.row("b")]), discovery)
         await w.start()
@@ -210,7 +210,7 @@
         assert await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
         assert await client.status() == 200
-        await until(lambda: len(discovery.calls) == 2)  # and it goes on asking
+        await until(lambda: len(discovery.calls) == 2)  # it keeps asking
         assert w.running is not None
         w.running.cancel()
         await backend.stop()
@@ -219,7 +219,7 @@
     run(main())
 
 
-def test_not_ready_where_discovery_cannot_be_reached() -> None:
+def test_not_ready_if_discovery_is_unreachable() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
         port = discovery.port
@@ -235,7 +235,7 @@
     run(main())
 
 
-def test_where_the_module_asks_for_watches_it_is_told_of_failures() -> None:
+def test_a_module_that_asks_for_watches_is_told_of_failures() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
         w = World(make_config(discovery.port, [row("b", 1)], discovery="ask"), discovery)
@@ -244,13 +244,13 @@
         w.proxy.driver._perform(api.WatchEndpoints())
         await soon(discovery.called.wait())
         discovery.answers.put_nowait(reply(503))
-        await until(lambda: lists(w)[-1].kind is api.ListKind.FAILED)
+        await until(lambda: lists_of(w)[-1].kind is api.ListKind.FAILED)
         calls = len(discovery.calls)
         w.proxy.driver._perform(api.FetchEndpoints())
         await until(lambda: len(discovery.calls) > calls)
         assert discovery.calls[-1].startswith(b"GET /registry/instances ")
         discovery.tell(9, row("c", 2))
-        await until(lambda: lists(w)[-1].kind is api.ListKind.FULL)
+        await until(lambda: lists_of(w)[-1].kind is api.ListKind.FULL)
         assert not w.proxy.pool.known("b")
         assert w.running is not None
         w.running.cancel()
@@ -260,14 +260,14 @@
     run(main())
 
 
-async def moved(w: World, discovery: Registry) -> None:
-    """Wait until the watch stands at that discovery: the whole list asked for first, then changes."""
+async def wait_for_move(w: World, discovery: Registry) -> None:
+    """Waits until the watch has moved to `discovery`: it asks for the full list, then for changes."""
     await until(lambda: len(discovery.calls) >= 2)
     assert discovery.calls[0] == b"GET /registry/instances HTTP/1.1"
     assert b"?after=" in discovery.calls[1]
 
 
-def test_a_moved_watch_takes_the_whole_list_first_and_keeps_what_is_held() -> None:
+def test_a_moved_watch_asks_for_the_full_list_and_keeps_the_one_held() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
         backend.then = None
@@ -280,18 +280,18 @@
             w.proxy.watch.move(("127.0.0.1", other.port))
             assert w.proxy.watch.up  # it stays in service
             await until(lambda: len(other.calls) == 1)
-            w.discovery.tell(50, row("late", 9))  # the old connection speaks up late
-            other.tell(3, backend.row("b"), row("c", 2), reset=False)  # versions start anew
-            await moved(w, other)
+            w.discovery.tell(50, row("late", 9))  # a late answer on the old connection
+            other.tell(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
+            await wait_for_move(w, other)
             assert b"after=3&" in other.calls[1]
-            assert [e.kind for e in lists(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
+            assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
             assert w.proxy.balancer.endpoints.servers["b"] is record
             assert not w.proxy.pool.known("late")
             for writer in list(backend.writers):
                 writer.write(reply())
             assert await client.status() == 200
             assert backend.connections == 1
-            for writer in list(w.discovery.connections):  # and its late loss touches nothing
+            for writer in list(w.discovery.connections):  # the late loss of the old connection has no effect
                 writer.transport.abort()
             other.tell(4, row("d", 3))
             await until(lambda: w.proxy.pool.known("d"))
@@ -302,18 +302,18 @@
     run(main())
 
 
-def test_a_watch_moved_again_and_again_ends_at_the_last_address() -> None:
+def test_a_watch_moved_repeatedly_ends_at_the_last_address() -> None:
     async def main() -> None:
         first, last = await scripted_registry(), await scripted_registry()
         async with world([row("b", 1)]) as w:
-            for _ in range(5):  # each while the connection before is still coming up
+            for _ in range(5):  # each while the previous connection is being set up
                 w.proxy.watch.move(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
                 w.proxy.watch.move(("127.0.0.1", last.port))
                 await asyncio.sleep(0)
             await until(lambda: len(last.calls) >= 1)
             last.tell(1, row("e", 5))
-            await moved(w, last)
+            await wait_for_move(w, last)
             assert len(last.connections) == 1
             assert w.proxy.pool.known("e")
             assert not w.proxy.pool.known("b")
@@ -324,7 +324,7 @@
     run(main())
 
 
-def test_an_address_that_is_not_up_yet_is_tried_until_it_gives_the_whole_list() -> None:
+def test_an_unreachable_address_is_retried_until_it_sends_the_full_list() -> None:
     async def main() -> None:
         other = await scripted_registry()
         port = other.port
@@ -355,7 +355,7 @@
             w.proxy.drain()
             w.proxy.watch.move(("127.0.0.1", other.port))
             other.tell(1, backend.row("b"))
-            await moved(w, other)
+            await wait_for_move(w, other)
             for writer in list(backend.writers):
                 writer.write(reply())
             assert await client.status() == 200
@@ -367,13 +367,13 @@
 
 @pytest.mark.parametrize("at", [1, 20, 60, -1])
 @pytest.mark.parametrize("ends", [True, False])
-def test_half_a_list_is_never_taken_and_is_asked_for_again_soon(
+def test_a_partial_list_is_never_applied_and_is_soon_asked_for_again(
     at: int,
     ends: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It breaks off or stalls at some byte, in the middle of a whole list that lacks what is held."""
-    monkeypatch.setattr("honeywharf.discovery.watch.STALL_S", 0.05)
+    """Guards against a full list, cut or stalled at some byte, that removes the endpoints held."""
+    monkeypatch.setattr("honeywharf.discovery.watch.STALL_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -387,7 +387,7 @@
                 await asyncio.sleep(0.01)
                 for writer in before:
                     writer.close()
-            await until(lambda: len(w.discovery.calls) > calls)  # well before the whole wait is over
+            await until(lambda: len(w.discovery.calls) > calls)  # well before the call's time-out
             assert set(w.proxy.directory.rows) == {"b"}
             client = await Client.to(w.port)
             client.send()
