--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -561,7 +561,7 @@
 
 def cancellation_is_lost(put: Patch) -> None:
     """Does not send the cancellation to the gate."""
-    put(OutboundRequest, "cancel", lambda self: self._end() if not self.over else None)
+    put(OutboundRequest, "cancel", lambda self: self._end() if not self.is_over else None)
 
 
 def reset_is_not_heeded(put: Patch) -> None:
