--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -408,6 +408,7 @@
     run(main())
 
 
+@pytest.mark.exclusive
 def test_a_cold_coap_node_gets_its_share_and_its_starts_are_counted() -> None:
     async def main() -> None:
         quick = [{"name": "read", "aimMs": 100.0, "deadlineMs": 5000.0, "idempotency": "repeatable"}]
--- a/tests/compiled.sh
+++ b/tests/compiled.sh
@@ -25,4 +25,6 @@
 # Of the mesh only what passes through its compiled readers: the rest runs as it does from the sources.
 alike=$(printf ' --ignore=tests/%s' drift monitor simulation failure_detector sessions control node gossip mesh_config admission)
 # shellcheck disable=SC2086
-HONEYWHARF_PURE_TREE=$pure python -m pytest -m "not pure and not model" $alike "$@"
+HONEYWHARF_PURE_TREE=$pure python -m pytest -m "not pure and not model and not exclusive" $alike "$@"
+# shellcheck disable=SC2086
+HONEYWHARF_PURE_TREE=$pure python -m pytest -m "exclusive and not pure and not model" -n 0 $alike "$@"
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -59,6 +59,7 @@
     return reader, writer
 
 
+@pytest.mark.exclusive
 def test_upgrades_under_load_meet_no_client(tmp_path: Path) -> None:
     """Connections that idle, that ask, that have only come, and one that is asked while it changes hands."""
 
@@ -126,6 +127,7 @@
     run(main())
 
 
+@pytest.mark.exclusive
 @pytest.mark.parametrize("how", ["kill the old", "kill the new", "the old hangs", "twice at once"])
 def test_whatever_ends_in_the_middle_the_rest_goes_on(tmp_path: Path, how: str) -> None:
     async def main() -> None:
--- a/tests/limits/test_sockets.py
+++ b/tests/limits/test_sockets.py
@@ -9,6 +9,7 @@
 from honeywharf.lab.model import Node, NodeSpec
 from tests.loopback import Backend, Client, World, run, world
 
+pytestmark = pytest.mark.exclusive
 CONNECTIONS, REQUESTS_EACH = 64, 6
 
 
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -173,6 +173,7 @@
     run(main())
 
 
+@pytest.mark.exclusive
 def test_the_demo_shows_each_rule_and_ends_with_0() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "honeywharf", "demo", "--seconds", "4", "--rate", "60"],
--- a/tests/test_mesh_demo.py
+++ b/tests/test_mesh_demo.py
@@ -50,6 +50,7 @@
     return list(day.figures().values())
 
 
+@pytest.mark.exclusive
 def test_a_short_day_keeps_every_rule() -> None:
     lines: list[str] = []
     status = meshdemo.play(5.0, 60.0, 1, lines.append)
