--- a/honeywharf/traces/recorder.py
+++ b/honeywharf/traces/recorder.py
@@ -40,7 +40,7 @@
         elif found.randomness:
             span_id = f"{self.random.getrandbits(64):016x}"
             hop, randomness = (
-                HopTrace(found.trace_id, found.parent_id, span_id, found.flags, found.state, now_ms),
+                HopTrace(found.trace_id, found.parent_id, span_id, found.flags, found.trace_state, now_ms),
                 found.randomness,
             )
             bad = found.bad
@@ -54,7 +54,7 @@
                 found.parent_id,
                 drawn[:16],
                 0,
-                context.with_randomness(randomness, found.state),
+                context.with_randomness(randomness, found.trace_state),
                 now_ms,
             )
             bad = found.bad
@@ -81,7 +81,7 @@
         # A second attempt is a reason to keep the trace: the hops behind it learn that with the request.
         bad = bool(hop.kept) or len(hop.attempts) > 1
         flags = hop.flags | (context.SAMPLED if bad or hop.ordinary else 0)
-        return context.child(hop.trace_id, span.span_id, flags, hop.state, bad=bad)
+        return context.request_header_lines(hop.trace_id, span.span_id, flags, hop.trace_state, bad=bad)
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now_ms: float) -> None:
         """An attempt has its one outcome."""
@@ -129,7 +129,9 @@
         """The request has its one final answer; the header line that goes with it."""
         hop = self.hop
         hop.how, hop.reason, hop.why, hop.answered_ms = how, reason, why, now_ms
-        return context.response(hop.trace_id, hop.span_id, bad=self.recorder.sampler.answered(hop))
+        return context.response_header_line(
+            hop.trace_id, hop.span_id, bad=self.recorder.sampler.answered(hop)
+        )
 
     def settled(self, now_ms: float) -> None:
         """Nothing of the request is out any more."""
--- a/honeywharf/traces/spans.py
+++ b/honeywharf/traces/spans.py
@@ -138,9 +138,9 @@
         "reason",
         "request",
         "span_id",
-        "state",
         "tenant",
         "trace_id",
+        "trace_state",
         "waits",
         "weight",
         "why",
@@ -152,11 +152,11 @@
         parent_id: str,
         span_id: str,
         flags: int,
-        state: str,
+        trace_state: str,
         now_ms: float,
     ) -> None:
         self.trace_id, self.parent_id, self.span_id = trace_id, parent_id, span_id
-        self.flags, self.state, self.begun_ms = flags, state, now_ms
+        self.flags, self.trace_state, self.begun_ms = flags, trace_state, now_ms
         self.request = self.cls = self.tenant = self.how = self.reason = ""
         self.answered_ms = 0.0
         self.attempts: list[AttemptSpan] = []
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_rules.py
@@ -40,7 +40,7 @@
     made, wrong = context.parse(parents, [b"a=1"])
     assert (made is not None, wrong) == (found, fault)
     if made is not None:
-        assert (made.trace_id, made.parent_id, made.state) == (ID, SPAN, "a=1")
+        assert (made.trace_id, made.parent_id, made.trace_state) == (ID, SPAN, "a=1")
 
 
 @pytest.mark.parametrize(
@@ -66,8 +66,8 @@
 ) -> None:
     made, wrong = context.parse([GOOD], states, trusts=True)
     assert made is not None
-    assert (made.state, made.bad, wrong) == (kept, bad, fault)
-    assert len(made.state) <= context.MAX_STATE
+    assert (made.trace_state, made.bad, wrong) == (kept, bad, fault)
+    assert len(made.trace_state) <= context.MAX_TRACE_STATE_CHARS
 
 
 @given(st.lists(st.binary(max_size=80), max_size=3), st.lists(st.binary(max_size=80), max_size=3))
@@ -77,11 +77,18 @@
         made, _ = context.parse(given_parents, states, trusts=True)
         if made is None:
             continue
-        lines = context.child(made.trace_id, SPAN, made.flags, made.state, bad=True).split(b"\r\n")
+        lines = context.request_header_lines(
+            made.trace_id, SPAN, made.flags, made.trace_state, bad=True
+        ).split(b"\r\n")
         values = dict(line.split(b": ", 1) for line in lines if line)
         again, fault = context.parse([values[b"traceparent"]], [values[b"tracestate"]], trusts=True)
         assert again is not None
-        assert (again.trace_id, again.state, again.bad, fault) == (made.trace_id, made.state, True, "")
+        assert (again.trace_id, again.trace_state, again.bad, fault) == (
+            made.trace_id,
+            made.trace_state,
+            True,
+            "",
+        )
 
 
 FORGED = f"00-{ID[:18]}{'f' * 14}-{SPAN}-03".encode()
@@ -106,7 +113,7 @@
 ) -> None:
     made, fault = context.parse([FORGED], states, trusts=trusts)
     assert made is not None
-    assert (made.randomness, made.state, made.bad, fault) == (randomness, passed_on, False, "")
+    assert (made.randomness, made.trace_state, made.bad, fault) == (randomness, passed_on, False, "")
 
 
 def test_a_trusted_id_without_the_random_flag_or_randomness_vouches_for_nothing() -> None:
@@ -139,7 +146,7 @@
 
 def test_an_answer_tells_only_of_its_own_trace_that_it_is_kept() -> None:
     for bad in (False, True):
-        line = context.response(ID, SPAN, bad=bad).strip().split(b": ")[1]
+        line = context.response_header_line(ID, SPAN, bad=bad).strip().split(b": ")[1]
         assert context.kept_below(line, ID) is bad
         assert not context.kept_below(line, "1" * 32)
     assert not context.kept_below(b"nonsense", ID)
