--- a/honeywharf/traces/context.py
+++ b/honeywharf/traces/context.py
@@ -45,7 +45,7 @@
     trace_id: str
     parent_id: str = ""
     flags: int = 0
-    trace_state: str = ""  # Without the `hw` member, and without the `ot` member of an untrusted caller.
+    trace_state: str = ""  # Excludes the `hw` member, and the `ot` member of an untrusted caller.
     bad: bool = False  # Whether a trusted caller keeps the trace for a reason of its own.
     #: 14 hex digits by which every hop samples alike; empty if no trusted caller sent any.
     randomness: str = ""
--- a/honeywharf/traces/sampler.py
+++ b/honeywharf/traces/sampler.py
@@ -151,7 +151,7 @@
         if now >= self.expire_ms:
             self.expire(now)
         for attempt in hop.attempts:
-            if attempt.late and attempt.outcome != "ok":
+            if attempt.after_answer and attempt.outcome != "ok":
                 hop.keep("late attempt")
         told = self.told.get(hop.trace_id)
         if told is not None and not hop.kept:
--- a/honeywharf/traces/spans.py
+++ b/honeywharf/traces/spans.py
@@ -1,9 +1,8 @@
-"""What one hop records of one request: its span, one for each attempt, and the decision module's reasons.
+"""Spans of one request at one hop: for the request, each attempt and each wait, with the decision's reasons.
 
-Names follow OpenTelemetry's semantic conventions where they have one (`http.request.resend_count`,
-`server.address`, `error.type`); the rest is under `honeywharf.`. Times are ms of Unix time on this hop's
-clock, durations of its monotonic one: clocks of hops may differ, so nothing is concluded from times of two
-hops.
+Names follow OpenTelemetry's semantic conventions (`http.request.resend_count`, `server.address`,
+`error.type`); others begin with `honeywharf.`. Times are ms of Unix time on this hop's clock, and durations
+are from its monotonic clock. Times of two hops are never compared, as their clocks may differ.
 """
 
 from __future__ import annotations
@@ -12,16 +11,27 @@
 
 from honeywharf.policy import interface as api
 
-KINDS = ("failed", "refused", "retried", "copied", "joined", "slow", "late attempt", "below", "told", "rule")
-#: What a request may wait for: a paced listener to accept it, the request of its key, the shared store's word
-#: on its key, and the store's note of where an attempt goes.
-WAITS = ("accept", "key joined", "key claim", "key note")
-#: Ends of a request that are no answer of a node.
+KEEP_REASONS = (
+    "failed",
+    "refused",
+    "retried",
+    "copied",
+    "joined",
+    "slow",
+    "late attempt",
+    "below",
+    "told",
+    "rule",
+)
+#: A request waits for a paced listener to accept it, for the running request of its idempotency key, for the
+#: shared store to grant its key, or for the store to record the place of an attempt.
+WAIT_KINDS = ("accept", "key joined", "key claim", "key note")
+#: Ends of a request that got no valid answer from a node.
 BAD_ENDS = frozenset({"failed", "overdue", "broken", "cut off"})
 
 
-def told(why: api.Why) -> dict[str, Any]:
-    """The decision module's reasons, as they are exported."""
+def decision_fields(why: api.Why) -> dict[str, Any]:
+    """Returns the decision module's reasons as fields of a record."""
     return {
         "level": why.level,
         "usable": why.usable,
@@ -35,14 +45,14 @@
 
 
 class AttemptSpan:
-    """One attempt: a CLIENT span. `outcome` is empty while it is out."""
+    """The CLIENT span of one attempt. `outcome` is empty while the attempt is in flight."""
 
     __slots__ = (
+        "after_answer",
         "begun_ms",
         "copy",
         "ended_ms",
         "endpoint",
-        "late",
         "number",
         "outcome",
         "proof",
@@ -52,17 +62,17 @@
     )
 
     def __init__(self, number: int, span_id: str, action: api.Send, begun_ms: float, copy: bool) -> None:
-        self.number = number  # of the request's attempts, those never sent counted
+        self.number = number  # The attempt's index, where attempts that were never sent count too.
         self.span_id, self.begun_ms, self.ended_ms = span_id, begun_ms, 0.0
         self.endpoint, self.zone, self.why = action.endpoint, action.zone, action.why
-        self.copy = copy  # another attempt of the request was out when it was sent
+        self.copy = copy  # Whether another attempt of the request was in flight when this one was sent.
         self.outcome = ""
-        self.proof = ""  # what the outcome proves of the effect
-        self.late = False  # it ended after its request was answered
+        self.proof = ""  # Whether the outcome proves that the request ran.
+        self.after_answer = False  # Whether the attempt ended after its request was answered.
 
     def ended(self, outcome: api.Outcome, now_ms: float, answered: bool) -> None:
-        """Its one outcome."""
-        self.outcome, self.ended_ms, self.late = outcome.value, now_ms, answered
+        """Records the attempt's single outcome."""
+        self.outcome, self.ended_ms, self.after_answer = outcome.value, now_ms, answered
         self.proof = (
             "never ran"
             if outcome in api.NEVER_RAN
@@ -70,7 +80,7 @@
         )
 
     def fields(self) -> dict[str, Any]:
-        """As it is exported."""
+        """Returns the record that is exported."""
         found: dict[str, Any] = {
             "span_id": self.span_id,
             "kind": "attempt",
@@ -87,17 +97,17 @@
             found["error.type"] = self.outcome or "unknown"
         if self.copy:
             found["honeywharf.copy"] = True
-        if self.late:
+        if self.after_answer:
             found["honeywharf.after_answer"] = True
         if self.why is not None:
-            found["honeywharf.why"] = told(self.why)
+            found["honeywharf.why"] = decision_fields(self.why)
         return found
 
 
 class WaitSpan:
-    """A time in which a request waited: an INTERNAL span. `kind` is one of WAITS.
+    """The INTERNAL span of a time in which a request waited. `kind` is one of WAIT_KINDS.
 
-    `link` names the trace and span that it waited on, `trace-id "-" span-id`; empty where none is known.
+    `link` names the span that was waited for, `trace-id "-" span-id`; empty if none is known.
     """
 
     __slots__ = ("begun_ms", "ended_ms", "kind", "link", "span_id")
@@ -107,7 +117,7 @@
         self.begun_ms, self.ended_ms = begun_ms, ended_ms
 
     def fields(self) -> dict[str, Any]:
-        """As it is exported."""
+        """Returns the record that is exported."""
         found: dict[str, Any] = {
             "span_id": self.span_id,
             "kind": "wait",
@@ -121,7 +131,7 @@
 
 
 class HopTrace:
-    """One request at this hop: a SERVER span with its attempts, until all of them have ended."""
+    """The SERVER span of one request at this hop, with its attempts and waits."""
 
     __slots__ = (
         "answered_ms",
@@ -160,34 +170,31 @@
         self.request = self.cls = self.tenant = self.how = self.reason = ""
         self.answered_ms = 0.0
         self.attempts: list[AttemptSpan] = []
-        self.waits: list[WaitSpan] | None = None  # most requests have none
-        self.link = ""  # the trace and span of the request whose answer it was given
-        self.kept: list[str] = []  # why, of KINDS
-        self.weight = 1.0  # of ordinary traces, that it stands for
-        self.why: api.Why | None = None  # where it was given up
-        self.ordinary = False  # one of the ordinary that are kept
-        self.bytes = 0  # that it is counted with, while it is held
+        self.waits: list[WaitSpan] | None = None  # None saves a list, as most requests do not wait.
+        self.link = ""  # The span of the request whose answer this one got, `trace-id "-" span-id`.
+        self.kept: list[str] = []  # The reasons to keep the trace, each one of KEEP_REASONS.
+        self.weight = 1.0  # The number of ordinary traces that a sampled one represents.
+        self.why: api.Why | None = None  # The decision's reasons, if it gave the request up.
+        self.ordinary = False  # Whether the trace is sampled as an ordinary one.
+        self.bytes = 0  # The estimated size while the trace is pending; 0 otherwise.
 
     @property
     def duration_ms(self) -> float:
-        """From its arrival to its answer."""
+        """The ms from the request's arrival to its answer."""
         return max(0.0, self.answered_ms - self.begun_ms)
 
     @property
     def wait_ms(self) -> float:
-        """From its arrival to its first attempt.
-
-        In the line of its key, or for a note of its order's place.
-        """
+        """The ms from the request's arrival to its first attempt; 0 if it had none."""
         return max(0.0, self.attempts[0].begun_ms - self.begun_ms) if self.attempts else 0.0
 
     def keep(self, why: str) -> None:
-        """Note a reason to keep it, once."""
+        """Adds a reason to keep the trace, unless it is there already."""
         if why not in self.kept:
             self.kept.append(why)
 
     def fields(self, hop: str, node: str, zone: str) -> dict[str, Any]:
-        """As it is exported: one object for each request and hop."""
+        """Returns the record that is exported: one object for each request and hop."""
         found = {
             "trace_id": self.trace_id,
             "parent_id": self.parent_id,
@@ -212,5 +219,5 @@
         if self.link:
             found["link"] = self.link
         if self.why is not None:
-            found["honeywharf.why"] = told(self.why)
+            found["honeywharf.why"] = decision_fields(self.why)
         return found
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_rules.py
@@ -163,7 +163,7 @@
 
 def late(h: HopTrace) -> None:
     h.attempts.append(attempt(api.Outcome.RESET))
-    h.attempts[0].late = True
+    h.attempts[0].after_answer = True
 
 
 @pytest.mark.parametrize(
