--- a/honeywharf/traces/recorder.py
+++ b/honeywharf/traces/recorder.py
@@ -1,4 +1,4 @@
-"""What the driver tells of its requests, as spans; the header lines that carry a trace on. Without I/O."""
+"""Records the driver's requests as spans, and makes the header lines that propagate traces. Without I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from honeywharf.traces.sampler import Sampler
 from honeywharf.traces.spans import AttemptSpan, HopTrace, WaitSpan
 
-MAX_WAITS = 16  # of one request: a key's line is left and joined again with each request that gives it up
+MAX_WAIT_SPANS = 16  # Per request, as one can wait again for each request of its key that fails.
 
 
 class Recorder:
     """Begins a trace for each request.
 
-    `rng` draws ids: of a secret seed, or clients could make up others' ids.
+    `rng` draws the ids; its seed has to be secret, as clients could otherwise predict the ids of others.
     """
 
     def __init__(self, sampler: Sampler, rng: random.Random) -> None:
@@ -24,7 +24,7 @@
         self.damaged = {"parent": 0, "twice": 0, "state": 0}
 
     def begin(self, request: Request, now_ms: float) -> RequestTrace:
-        """A request has been taken."""
+        """Begins the trace of a request that was accepted."""
         found, fault, bad = None, "", False
         if request.trace_parents:
             found, fault = context.parse(
@@ -33,7 +33,7 @@
             if fault:
                 self.damaged[fault] += 1
         if found is None:
-            # all zeros once in 2**64 draws, which receivers drop
+            # A span-id of zeros, which receivers drop, is drawn once in 2**64 requests.
             drawn = f"{self.random.getrandbits(192):048x}"
             randomness = drawn[32 - context.RANDOM_DIGITS : 32]
             hop = HopTrace(drawn[:32], "", drawn[32:], context.RANDOM, "", now_ms)
@@ -45,8 +45,8 @@
             )
             bad = found.bad
         else:
-            # Guards what is kept, and for how many it stands, against trace-ids that a client has made up:
-            # the id stays, to find it again, and chance is ours. The random flag would vouch for its bits.
+            # Keeps clients from choosing by their trace-ids which traces are sampled: the trace-id stays, but
+            # the randomness is drawn here. The random flag is cleared, as the trace-id may not be random.
             drawn = f"{self.random.getrandbits(120):030x}"
             randomness = drawn[16:]
             hop = HopTrace(
@@ -60,11 +60,11 @@
             bad = found.bad
         hop.request, hop.cls, hop.tenant = request.id, request.class_name, request.account
         self.sampler.began(now_ms, hop, bad, randomness)
-        return Course(self, hop)
+        return RequestRecorder(self, hop)
 
 
-class Course(RequestTrace):
-    """One request on its course."""
+class RequestRecorder(RequestTrace):
+    """Records the trace of one request."""
 
     __slots__ = ("hop", "recorder")
 
@@ -72,19 +72,19 @@
         self.recorder, self.hop = recorder, hop
 
     def sending(self, number: int, action: api.Send, now_ms: float) -> bytes:
-        """An attempt leaves; the header lines that go with it."""
+        """Begins an attempt's span. Returns the header lines that propagate the trace to the server."""
         hop, copy = self.hop, False
         for earlier in hop.attempts:
             copy = copy or not earlier.outcome
         span = AttemptSpan(number, f"{self.recorder.random.getrandbits(64):016x}", action, now_ms, copy)
         hop.attempts.append(span)
-        # A second attempt is a reason to keep the trace: the hops behind it learn that with the request.
+        # A second attempt is a reason to keep the trace, so its request asks downstream hops to keep it too.
         bad = bool(hop.kept) or len(hop.attempts) > 1
         flags = hop.flags | (context.SAMPLED if bad or hop.ordinary else 0)
         return context.request_header_lines(hop.trace_id, span.span_id, flags, hop.trace_state, bad=bad)
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now_ms: float) -> None:
-        """An attempt has its one outcome."""
+        """Ends an attempt's span with its single outcome."""
         hop = self.hop
         for span in hop.attempts:
             if span.number == number:
@@ -93,11 +93,11 @@
             hop.keep("below")
 
     def waited(self, kind: str, begun_ms: float, now_ms: float, link: bytes = b"") -> None:
-        """It waited before it went on: for what, since when, and on whose span."""
+        """Adds a span for a wait of the given kind; `link` is the trace mark of the request waited for."""
         hop = self.hop
         if hop.waits is None:
             hop.waits = []
-        if len(hop.waits) < MAX_WAITS:
+        if len(hop.waits) < MAX_WAIT_SPANS:
             hop.waits.append(
                 WaitSpan(
                     kind,
@@ -109,15 +109,18 @@
             )
 
     def linked(self, link: bytes) -> None:
-        """Its answer was made for the request of that span."""
+        """Records that the answer was made for the request with that trace mark."""
         self.hop.link = link.decode("latin-1")
 
     def kept(self) -> bool:
-        """Whether this hop keeps it, as far as is known by now."""
+        """Returns whether this hop keeps the trace, as far as is known by now."""
         return self.hop.ordinary or bool(self.hop.kept)
 
     def mark(self) -> bytes:
-        """What others link to: the trace and the last attempt that is out, or the request's own span."""
+        """Returns the trace mark, `trace-id "-" span-id`, under which other requests link to this one.
+
+        The span is that of the last attempt that is in flight or succeeded, or else the request's own.
+        """
         hop = self.hop
         span_id = hop.span_id
         for span in hop.attempts:
@@ -126,7 +129,7 @@
         return f"{hop.trace_id}-{span_id}".encode()
 
     def answered(self, how: str, reason: str, why: api.Why | None, now_ms: float) -> bytes:
-        """The request has its one final answer; the header line that goes with it."""
+        """Records the final answer. Returns the header line that propagates the trace to the client."""
         hop = self.hop
         hop.how, hop.reason, hop.why, hop.answered_ms = how, reason, why, now_ms
         return context.response_header_line(
@@ -134,5 +137,5 @@
         )
 
     def settled(self, now_ms: float) -> None:
-        """Nothing of the request is out any more."""
+        """Decides on the trace once the request is answered and no attempt is in flight."""
         self.recorder.sampler.settled(now_ms, self.hop)
