--- a/bench/traces.py
+++ b/bench/traces.py
@@ -87,8 +87,8 @@
     tracemalloc.stop()
     held = made.sampler
     print(
-        f"memory: {rest} bytes at rest, {full} full ({len(held.held)} held, counted with"
-        f" {held.held_bytes}; {held.counts['no room']} of {lines} went for want of room)"
+        f"memory: {rest} bytes at rest, {full} full ({len(held.pending)} held, counted with"
+        f" {held.pending_bytes}; {held.counts['no room']} of {lines} went for want of room)"
     )
 
 
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -162,7 +162,7 @@
     recorder = Recorder(sampler, random.Random(secrets.randbits(64)))
     if features.notes:
         peers = frozenset(address(peer) for peer in features.peers)
-        line = Line(Notes(), peers, proxy.clock.now, sampler.note)
+        line = Line(Notes(), peers, proxy.clock.now, sampler.keep_trace)
     proxy.driver.hooks.tracer = recorder
     proxy.balancer.explains = True
     return TracesPart(recorder, exporters, line, address(features.notes) if features.notes else ("", 0))
--- a/honeywharf/traces/recorder.py
+++ b/honeywharf/traces/recorder.py
@@ -78,7 +78,7 @@
             copy = copy or not earlier.outcome
         span = AttemptSpan(number, f"{self.recorder.random.getrandbits(64):016x}", action, now_ms, copy)
         hop.attempts.append(span)
-        # A second attempt is a reason to keep the trace, so its request asks downstream hops to keep it too.
+        # A second attempt is a reason to keep the trace, so its header lines say so to downstream hops.
         bad = bool(hop.kept) or len(hop.attempts) > 1
         flags = hop.flags | (context.SAMPLED if bad or hop.ordinary else 0)
         return context.request_header_lines(hop.trace_id, span.span_id, flags, hop.trace_state, bad=bad)
--- a/honeywharf/traces/sampler.py
+++ b/honeywharf/traces/sampler.py
@@ -1,21 +1,19 @@
-"""Which traces are kept: every bad one on every hop, and an unbiased part of the others. Without I/O.
+"""Tail sampling: keeps each bad trace on every hop, and an unbiased share of the others. Without I/O.
 
-Theory of operation. A hop judges a request when nothing of it is out any more. What is bad there is
-exported at once. What is ordinary is kept if the trace-id's own randomness says so, which is the same word
-at every hop; each such trace stands for 1/rate ordinary ones. The other ordinary ones are held for
-`hold_ms`, as another hop may have seen trouble:
+Theory of operation. A hop decides on a request once it is answered and no attempt is in flight. A bad one
+(failed, refused, retried or slow) is exported at once. An ordinary one is exported if the trace's randomness
+reaches the threshold of the rate, which gives the same result at every hop; it represents 1/rate ordinary
+traces. Other ordinary ones are pending for `hold_ms`, as another hop may keep the trace:
 
-- upwards, an answer says whether its hop keeps the trace, so that whoever passes it on keeps it too;
-- downwards, the next request of the trace says that the caller keeps it, and a note can say so later: what
-  is held of the trace is exported then. A trace that was told of is remembered as long, for parts that end
-  after the note.
+- Upstream hops learn it from the answer, which says whether its hop keeps the trace.
+- Downstream hops learn it from the trace's next request, or from a note (`notes`). They export what is
+  pending of the trace, and for `hold_ms` also its parts that end later.
 
-Held traces are bounded in number and in bytes, the oldest ordinary going first; each that goes untold is
-counted. So is what one trace's trouble may keep of its other parts (`MAX_TOLD`): a client may give all its
-requests one trace-id, and have one of them fail.
+Pending traces are limited in number and in bytes, and dropped ones are counted. A client may give all its
+requests one trace-id and let one fail, so `MAX_FURTHER_PARTS` limits the parts that one bad part keeps.
 
-    held -> exported      a note or a request of the trace says that it is kept
-    held -> dropped       after hold_ms, or for want of room
+    pending -> exported   a note or a request of the trace says that it is kept
+    pending -> dropped    after hold_ms, or beyond the limits
 """
 
 from __future__ import annotations
@@ -29,116 +27,122 @@
 from honeywharf.traces import context
 from honeywharf.traces.spans import BAD_ENDS, HopTrace
 
-ACCURACY = 0.02  # relative error of the learned quantiles
-MIN_ANSWERS = 200  # before a learned quantile is believed
-RENEW = 64  # answers after which the quantile is looked up again
-# one answer in so many is learned, once enough are known: a sketch costs more than a comparison
-LEARN_EACH = 4
-# answers after which a class's sketch begins anew, with the quantile kept until it is believed
-FORGET = 50_000
-EXPIRE_EACH = 0.01  # of the time for which traces are held, between looks for those that were long enough
-MAX_TOLD = 32  # further parts of one trace that are kept at this hop, within `hold_ms`, as one part was bad
-HOP_BYTES, ATTEMPT_BYTES = 900, 700  # what a held trace and each of its attempts are counted with
+RELATIVE_ACCURACY = 0.02  # The relative error of the sketches.
+MIN_ANSWERS = 200  # The quantile is unknown before that.
+QUANTILE_UPDATE_ANSWERS = 64  # The interval between updates of the quantile.
+ANSWERS_PER_SAMPLE = 4  # Above MIN_ANSWERS only some are added, as a sketch costs more than a comparison.
+MAX_SKETCH_ANSWERS = 50_000  # A class gets a new sketch after that.
+EXPIRY_INTERVAL_FRACTION = 0.01  # The time between two checks for expired traces, as a part of `hold_ms`.
+MAX_FURTHER_PARTS = 32  # The parts of one trace that a hop keeps within `hold_ms` as another part was bad.
+HOP_SIZE_BYTES, ATTEMPT_SIZE_BYTES = 900, 700  # Estimates of the memory of a pending trace.
 
 
 @dataclass(frozen=True)
 class Sampling:
-    """`rate`: part of the ordinary that is kept.
+    """The settings of a sampler.
 
-    `hold_ms`, `most_held`, `most_bytes`: bounds of what is held.
+    `rate`: the share of ordinary traces that is kept. `hold_ms`, `max_pending`, `max_pending_bytes`: limits
+    of pending traces. `quantile`: answers of a class that take longer than this quantile are slow.
     """
 
     rate: float = 0.01
     hold_ms: float = 10_000.0
-    most_held: int = 4000
-    most_bytes: int = 8 * 1024 * 1024
+    max_pending: int = 4000
+    max_pending_bytes: int = 8 * 1024 * 1024
     quantile: float = 0.99
 
 
-class Usual:
-    """The usual times of one class's answers."""
+class LatencyQuantile:
+    """A learned quantile of the durations of one class's answers."""
 
-    __slots__ = ("answers", "late_ms", "quantile", "sketch")
+    __slots__ = ("answers", "quantile", "sketch", "slow_threshold_ms")
 
     def __init__(self, quantile: float) -> None:
         self.quantile = quantile
-        self.sketch = DDSketch(ACCURACY)
+        self.sketch = DDSketch(RELATIVE_ACCURACY)
         self.answers = 0
-        self.late_ms = float("inf")  # what only 1 - quantile of the answers take longer than
+        self.slow_threshold_ms = float("inf")  # The quantile, with a margin for the sketch's error.
 
-    def late(self, took_ms: float) -> bool:
-        """Whether an answer took longer than nearly all; learn from it."""
+    def observe(self, duration_ms: float) -> bool:
+        """Adds the duration of an answer. Returns whether it exceeds the quantile of those before."""
         self.answers += 1
-        if self.answers <= MIN_ANSWERS or self.answers % LEARN_EACH == 0:
-            self.sketch.add(took_ms)
-        if self.answers >= MIN_ANSWERS and self.answers % RENEW == 0:
-            # Guards against calling half of equal times late: the sketch may tell so much too little.
+        if self.answers <= MIN_ANSWERS or self.answers % ANSWERS_PER_SAMPLE == 0:
+            self.sketch.add(duration_ms)
+        if self.answers >= MIN_ANSWERS and self.answers % QUANTILE_UPDATE_ANSWERS == 0:
+            # The margin keeps equal durations from being slow when the sketch underestimates them.
             found = self.sketch.get_quantile_value(self.quantile) or float("inf")
-            self.late_ms = found * (1.0 + 2.0 * ACCURACY)
-            if self.answers >= FORGET:
-                self.sketch, self.answers = DDSketch(ACCURACY), 0
-        return took_ms > self.late_ms
+            self.slow_threshold_ms = found * (1.0 + 2.0 * RELATIVE_ACCURACY)
+            if self.answers >= MAX_SKETCH_ANSWERS:
+                self.sketch, self.answers = DDSketch(RELATIVE_ACCURACY), 0
+        return duration_ms > self.slow_threshold_ms
 
 
-class Told:
-    """A trace that is kept here or elsewhere: until when that is known, and how many more parts it keeps."""
+class KeptTrace:
+    """A trace that some hop keeps: when this hop forgets it, and how many more parts it may keep."""
 
-    __slots__ = ("left", "until_ms")
+    __slots__ = ("expires_ms", "remaining_parts")
 
-    def __init__(self, until_ms: float) -> None:
-        self.until_ms, self.left = until_ms, MAX_TOLD
+    def __init__(self, expires_ms: float) -> None:
+        self.expires_ms, self.remaining_parts = expires_ms, MAX_FURTHER_PARTS
 
 
 class Sampler:
-    """The judgement of one hop. Times are ms on the caller's clock; they never go back."""
+    """The sampling decisions of one hop. Times are ms on a clock that never goes back."""
 
     def __init__(
         self,
-        rules: Sampling,
-        aims_ms: dict[str, float],
+        settings: Sampling,
+        latency_targets_ms: dict[str, float],
         export: Callable[[HopTrace], None],
         *,
         trusts: bool,
         rule: Callable[[HopTrace], bool] | None = None,
     ) -> None:
-        self.rules, self.aims_ms, self.export, self.rule = rules, aims_ms, export, rule
-        self.trusts = trusts  # whether a caller's word that it keeps a trace counts: not that of clients
-        self.threshold = context.threshold(rules.rate)
-        self.usual: dict[str, Usual] = {}  # by class: as many as the settings name
-        self.held: dict[str, list[HopTrace]] = {}  # by trace
-        # the held, the oldest first, and those that have been exported since
+        self.settings, self.latency_targets_ms, self.export, self.rule = (
+            settings,
+            latency_targets_ms,
+            export,
+            rule,
+        )
+        self.trusts = trusts  # Whether a caller's randomness and its request to keep a trace are accepted.
+        self.threshold = context.threshold(settings.rate)
+        self.latency_quantiles: dict[str, LatencyQuantile] = {}  # The keys are classes.
+        self.pending: dict[str, list[HopTrace]] = {}  # The keys are trace-ids.
+        # Pending traces from the oldest on, with those that were exported since.
         self.queue: deque[HopTrace] = deque()
-        self.held_bytes = 0
-        self.expire_ms = 0.0  # when it is looked next whether any is held long enough
-        # traces that others keep, and until when that is known
-        self.told: OrderedDict[str, Told] = OrderedDict()
+        self.pending_bytes = 0
+        self.expire_ms = 0.0  # When expired traces are dropped next.
+        # The keys are trace-ids, in the order of expiry.
+        self.kept_traces: OrderedDict[str, KeptTrace] = OrderedDict()
         self.counts = dict.fromkeys(
             ("bad", "ordinary", "ordinary kept", "told kept", "told over", "held out", "no room"), 0
         )
 
     def ordinary(self, randomness: str) -> bool:
-        """Whether a trace of that randomness, 14 hex digits, is one of the ordinary that are kept."""
+        """Returns whether ordinary traces with that randomness, 14 hex digits, are kept."""
         return randomness >= self.threshold
 
     def began(self, now: float, hop: HopTrace, bad: bool, randomness: str) -> None:
-        """A request has come; `bad`: its caller says that it keeps the trace for what it saw."""
+        """Notes the arrival of a request; `bad`: whether its caller says that it keeps the trace."""
         hop.ordinary = randomness >= self.threshold
         if self.trusts and bad:
             hop.keep("told")
-            self.note(now, hop.trace_id)
+            self.keep_trace(now, hop.trace_id)
 
     def answered(self, hop: HopTrace) -> bool:
-        """The request has its answer: whether this hop keeps the trace, as far as is known by now."""
+        """Notes the answer. Returns whether this hop keeps the trace, as far as is known by now."""
         if hop.how in BAD_ENDS:
             hop.keep("failed")
         elif hop.how == "refused":
             hop.keep("refused")
         elif hop.how == "served":
-            usual = self.usual.get(hop.cls)
-            if usual is None and hop.cls in self.aims_ms:
-                usual = self.usual[hop.cls] = Usual(self.rules.quantile)
+            latency_quantile = self.latency_quantiles.get(hop.cls)
+            if latency_quantile is None and hop.cls in self.latency_targets_ms:
+                latency_quantile = self.latency_quantiles[hop.cls] = LatencyQuantile(self.settings.quantile)
             took = hop.duration_ms
-            if (usual is not None and usual.late(took)) or took > self.aims_ms.get(hop.cls, took):
+            if (
+                latency_quantile is not None and latency_quantile.observe(took)
+            ) or took > self.latency_targets_ms.get(hop.cls, took):
                 hop.keep("slow")
         if len(hop.attempts) > 1:
             hop.keep("copied" if any(a.copy for a in hop.attempts) else "retried")
@@ -147,75 +151,78 @@
         return bool(hop.kept)
 
     def settled(self, now: float, hop: HopTrace) -> None:
-        """Nothing of the request is out any more: export, hold, or let go."""
+        """Exports the trace of a request that is settled, or makes it pending."""
         if now >= self.expire_ms:
             self.expire(now)
         for attempt in hop.attempts:
             if attempt.after_answer and attempt.outcome != "ok":
                 hop.keep("late attempt")
-        told = self.told.get(hop.trace_id)
-        if told is not None and not hop.kept:
-            if told.left > 0:
-                told.left -= 1
+        kept_trace = self.kept_traces.get(hop.trace_id)
+        if kept_trace is not None and not hop.kept:
+            if kept_trace.remaining_parts > 0:
+                kept_trace.remaining_parts -= 1
                 hop.keep("told")
             else:
                 self.counts["told over"] += 1
         if hop.kept:
             self.counts["bad"] += 1
             self.export(hop)
-            self.note(now, hop.trace_id)  # other requests of the trace at this hop
+            self.keep_trace(now, hop.trace_id)  # Keeps other requests of the trace at this hop.
             return
         self.counts["ordinary"] += 1
         if hop.ordinary:
-            hop.weight = 1.0 / self.rules.rate
+            hop.weight = 1.0 / self.settings.rate
             self.counts["ordinary kept"] += 1
             self.export(hop)
             return
-        hop.bytes = HOP_BYTES + ATTEMPT_BYTES * len(hop.attempts)
-        self.held_bytes += hop.bytes
-        beside = self.held.get(hop.trace_id)
-        if beside is None:
-            self.held[hop.trace_id] = [hop]
+        hop.bytes = HOP_SIZE_BYTES + ATTEMPT_SIZE_BYTES * len(hop.attempts)
+        self.pending_bytes += hop.bytes
+        hops = self.pending.get(hop.trace_id)
+        if hops is None:
+            self.pending[hop.trace_id] = [hop]
         else:
-            beside.append(hop)
+            hops.append(hop)
         self.queue.append(hop)
-        while len(self.queue) > self.rules.most_held or self.held_bytes > self.rules.most_bytes:
-            self._let_go("no room")
-
-    def note(self, now: float, trace_id: str) -> None:
-        """Another hop, or another request, keeps the trace: what is held of it is exported."""
-        told = self.told.get(trace_id)
-        if told is None:
-            told = self.told[trace_id] = Told(now + self.rules.hold_ms)
-            while len(self.told) > self.rules.most_held:
-                self.told.popitem(last=False)
-        # A trace that is told of again gets no further parts until the first word of it is forgotten.
-        for hop in self.held.pop(trace_id, ()):
-            self.held_bytes -= hop.bytes
-            hop.bytes = 0  # its place in the queue is left behind
-            if told.left <= 0:
+        while (
+            len(self.queue) > self.settings.max_pending
+            or self.pending_bytes > self.settings.max_pending_bytes
+        ):
+            self._drop_oldest("no room")
+
+    def keep_trace(self, now: float, trace_id: str) -> None:
+        """Exports the pending parts of a trace that another hop or request keeps."""
+        kept_trace = self.kept_traces.get(trace_id)
+        if kept_trace is None:
+            kept_trace = self.kept_traces[trace_id] = KeptTrace(now + self.settings.hold_ms)
+            while len(self.kept_traces) > self.settings.max_pending:
+                self.kept_traces.popitem(last=False)
+        # A known trace does not get more parts before it expires.
+        for hop in self.pending.pop(trace_id, ()):
+            self.pending_bytes -= hop.bytes
+            hop.bytes = 0  # Marks the entry in the queue as exported.
+            if kept_trace.remaining_parts <= 0:
                 self.counts["told over"] += 1
                 continue
-            told.left -= 1
+            kept_trace.remaining_parts -= 1
             hop.keep("told")
             self.counts["told kept"] += 1
             self.export(hop)
 
     def expire(self, now: float) -> None:
-        """Let go of what was held long enough."""
-        self.expire_ms = now + EXPIRE_EACH * self.rules.hold_ms
-        while self.queue and self.queue[0].answered_ms + self.rules.hold_ms <= now:
-            self._let_go("held out")
-        while self.told and next(iter(self.told.values())).until_ms <= now:
-            self.told.popitem(last=False)
-
-    def _let_go(self, why: str) -> None:
-        """The oldest goes, counted, unless it was exported meanwhile."""
+        """Drops pending and kept traces that have expired."""
+        self.expire_ms = now + EXPIRY_INTERVAL_FRACTION * self.settings.hold_ms
+        while self.queue and self.queue[0].answered_ms + self.settings.hold_ms <= now:
+            self._drop_oldest("held out")
+        while self.kept_traces and next(iter(self.kept_traces.values())).expires_ms <= now:
+            self.kept_traces.popitem(last=False)
+
+    def _drop_oldest(self, why: str) -> None:
+        """Drops the oldest entry of the queue, and counts it unless it was exported."""
         hop = self.queue.popleft()
         if hop.bytes:
-            self.held_bytes -= hop.bytes
-            beside = self.held[hop.trace_id]
-            beside.remove(hop)
-            if not beside:
-                del self.held[hop.trace_id]
+            self.pending_bytes -= hop.bytes
+            hops = self.pending[hop.trace_id]
+            hops.remove(hop)
+            if not hops:
+                del self.pending[hop.trace_id]
             self.counts[why] += 1
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_rules.py
@@ -9,7 +9,7 @@
 
 from honeywharf.policy import interface as api
 from honeywharf.traces import context
-from honeywharf.traces.sampler import MAX_TOLD, MIN_ANSWERS, Sampler, Sampling
+from honeywharf.traces.sampler import MAX_FURTHER_PARTS, MIN_ANSWERS, Sampler, Sampling
 from honeywharf.traces.spans import HopTrace
 from tests.traces.model import attempt, day, hop
 
@@ -135,12 +135,12 @@
     s.answered(bad)
     if first == "bad":
         s.settled(0.0, bad)
-    for i in range(10 * MAX_TOLD):
+    for i in range(10 * MAX_FURTHER_PARTS):
         s.settled(1.0 + i / 10.0, hop(ID, at=float(i)))
     if first == "held":
         s.settled(400.0, bad)
-    assert len(found) == 1 + MAX_TOLD
-    assert s.counts["told over"] == 9 * MAX_TOLD
+    assert len(found) == 1 + MAX_FURTHER_PARTS
+    assert s.counts["told over"] == 9 * MAX_FURTHER_PARTS
     assert sum(h.weight for h in found) == len(found)  # none of them stands for others
 
 
@@ -193,7 +193,7 @@
     s.settled(took, h)
     assert h.kept == kept
     assert found == ([h] if kept else [])
-    assert len(s.held) == (0 if kept else 1)
+    assert len(s.pending) == (0 if kept else 1)
 
 
 def test_an_answer_later_than_nearly_all_is_slow_though_within_its_aim() -> None:
@@ -202,8 +202,8 @@
     for i in range(4 * MIN_ANSWERS):
         h = hop(f"{i:032x}", "served", rng.uniform(9.0, 11.0))
         s.answered(h)
-    usual = s.usual["read"]
-    assert 10.5 < usual.late_ms < 11.8
+    latency_quantile = s.latency_quantiles["read"]
+    assert 10.5 < latency_quantile.slow_threshold_ms < 11.8
     h = hop("f" * 32, "served", 20.0)
     assert s.answered(h)
     assert h.kept == ["slow"]
@@ -223,10 +223,10 @@
         if step:
             s.settled(10.0, h)
         else:
-            s.note(10.0, h.trace_id)
+            s.keep_trace(10.0, h.trace_id)
     assert found == [h]
     assert h.kept == ["told"]
-    assert (len(s.held), s.held_bytes) == (0, 0)
+    assert (len(s.pending), s.pending_bytes) == (0, 0)
 
 
 def test_a_client_that_says_keep_on_everything_gains_nothing_at_the_entry() -> None:
@@ -241,7 +241,7 @@
         assert len(found) == (100 if trusts else 0)
 
 
-@pytest.mark.parametrize("bound", [{"most_held": 50}, {"most_bytes": 50 * 1600}])
+@pytest.mark.parametrize("bound", [{"max_pending": 50}, {"max_pending_bytes": 50 * 1600}])
 def test_held_traces_are_bounded_and_the_oldest_go_counted(bound: dict[str, int]) -> None:
     found: list[HopTrace] = []
     s = sampler(found, changes=bound)
@@ -249,14 +249,20 @@
         h = hop(f"{i:032x}", at=0.0)
         h.attempts.append(attempt(api.Outcome.OK))
         s.settled(0.0, h)
-        s.note(0.0, f"{i + 10_000:032x}")
-        assert len(s.held) <= len(s.queue) <= 50
-        assert s.held_bytes <= 50 * 1600
-        assert len(s.told) <= s.rules.most_held
+        s.keep_trace(0.0, f"{i + 10_000:032x}")
+        assert len(s.pending) <= len(s.queue) <= 50
+        assert s.pending_bytes <= 50 * 1600
+        assert len(s.kept_traces) <= s.settings.max_pending
     assert s.counts["no room"] == 450
-    assert f"{499:032x}" in s.held
+    assert f"{499:032x}" in s.pending
     s.expire(10_000.0)
-    assert (len(s.held), len(s.queue), s.held_bytes, len(s.told), s.counts["held out"]) == (0, 0, 0, 0, 50)
+    assert (len(s.pending), len(s.queue), s.pending_bytes, len(s.kept_traces), s.counts["held out"]) == (
+        0,
+        0,
+        0,
+        0,
+        50,
+    )
 
 
 def test_every_hop_keeps_the_same_ordinary_traces_and_estimates_are_true() -> None:
@@ -267,9 +273,9 @@
             by.setdefault(h["hop"], set()).add(h["trace_id"])
     fronts = [h for h in kept if h["hop"] == "front"]
     assert by["front"] <= by["render"] <= by["store"]  # what is slow at one hop alone is kept as bad there
-    told = sum(h["weight"] for h in fronts if h["kept"] == ["ordinary"])
+    estimated = sum(h["weight"] for h in fronts if h["kept"] == ["ordinary"])
     bad = sum(h["kept"] != ["ordinary"] for h in fronts)
-    assert abs(told + bad - 20_000) < 4 * (20_000 / 0.05) ** 0.5
+    assert abs(estimated + bad - 20_000) < 4 * (20_000 / 0.05) ** 0.5
 
 
 def test_what_fails_below_is_kept_at_every_hop_above() -> None:
