--- a/honeywharf/traces/otlp.py
+++ b/honeywharf/traces/otlp.py
@@ -227,7 +227,7 @@
             due = self.delivery.due(now, len(self.queue))
             if self.closing:
                 if not self.queue or self.delivery.failures or not self._send(now):
-                    self.queue.lose(self.queue.take())
+                    self.queue.count_lost(self.queue.take())
                     return
             elif due > 0.0:
                 self.wake.wait(min(due / 1000.0, 3600.0))
@@ -242,7 +242,7 @@
             body = encoded(line for line, _ in batch)
         except (ValueError, KeyError, TypeError) as fault:  # of ours, and not the collector's matter
             self.words = f"not encoded: {fault!r}"
-            self.queue.lose(batch)
+            self.queue.count_lost(batch)
             return True
         answer = self._post(body)
         done = self.delivery.answered(time.monotonic() * 1000.0, answer)
@@ -251,9 +251,9 @@
         if answer.status == 200:
             self.sent += len(batch)
         elif done:
-            self.queue.lose(batch)
+            self.queue.count_lost(batch)
         else:
-            self.queue.back(batch)
+            self.queue.put_back(batch)
         return done
 
     def _post(self, body: bytes) -> delivery.Answer:
--- a/honeywharf/traces/spool.py
+++ b/honeywharf/traces/spool.py
@@ -82,7 +82,7 @@
                 file.close()
         except OSError:
             self.faults += 1
-            self.queue.lose(lines)
+            self.queue.count_lost(lines)
         else:
             self.written += len(lines)
 
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -113,7 +113,7 @@
             batch = queue.take(data.draw(st.integers(1, 4)))
             assert [b for _, b in batch] == sorted((b for _, b in batch), reverse=True)
             if data.draw(st.booleans()):
-                queue.back(batch)
+                queue.put_back(batch)
             else:
                 taken += len(batch)
         assert len(queue) + taken + sum(queue.lost.values()) == put
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -19,7 +19,7 @@
 from honeywharf.traces import TracesPart, store
 from honeywharf.traces.line import Line
 from honeywharf.traces.notes import BATCH_MS, MAX_IDS, MAX_WAITING, TIMES, Notes
-from honeywharf.traces.queue import MAX_QUEUED
+from honeywharf.traces.queue import MAX_QUEUED_LINES
 from honeywharf.traces.spool import Spool
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
 
@@ -266,12 +266,12 @@
 
 def test_a_full_queue_loses_the_ordinary_first_and_counts_by_kind(tmp_path: Path) -> None:
     spool = Spool(tmp_path / "t", 100_000_000)
-    for i in range(MAX_QUEUED):
+    for i in range(MAX_QUEUED_LINES):
         spool.put(b"%d" % i, bad=bool(i % 2))
-    for _ in range(MAX_QUEUED):
+    for _ in range(MAX_QUEUED_LINES):
         spool.put(b"bad", bad=True)
-        assert len(spool.queue) <= MAX_QUEUED
-    assert spool.queue.lost == {"lost ordinary": MAX_QUEUED // 2, "lost bad": MAX_QUEUED // 2}
+        assert len(spool.queue) <= MAX_QUEUED_LINES
+    assert spool.queue.lost == {"lost ordinary": MAX_QUEUED_LINES // 2, "lost bad": MAX_QUEUED_LINES // 2}
     spool.put(b"x" * (8 * 1024 * 1024), bad=True)
     assert spool.queue.bytes <= 8 * 1024 * 1024
 
