--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -34,8 +34,8 @@
 
 from honeywharf.core.components import Component
 from honeywharf.core.transport import Address, address
-from honeywharf.traces.line import Line
-from honeywharf.traces.notes import OWN, Notes
+from honeywharf.traces.notes import LOCAL_REASONS, Notes
+from honeywharf.traces.notes_socket import NotesSocket
 from honeywharf.traces.recorder import Recorder
 from honeywharf.traces.sampler import Sampler, Sampling
 from honeywharf.traces.spans import HopTrace
@@ -71,16 +71,16 @@
         self,
         recorder: Recorder,
         exporters: list[Exporter],
-        line: Line | None = None,
+        notes_socket: NotesSocket | None = None,
         at: Address = ("", 0),
     ) -> None:
-        self.recorder, self.exporters, self.line, self.at = recorder, exporters, line, at
+        self.recorder, self.exporters, self.notes_socket, self.at = recorder, exporters, notes_socket, at
 
     async def start(self) -> str:
         """Begin to export, and to hear peers."""
         words = [exporter.start() for exporter in self.exporters]
-        if self.line is not None:
-            self.at = await self.line.open(self.at)
+        if self.notes_socket is not None:
+            self.at = await self.notes_socket.open(self.at)
             words.append(f"hears of others' at {self.at[0]}:{self.at[1]} (UDP)")
         return ", ".join(words)
 
@@ -90,14 +90,14 @@
         for exporter in self.exporters:
             found.update((f"traces:{k}", v) for k, v in exporter.counts().items())
         found.update((f"traces:damaged {k}", v) for k, v in self.recorder.damaged.items())
-        if self.line is not None:
-            found.update((f"traces:notes {k}", v) for k, v in self.line.notes.counts.items())
+        if self.notes_socket is not None:
+            found.update((f"traces:notes {k}", v) for k, v in self.notes_socket.notes.counts.items())
         return found
 
     def close(self) -> None:
         """Export what waits."""
-        if self.line is not None:
-            self.line.close()
+        if self.notes_socket is not None:
+            self.notes_socket.close()
         for exporter in self.exporters:
             exporter.close()
 
@@ -132,14 +132,14 @@
     exporters = exporters_of(features)
     hop = settings.tier_names[settings.tier] if settings.tier_names else f"tier-{settings.tier}"
 
-    line: Line | None = None
+    notes_socket: NotesSocket | None = None
 
     def export(trace: HopTrace) -> None:
         told, bad = orjson.dumps(trace.fields(hop, proxy.name, settings.zone)), bool(trace.kept)
         for exporter in exporters:
             exporter.put(told, bad)
-        if line is not None and not OWN.isdisjoint(trace.kept):
-            line.tell(trace.trace_id)
+        if notes_socket is not None and not LOCAL_REASONS.isdisjoint(trace.kept):
+            notes_socket.send_note(trace.trace_id)
 
     rule = None
     if features.keep:
@@ -162,7 +162,9 @@
     recorder = Recorder(sampler, random.Random(secrets.randbits(64)))
     if features.notes:
         peers = frozenset(address(peer) for peer in features.peers)
-        line = Line(Notes(), peers, proxy.clock.now, sampler.keep_trace)
+        notes_socket = NotesSocket(Notes(), peers, proxy.clock.now, sampler.keep_trace)
     proxy.driver.hooks.tracer = recorder
     proxy.balancer.explains = True
-    return TracesPart(recorder, exporters, line, address(features.notes) if features.notes else ("", 0))
+    return TracesPart(
+        recorder, exporters, notes_socket, address(features.notes) if features.notes else ("", 0)
+    )
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -17,8 +17,14 @@
 from honeywharf.config.features import Features, FeaturesError, Traces, load
 from honeywharf.proxy import senseless
 from honeywharf.traces import TracesPart, store
-from honeywharf.traces.line import Line
-from honeywharf.traces.notes import BATCH_MS, MAX_IDS, MAX_WAITING, TIMES, Notes
+from honeywharf.traces.notes import (
+    BATCH_INTERVAL_MS,
+    MAX_IDS_PER_DATAGRAM,
+    MAX_PENDING_IDS,
+    SENDS_PER_ID,
+    Notes,
+)
+from honeywharf.traces.notes_socket import NotesSocket
 from honeywharf.traces.queue import MAX_QUEUED_LINES
 from honeywharf.traces.spool import Spool
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
@@ -336,10 +342,10 @@
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
-def part_of(w: World) -> tuple[TracesPart, Line]:
+def part_of(w: World) -> tuple[TracesPart, NotesSocket]:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
-    assert part.line is not None
-    return part, part.line
+    assert part.notes_socket is not None
+    return part, part.notes_socket
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -375,7 +381,7 @@
             (second,) = await kept(b, 1)
             assert (first["kept"], second["kept"]) == (["rule"], ["told"])
             assert second["parent_id"] == first["attempts"][0]["span_id"]
-            await until(lambda: down.notes.counts["heard"] == TIMES)
+            await until(lambda: down.notes.counts["heard"] == SENDS_PER_ID)
             assert down.notes.counts["told"] == 0  # each trouble is told of once
             up.notes.counts["strange"] = 0
             up.datagram_received(b"hwn1" + b"x" * 16, ("127.0.0.9", 9))
@@ -386,25 +392,32 @@
 
 
 def test_notes_leave_in_batches_twice_and_within_their_bound() -> None:
-    notes, ids = Notes(), [f"{i:032x}" for i in range(MAX_WAITING + 10)]
+    notes, ids = Notes(), [f"{i:032x}" for i in range(MAX_PENDING_IDS + 10)]
     for name in ids:
         notes.add(0.0, name)
-        assert len(notes.waiting) <= MAX_WAITING
+        assert len(notes.pending) <= MAX_PENDING_IDS
     assert notes.counts["untold"] == 10
-    assert notes.datagrams(BATCH_MS / 2) == []
+    assert notes.datagrams(BATCH_INTERVAL_MS / 2) == []
     heard: list[str] = []
-    for now in (BATCH_MS, 2 * BATCH_MS, 3 * BATCH_MS):
+    for now in (BATCH_INTERVAL_MS, 2 * BATCH_INTERVAL_MS, 3 * BATCH_INTERVAL_MS):
         for datagram in notes.datagrams(now):
-            assert len(datagram) <= 4 + 16 * MAX_IDS
-            heard += notes.heard(datagram)
-    assert sorted(heard) == sorted(ids[10:] * TIMES)
+            assert len(datagram) <= 4 + 16 * MAX_IDS_PER_DATAGRAM
+            heard += notes.received(datagram)
+    assert sorted(heard) == sorted(ids[10:] * SENDS_PER_ID)
     assert notes.due_ms == float("inf")
 
 
 @pytest.mark.parametrize(
-    "datagram", [b"", b"hwn1", b"hwn2" + b"x" * 16, b"hwn1" + b"x" * 15, b"hwn1" + b"x" * 16 * (MAX_IDS + 1)]
+    "datagram",
+    [
+        b"",
+        b"hwn1",
+        b"hwn2" + b"x" * 16,
+        b"hwn1" + b"x" * 15,
+        b"hwn1" + b"x" * 16 * (MAX_IDS_PER_DATAGRAM + 1),
+    ],
 )
 def test_what_is_no_note_is_dropped_and_counted(datagram: bytes) -> None:
     notes = Notes()
-    assert notes.heard(datagram) == []
+    assert notes.received(datagram) == []
     assert notes.counts["damaged"] == 1
