--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -1,25 +1,25 @@
-"""Traces with every attempt: what came of a request, at which hop, by which server, and why it was chosen.
-
-Theory of operation. The driver tells of a request's course (`core.transport.RequestTrace`); `recorder` makes
-spans of it and the header lines that carry the trace on; `sampler` settles which are kept; `spool` writes
-those to a file. Rules without I/O but for the spool and the line:
-
-    context    W3C Trace Context: strict, a damaged one begins a new trace
-    spans      a span for the request at this hop, one for each attempt, with outcome, proof and reasons
-    sampler    every bad trace on every hop, a stated part of the ordinary, bounded
-    recorder   the driver's word as spans
-    notes      late word between proxies over UDP that a trace is kept
-    line       the socket of notes
-    queue      what waits to be exported, bounded, what is lost and counted
-    spool      the file and its bound
-    delivery   when a batch leaves for a collector, and what becomes of it
-    otlp       a collector: spans as protobuf, and the thread that sends them
-    store      files of many proxies as rows, one a trace
-    language   expressions over rows
-    causes     what bad traces have in common
-
-A trace never costs a request: what is wrong with a context, the disk or a rule is counted, and the request
-goes on.
+"""Distributed traces of requests, with a span and the decision's reasons for each attempt.
+
+Theory of operation. The driver notifies `core.messages.RequestTrace` of a request's events. `recorder` turns
+them into spans and propagates the trace in headers, `sampler` decides which traces are kept, and exporters
+write them to a file (`spool`) or send them to a collector (`otlp`). All modules but `spool`, `otlp` and
+`notes_socket` are without I/O.
+
+    context       W3C Trace Context; an invalid one begins a new trace
+    spans         spans of the request at this hop, its attempts and its waits
+    sampler       tail sampling: every bad trace, and a share of the ordinary ones
+    recorder      the driver's events as spans
+    notes         notes between proxies over UDP that a trace is kept
+    notes_socket  the socket of the notes
+    queue         the bounded queue of an exporter
+    spool         the exporter to a file of limited size
+    delivery      batches and retries towards a collector
+    otlp          the exporter to a collector
+    store         the files of many proxies as rows, one for each trace
+    language      expressions over rows
+    causes        root-cause analysis of bad traces
+
+Faults of a context, the disk, a collector or a rule never fail a request; they are counted.
 """
 
 from __future__ import annotations
@@ -49,95 +49,100 @@
 
 
 class Exporter(Protocol):
-    """Where kept traces of this hop go. `put` never waits."""
+    """Exports kept traces of this hop."""
 
     def start(self) -> str:
-        """Begin; a few words for the operator. OSError where it can't be."""
+        """Starts to export. Returns a message for the operator; OSError if it fails."""
 
     def put(self, line: bytes, bad: bool) -> None:
-        """Take one, as JSON."""
+        """Queues one trace, as JSON. Never waits."""
 
     def counts(self) -> Mapping[str, int]:
-        """What was exported and lost, by kind."""
+        """Returns the numbers of exported and lost traces, by kind."""
 
     def close(self) -> None:
-        """Export what waits, for a bounded time."""
+        """Exports queued traces for a limited time, and stops."""
 
 
-class TracesPart(Component):
-    """The traces of one proxy."""
+class TracesComponent(Component):
+    """The component that records and exports the traces of one proxy."""
 
     def __init__(
         self,
         recorder: Recorder,
         exporters: list[Exporter],
         notes_socket: NotesSocket | None = None,
-        at: Address = ("", 0),
+        notes_address: Address = ("", 0),
     ) -> None:
-        self.recorder, self.exporters, self.notes_socket, self.at = recorder, exporters, notes_socket, at
+        self.recorder, self.exporters, self.notes_socket, self.notes_address = (
+            recorder,
+            exporters,
+            notes_socket,
+            notes_address,
+        )
 
     async def start(self) -> str:
-        """Begin to export, and to hear peers."""
-        words = [exporter.start() for exporter in self.exporters]
+        """Starts the exporters, and opens the socket of notes. Returns a message for the operator."""
+        messages = [exporter.start() for exporter in self.exporters]
         if self.notes_socket is not None:
-            self.at = await self.notes_socket.open(self.at)
-            words.append(f"hears of others' at {self.at[0]}:{self.at[1]} (UDP)")
-        return ", ".join(words)
+            self.notes_address = await self.notes_socket.open(self.notes_address)
+            messages.append(f"receives notes at {self.notes_address[0]}:{self.notes_address[1]} (UDP)")
+        return ", ".join(messages)
 
     def counts(self) -> Mapping[str, int]:
-        """What was kept, held and lost, and damaged contexts, by kind."""
-        found = {f"traces:{k}": v for k, v in self.recorder.sampler.counts.items()}
+        """Returns the numbers of kept, dropped and lost traces and of invalid contexts, by kind."""
+        counts = {f"traces:{k}": v for k, v in self.recorder.sampler.counts.items()}
         for exporter in self.exporters:
-            found.update((f"traces:{k}", v) for k, v in exporter.counts().items())
-        found.update((f"traces:damaged {k}", v) for k, v in self.recorder.damaged.items())
+            counts.update((f"traces:{k}", v) for k, v in exporter.counts().items())
+        counts.update((f"traces:damaged {k}", v) for k, v in self.recorder.damaged.items())
         if self.notes_socket is not None:
-            found.update((f"traces:notes {k}", v) for k, v in self.notes_socket.notes.counts.items())
-        return found
+            counts.update((f"traces:notes {k}", v) for k, v in self.notes_socket.notes.counts.items())
+        return counts
 
     def close(self) -> None:
-        """Export what waits."""
+        """Closes the socket of notes and the exporters."""
         if self.notes_socket is not None:
             self.notes_socket.close()
         for exporter in self.exporters:
             exporter.close()
 
 
-def exporters_of(features: Features) -> list[Exporter]:
-    """Those that are configured; ValueError where a library of one is not there."""
-    made: list[Exporter] = []
+def make_exporters(features: Features) -> list[Exporter]:
+    """Returns the configured exporters; ValueError if a package that one needs is not installed."""
+    exporters: list[Exporter] = []
     if features.file:
-        made.append(Spool(Path(features.file), features.bytes))
+        exporters.append(Spool(Path(features.file), features.bytes))
     if features.otlp.endpoint:
         try:
             from honeywharf.traces.otlp import Collector
         except ModuleNotFoundError as fault:
             raise ValueError(
-                f"traces.otlp: found no {fault.name}, wanted what requirements-export.txt names:"
-                " pip install -r requirements-export.txt"
+                f"traces.otlp: expected the packages of requirements-export.txt, got no {fault.name}:"
+                " run pip install -r requirements-export.txt"
             ) from None
         from honeywharf.traces.queue import Queue
 
         otlp = features.otlp
-        made.append(
+        exporters.append(
             Collector(
                 otlp.endpoint, otlp.headers, otlp.wait_ms / 1000.0, Queue(otlp.queued, otlp.queued_bytes)
             )
         )
-    return made
+    return exporters
 
 
 def attach(proxy: ProxyContext, features: Features) -> Component:
-    """Let the proxy's driver tell of its requests, and its decision module explain itself."""
+    """Records traces of the proxy's requests, with the reasons of its decision module."""
     settings = proxy.driver.settings
-    exporters = exporters_of(features)
+    exporters = make_exporters(features)
     hop = settings.tier_names[settings.tier] if settings.tier_names else f"tier-{settings.tier}"
 
     notes_socket: NotesSocket | None = None
 
     def export(trace: HopTrace) -> None:
-        told, bad = orjson.dumps(trace.fields(hop, proxy.name, settings.zone)), bool(trace.kept)
+        record, bad = orjson.dumps(trace.fields(hop, proxy.name, settings.zone)), bool(trace.kept)
         for exporter in exporters:
-            exporter.put(told, bad)
+            exporter.put(record, bad)
         if notes_socket is not None and not LOCAL_REASONS.isdisjoint(trace.kept):
             notes_socket.send_note(trace.trace_id)
 
@@ -145,15 +150,17 @@
     if features.keep:
         from honeywharf.traces import language, store
 
-        asked = language.compiled(features.keep, language.OF_A_HOP, quantiles=False)
+        expression = language.compiled(features.keep, language.OF_A_HOP, quantiles=False)
         figures = language.Figures()
 
         def rule(trace: HopTrace) -> bool:
-            return bool(asked.holds(store.of_hop(trace), figures))
+            return bool(expression.holds(store.of_hop(trace), figures))
 
-    rules = Sampling(features.rate, features.hold_ms, features.held, features.held_bytes, features.quantile)
+    sampling = Sampling(
+        features.rate, features.hold_ms, features.held, features.held_bytes, features.quantile
+    )
     sampler = Sampler(
-        rules,
+        sampling,
         {c.name: c.aim_ms for c in settings.classes},
         export,
         rule=rule,
@@ -165,6 +172,6 @@
         notes_socket = NotesSocket(Notes(), peers, proxy.clock.now, sampler.keep_trace)
     proxy.driver.hooks.tracer = recorder
     proxy.balancer.explains = True
-    return TracesPart(
+    return TracesComponent(
         recorder, exporters, notes_socket, address(features.notes) if features.notes else ("", 0)
     )
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -18,7 +18,7 @@
 from honeywharf.config.features import Features, Otlp, Traces
 from honeywharf.policy import interface as api
 from honeywharf.standins.collector import Collector as StandIn
-from honeywharf.traces import TracesPart, delivery, otlp
+from honeywharf.traces import TracesComponent, delivery, otlp
 from honeywharf.traces.delivery import BATCH, BATCH_MS, MAX_MS, Answer, Delivery
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import WaitSpan
@@ -32,7 +32,7 @@
 
 
 def exporter(w: World) -> otlp.Collector:
-    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (made,) = part.exporters
     assert isinstance(made, otlp.Collector)
     return made
@@ -267,8 +267,10 @@
 def test_without_the_libraries_the_file_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     import sys
 
-    from honeywharf.traces import exporters_of
+    from honeywharf.traces import make_exporters
 
     monkeypatch.setitem(sys.modules, "honeywharf.traces.otlp", None)
-    with pytest.raises(ValueError, match=r"traces\.otlp: found no honeywharf\.traces\.otlp, wanted what"):
-        exporters_of(Traces(otlp=Otlp(endpoint="http://127.0.0.1:1/v1/traces")))
+    with pytest.raises(
+        ValueError, match=r"traces\.otlp: expected the packages .*, got no honeywharf\.traces\.otlp: run pip"
+    ):
+        make_exporters(Traces(otlp=Otlp(endpoint="http://127.0.0.1:1/v1/traces")))
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -16,7 +16,7 @@
 
 from honeywharf.config.features import Features, FeaturesError, Traces, load
 from honeywharf.proxy import senseless
-from honeywharf.traces import TracesPart, store
+from honeywharf.traces import TracesComponent, store
 from honeywharf.traces.notes import (
     BATCH_INTERVAL_MS,
     MAX_IDS_PER_DATAGRAM,
@@ -38,7 +38,7 @@
 
 
 def spool_of(w: World) -> Spool:
-    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     return spool
@@ -342,8 +342,8 @@
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
-def part_of(w: World) -> tuple[TracesPart, NotesSocket]:
-    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
+def part_of(w: World) -> tuple[TracesComponent, NotesSocket]:
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     assert part.notes_socket is not None
     return part, part.notes_socket
 
@@ -369,7 +369,10 @@
             world([{**backend.row("b"), "hostPort": f"127.0.0.1:{b.port}"}], upper) as a,
         ):
             (above, up), (below, down) = part_of(a), part_of(b)
-            up.peers, down.peers = frozenset({below.at}) if told else frozenset(), frozenset({above.at})
+            up.peers, down.peers = (
+                frozenset({below.notes_address}) if told else frozenset(),
+                frozenset({above.notes_address}),
+            )
             client = await Client.to(a.port)
             client.send()
             assert await client.status() == 200
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -13,7 +13,7 @@
 from honeywharf.coap.part import CoapPart
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features, OrderKeys, Traces
-from honeywharf.traces import Recorder, Sampler, Sampling, Spool, TracesPart, store
+from honeywharf.traces import Recorder, Sampler, Sampling, Spool, TracesComponent, store
 from honeywharf.traces.spans import HopTrace
 from tests.coap.test_backend import Node
 from tests.coap.test_front import Unit, request_options
@@ -29,7 +29,7 @@
 
 
 async def kept(w: World, number: int) -> list[dict[str, Any]]:
-    (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
+    (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     await until(lambda: spool.written >= number)
@@ -157,7 +157,7 @@
             await unit.ask(
                 [*request_options("read"), (options.TRACE_PARENT, parent), (options.TRACE_PARENT, parent)]
             )
-            part = next(p for p in w.proxy.components if isinstance(p, TracesPart))
+            part = next(p for p in w.proxy.components if isinstance(p, TracesComponent))
             assert (part.recorder.damaged["parent"], part.recorder.damaged["twice"]) == (1, 1)
             await until(lambda: not w.proxy.driver.requests and not front.layer.open_count_by_peer)
             front.close()
