--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -45,7 +45,7 @@
     from honeywharf.config.features import Traces as Features
     from honeywharf.core.components import ProxyContext
 
-__all__ = ["Recorder", "Sampler", "Sampling", "Spool", "TracesPart", "attach"]
+__all__ = ["Recorder", "Sampler", "Sampling", "Spool", "TracesComponent", "attach"]
 
 
 class Exporter(Protocol):
@@ -114,7 +114,7 @@
         exporters.append(Spool(Path(features.file), features.bytes))
     if features.otlp.endpoint:
         try:
-            from honeywharf.traces.otlp import Collector
+            from honeywharf.traces.otlp import OtlpExporter
         except ModuleNotFoundError as fault:
             raise ValueError(
                 f"traces.otlp: expected the packages of requirements-export.txt, got no {fault.name}:"
@@ -124,7 +124,7 @@
 
         otlp = features.otlp
         exporters.append(
-            Collector(
+            OtlpExporter(
                 otlp.endpoint, otlp.headers, otlp.wait_ms / 1000.0, Queue(otlp.queued, otlp.queued_bytes)
             )
         )
--- a/honeywharf/traces/notes_socket.py
+++ b/honeywharf/traces/notes_socket.py
@@ -10,7 +10,7 @@
 
 
 class NotesSocket(asyncio.DatagramProtocol):
-    """Sends and receives notes. `keep_trace` is called with the time and the trace-id of each received one."""
+    """Sends and receives notes. `keep_trace` is called with the time and trace-id of each received one."""
 
     def __init__(
         self,
--- a/honeywharf/traces/otlp.py
+++ b/honeywharf/traces/otlp.py
@@ -1,8 +1,8 @@
-"""Kept traces to a collector: OTLP over HTTP, binary protobuf. One more exporter behind the file's interface.
+"""Exports kept traces to a collector by OTLP over HTTP with binary protobuf.
 
-`encoded` is without I/O; `Collector` owns the thread and the connection round `queue` and `delivery`. Spans:
-SERVER for the request at this hop, CLIENT for each attempt, INTERNAL for each wait; links to what a request
-waited on or was answered from. `ot=th` tells a collector how many ordinary traces one stands for.
+Each record becomes a SERVER span for the request at this hop, a CLIENT span for each attempt and an INTERNAL
+span for each wait, with links to the requests that it waited for or got its answer from. `ot=th` states how
+many ordinary traces a sampled one represents.
 """
 
 from __future__ import annotations
@@ -31,64 +31,64 @@
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import BAD_ENDS
 
-MAX_ANSWER = 64 * 1024  # bytes of a collector's answer that are read
-NANOS = 1_000_000  # in a ms
-LAST_S = 1.0  # at the end of the process, for the last batch
+MAX_RESPONSE_BYTES = 64 * 1024
+NANOSECONDS_PER_MS = 1_000_000
+CLOSE_TIMEOUT_S = 1.0
 
 
 def attribute(key: str, value: object) -> KeyValue:
-    """One attribute; what is neither number, text nor list goes as JSON."""
-    made = AnyValue()
+    """Returns an attribute; values other than numbers, texts and lists are encoded as JSON."""
+    any_value = AnyValue()
     if isinstance(value, bool):
-        made.bool_value = value
+        any_value.bool_value = value
     elif isinstance(value, int):
-        made.int_value = value
+        any_value.int_value = value
     elif isinstance(value, float):
-        made.double_value = value
+        any_value.double_value = value
     elif isinstance(value, list):
-        made.array_value.values.extend(AnyValue(string_value=str(v)) for v in value)
+        any_value.array_value.values.extend(AnyValue(string_value=str(v)) for v in value)
     else:
-        made.string_value = value if isinstance(value, str) else orjson.dumps(value).decode()
-    return KeyValue(key=key, value=made)
+        any_value.string_value = value if isinstance(value, str) else orjson.dumps(value).decode()
+    return KeyValue(key=key, value=any_value)
 
 
-def attributes(found: Mapping[str, object]) -> list[KeyValue]:
-    """All that says something."""
-    return [attribute(k, v) for k, v in found.items() if v not in ("", None)]
+def attributes(values: Mapping[str, object]) -> list[KeyValue]:
+    """Returns the attributes of all values that are not empty."""
+    return [attribute(k, v) for k, v in values.items() if v not in ("", None)]
 
 
 def threshold(weight: float) -> str:
-    """The member `ot=th` of a trace that stands for `weight` traces: hex digits without zeros at the end."""
+    """Returns the member `ot=th` of a trace that represents `weight` traces: hex without trailing zeros."""
     rejected = round((1.0 - 1.0 / weight) * (1 << RANDOM_BITS))
     return "ot=th:" + (f"{rejected:014x}".rstrip("0") or "0")
 
 
 def _span(
     trace_id: bytes,
-    made: Mapping[str, Any],
+    record: Mapping[str, Any],
     parent: str,
     name: str,
     kind: Span.SpanKind.ValueType,
 ) -> Span:
-    begun = int(made["start_ms"] * NANOS)
+    start_ns = int(record["start_ms"] * NANOSECONDS_PER_MS)
     return Span(
         trace_id=trace_id,
-        span_id=bytes.fromhex(made["span_id"]),
+        span_id=bytes.fromhex(record["span_id"]),
         parent_span_id=bytes.fromhex(parent),
         name=name,
         kind=kind,
-        start_time_unix_nano=begun,
-        end_time_unix_nano=begun + int(made["duration_ms"] * NANOS),
+        start_time_unix_nano=start_ns,
+        end_time_unix_nano=start_ns + int(record["duration_ms"] * NANOSECONDS_PER_MS),
     )
 
 
-def _link(span: Span, told: str) -> None:
-    trace_id, _, span_id = told.partition("-")
+def _link(span: Span, link: str) -> None:
+    trace_id, _, span_id = link.partition("-")
     span.links.append(Span.Link(trace_id=bytes.fromhex(trace_id), span_id=bytes.fromhex(span_id)))
 
 
 def spans(hop: Mapping[str, Any]) -> Iterable[Span]:
-    """The spans of one request at one hop; as `HopTrace.fields` gives it."""
+    """Yields the spans of a record of `HopTrace.fields`, the request at one hop."""
     trace_id, own = bytes.fromhex(hop["trace_id"]), hop["span_id"]
     server = _span(trace_id, hop, hop["parent_id"], hop["class"] or "request", Span.SPAN_KIND_SERVER)
     server.trace_state = threshold(hop["weight"])
@@ -128,14 +128,14 @@
         yield inner
 
 
-def encoded(lines: Iterable[bytes]) -> bytes:
-    """A batch of lines, each one trace at one hop, as an ExportTraceServiceRequest."""
+def encode_request(lines: Iterable[bytes]) -> bytes:
+    """Encodes a batch of lines, each one trace at one hop, as an ExportTraceServiceRequest."""
     request = ExportTraceServiceRequest()
-    by: dict[tuple[str, str, str], Any] = {}
+    scopes: dict[tuple[str, str, str], Any] = {}
     for line in lines:
         hop = orjson.loads(line)
-        where = (hop["node"], hop["hop"], hop["zone"])
-        scope = by.get(where)
+        resource_key = (hop["node"], hop["hop"], hop["zone"])
+        scope = scopes.get(resource_key)
         if scope is None:
             resource = request.resource_spans.add()
             resource.resource.attributes.extend(
@@ -149,79 +149,85 @@
                     }
                 )
             )
-            scope = by[where] = resource.scope_spans.add()
+            scope = scopes[resource_key] = resource.scope_spans.add()
             scope.scope.name, scope.scope.version = "honeywharf.traces", VERSION
         scope.spans.extend(spans(hop))
     return bytes(request.SerializeToString())
 
 
-def decoded(status: int, headers: Mapping[str, str | None], body: bytes) -> delivery.Answer:
-    """A collector's answer. One that is no such message says nothing beyond its status."""
-    rejected, words = 0, ""
+def decode_response(
+    status: int, headers: Mapping[str, str | None], body: bytes
+) -> delivery.CollectorResponse:
+    """Decodes a collector's response; a body that is no ExportTraceServiceResponse is ignored."""
+    rejected, message = 0, ""
     if status == 200 and body:
-        made = ExportTraceServiceResponse()
+        response = ExportTraceServiceResponse()
         try:
-            made.ParseFromString(body)
-            rejected, words = max(0, made.partial_success.rejected_spans), made.partial_success.error_message
+            response.ParseFromString(body)
+            rejected, message = (
+                max(0, response.partial_success.rejected_spans),
+                response.partial_success.error_message,
+            )
         except DecodeError:
-            words = "found an answer that is no ExportTraceServiceResponse"
-    after: float | None = None
+            message = "expected an ExportTraceServiceResponse, got another body"
+    retry_after_s: float | None = None
     text = (headers.get("retry-after") or "").strip()
     if text.isascii() and text.isdigit() and len(text) < 7:
-        after = float(text)
-    return delivery.Answer(status, rejected, after, words)
+        retry_after_s = float(text)
+    return delivery.CollectorResponse(status, rejected, retry_after_s, message)
 
 
-class Collector:
-    """The exporter: `put` takes a line, a thread sends batches. Nothing of it ever waits in the loop."""
+class OtlpExporter:
+    """Sends queued traces to a collector from a thread of its own, so the event loop never waits."""
 
     def __init__(
         self,
         endpoint: str,
         headers: Mapping[str, str],
-        wait_s: float,
+        timeout_s: float,
         queue: Queue,
         rng: random.Random | None = None,
     ) -> None:
         url = urlsplit(endpoint)
-        self.endpoint, self.wait_s, self.queue = endpoint, wait_s, queue
+        self.endpoint, self.timeout_s, self.queue = endpoint, timeout_s, queue
         self.host, self.port = url.hostname or "", url.port or (443 if url.scheme == "https" else 4318)
         self.path, self.secure = url.path or "/v1/traces", url.scheme == "https"
         self.headers = {"Content-Type": "application/x-protobuf", **headers}
         self.delivery = delivery.Delivery(rng or random.Random(secrets.randbits(64)))
-        self.sent = 0  # traces that a collector took
-        self.words = ""  # what it said last that was not well
+        self.sent = 0  # The number of traces that the collector accepted.
+        self.last_error = ""
         self.wake = threading.Event()
         self.closing = False
-        self.line: http.client.HTTPConnection | None = None
+        self.connection: http.client.HTTPConnection | None = None
         self.thread: threading.Thread | None = None
 
     def start(self) -> str:
-        """Begin to send; the collector need not be there."""
-        self.thread = threading.Thread(target=self._work, name="otlp", daemon=True)
+        """Starts the thread; the collector need not be reachable."""
+        self.thread = threading.Thread(target=self._run, name="otlp", daemon=True)
         self.thread.start()
         return f"sends traces to {self.endpoint}"
 
     def put(self, line: bytes, bad: bool) -> None:
-        """Take one trace of this hop, as JSON."""
+        """Queues one trace of this hop, as JSON."""
         self.queue.put(line, bad)
-        if len(self.queue) in (1, delivery.BATCH):  # else the thread has nothing else to do than before
+        # Other lengths do not change the thread's next action.
+        if len(self.queue) in (1, delivery.BATCH_TRACES):
             self.wake.set()
 
     def counts(self) -> dict[str, int]:
-        """What was sent, sent again, refused and lost, by kind."""
+        """Returns the numbers of sent, retried, refused and lost traces, by kind."""
         return {
             f"otlp {k}": v for k, v in {"sent": self.sent, **self.delivery.counts, **self.queue.lost}.items()
         }
 
     def close(self) -> None:
-        """Send what waits, for a second at most."""
+        """Sends queued traces within CLOSE_TIMEOUT_S, and stops the thread."""
         self.closing = True
         self.wake.set()
         if self.thread is not None:
-            self.thread.join(LAST_S)
+            self.thread.join(CLOSE_TIMEOUT_S)
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while True:
             now = time.monotonic() * 1000.0
             due = self.delivery.due(now, len(self.queue))
@@ -236,19 +242,19 @@
                 self._send(now)
 
     def _send(self, now: float) -> bool:
-        """One batch; whether it is done with."""
-        batch = self.queue.take(delivery.BATCH)
+        """Sends one batch. Returns whether it is finished."""
+        batch = self.queue.take(delivery.BATCH_TRACES)
         try:
-            body = encoded(line for line, _ in batch)
-        except (ValueError, KeyError, TypeError) as fault:  # of ours, and not the collector's matter
-            self.words = f"not encoded: {fault!r}"
+            body = encode_request(line for line, _ in batch)
+        except (ValueError, KeyError, TypeError) as fault:  # A fault of the record.
+            self.last_error = f"batch not encoded: {fault!r}"
             self.queue.count_lost(batch)
             return True
-        answer = self._post(body)
-        done = self.delivery.answered(time.monotonic() * 1000.0, answer)
-        if answer.words or answer.status != 200:
-            self.words = answer.words or f"status {answer.status}"
-        if answer.status == 200:
+        response = self._post(body)
+        done = self.delivery.response_received(time.monotonic() * 1000.0, response)
+        if response.message or response.status != 200:
+            self.last_error = response.message or f"status {response.status}"
+        if response.status == 200:
             self.sent += len(batch)
         elif done:
             self.queue.count_lost(batch)
@@ -256,20 +262,22 @@
             self.queue.put_back(batch)
         return done
 
-    def _post(self, body: bytes) -> delivery.Answer:
-        kind = http.client.HTTPSConnection if self.secure else http.client.HTTPConnection
+    def _post(self, body: bytes) -> delivery.CollectorResponse:
+        connection_type = http.client.HTTPSConnection if self.secure else http.client.HTTPConnection
         try:
-            if self.line is None:
-                self.line = kind(self.host, self.port, timeout=self.wait_s)
-            self.line.request("POST", self.path, body, self.headers)
-            answer = self.line.getresponse()
-            read = answer.read(MAX_ANSWER + 1)
-            if len(read) > MAX_ANSWER or answer.will_close:
-                self.line.close()
-                self.line = None
-            return decoded(answer.status, {k.lower(): v for k, v in answer.getheaders()}, read[:MAX_ANSWER])
+            if self.connection is None:
+                self.connection = connection_type(self.host, self.port, timeout=self.timeout_s)
+            self.connection.request("POST", self.path, body, self.headers)
+            response = self.connection.getresponse()
+            read = response.read(MAX_RESPONSE_BYTES + 1)
+            if len(read) > MAX_RESPONSE_BYTES or response.will_close:
+                self.connection.close()
+                self.connection = None
+            return decode_response(
+                response.status, {k.lower(): v for k, v in response.getheaders()}, read[:MAX_RESPONSE_BYTES]
+            )
         except (OSError, http.client.HTTPException) as fault:
-            if self.line is not None:
-                self.line.close()
-            self.line = None
-            return delivery.Answer(0, words=f"{type(fault).__name__}: {fault}")
+            if self.connection is not None:
+                self.connection.close()
+            self.connection = None
+            return delivery.CollectorResponse(0, message=f"{type(fault).__name__}: {fault}")
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -19,7 +19,13 @@
 from honeywharf.policy import interface as api
 from honeywharf.standins.collector import Collector as StandIn
 from honeywharf.traces import TracesComponent, delivery, otlp
-from honeywharf.traces.delivery import BATCH, BATCH_MS, MAX_MS, Answer, Delivery
+from honeywharf.traces.delivery import (
+    BATCH_TRACES,
+    MAX_BACKOFF_MS,
+    MAX_BATCH_WAIT_MS,
+    CollectorResponse,
+    Delivery,
+)
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import WaitSpan
 from tests.loopback import Backend, Client, World, run, until, world
@@ -31,10 +37,10 @@
     return Features(traces=Traces(rate=1e-9, otlp=told))
 
 
-def exporter(w: World) -> otlp.Collector:
+def exporter(w: World) -> otlp.OtlpExporter:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (made,) = part.exporters
-    assert isinstance(made, otlp.Collector)
+    assert isinstance(made, otlp.OtlpExporter)
     return made
 
 
@@ -45,7 +51,7 @@
     h.waits = [WaitSpan("key joined", "3" * 16, 1001.0, 1005.5, "cd" * 16 + "-" + "4" * 16)]
     h.link = "ef" * 16 + "-" + "5" * 16
     line = orjson.dumps(h.fields("tile-front", "n3", "tartu"))
-    made = ExportTraceServiceRequest.FromString(otlp.encoded([line, line]))
+    made = ExportTraceServiceRequest.FromString(otlp.encode_request([line, line]))
     (resource,) = made.resource_spans
     told = {a.key: a.value.string_value for a in resource.resource.attributes}
     assert (told["service.name"], told["service.instance.id"], told["cloud.availability_zone"]) == (
@@ -127,45 +133,45 @@
 ) -> None:
     made, now = Delivery(random.Random(seed)), 0.0
     for status in statuses:
-        now += made.due(now, BATCH)
-        assert made.due(now, BATCH) == 0.0
+        now += made.due(now, BATCH_TRACES)
+        assert made.due(now, BATCH_TRACES) == 0.0
         failures = made.failures
-        done = made.answered(now, Answer(status))
+        done = made.response_received(now, CollectorResponse(status))
         assert done == (status in (200, 400, 500))
-        wait = made.due(now, BATCH)
-        assert wait <= (0.0 if done else min(MAX_MS, 1000.0 * 2.0**failures))
+        wait = made.due(now, BATCH_TRACES)
+        assert wait <= (0.0 if done else min(MAX_BACKOFF_MS, 1000.0 * 2.0**failures))
         now += wait
-    now += MAX_MS
+    now += MAX_BACKOFF_MS
     assert made.due(now, 0) == float("inf")
     first = made.due(now, 1)
-    assert first == pytest.approx(BATCH_MS)  # one that is not full waits to fill
-    assert made.due(now + 100.0, 1) == pytest.approx(BATCH_MS - 100.0)
-    made.answered(now, Answer(503, retry_after_s=7.0))
-    assert made.due(now, BATCH) == pytest.approx(7000.0)
-    made.answered(now, Answer(429, retry_after_s=1e9))
-    assert made.due(now, BATCH) == pytest.approx(delivery.MAX_RETRY_AFTER_MS)
+    assert first == pytest.approx(MAX_BATCH_WAIT_MS)  # one that is not full waits to fill
+    assert made.due(now + 100.0, 1) == pytest.approx(MAX_BATCH_WAIT_MS - 100.0)
+    made.response_received(now, CollectorResponse(503, retry_after_s=7.0))
+    assert made.due(now, BATCH_TRACES) == pytest.approx(7000.0)
+    made.response_received(now, CollectorResponse(429, retry_after_s=1e9))
+    assert made.due(now, BATCH_TRACES) == pytest.approx(delivery.MAX_RETRY_AFTER_MS)
 
 
 @pytest.mark.parametrize(
     ("headers", "body", "answer"),
     [
-        ({}, b"", Answer(200)),
-        ({"retry-after": " 12 "}, b"", Answer(200, retry_after_s=12.0)),
-        ({"retry-after": "-1"}, b"", Answer(200)),
-        ({"retry-after": "Wed, 21 Oct 2026 07:28:00 GMT"}, b"", Answer(200)),
+        ({}, b"", CollectorResponse(200)),
+        ({"retry-after": " 12 "}, b"", CollectorResponse(200, retry_after_s=12.0)),
+        ({"retry-after": "-1"}, b"", CollectorResponse(200)),
+        ({"retry-after": "Wed, 21 Oct 2026 07:28:00 GMT"}, b"", CollectorResponse(200)),
         (
             {},
             b"\xff\xff no message",
-            Answer(200, words="found an answer that is no ExportTraceServiceResponse"),
+            CollectorResponse(200, message="expected an ExportTraceServiceResponse, got another body"),
         ),
     ],
 )
 def test_what_a_collector_answers_is_read_with_care(
     headers: dict[str, str | None],
     body: bytes,
-    answer: Answer,
+    answer: CollectorResponse,
 ) -> None:
-    assert otlp.decoded(200, headers, body) == answer
+    assert otlp.decode_response(200, headers, body) == answer
 
 
 async def failed(w: World, backend: Backend, number: int) -> float:
@@ -190,7 +196,7 @@
             await until(lambda: made.sent == 1)
             assert (collector.refused, made.delivery.counts["rejected spans"]) == (2, 2)
             assert collector.headers[b"x-scope"] == b"tiles"
-            assert made.words == "two of them"
+            assert made.last_error == "two of them"
             collector.silent = True
             await failed(w, backend, 1)
             await until(lambda: made.delivery.counts["retried"] >= 3)  # it said nothing in 300 ms
@@ -250,7 +256,7 @@
         collector = await StandIn().start()
         if not alive:
             await collector.stop()
-        made = otlp.Collector(collector.endpoint, {}, 0.2, Queue())
+        made = otlp.OtlpExporter(collector.endpoint, {}, 0.2, Queue())
         made.start()
         made.put(orjson.dumps(hop().fields("t", "n", "z")), True)
         begun = time.monotonic()
