--- a/bench/traces.py
+++ b/bench/traces.py
@@ -161,7 +161,7 @@
 
 def asked(hops: list[dict[str, object]]) -> list[causes.Cause]:
     """What is named of a day's failed and slow traces."""
-    rows = list(store.joined(hops))
+    rows = list(store.rows_by_trace(hops))
     bad = [r for r in rows if r["failed"] or r["slow"]]
     found = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])
     return [c for some in found.values() for c in some]
--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -25,7 +25,7 @@
     hops, damaged = store.read(files)
     if damaged:
         click.echo(f"{damaged} lines are no traces, and were left out", err=True)
-    return list(store.joined(hops))
+    return list(store.rows_by_trace(hops))
 
 
 def selected(rows: list[dict[str, Any]], asked: str, option: str) -> list[Mapping[str, Any]]:
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -154,7 +154,7 @@
         figures = language.Figures()
 
         def rule(trace: HopTrace) -> bool:
-            return bool(expression.holds(store.of_hop(trace), figures))
+            return bool(expression.holds(store.row_of_hop(trace), figures))
 
     sampling = Sampling(
         features.rate, features.hold_ms, features.held, features.held_bytes, features.quantile
--- a/honeywharf/traces/delivery.py
+++ b/honeywharf/traces/delivery.py
@@ -43,7 +43,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.random = rng
-        self.failures = 0  # Consecutive failures.
+        self.failures = 0  # The number of consecutive failures.
         self.not_before_ms = 0.0  # The end of the backoff.
         self.waiting_since_ms: float | None = None  # The time since which a trace is queued.
         self.counts = {"batches": 0, "retried": 0, "refused": 0, "rejected spans": 0}
--- a/honeywharf/traces/spool.py
+++ b/honeywharf/traces/spool.py
@@ -1,8 +1,7 @@
-"""Kept traces to a file: JSON lines, bounded in bytes, written by one thread beside the loop.
+"""Exports kept traces to a file of JSON lines, limited in bytes and written by a thread of its own.
 
-The queue to the thread is bounded too (`queue`). A file that is full becomes `NAME.1`, in place of the one
-before it, so that both are within the bound together. A line is written whole or, at a kill, cut: readers
-skip it.
+A full file is renamed to `NAME.1` and replaces the previous one; both together are within the limit. The last
+line may be truncated if the process is killed; readers skip it.
 """
 
 from __future__ import annotations
@@ -13,14 +12,14 @@
 
 from honeywharf.traces.queue import Queue
 
-BATCH_S = 0.2  # for which the thread gathers
+WRITE_INTERVAL_S = 0.2
 
 
 class Spool:
-    """The file and what waits for it. `put` never blocks on the disk."""
+    """Writes queued traces to a file. `put` never blocks on the disk."""
 
-    def __init__(self, path: Path, most_bytes: int) -> None:
-        self.path, self.most_bytes = path, most_bytes
+    def __init__(self, path: Path, max_bytes: int) -> None:
+        self.path, self.max_bytes = path, max_bytes
         self.queue = Queue()
         self.written = self.faults = 0
         self.wake = threading.Event()
@@ -28,23 +27,23 @@
         self.thread: threading.Thread | None = None
 
     def start(self) -> str:
-        """Begin to write; OSError where the file can't be had."""
+        """Starts the thread; OSError if the file can't be opened."""
         self._open().close()
-        self.thread = threading.Thread(target=self._work, name="traces", daemon=True)
+        self.thread = threading.Thread(target=self._run, name="traces", daemon=True)
         self.thread.start()
         return f"writes traces to {self.path}"
 
     def put(self, line: bytes, bad: bool) -> None:
-        """Take one trace, without its line end."""
+        """Queues one trace, without its line end."""
         self.queue.put(line, bad)
         self.wake.set()
 
     def counts(self) -> dict[str, int]:
-        """What was written and lost, by kind."""
+        """Returns the numbers of written and lost traces and of disk faults, by kind."""
         return {"written": self.written, **self.queue.lost, "faults": self.faults}
 
     def close(self) -> None:
-        """Write what waits, for a second at most, and end the thread."""
+        """Writes queued traces for one second at most, and stops the thread."""
         self.closing = True
         self.wake.set()
         if self.thread is not None:
@@ -53,7 +52,7 @@
     def _open(self) -> _File:
         return _File(os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600))
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while True:
             self.wake.wait()
             self.wake.clear()
@@ -61,10 +60,10 @@
             if self.closing:
                 self.flush()
                 return
-            threading.Event().wait(BATCH_S)
+            threading.Event().wait(WRITE_INTERVAL_S)
 
     def flush(self) -> None:
-        """Write all that waits. A disk that refuses loses this batch, counted; the next is tried again."""
+        """Writes all queued traces. They are lost and counted if the disk fails."""
         lines = self.queue.take()
         if not lines:
             return
@@ -73,7 +72,7 @@
             try:
                 for line, _ in lines:
                     data = line + b"\n"
-                    if file.size and file.size + len(data) > self.most_bytes // 2:
+                    if file.size and file.size + len(data) > self.max_bytes // 2:
                         file.close()
                         os.replace(self.path, self.path.with_name(self.path.name + ".1"))
                         file = self._open()
@@ -88,16 +87,16 @@
 
 
 class _File:
-    """An open file and its size; one line is one write, so that a kill cuts the last one at most."""
+    """An open file and its size; each line is one write, so a kill truncates at most the last line."""
 
-    def __init__(self, number: int) -> None:
-        self.number, self.size = number, os.fstat(number).st_size
+    def __init__(self, descriptor: int) -> None:
+        self.descriptor, self.size = descriptor, os.fstat(descriptor).st_size
 
     def write(self, data: bytes) -> None:
         while data:
-            done = os.write(self.number, data)
-            self.size += done
-            data = data[done:]
+            written = os.write(self.descriptor, data)
+            self.size += written
+            data = data[written:]
 
     def close(self) -> None:
-        os.close(self.number)
+        os.close(self.descriptor)
--- a/honeywharf/traces/store.py
+++ b/honeywharf/traces/store.py
@@ -1,4 +1,4 @@
-"""Kept traces as rows: files of many proxies read, the hops of a trace joined. Without sockets."""
+"""Reads kept traces from the files of many proxies, and joins the hops of each trace to a row."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from honeywharf.traces.spans import BAD_ENDS, HopTrace
 
-MAX_HOPS = 1_000_000  # that are read, in the order of the files
+MAX_HOPS = 1_000_000  # The limit of `read`.
 
 
 def read(paths: Iterable[Path]) -> tuple[list[dict[str, Any]], int]:
-    """The hops of all files, and how many lines were no hop: cut at a kill, or of somebody else."""
+    """Returns the hops of all files in their order, up to MAX_HOPS, and the number of invalid lines."""
     hops, damaged = [], 0
     for path in paths:
         with path.open("rb") as lines:
@@ -31,43 +31,45 @@
     return hops, damaged
 
 
-def of_hop(hop: HopTrace) -> dict[str, Any]:
-    """One hop's fields, for a sampler's rule (`language.OF_A_HOP`)."""
+def row_of_hop(hop: HopTrace) -> dict[str, Any]:
+    """Returns the row of one hop, for a sampler's rule; only `language.OF_A_HOP` fields are valid."""
     return row([hop.fields("", "", "")])
 
 
-def joined(hops: Iterable[dict[str, Any]]) -> Iterator[dict[str, Any]]:
-    """A row for each trace; its hops stand from the client's side down."""
-    by: dict[str, list[dict[str, Any]]] = {}
+def rows_by_trace(hops: Iterable[dict[str, Any]]) -> Iterator[dict[str, Any]]:
+    """Yields a row for each trace, with its hops from the client's side down."""
+    hops_by_trace: dict[str, list[dict[str, Any]]] = {}
     for hop in hops:
-        by.setdefault(hop["trace_id"], []).append(hop)
-    for some in by.values():
-        yield row(ordered(some))
+        hops_by_trace.setdefault(hop["trace_id"], []).append(hop)
+    for trace_hops in hops_by_trace.values():
+        yield row(callers_first(trace_hops))
 
 
-def ordered(hops: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Callers before those whom they call, by parent ids alone: clocks of hops may differ.
+def callers_first(hops: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Sorts the hops of a trace so that callers precede the hops that they call, by parent ids alone.
 
-    A node between two proxies passes its caller's context on, or has a span of its own that is not here; hops
-    whose caller is not known come after a root, the longest first.
+    Times are not compared, as the clocks of hops may differ. A node between two proxies may have a span of
+    its own that is not in the files; hops whose caller is unknown come after a root, the longest first.
     """
-    attempts = {a["span_id"]: h["span_id"] for h in hops for a in h["attempts"]}
-    depth: dict[str, int] = {}
+    hop_by_attempt = {a["span_id"]: h["span_id"] for h in hops for a in h["attempts"]}
+    depths: dict[str, int] = {}
 
-    def deep(hop: dict[str, Any], seen: frozenset[str]) -> int:
-        found = depth.get(hop["span_id"])
-        if found is not None:
-            return found
-        above = next((h for h in hops if h["span_id"] == attempts.get(hop["parent_id"])), None)
-        own = 0 if above is None or hop["span_id"] in seen else 1 + deep(above, seen | {hop["span_id"]})
-        depth[hop["span_id"]] = own
-        return own
+    def depth_of(hop: dict[str, Any], seen: frozenset[str]) -> int:
+        known_depth = depths.get(hop["span_id"])
+        if known_depth is not None:
+            return known_depth
+        caller = next((h for h in hops if h["span_id"] == hop_by_attempt.get(hop["parent_id"])), None)
+        hop_depth = (
+            0 if caller is None or hop["span_id"] in seen else 1 + depth_of(caller, seen | {hop["span_id"]})
+        )
+        depths[hop["span_id"]] = hop_depth
+        return hop_depth
 
-    return sorted(hops, key=lambda h: (deep(h, frozenset()), bool(h["parent_id"]), -h["duration_ms"]))
+    return sorted(hops, key=lambda h: (depth_of(h, frozenset()), bool(h["parent_id"]), -h["duration_ms"]))
 
 
 def row(hops: list[dict[str, Any]]) -> dict[str, Any]:
-    """The fields that expressions know (`language.FIELDS`), of one trace."""
+    """Returns the fields of one trace for expressions (`language.FIELDS`), and those for `causes`."""
     root = hops[0]
     attempts = [a for h in hops for a in h["attempts"]]
     kept = frozenset(k for h in hops for k in h["kept"])
--- a/tests/traces/test_asking.py
+++ b/tests/traces/test_asking.py
@@ -97,7 +97,7 @@
 def test_a_planted_cause_is_named_first_in_nearly_every_day(planted: str) -> None:
     hits = 0
     for seed in range(5):
-        rows = list(store.joined(day(seed, 3000, planted)))
+        rows = list(store.rows_by_trace(day(seed, 3000, planted)))
         bad = [r for r in rows if r["failed"] or r["slow"]]
         found = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])["unserved"]
         hits += bool(found) and (found[0].field, found[0].text) == (planted, PLANTED[planted])
@@ -106,7 +106,7 @@
 
 def test_on_clean_days_nothing_is_named() -> None:
     for seed in range(10):
-        rows = list(store.joined(day(seed, 3000)))
+        rows = list(store.rows_by_trace(day(seed, 3000)))
         bad = [r for r in rows if r["failed"] or r["slow"]]
         assert len(bad) >= causes.MIN_BAD
         found = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])
@@ -115,12 +115,12 @@
 
 def test_hops_are_put_in_order_without_comparing_their_clocks() -> None:
     hops = [h for h in day(1, 400) if h["kept"] == ["ordinary"]]
-    whole = [r for r in store.joined(hops) if r["hops"] == 3.0]
+    whole = [r for r in store.rows_by_trace(hops) if r["hops"] == 3.0]
     assert len(whole) > 5
     for found in whole:
         spans = found["spans"]
         spans[0]["start_ms"] += 2000.0  # its clock is 2 s ahead
-        again = store.ordered([spans[2], spans[0], spans[1]])
+        again = store.callers_first([spans[2], spans[0], spans[1]])
         assert [h["hop"] for h in again] == ["front", "render", "store"]
         own = causes.own_times(found)
         assert sum(own.values()) == pytest.approx(found["duration"])
