--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -108,7 +108,7 @@
 
     rows = rows_of(files)
     wrong, good = selected(rows, bad, "--bad"), selected(rows, GOOD, "--good")
-    named, where = rules.by_kind(wrong, good), rules.groups(wrong)
+    named, where = rules.by_kind(wrong, good), rules.failure_groups(wrong)
     if as_json:
         show(
             {
@@ -134,7 +134,7 @@
     click.echo(f"{len(wrong)} bad traces beside {len(good)} ordinary ones")
     for kind, some in named.items():
         for cause in some:
-            click.echo(f"  {kind}: {cause.words()}")
+            click.echo(f"  {kind}: {cause.description()}")
     if not any(named.values()):
         click.echo("  nothing is more frequent among the bad than chance makes it")
     for group in where:
--- a/honeywharf/traces/causes.py
+++ b/honeywharf/traces/causes.py
@@ -1,11 +1,11 @@
-"""What bad traces have in common that good ones lack: counts, a lift, and a test that chance seldom passes.
-
-For each field and text the share of bad traces that have it is put beside the share of good ones. The good
-are the ordinary that were sampled, which stand for all of them; what was kept as bad is all of the bad
-there are. A text is named where the odds are `ODDS` times as great at least, and it covers `COVERS` of the
-bad, and the log-likelihood ratio of the two-by-two table (G-test, Dunning 1993) is past the chi-square
-bound for one error in `CHANCE` over all texts tried. Texts are then taken greedily: the one with the most
-evidence, and after it what still stands out of the bad traces that it leaves.
+"""Root-cause analysis: the values of fields that are much more frequent in bad traces than in good ones.
+
+Theory of operation. For each field and value (text) the share of bad traces that have it is compared with the
+share of good ones. The good ones are the sampled ordinary traces, which represent all of them; bad traces are
+all kept. A text is a cause if its odds ratio is at least `MIN_ODDS_RATIO`, at least `MIN_SHARE_BAD` of the
+bad traces have it, and the G-test (Dunning 1993) of its two-by-two table is significant at
+`FALSE_POSITIVE_RATE`, corrected for the number of texts. Causes are chosen greedily: the text with the most
+evidence first, then the best one for the bad traces that do not have it.
 """
 
 from __future__ import annotations
@@ -17,44 +17,47 @@
 from statistics import NormalDist, median
 from typing import Any
 
-ODDS = 3.0  # as great among the bad as among the good, at least
-COVERS = 0.2
-MIN_BAD = 8  # of fewer nothing is said
-CHANCE = 1e-4  # of naming anything where nothing is the matter
-MAX_TEXTS = 10_000  # that are tried: the most frequent among the bad
+MIN_ODDS_RATIO = 3.0
+MIN_SHARE_BAD = 0.2
+MIN_BAD_TRACES = 8  # Fewer have no causes.
+FALSE_POSITIVE_RATE = 1e-4  # The probability of a cause where bad traces have nothing in common.
+MAX_CANDIDATES = 10_000  # The limit of texts that are tested, from the most frequent on.
 MAX_CAUSES = 5
-ASKED = ("server", "class", "tenant", "node")
+CANDIDATE_FIELDS = ("server", "class", "tenant", "node")
 
 
 @dataclass(frozen=True)
 class Cause:
-    """One text that bad traces have in common. Shares are of bad and of good traces."""
+    """A text that bad traces have in common.
+
+    `bad`: number of the `of_bad` bad traces that have it. `share_good`: share of good traces that have it.
+    """
 
     field: str
     text: str
     bad: int
     of_bad: int
     share_good: float
-    evidence: float  # G, in the units of chi-square with one degree of freedom
+    evidence: float  # G, which is distributed as chi-square with one degree of freedom.
 
     @property
     def share_bad(self) -> float:
-        """The share of the bad that have it."""
+        """The share of bad traces that have the text."""
         return self.bad / self.of_bad
 
     @property
     def odds(self) -> float:
-        """The odds ratio of being bad with it and without."""
+        """The odds ratio of being bad with the text and without."""
         bad, good = self.share_bad, self.share_good
         return bad * (1.0 - good) / (good * (1.0 - bad)) if good and bad < 1.0 else math.inf
 
     @property
     def lift(self) -> float:
-        """How many times as frequent it is among the bad."""
+        """The share of bad traces divided by the share of good ones."""
         return self.share_bad / self.share_good if self.share_good else math.inf
 
-    def words(self) -> str:
-        """For the operator."""
+    def description(self) -> str:
+        """Returns a line for the operator."""
         lift = f"{self.lift:.1f} times as often as" if self.share_good else "and none of"
         return (
             f"{self.field} {self.text}: in {self.bad} of {self.of_bad} bad traces, {lift} the good ones"
@@ -63,63 +66,65 @@
 
 
 def evidence(bad: int, of_bad: int, good: int, of_good: int) -> float:
-    """G of the table; 0 where the text is not more frequent among the bad."""
+    """Returns G of the two-by-two table; 0 if the text is not more frequent in bad traces."""
     if not of_bad or not of_good or bad * of_good <= good * of_bad:
         return 0.0
-    whole, g = of_bad + of_good, 0.0
-    for seen, row, column in (
+    total, g = of_bad + of_good, 0.0
+    for observed, row, column in (
         (bad, of_bad, bad + good),
-        (of_bad - bad, of_bad, whole - bad - good),
+        (of_bad - bad, of_bad, total - bad - good),
         (good, of_good, bad + good),
-        (of_good - good, of_good, whole - bad - good),
+        (of_good - good, of_good, total - bad - good),
     ):
-        if seen:
-            g += seen * math.log(seen * whole / (row * column))
+        if observed:
+            g += observed * math.log(observed * total / (row * column))
     return 2.0 * g
 
 
 def features(row: Mapping[str, Any]) -> set[tuple[str, str]]:
-    """What may be a cause, of one trace: fields with texts, and zones by the hop that sent there.
+    """Returns the candidate causes in one trace: fields with texts, and zones with the hop that sent there.
 
-    A trace passes several zones, so that most traces have each of them somewhere.
+    A zone alone is no candidate, as most traces pass through every zone at some hop.
     """
-    found = {(name, text) for name in ASKED for text in row[name] if text}
+    found = {(name, text) for name in CANDIDATE_FIELDS for text in row[name] if text}
     for hop in row["spans"]:
         found.update(("zone", f"{a['honeywharf.zone']} ({hop['hop']})") for a in hop["attempts"])
     return found
 
 
 def causes(bad: Sequence[Mapping[str, Any]], good: Sequence[Mapping[str, Any]]) -> list[Cause]:
-    """What is named, with the most evidence first."""
+    """Returns the causes, from the one with the most evidence on."""
     found: list[Cause] = []
-    left, counts_good = [features(row) for row in bad], _counts(features(row) for row in good)
-    tried = len(_counts(left)) or 1
-    # Bonferroni over the texts; chi-square with one degree of freedom is the square of a normal deviate.
-    bound = NormalDist().inv_cdf(1.0 - CHANCE / tried / 2.0) ** 2
-    while len(left) >= MIN_BAD and len(found) < MAX_CAUSES and good:
+    remaining, counts_good = [features(row) for row in bad], _counts(features(row) for row in good)
+    candidate_count = len(_counts(remaining)) or 1
+    # The Bonferroni correction; chi-square with one degree of freedom is the square of a normal deviate.
+    min_evidence = NormalDist().inv_cdf(1.0 - FALSE_POSITIVE_RATE / candidate_count / 2.0) ** 2
+    while len(remaining) >= MIN_BAD_TRACES and len(found) < MAX_CAUSES and good:
         best: Cause | None = None
-        for (name, text), number in _counts(left).most_common(MAX_TEXTS):
-            if number < COVERS * len(bad):
+        for (name, text), count in _counts(remaining).most_common(MAX_CANDIDATES):
+            if count < MIN_SHARE_BAD * len(bad):
                 break
-            share = counts_good[name, text] / len(good)
-            made = Cause(
+            share_good = counts_good[name, text] / len(good)
+            candidate = Cause(
                 name,
                 text,
-                number,
-                len(left),
-                share,
-                evidence(number, len(left), counts_good[name, text], len(good)),
+                count,
+                len(remaining),
+                share_good,
+                evidence(count, len(remaining), counts_good[name, text], len(good)),
             )
             if (
-                made.evidence >= bound
-                and made.odds >= ODDS
-                and (best is None or made.evidence > best.evidence)
+                candidate.evidence >= min_evidence
+                and candidate.odds >= MIN_ODDS_RATIO
+                and (best is None or candidate.evidence > best.evidence)
             ):
-                best = made
+                best = candidate
         if best is None:
             break
         found.append(best)
-        left = [some for some in left if (best.field, best.text) not in some]
+        remaining = [
+            row_features for row_features in remaining if (best.field, best.text) not in row_features
+        ]
     return found
 
 
@@ -127,21 +132,24 @@
     bad: Sequence[Mapping[str, Any]],
     good: Sequence[Mapping[str, Any]],
 ) -> dict[str, list[Cause]]:
-    """What is named for the requests that had no good answer, and for those that were only late.
+    """Returns the causes for requests that were not served, and for those that were only late.
 
-    Apart, as the tail of the late that any day has would hide what a few failures have in common.
+    They are separate, as frequent late requests would hide what a few failures have in common.
     """
     kinds = {"unserved": [r for r in bad if not r["served"]], "late": [r for r in bad if r["served"]]}
-    return {kind: causes(some, good) for kind, some in kinds.items()}
+    return {kind: causes(rows, good) for kind, rows in kinds.items()}
 
 
-def _counts(some: Iterable[set[tuple[str, str]]]) -> Counter[tuple[str, str]]:
-    return Counter(feature for features in some for feature in features)
+def _counts(feature_sets: Iterable[set[tuple[str, str]]]) -> Counter[tuple[str, str]]:
+    return Counter(feature for feature_set in feature_sets for feature in feature_set)
 
 
 @dataclass(frozen=True)
-class Where:
-    """Where the time of a group of traces went: by hop, the median of what it took itself, in ms."""
+class FailureGroup:
+    """The bad traces that failed at one hop.
+
+    `own_ms`: by hop, the median of the time that it took without downstream hops.
+    """
 
     failing: str
     number: int
@@ -149,34 +157,37 @@
 
 
 def own_times(row: Mapping[str, Any]) -> dict[str, float]:
-    """By hop, the time that it and its nodes took without the hops below.
+    """Returns by hop the ms that it and its nodes took without downstream hops.
 
-    Durations only, no clocks compared.
+    Only durations are used, as the clocks of hops may differ.
     """
     spans: list[dict[str, Any]] = row["spans"]
-    below: Counter[str] = Counter()
-    attempts = {a["span_id"]: h["span_id"] for h in spans for a in h["attempts"]}
+    downstream_ms: Counter[str] = Counter()
+    hop_by_attempt = {a["span_id"]: h["span_id"] for h in spans for a in h["attempts"]}
     for hop in spans:
-        above = attempts.get(hop["parent_id"])
-        if above is not None:
-            below[above] += hop["duration_ms"]
-    times: Counter[str] = Counter()
+        caller = hop_by_attempt.get(hop["parent_id"])
+        if caller is not None:
+            downstream_ms[caller] += hop["duration_ms"]
+    own_ms: Counter[str] = Counter()
     for hop in spans:
-        times[hop["hop"]] += max(0.0, hop["duration_ms"] - below[hop["span_id"]])
-    return dict(times)
+        own_ms[hop["hop"]] += max(0.0, hop["duration_ms"] - downstream_ms[hop["span_id"]])
+    return dict(own_ms)
 
 
-def groups(bad: Iterable[Mapping[str, Any]]) -> list[Where]:
-    """Bad traces by the first hop, from below, that something failed at; the largest group first."""
-    by: dict[str, list[dict[str, float]]] = {}
+def failure_groups(bad: Iterable[Mapping[str, Any]]) -> list[FailureGroup]:
+    """Groups bad traces by the most downstream hop where something failed; the largest group is first."""
+    times_by_failing_hop: dict[str, list[dict[str, float]]] = {}
     for row in bad:
-        by.setdefault(row["failing"], []).append(own_times(row))
-    made = [
-        Where(
+        times_by_failing_hop.setdefault(row["failing"], []).append(own_times(row))
+    groups = [
+        FailureGroup(
             name,
-            len(some),
-            {hop: median(t.get(hop, 0.0) for t in some) for hop in sorted({hop for t in some for hop in t})},
+            len(times),
+            {
+                hop: median(t.get(hop, 0.0) for t in times)
+                for hop in sorted({hop for t in times for hop in t})
+            },
         )
-        for name, some in by.items()
+        for name, times in times_by_failing_hop.items()
     ]
-    return sorted(made, key=lambda w: -w.number)
+    return sorted(groups, key=lambda group: -group.number)
--- a/tests/traces/test_asking.py
+++ b/tests/traces/test_asking.py
@@ -108,7 +108,7 @@
     for seed in range(10):
         rows = list(store.rows_by_trace(day(seed, 3000)))
         bad = [r for r in rows if r["failed"] or r["slow"]]
-        assert len(bad) >= causes.MIN_BAD
+        assert len(bad) >= causes.MIN_BAD_TRACES
         found = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])
         assert found == {"unserved": [], "late": []}
 
