--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -33,7 +33,7 @@
     from honeywharf.traces import language
 
     try:
-        return language.compiled(asked).select(list(rows))
+        return language.compile_expression(asked).select(list(rows))
     except language.ExpressionError as fault:
         raise click.BadParameter(str(fault), param_hint=option) from None
 
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -335,7 +335,9 @@
         from honeywharf.traces import language
 
         try:
-            language.compiled(features.traces.keep, language.OF_A_HOP, quantiles=False)
+            language.compile_expression(
+                features.traces.keep, language.SINGLE_HOP_FIELDS, allow_quantiles=False
+            )
         except language.ExpressionError as fault:
             yield "traces.keep", str(fault)
 
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -150,11 +150,13 @@
     if features.keep:
         from honeywharf.traces import language, store
 
-        expression = language.compiled(features.keep, language.OF_A_HOP, quantiles=False)
-        figures = language.Figures()
+        expression = language.compile_expression(
+            features.keep, language.SINGLE_HOP_FIELDS, allow_quantiles=False
+        )
+        quantiles = language.Quantiles()
 
         def rule(trace: HopTrace) -> bool:
-            return bool(expression.holds(store.row_of_hop(trace), figures))
+            return bool(expression.holds(store.row_of_hop(trace), quantiles))
 
     sampling = Sampling(
         features.rate, features.hold_ms, features.held, features.held_bytes, features.quantile
--- a/honeywharf/traces/causes.py
+++ b/honeywharf/traces/causes.py
@@ -4,8 +4,8 @@
 share of good ones. The good ones are the sampled ordinary traces, which represent all of them; bad traces are
 all kept. A text is a cause if its odds ratio is at least `MIN_ODDS_RATIO`, at least `MIN_SHARE_BAD` of the
 bad traces have it, and the G-test (Dunning 1993) of its two-by-two table is significant at
-`FALSE_POSITIVE_RATE`, corrected for the number of texts. Causes are chosen greedily: the text with the most
-evidence first, then the best one for the bad traces that do not have it.
+`FALSE_POSITIVE_RATE`, corrected for the number of texts. The search is greedy: the text with the most
+evidence is first, and the next one explains bad traces that do not have it.
 """
 
 from __future__ import annotations
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -1,9 +1,9 @@
-"""Expressions over traces: parsed by `lark` (expressions.lark), checked for types, compiled once to closures.
+"""Expressions over traces: parsed by `lark` (expressions.lark), type-checked and compiled to closures.
 
-A field is a yes or no, a number, or texts: a trace passes several hops, so `zone = "tartu"` holds where one
-of its texts is equal, and `zone != "tartu"` where none is. `p50(class)`, `p90`, `p99` give the quantile of
-`duration` over the traces that share the text of that field. What is wrong is told with the place, what was
-found and what is wanted.
+A field is a boolean, a number, or a set of texts, as a trace passes through several hops: `zone = "tartu"`
+holds if one of the texts is equal, and `zone != "tartu"` if none is. `p50(class)`, `p90` and `p99` are
+quantiles of `duration` over the traces that share a text of that field. Errors give the position in the
+expression, what was expected and what was got.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
-MAX_LENGTH = 2000  # characters of an expression
-MAX_NODES = 200  # of its tree: bounds what one trace costs
-BOOL, NUMBER, TEXT = "a yes or no", "a number", "a text"
+MAX_CHARS = 2000
+MAX_NODES = 200  # The limit of the expression's tree, which limits the cost for each trace.
+BOOL, NUMBER, TEXT = "a boolean", "a number", "a text"
 QUANTILES = {"p50": 0.50, "p90": 0.90, "p99": 0.99}
-#: The fields of a trace, and what each is.
+#: The fields of a trace and their types.
 FIELDS = {
     "failed": BOOL,
     "refused": BOOL,
@@ -48,88 +48,90 @@
     "request": TEXT,
     "trace": TEXT,
 }
-#: Those that one hop alone knows at the end of a request: what a sampler's rule may ask.
-OF_A_HOP = frozenset(FIELDS) - {"hops", "hop", "node", "kept"}
+#: The fields that one hop knows at the end of a request; only these are allowed in a sampler's rule.
+SINGLE_HOP_FIELDS = frozenset(FIELDS) - {"hops", "hop", "node", "kept"}
 
 Row = Mapping[str, Any]
-Evaluated = Callable[[Row, "Figures"], Any]
+Evaluator = Callable[[Row, "Quantiles"], Any]
 
 
 class ExpressionError(ValueError):
-    """What is wrong with an expression, with its place."""
+    """An error of an expression. `position`: index of the character where it is."""
 
-    def __init__(self, text: str, at: int, words: str) -> None:
-        super().__init__(f"{words}\n  {text}\n  {' ' * at}^")
-        self.at = at
+    def __init__(self, text: str, position: int, message: str) -> None:
+        super().__init__(f"{message}\n  {text}\n  {' ' * position}^")
+        self.position = position
 
 
 @dataclass
-class Figures:
-    """Quantiles of `duration`, by function, field and text; made once over all rows."""
+class Quantiles:
+    """Quantiles of `duration` over all rows, by function, field and text."""
 
-    known: dict[tuple[str, str, str], float] = field(default_factory=dict)
+    values: dict[tuple[str, str, str], float] = field(default_factory=dict)
 
     @classmethod
-    def over(cls, rows: Iterable[Row], wanted: Iterable[tuple[str, str]]) -> Figures:
-        """The quantiles that an expression wants."""
-        made, by = cls(), defaultdict[tuple[str, str], list[float]](list)
-        wanted = list(wanted)
+    def from_rows(cls, rows: Iterable[Row], needed: Iterable[tuple[str, str]]) -> Quantiles:
+        """Computes the quantiles that an expression needs, each a function and a field."""
+        quantiles, durations_by_text = cls(), defaultdict[tuple[str, str], list[float]](list)
+        needed = list(needed)
         for row in rows:
-            for name in {name for _, name in wanted}:
+            for name in {name for _, name in needed}:
                 for text in row[name]:
-                    by[name, text].append(row["duration"])
-        for function, name in wanted:
-            for (of, text), times in by.items():
-                if of == name:
-                    times.sort()
-                    at = min(len(times) - 1, int(QUANTILES[function] * len(times)))
-                    made.known[function, name, text] = times[at]
-        return made
+                    durations_by_text[name, text].append(row["duration"])
+        for function, name in needed:
+            for (field_name, text), durations in durations_by_text.items():
+                if field_name == name:
+                    durations.sort()
+                    index = min(len(durations) - 1, int(QUANTILES[function] * len(durations)))
+                    quantiles.values[function, name, text] = durations[index]
+        return quantiles
 
 
 @dataclass(frozen=True)
 class Expression:
-    """A compiled expression, and the quantiles that it wants."""
+    """A compiled expression, and the quantiles that it needs."""
 
     text: str
-    holds: Evaluated
-    wants: tuple[tuple[str, str], ...]
+    holds: Evaluator
+    needed_quantiles: tuple[tuple[str, str], ...]
 
     def select(self, rows: list[Row]) -> list[Row]:
-        """The rows for which it holds."""
-        figures = Figures.over(rows, self.wants)
-        return [row for row in rows if self.holds(row, figures)]
+        """Returns the rows for which the expression holds."""
+        quantiles = Quantiles.from_rows(rows, self.needed_quantiles)
+        return [row for row in rows if self.holds(row, quantiles)]
 
 
-def _parser() -> Lark:
+def _make_parser() -> Lark:
     grammar = resources.files(__package__).joinpath("expressions.lark").read_text("utf-8")
     return Lark(grammar, parser="lalr", propagate_positions=True)
 
 
-_made: list[Lark] = []
+_parsers: list[Lark] = []
 
 
-def compiled(text: str, fields: Iterable[str] = FIELDS, *, quantiles: bool = True) -> Expression:
-    """The expression, checked; `ExpressionError` tells the place of what is wrong."""
-    if len(text) > MAX_LENGTH:
-        raise ExpressionError(text[:60], 0, f"found {len(text)} characters, wanted {MAX_LENGTH} at most")
-    if not _made:
-        _made.append(_parser())
+def compile_expression(
+    text: str, fields: Iterable[str] = FIELDS, *, allow_quantiles: bool = True
+) -> Expression:
+    """Parses, checks and compiles an expression; ExpressionError if it is invalid."""
+    if len(text) > MAX_CHARS:
+        raise ExpressionError(text[:60], 0, f"expected at most {MAX_CHARS} characters, got {len(text)}")
+    if not _parsers:
+        _parsers.append(_make_parser())
     try:
-        tree = _made[0].parse(text)
-    except UnexpectedInput as fault:
-        raise _unexpected(text, fault) from None
-    maker = _Maker(text, frozenset(fields), quantiles)
-    kind, holds = maker.make(tree)
+        tree = _parsers[0].parse(text)
+    except UnexpectedInput as error:
+        raise _unexpected(text, error) from None
+    compiler = _Compiler(text, frozenset(fields), allow_quantiles)
+    kind, holds = compiler.compile(tree)
     if kind != BOOL:
-        raise ExpressionError(text, 0, f"found {kind}, wanted {BOOL}")
-    return Expression(text, holds, tuple(sorted(maker.wants)))
+        raise ExpressionError(text, 0, f"expected {BOOL}, got {kind}")
+    return Expression(text, holds, tuple(sorted(compiler.needed_quantiles)))
 
 
-NAMES = {
+TOKEN_NAMES = {
     "NAME": "a field",
     "NUMBER": "a number",
-    "ESCAPED_STRING": "a text in quotes",
+    "ESCAPED_STRING": "a quoted text",
     "COMPARED": "a comparison",
     "LPAR": "(",
     "RPAR": ")",
@@ -145,67 +147,67 @@
 }
 
 
-def _unexpected(text: str, fault: UnexpectedInput) -> ExpressionError:
-    wanted: set[str] = set()
+def _unexpected(text: str, error: UnexpectedInput) -> ExpressionError:
+    expected: set[str] = set()
     found = "the end"
-    at: int = len(text)
-    if isinstance(fault, UnexpectedToken):
-        wanted = set(fault.accepts or fault.expected)
-        if fault.token.type != "$END":
-            found, at = f"'{fault.token}'", fault.token.start_pos or 0
-    elif isinstance(fault, UnexpectedCharacters):
-        wanted, at = set(fault.allowed or ()), fault.pos_in_stream or 0
-        found = f"'{text[at]}'"
-    elif isinstance(fault, UnexpectedEOF):
-        wanted = set(fault.expected)
-    words = ", ".join(sorted(NAMES.get(w, w.lower()) for w in wanted)) or "nothing more"
-    return ExpressionError(text, at, f"found {found}, wanted {words}")
-
-
-class _Maker:
-    """Turns a tree into a closure, and checks what each part is."""
-
-    def __init__(self, text: str, fields: frozenset[str], quantiles: bool) -> None:
-        self.text, self.fields, self.quantiles = text, fields, quantiles
-        self.wants: set[tuple[str, str]] = set()
+    position: int = len(text)
+    if isinstance(error, UnexpectedToken):
+        expected = set(error.accepts or error.expected)
+        if error.token.type != "$END":
+            found, position = f"'{error.token}'", error.token.start_pos or 0
+    elif isinstance(error, UnexpectedCharacters):
+        expected, position = set(error.allowed or ()), error.pos_in_stream or 0
+        found = f"'{text[position]}'"
+    elif isinstance(error, UnexpectedEOF):
+        expected = set(error.expected)
+    expected_text = ", ".join(sorted(TOKEN_NAMES.get(w, w.lower()) for w in expected)) or "nothing more"
+    return ExpressionError(text, position, f"expected {expected_text}, got {found}")
+
+
+class _Compiler:
+    """Compiles a tree to closures, and checks the type of each part."""
+
+    def __init__(self, text: str, fields: frozenset[str], allow_quantiles: bool) -> None:
+        self.text, self.fields, self.allow_quantiles = text, fields, allow_quantiles
+        self.needed_quantiles: set[tuple[str, str]] = set()
         self.nodes = 0
 
-    def fault(self, node: Tree[Token] | Token, words: str) -> ExpressionError:
-        at = node.start_pos if isinstance(node, Token) else node.meta.start_pos
-        return ExpressionError(self.text, at or 0, words)
+    def error(self, node: Tree[Token] | Token, message: str) -> ExpressionError:
+        position = node.start_pos if isinstance(node, Token) else node.meta.start_pos
+        return ExpressionError(self.text, position or 0, message)
 
-    def make(self, tree: Tree[Token] | Token) -> tuple[str, Evaluated]:
-        """What the part is, and how it is evaluated."""
+    def compile(self, tree: Tree[Token] | Token) -> tuple[str, Evaluator]:
+        """Returns the type of a part, and its evaluator."""
         assert isinstance(tree, Tree)
         self.nodes += 1
         if self.nodes > MAX_NODES:
-            raise ExpressionError(self.text, 0, f"found over {MAX_NODES} parts, wanted so many at most")
-        made: tuple[str, Evaluated] = getattr(self, f"_{tree.data}")(tree)
-        return made
+            raise ExpressionError(self.text, 0, f"expected at most {MAX_NODES} parts, got more")
+        compiled: tuple[str, Evaluator] = getattr(self, f"_{tree.data}")(tree)
+        return compiled
 
-    def of(self, tree: Tree[Token] | Token, kind: str) -> Evaluated:
-        """A part that has to be of that kind."""
-        found, value = self.make(tree)
+    def compile_as(self, tree: Tree[Token] | Token, kind: str) -> Evaluator:
+        """Returns the evaluator of a part that has to be of that type."""
+        found, value = self.compile(tree)
         if found != kind:
-            raise self.fault(tree, f"found {found}, wanted {kind}")
+            raise self.error(tree, f"expected {kind}, got {found}")
         return value
 
-    def _either(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        parts = [self.of(c, BOOL) for c in tree.children]
-        return BOOL, lambda row, figures: any(p(row, figures) for p in parts)
+    def _either(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        parts = [self.compile_as(c, BOOL) for c in tree.children]
+        return BOOL, lambda row, quantiles: any(p(row, quantiles) for p in parts)
 
-    def _both(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        parts = [self.of(c, BOOL) for c in tree.children]
-        return BOOL, lambda row, figures: all(p(row, figures) for p in parts)
+    def _both(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        parts = [self.compile_as(c, BOOL) for c in tree.children]
+        return BOOL, lambda row, quantiles: all(p(row, quantiles) for p in parts)
 
-    def _negated(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        part = self.of(tree.children[0], BOOL)
-        return BOOL, lambda row, figures: not part(row, figures)
+    def _negated(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        part = self.compile_as(tree.children[0], BOOL)
+        return BOOL, lambda row, quantiles: not part(row, quantiles)
 
-    def _compared(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _compared(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         left, sign, right = tree.children
-        kind, first = self.make(left)
-        second = self.of(right, kind)
+        kind, first = self.compile(left)
+        second = self.compile_as(right, kind)
         if kind == NUMBER:
             compare = {
                 "<": operator.lt,
@@ -215,69 +217,74 @@
                 "=": operator.eq,
                 "!=": operator.ne,
             }[str(sign)]
-            return BOOL, lambda row, figures: compare(first(row, figures), second(row, figures))
+            return BOOL, lambda row, quantiles: compare(first(row, quantiles), second(row, quantiles))
         if sign not in ("=", "!="):
             assert isinstance(sign, Token)
-            raise self.fault(sign, f"found '{sign}' between {kind} and another, wanted = or !=")
+            raise self.error(sign, f"expected = or != between {kind} and another, got '{sign}'")
         equal = str(sign) == "="
         if kind == BOOL:
-            return BOOL, lambda row, figures: (first(row, figures) == second(row, figures)) is equal
-        return BOOL, lambda row, figures: bool(first(row, figures) & second(row, figures)) is equal
-
-    def _among(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        kind, first = self.make(tree.children[0])
-        others = [self.of(c, kind) for c in tree.children[1:]]
+            return BOOL, lambda row, quantiles: (first(row, quantiles) == second(row, quantiles)) is equal
+        return (
+            BOOL,
+            lambda row, quantiles: bool(first(row, quantiles) & second(row, quantiles)) is equal,
+        )
+
+    def _among(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        kind, first = self.compile(tree.children[0])
+        others = [self.compile_as(c, kind) for c in tree.children[1:]]
         if kind == TEXT:
-            return BOOL, lambda row, figures: any(first(row, figures) & o(row, figures) for o in others)
-        return BOOL, lambda row, figures: any(first(row, figures) == o(row, figures) for o in others)
+            return BOOL, lambda row, quantiles: any(first(row, quantiles) & o(row, quantiles) for o in others)
+        return BOOL, lambda row, quantiles: any(first(row, quantiles) == o(row, quantiles) for o in others)
 
-    def _arithmetic(self, tree: Tree[Token], of: Callable[[float, float], float]) -> tuple[str, Evaluated]:
-        first, second = self.of(tree.children[0], NUMBER), self.of(tree.children[1], NUMBER)
-        return NUMBER, lambda row, figures: of(first(row, figures), second(row, figures))
+    def _arithmetic(
+        self, tree: Tree[Token], operation: Callable[[float, float], float]
+    ) -> tuple[str, Evaluator]:
+        first, second = self.compile_as(tree.children[0], NUMBER), self.compile_as(tree.children[1], NUMBER)
+        return NUMBER, lambda row, quantiles: operation(first(row, quantiles), second(row, quantiles))
 
-    def _plus(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _plus(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         return self._arithmetic(tree, operator.add)
 
-    def _minus(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _minus(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         return self._arithmetic(tree, operator.sub)
 
-    def _times(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _times(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         return self._arithmetic(tree, operator.mul)
 
-    def _over(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _over(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         return self._arithmetic(tree, lambda a, b: a / b if b else float("inf"))
 
-    def _number(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _number(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         value = float(str(tree.children[0]))
         if len(tree.children) > 1 and str(tree.children[1]) == "s":
             value *= 1000.0
-        return NUMBER, lambda row, figures: value
+        return NUMBER, lambda row, quantiles: value
 
-    def _text(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
+    def _text(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
         value = frozenset((str(orjson.loads(str(tree.children[0]))),))
-        return TEXT, lambda row, figures: value
+        return TEXT, lambda row, quantiles: value
 
-    def _field(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        name = self._name(tree.children[0])
-        return FIELDS[name], lambda row, figures: row[name]
+    def _field(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        name = self._field_name(tree.children[0])
+        return FIELDS[name], lambda row, quantiles: row[name]
 
-    def _quantile(self, tree: Tree[Token]) -> tuple[str, Evaluated]:
-        function, name = str(tree.children[0]), self._name(tree.children[1])
-        if function not in QUANTILES or not self.quantiles:
-            wanted = ", ".join(QUANTILES) if self.quantiles else "none here"
-            raise self.fault(tree.children[0], f"found function '{function}', wanted {wanted}")
+    def _quantile(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
+        function, name = str(tree.children[0]), self._field_name(tree.children[1])
+        if function not in QUANTILES or not self.allow_quantiles:
+            expected = ", ".join(QUANTILES) if self.allow_quantiles else "none here"
+            raise self.error(tree.children[0], f"function: expected {expected}, got '{function}'")
         if FIELDS[name] != TEXT:
-            raise self.fault(tree.children[1], f"found {FIELDS[name]}, wanted {TEXT}")
-        self.wants.add((function, name))
+            raise self.error(tree.children[1], f"expected {TEXT}, got {FIELDS[name]}")
+        self.needed_quantiles.add((function, name))
 
-        def value(row: Row, figures: Figures) -> float:
-            known = [figures.known.get((function, name, text), 0.0) for text in row[name]]
-            return max(known, default=0.0)
+        def value(row: Row, quantiles: Quantiles) -> float:
+            values = [quantiles.values.get((function, name, text), 0.0) for text in row[name]]
+            return max(values, default=0.0)
 
         return NUMBER, value
 
-    def _name(self, token: Tree[Token] | Token) -> str:
+    def _field_name(self, token: Tree[Token] | Token) -> str:
         name = str(token)
         if name not in self.fields:
-            raise self.fault(token, f"found field '{name}', wanted one of {', '.join(sorted(self.fields))}")
+            raise self.error(token, f"found field '{name}', wanted one of {', '.join(sorted(self.fields))}")
         return name
--- a/honeywharf/traces/store.py
+++ b/honeywharf/traces/store.py
@@ -32,7 +32,7 @@
 
 
 def row_of_hop(hop: HopTrace) -> dict[str, Any]:
-    """Returns the row of one hop, for a sampler's rule; only `language.OF_A_HOP` fields are valid."""
+    """Returns the row of one hop, for a sampler's rule; only `language.SINGLE_HOP_FIELDS` are valid."""
     return row([hop.fields("", "", "")])
 
 
--- a/tests/traces/test_asking.py
+++ b/tests/traces/test_asking.py
@@ -53,41 +53,46 @@
 )
 def test_what_an_expression_holds_for(asked: str, holds: bool) -> None:
     others = [row(duration=float(d), **{"class": frozenset(("read",))}) for d in range(1, 100)]
-    found = language.compiled(asked).select([*others, ROW])
+    found = language.compile_expression(asked).select([*others, ROW])
     assert (ROW in found) is holds
 
 
 @pytest.mark.parametrize(
     ("asked", "at", "words"),
     [
-        ("failed and", 10, "found the end, wanted"),
-        ("failed or or slow", 10, "found 'or'"),
-        ("attempts >", 10, "found the end"),
-        ('attempts > "2"', 11, "found a text, wanted a number"),
-        ('zone > "a"', 5, "found '>' between a text and another, wanted = or !="),
-        ("attempts", 0, "found a number, wanted a yes or no"),
+        ("failed and", 10, ", got the end"),
+        ("failed or or slow", 10, ", got 'or'"),
+        ("attempts >", 10, ", got the end"),
+        ('attempts > "2"', 11, "expected a number, got a text"),
+        ('zone > "a"', 5, "expected = or != between a text and another, got '>'"),
+        ("attempts", 0, "expected a boolean, got a number"),
         ('zona = "tartu"', 0, "found field 'zona', wanted one of attempts, class"),
-        ("duration > p42(class)", 11, "found function 'p42', wanted p50, p90, p99"),
-        ("duration > p50(attempts)", 15, "found a number, wanted a text"),
-        ("failed % slow", 7, "found '%'"),
-        ("failed and attempts", 11, "found a number, wanted a yes or no"),
-        (" and ".join(["slow"] * 201), 0, "found over 200 parts"),
-        ("failed" + " " * 2000, 0, "found 2006 characters, wanted 2000 at most"),
+        ("duration > p42(class)", 11, "function: expected p50, p90, p99, got 'p42'"),
+        ("duration > p50(attempts)", 15, "expected a text, got a number"),
+        ("failed % slow", 7, ", got '%'"),
+        ("failed and attempts", 11, "expected a boolean, got a number"),
+        (" and ".join(["slow"] * 201), 0, "expected at most 200 parts, got more"),
+        ("failed" + " " * 2000, 0, "expected at most 2000 characters, got 2006"),
     ],
 )
 def test_what_is_wrong_is_told_with_its_place(asked: str, at: int, words: str) -> None:
-    with pytest.raises(language.ExpressionError, match="found") as fault:
-        language.compiled(asked)
+    with pytest.raises(language.ExpressionError, match=r"expected|found field") as fault:
+        language.compile_expression(asked)
     assert words in str(fault.value)
-    assert fault.value.at == at
+    assert fault.value.position == at
     assert str(fault.value).splitlines()[2].index("^") == at + 2
 
 
 def test_a_sampler_rule_may_ask_only_what_one_hop_knows() -> None:
     for asked in ("hops > 2", 'node = "n"', "duration > p50(class)"):
         with pytest.raises(language.ExpressionError):
-            language.compiled(asked, language.OF_A_HOP, quantiles=False)
-    assert language.compiled("duration > 5 ms", language.OF_A_HOP, quantiles=False).wants == ()
+            language.compile_expression(asked, language.SINGLE_HOP_FIELDS, allow_quantiles=False)
+    assert (
+        language.compile_expression(
+            "duration > 5 ms", language.SINGLE_HOP_FIELDS, allow_quantiles=False
+        ).needed_quantiles
+        == ()
+    )
 
 
 PLANTED = {"server": "store-tartu-2", "zone": "tartu (store)", "tenant": "forest", "node": "store-1"}
