--- a/honeywharf/metrics/__init__.py
+++ b/honeywharf/metrics/__init__.py
@@ -1,10 +1,9 @@
-"""Metrics of one proxy: asked over the admin socket, or scraped at a loopback port. Off unless asked for.
+"""Metrics of one proxy for Prometheus, over the admin socket or a loopback port. Off by default.
 
-    durations  answers' times in buckets, with traces as exemplars
-    families   all that is counted, as Prometheus' families
+    durations  histograms of request durations, with traces as exemplars
+    families   the proxy's counters and gauges as Prometheus' families
 
-Nothing is made up beside the proxy's own counts: what the line of every ten seconds tells and what is scraped
-are the same figures.
+The counters are those that the proxy logs every ten seconds.
 """
 
 from __future__ import annotations
@@ -17,33 +16,33 @@
 from honeywharf.admin import views
 from honeywharf.core.components import Component, OperatorCommand
 from honeywharf.core.transport import Address, address
-from honeywharf.metrics.durations import Answers
+from honeywharf.metrics.durations import DurationHistograms
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Metrics as Features
     from honeywharf.core.components import ProxyContext
 
-__all__ = ["MetricsPart", "attach"]
+__all__ = ["MetricsComponent", "attach"]
 
-PATIENCE_S = 2.0  # for one scrape
-MAX_AT_ONCE = 4
-MAX_HEAD = 8 * 1024
+SCRAPE_TIMEOUT_S = 2.0
+MAX_CONCURRENT_SCRAPES = 4
+MAX_HEAD_BYTES = 8 * 1024
 
 
-class MetricsPart(Component):
-    """The figures, and the port where they are scraped, if one is given."""
+class MetricsComponent(Component):
+    """The component that collects the metrics, and serves them at a port if one is configured."""
 
-    def __init__(self, proxy: ProxyContext, at: Address | None) -> None:
+    def __init__(self, proxy: ProxyContext, listen_address: Address | None) -> None:
         from honeywharf import VERSION
         from honeywharf.metrics.families import Families
 
-        self.proxy, self.at, self.answers = proxy, at, Answers()
+        self.proxy, self.listen_address, self.durations = proxy, listen_address, DurationHistograms()
         self.families = Families(
-            proxy.name, proxy.driver.settings.zone, VERSION, proxy.counts, self._status, self.answers
+            proxy.name, proxy.driver.settings.zone, VERSION, proxy.counts, self._status, self.durations
         )
         self.server: asyncio.Server | None = None
-        self.open = self.scraped = self.cut = 0
-        proxy.driver.hooks.answer_callbacks.append(self.answers.answered)
+        self.open_connections = self.scraped = self.rejected = 0
+        proxy.driver.hooks.answer_callbacks.append(self.durations.answered)
 
     def _status(self) -> dict[str, Any]:
         return {
@@ -53,74 +52,81 @@
         }
 
     def text(self, open_metrics: bool = True) -> bytes:
-        """What is scraped."""
-        from honeywharf.metrics.families import exposed
+        """Returns the text of all metrics."""
+        from honeywharf.metrics.families import exposition_text
 
-        return exposed(self.families, open_metrics)
+        return exposition_text(self.families, open_metrics)
 
     async def start(self) -> str:
-        """Listen, where a port is asked for."""
-        if self.at is None:
+        """Listens if a port is configured. Returns a message for the operator."""
+        if self.listen_address is None:
             return ""
-        self.server = await asyncio.start_server(self._serve, *self.at, limit=MAX_HEAD)
-        self.at = self.server.sockets[0].getsockname()[:2]
-        return f"is scraped at {self.at[0]}:{self.at[1]}/metrics"
+        self.server = await asyncio.start_server(self._serve, *self.listen_address, limit=MAX_HEAD_BYTES)
+        self.listen_address = self.server.sockets[0].getsockname()[:2]
+        return f"serves metrics at {self.listen_address[0]}:{self.listen_address[1]}/metrics"
 
     def counts(self) -> dict[str, int]:
-        """Scrapes, and those cut for want of room."""
-        return {"metrics:scraped": self.scraped, "metrics:cut": self.cut} if self.at is not None else {}
+        """Returns the numbers of scrapes and of rejected connections."""
+        return (
+            {"metrics:scraped": self.scraped, "metrics:cut": self.rejected}
+            if self.listen_address is not None
+            else {}
+        )
 
     def operator_commands(self) -> dict[str, OperatorCommand]:
-        """The text that is scraped, and a line for each exemplar."""
+        """Returns the command that shows the text of all metrics."""
         return {"metrics": lambda _: {"text": self.text().decode()}}
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         if self.server is not None:
             self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open >= MAX_AT_ONCE:
-            self.cut += 1
+        if self.open_connections >= MAX_CONCURRENT_SCRAPES:
+            self.rejected += 1
             writer.close()
             return
-        self.open += 1
+        self.open_connections += 1
         with suppress(TimeoutError, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(SCRAPE_TIMEOUT_S):
                 writer.write(self._answer(await reader.readuntil(b"\r\n\r\n")))
                 await writer.drain()
-        self.open -= 1
+        self.open_connections -= 1
         writer.close()
 
     def _answer(self, head: bytes) -> bytes:
-        from honeywharf.metrics.families import OPEN_METRICS, PLAIN
+        from honeywharf.metrics.families import OPEN_METRICS_TYPE, PLAIN_TEXT_TYPE
 
         first, _, rest = head.partition(b"\r\n")
         if first.split(b" ")[:2] != [b"GET", b"/metrics"]:
             return b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         self.scraped += 1
-        wants = b"application/openmetrics-text" in rest.lower()
-        body = self.text(wants)
+        open_metrics = b"application/openmetrics-text" in rest.lower()
+        body = self.text(open_metrics)
         return (
-            f"HTTP/1.1 200 OK\r\nContent-Type: {OPEN_METRICS if wants else PLAIN}\r\n"
+            f"HTTP/1.1 200 OK\r\nContent-Type: {OPEN_METRICS_TYPE if open_metrics else PLAIN_TEXT_TYPE}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         ).encode() + body
 
 
-def attach(proxy: ProxyContext, features: Features) -> MetricsPart:
-    """Count answers' times, and show all that is counted; ValueError where that can't be."""
-    at = address(features.listen) if features.listen else None
-    if at is not None and not _loopback(at[0]):
+def attach(proxy: ProxyContext, features: Features) -> MetricsComponent:
+    """Attaches the metrics to a proxy.
+
+    ValueError if the address is no loopback address, or a package is not installed.
+    """
+    listen_address = address(features.listen) if features.listen else None
+    if listen_address is not None and not _loopback(listen_address[0]):
         raise ValueError(
             f"metrics.listen: found {features.listen!r}, wanted a loopback address, such as"
             " 127.0.0.1:9464: figures name tenants' classes and servers"
         )
     try:
-        return MetricsPart(proxy, at)
+        return MetricsComponent(proxy, listen_address)
     except ModuleNotFoundError as fault:
         raise ValueError(
-            f"metrics: found no {fault.name}, wanted what requirements-export.txt names:"
-            " pip install -r requirements-export.txt"
+            f"metrics: expected the packages of requirements-export.txt, got no {fault.name}:"
+            " run pip install -r requirements-export.txt"
         ) from None
 
 
--- a/honeywharf/metrics/durations.py
+++ b/honeywharf/metrics/durations.py
@@ -1,9 +1,7 @@
-"""Answers' times by class and end, in buckets, each with the trace of one that is kept. Without I/O.
+"""Histograms of request durations by class and end, with traces as exemplars. Without I/O.
 
-Prometheus' own histograms take a lock and a label look-up for each observation; this costs a search of the
-bounds and two additions, and is turned into Prometheus' form when somebody asks (`families`). An exemplar is
-the latest answer of its bucket whose trace this hop keeps, so that who looks at a slow bucket finds a trace
-that is there.
+They are cheaper than those of `prometheus_client`, which take a lock and look up labels for each observation;
+`families` converts them at a scrape. A bucket's exemplar is its latest answer whose trace this hop keeps.
 """
 
 from __future__ import annotations
@@ -12,43 +10,43 @@
 
 from honeywharf.core.messages import RequestTrace
 
-#: Upper bounds in s: the client's whole deadline of 5 s, and the aim of 2 s, are bounds of their own.
+#: Upper bounds in s. They include the client's deadline of 5 s and the latency target of 2 s.
 BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
-MAX_SERIES = 200  # of class and end: classes are the settings' own, ends a dozen
+MAX_SERIES = 200  # A series is a class and an end; the settings limit classes, and there are about 12 ends.
 
 
-class Durations:
-    """The times of one class's answers of one end."""
+class DurationHistogram:
+    """The durations of one class's requests with one end."""
 
     __slots__ = ("buckets", "exemplars", "sum_s")
 
     def __init__(self) -> None:
         self.buckets = [0] * (len(BOUNDS_S) + 1)
-        self.exemplars: dict[int, tuple[str, float, float]] = {}  # by bucket: trace-id, s, Unix time in s
+        self.exemplars: dict[int, tuple[str, float, float]] = {}  # Trace-id, s and Unix time in s, by bucket.
         self.sum_s = 0.0
 
 
-class Answers:
-    """All of one proxy. `answered` is the driver's seam at each final answer."""
+class DurationHistograms:
+    """The histograms of one proxy. `answered` is a callback of `core.hooks` for final answers."""
 
     def __init__(self) -> None:
-        self.series: dict[tuple[str, str], Durations] = {}
-        self.left_out = 0  # beyond the bound on series
+        self.series: dict[tuple[str, str], DurationHistogram] = {}
+        self.dropped = 0  # The number of answers beyond MAX_SERIES.
 
     def answered(
-        self, cls: str, how: str, took_ms: float, now_ms: float, traced: RequestTrace | None
+        self, cls: str, how: str, duration_ms: float, now_ms: float, trace: RequestTrace | None
     ) -> None:
-        """One final answer of class `cls`, ended so, `took_ms` after its request had come."""
-        found = self.series.get((cls, how))
-        if found is None:
+        """Counts a final answer of class `cls`, `duration_ms` after the arrival of its request."""
+        histogram = self.series.get((cls, how))
+        if histogram is None:
             if len(self.series) >= MAX_SERIES:
-                self.left_out += 1
+                self.dropped += 1
                 return
-            found = self.series[cls, how] = Durations()
-        took_s = max(0.0, took_ms / 1000.0)
-        bucket = bisect_left(BOUNDS_S, took_s)
-        found.buckets[bucket] += 1
-        found.sum_s += took_s
-        if traced is not None and traced.kept():
-            trace_id = traced.mark().partition(b"-")[0].decode()
-            found.exemplars[bucket] = (trace_id, took_s, now_ms / 1000.0)
+            histogram = self.series[cls, how] = DurationHistogram()
+        duration_s = max(0.0, duration_ms / 1000.0)
+        bucket = bisect_left(BOUNDS_S, duration_s)
+        histogram.buckets[bucket] += 1
+        histogram.sum_s += duration_s
+        if trace is not None and trace.kept():
+            trace_id = trace.mark().partition(b"-")[0].decode()
+            histogram.exemplars[bucket] = (trace_id, duration_s, now_ms / 1000.0)
--- a/honeywharf/metrics/families.py
+++ b/honeywharf/metrics/families.py
@@ -1,7 +1,7 @@
-"""What a proxy has counted, as Prometheus' families, on `prometheus_client`. Without sockets.
+"""A proxy's counters, gauges and histograms as Prometheus' families. Without sockets.
 
-Names follow Prometheus' and OpenTelemetry's conventions: base units, `_total`, one prefix. Counts of the
-proxy's own line become `honeywharf_events_total` by `event`, refusals and failures families of their own.
+Names follow the conventions of Prometheus and OpenTelemetry: base units, `_total`, one prefix. The proxy's
+counters become `honeywharf_events_total` by `event`; refusals and failures have families of their own.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from prometheus_client.samples import Exemplar
 from prometheus_client.utils import floatToGoString
 
-from honeywharf.metrics.durations import BOUNDS_S, Answers
+from honeywharf.metrics.durations import BOUNDS_S, DurationHistograms
 
-OPEN_METRICS = exposition.CONTENT_TYPE_LATEST
-PLAIN = "text/plain; version=0.0.4; charset=utf-8"
-REASONS = (
+OPEN_METRICS_TYPE = exposition.CONTENT_TYPE_LATEST
+PLAIN_TEXT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+REASON_FAMILIES = (
     ("refused:", "honeywharf_refusals", "Requests refused, by the decision module's reason"),
     ("failed:", "honeywharf_failures", "Requests failed, by the decision module's reason"),
 )
-ZONES = (
+ZONE_GAUGES = (
     ("limit", "Calls that this proxy may hold in the zone"),
     ("in_flight", "Calls that it holds there"),
     ("ready", "Servers that are ready"),
@@ -38,7 +38,7 @@
 
 
 class Families:
-    """A collector for a registry of `prometheus_client`; it asks when it is asked."""
+    """A collector for a registry of `prometheus_client`, which reads the values at each scrape."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         version: str,
         counts: Callable[[], Mapping[str, int]],
         status: Callable[[], Mapping[str, Any]],
-        answers: Answers,
+        durations: DurationHistograms,
     ) -> None:
         self.name, self.zone, self.version = name, zone, version
-        self.counts, self.status, self.answers = counts, status, answers
+        self.counts, self.status, self.durations = counts, status, durations
 
     def collect(self) -> Iterable[Metric]:
-        """All families, as they are now."""
+        """Yields all families with their present values."""
         info = InfoMetricFamily("honeywharf_build", "This proxy")
         info.add_metric((), {"name": self.name, "zone": self.zone, "version": self.version})
         yield info
@@ -62,32 +62,32 @@
         yield self._durations()
 
     def _counted(self, counts: dict[str, int]) -> Iterable[Metric]:
-        for head, name, words in REASONS:
-            family = CounterMetricFamily(name, words, labels=("reason",))
-            for key in [k for k in counts if k.startswith(head)]:
-                family.add_metric((key.removeprefix(head),), counts.pop(key))
+        for prefix, name, help_text in REASON_FAMILIES:
+            family = CounterMetricFamily(name, help_text, labels=("reason",))
+            for key in [k for k in counts if k.startswith(prefix)]:
+                family.add_metric((key.removeprefix(prefix),), counts.pop(key))
             yield family
         family = CounterMetricFamily("honeywharf_events", "What was done since the start", labels=("event",))
-        for key, number in sorted(counts.items()):
-            family.add_metric((key,), number)
+        for key, count in sorted(counts.items()):
+            family.add_metric((key,), count)
         yield family
 
     def _gauges(self, status: Mapping[str, Any]) -> Iterable[Metric]:
-        for field, words in ZONES:
-            family = GaugeMetricFamily(f"honeywharf_zone_{field}", words, labels=("zone",))
+        for field, help_text in ZONE_GAUGES:
+            family = GaugeMetricFamily(f"honeywharf_zone_{field}", help_text, labels=("zone",))
             for zone in status["zones"]:
                 family.add_metric((zone["zone"],), zone[field])
             yield family
         endpoints = GaugeMetricFamily("honeywharf_endpoints", "Servers by state", labels=("state",))
-        for state, number in sorted(status["endpoints"].items()):
-            endpoints.add_metric((state,), number)
+        for state, count in sorted(status["endpoints"].items()):
+            endpoints.add_metric((state,), count)
         yield endpoints
-        for name, words, value in (
+        for name, help_text, value in (
             ("honeywharf_requests_open", "Requests that are owed an answer", status["open"]),
             ("honeywharf_retry_budget", "Further attempts that are left", status["retry_budget"]),
             ("honeywharf_ready", "Whether clients may come", float(status["ready"])),
         ):
-            yield GaugeMetricFamily(name, words, value=value)
+            yield GaugeMetricFamily(name, help_text, value=value)
 
     def _durations(self) -> Metric:
         family = HistogramMetricFamily(
@@ -95,24 +95,24 @@
             "From a request's arrival to its final answer",
             labels=("class", "end"),
         )
-        for (cls, how), found in sorted(self.answers.series.items()):
+        for (cls, how), histogram in sorted(self.durations.series.items()):
             buckets: list[Any] = []
             total = 0
-            for i, number in enumerate(found.buckets):
-                total += number
+            for i, count in enumerate(histogram.buckets):
+                total += count
                 bound = floatToGoString(BOUNDS_S[i]) if i < len(BOUNDS_S) else "+Inf"
-                exemplar = found.exemplars.get(i)
+                exemplar = histogram.exemplars.get(i)
                 buckets.append(
                     (bound, total, None)
                     if exemplar is None
                     else (bound, total, Exemplar({"trace_id": exemplar[0]}, exemplar[1], exemplar[2]))
                 )
-            family.add_metric((cls, how), buckets, found.sum_s)
+            family.add_metric((cls, how), buckets, histogram.sum_s)
         return family
 
 
-def exposed(families: Families, open_metrics: bool) -> bytes:
-    """The text that is scraped: OpenMetrics with exemplars, or Prometheus' plain text, which has none."""
+def exposition_text(families: Families, open_metrics: bool) -> bytes:
+    """Returns the metrics as OpenMetrics text with exemplars, or as Prometheus' plain text without."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(families)
     return bytes(exposition.generate_latest(registry) if open_metrics else generate_latest(registry))
--- a/honeywharf/traces/__init__.py
+++ b/honeywharf/traces/__init__.py
@@ -91,13 +91,13 @@
 
     def counts(self) -> Mapping[str, int]:
         """Returns the numbers of kept, dropped and lost traces and of invalid contexts, by kind."""
-        counts = {f"traces:{k}": v for k, v in self.recorder.sampler.counts.items()}
+        totals = {f"traces:{k}": v for k, v in self.recorder.sampler.counts.items()}
         for exporter in self.exporters:
-            counts.update((f"traces:{k}", v) for k, v in exporter.counts().items())
-        counts.update((f"traces:damaged {k}", v) for k, v in self.recorder.damaged.items())
+            totals.update((f"traces:{k}", v) for k, v in exporter.counts().items())
+        totals.update((f"traces:damaged {k}", v) for k, v in self.recorder.damaged.items())
         if self.notes_socket is not None:
-            counts.update((f"traces:notes {k}", v) for k, v in self.notes_socket.notes.counts.items())
-        return counts
+            totals.update((f"traces:notes {k}", v) for k, v in self.notes_socket.notes.counts.items())
+        return totals
 
     def close(self) -> None:
         """Closes the socket of notes and the exporters."""
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -148,19 +148,21 @@
 
 
 def _unexpected(text: str, error: UnexpectedInput) -> ExpressionError:
-    expected: set[str] = set()
+    expected_tokens: set[str] = set()
     found = "the end"
     position: int = len(text)
     if isinstance(error, UnexpectedToken):
-        expected = set(error.accepts or error.expected)
+        expected_tokens = set(error.accepts or error.expected)
         if error.token.type != "$END":
             found, position = f"'{error.token}'", error.token.start_pos or 0
     elif isinstance(error, UnexpectedCharacters):
-        expected, position = set(error.allowed or ()), error.pos_in_stream or 0
+        expected_tokens, position = set(error.allowed or ()), error.pos_in_stream or 0
         found = f"'{text[position]}'"
     elif isinstance(error, UnexpectedEOF):
-        expected = set(error.expected)
-    expected_text = ", ".join(sorted(TOKEN_NAMES.get(w, w.lower()) for w in expected)) or "nothing more"
+        expected_tokens = set(error.expected)
+    expected_text = (
+        ", ".join(sorted(TOKEN_NAMES.get(w, w.lower()) for w in expected_tokens)) or "nothing more"
+    )
     return ExpressionError(text, position, f"expected {expected_text}, got {found}")
 
 
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -21,9 +21,9 @@
 from honeywharf.config import features as of_features, node as of_node, source
 from honeywharf.config.features import Admin, Features, Log, Metrics, OrderKeys, Traces
 from honeywharf.core.transport import log, set_log_sink
-from honeywharf.metrics import MetricsPart
-from honeywharf.metrics.durations import BOUNDS_S, MAX_SERIES, Answers
-from honeywharf.metrics.families import Families, exposed
+from honeywharf.metrics import MetricsComponent
+from honeywharf.metrics.durations import BOUNDS_S, MAX_SERIES, DurationHistograms
+from honeywharf.metrics.families import Families, exposition_text
 from honeywharf.orderkeys import OrderKeysComponent
 from tests.admin.test_admin import called
 from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, until, world
@@ -212,7 +212,7 @@
             assert len(kept) == 1
             assert [s.value for s in found["honeywharf_failures"].samples] == [1.0]
             assert {s.labels["zone"] for s in found["honeywharf_zone_limit"].samples} == {"z"}
-            (at_port,) = [p.at for p in w.proxy.components if isinstance(p, MetricsPart)]
+            (at_port,) = [p.listen_address for p in w.proxy.components if isinstance(p, MetricsComponent)]
             assert at_port is not None
             port = at_port[1]
             for wants, exemplars in (("application/openmetrics-text", True), ("*/*", False)):
@@ -241,14 +241,14 @@
 
 
 def test_series_are_bounded_and_buckets_add_up() -> None:
-    made = Answers()
+    made = DurationHistograms()
     for i in range(MAX_SERIES + 50):
         made.answered(f"class-{i}", "served", 10.0, 0.0, None)
-    assert (len(made.series), made.left_out) == (MAX_SERIES, 50)
-    made = Answers()
+    assert (len(made.series), made.dropped) == (MAX_SERIES, 50)
+    made = DurationHistograms()
     for ms in (0.0, 5.0, 5.1, 4999.0, 10_000.0, 1e9, -3.0):
         made.answered("read", "served", ms, 0.0, None)
-    text = exposed(
+    text = exposition_text(
         Families(
             "n",
             "z",
--- a/tests/traces/test_asking.py
+++ b/tests/traces/test_asking.py
@@ -76,7 +76,7 @@
     ],
 )
 def test_what_is_wrong_is_told_with_its_place(asked: str, at: int, words: str) -> None:
-    with pytest.raises(language.ExpressionError, match=r"expected|found field") as fault:
+    with pytest.raises(language.ExpressionError, match=r"expected .*, got |found field ") as fault:
         language.compile_expression(asked)
     assert words in str(fault.value)
     assert fault.value.position == at
