--- a/honeywharf/logs.py
+++ b/honeywharf/logs.py
@@ -60,13 +60,13 @@
         ],
     )
 
-    def sink(level: str, event: str, message: str, fields: Mapping[str, object]) -> None:
+    def sink(level: str, event: str, text: str, fields: Mapping[str, object]) -> None:
         if LEVELS.index(level) >= min_level:
             # Keeps a caller's field from replacing one of the line's own.
             extra_fields = {
                 (k if k not in ("event", "level", "message", "proxy", "timestamp") else f"field.{k}"): v
                 for k, v in fields.items()
             }
-            logger.info(event, level=level, message=message, proxy=name, **extra_fields)
+            logger.info(event, level=level, message=text, proxy=name, **extra_fields)
 
     set_log_sink(sink)
--- a/tests/traces/model.py
+++ b/tests/traces/model.py
@@ -1,4 +1,4 @@
-"""Hops of made-up days, for the tests and the bench: three tiers, servers in zones, planted troubles."""
+"""Generated traces for tests and the bench: three tiers, servers in zones, and planted faults."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 
 
 def hop(trace_id: str = "ab" * 16, how: str = "served", took_ms: float = 10.0, at: float = 0.0) -> HopTrace:
-    """A hop's trace whose request has come and is answered so."""
-    made = HopTrace(trace_id, "", "1" * 16, 0, "", at)
-    made.cls, made.how, made.answered_ms = "read", how, at + took_ms
-    return made
+    """Returns the trace of a request that ended as `how` after `took_ms`."""
+    trace = HopTrace(trace_id, "", "1" * 16, 0, "", at)
+    trace.cls, trace.how, trace.answered_ms = "read", how, at + took_ms
+    return trace
 
 
 def attempt(outcome: api.Outcome, number: int = 0, server: str = "s", zone: str = "z") -> AttemptSpan:
-    """An attempt that ended so."""
-    made = AttemptSpan(number, f"{number:016x}", api.Send("r", server, 100.0, zone), 0.0, False)
-    made.ended(outcome, 5.0, False)
-    return made
+    """Returns the span of an attempt with that outcome."""
+    span = AttemptSpan(number, f"{number:016x}", api.Send("r", server, 100.0, zone), 0.0, False)
+    span.ended(outcome, 5.0, False)
+    return span
 
 
 def day(seed: int, requests: int, planted: str = "", rate: float = 0.05) -> list[dict[str, Any]]:
-    """The hops that three tiers keep of a day; `planted`: what is wrong, for a fifth of its requests.
+    """Returns the hops that three tiers keep. A fifth of the requests of the planted cause fail.
 
-    `server`, `zone`, `tenant` or `node`: one store, one zone's stores, one tenant, one proxy of two.
+    `planted`: `server`, `zone`, `tenant` or `node`, that is one store, the stores of one zone, one tenant or
+    one of two proxies.
     """
     rng, kept = random.Random(seed), []
 
@@ -49,31 +50,31 @@
         now += 5.0
         trace_id, tenant = f"{rng.getrandbits(128):032x}", rng.choice(TENANTS)
         hops, bad, parent, total = [], False, "", 0.0
-        picks = [(rng.randrange(NODES), rng.choice(ZONES), rng.randrange(2)) for _ in TIERS]
-        number, zone, node = picks[-1]
-        hit = {
+        targets = [(rng.randrange(NODES), rng.choice(ZONES), rng.randrange(2)) for _ in TIERS]
+        number, zone, node = targets[-1]
+        affected = {
             "server": (number, zone) == (2, "tartu"),
             "zone": zone == "tartu",
             "tenant": tenant == "forest",
             "node": node == 1,
         }.get(planted, False)
-        wrong = (hit and rng.random() < 0.2) or rng.random() < 0.002
-        for tier, (server, where, node) in zip(TIERS, picks, strict=True):
-            made = HopTrace(trace_id, parent, f"{rng.getrandbits(64):016x}", 0, "", now)
-            made.request, made.cls, made.tenant = f"r{i}-{tier}", "read", tenant
+        fails = (affected and rng.random() < 0.2) or rng.random() < 0.002
+        for tier, (server, where, node) in zip(TIERS, targets, strict=True):
+            trace = HopTrace(trace_id, parent, f"{rng.getrandbits(64):016x}", 0, "", now)
+            trace.request, trace.cls, trace.tenant = f"r{i}-{tier}", "read", tenant
             send = api.Send("", f"{tier}-{where}-{server}", 1.0, where)
             span = AttemptSpan(0, f"{rng.getrandbits(64):016x}", send, now, False)
             parent = span.span_id
-            made.attempts.append(span)
-            samplers[tier, node].began(now, made, False, trace_id[-context.RANDOM_DIGITS :])
-            hops.append((made, samplers[tier, node], span))
-        for depth, (made, sampler, span) in enumerate(reversed(hops)):  # answers come from below
+            trace.attempts.append(span)
+            samplers[tier, node].began(now, trace, False, trace_id[-context.RANDOM_DIGITS :])
+            hops.append((trace, samplers[tier, node], span))
+        for depth, (trace, sampler, span) in enumerate(reversed(hops)):  # Answers arrive in reverse order.
             total += rng.lognormvariate(3.0, 0.4)
-            outcome = api.Outcome.ERROR if wrong and (depth == 0 or bad) else api.Outcome.OK
+            outcome = api.Outcome.ERROR if fails and (depth == 0 or bad) else api.Outcome.OK
             span.ended(outcome, now + total, False)
-            made.how, made.answered_ms = ("failed" if wrong else "served"), now + total
+            trace.how, trace.answered_ms = ("failed" if fails else "served"), now + total
             if bad:
-                made.keep("below")
-            bad = sampler.answered(made)
-            sampler.settled(now + total, made)
+                trace.keep("below")
+            bad = sampler.answered(trace)
+            sampler.settled(now + total, trace)
     return kept
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -1,4 +1,4 @@
-"""What leaves for a collector: its spans, its batches, and what happens while the collector is away."""
+"""Export to a collector: spans, batches, retries, and an unreachable collector."""
 
 from __future__ import annotations
 
@@ -32,35 +32,39 @@
 from tests.traces.model import attempt, hop
 
 
-def on(collector: StandIn, **changes: Any) -> Features:
-    told = Otlp(endpoint=collector.endpoint, headers={"X-Scope": "tiles"}, wait_ms=300.0, **changes)
-    return Features(traces=Traces(rate=1e-9, otlp=told))
+def trace_features(collector: StandIn, **changes: Any) -> Features:
+    settings = Otlp(endpoint=collector.endpoint, headers={"X-Scope": "tiles"}, wait_ms=300.0, **changes)
+    return Features(traces=Traces(rate=1e-9, otlp=settings))
 
 
 def exporter(w: World) -> otlp.OtlpExporter:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
-    (made,) = part.exporters
-    assert isinstance(made, otlp.OtlpExporter)
-    return made
+    (found,) = part.exporters
+    assert isinstance(found, otlp.OtlpExporter)
+    return found
 
 
-def test_a_hop_s_spans_have_parents_kinds_links_and_what_they_stand_for() -> None:
+def test_spans_have_parents_kinds_links_and_weights() -> None:
     h = hop("ab" * 16, "failed", 40.0, at=1000.0)
     h.reason, h.request, h.tenant, h.parent_id, h.kept = "no server", "r7", "acme", "2" * 16, ["failed"]
     h.attempts += [attempt(api.Outcome.RESET), attempt(api.Outcome.OK, 1)]
     h.waits = [WaitSpan("key joined", "3" * 16, 1001.0, 1005.5, "cd" * 16 + "-" + "4" * 16)]
     h.link = "ef" * 16 + "-" + "5" * 16
     line = orjson.dumps(h.fields("tile-front", "n3", "tartu"))
-    made = ExportTraceServiceRequest.FromString(otlp.encode_request([line, line]))
-    (resource,) = made.resource_spans
-    told = {a.key: a.value.string_value for a in resource.resource.attributes}
-    assert (told["service.name"], told["service.instance.id"], told["cloud.availability_zone"]) == (
+    export_request = ExportTraceServiceRequest.FromString(otlp.encode_request([line, line]))
+    (resource,) = export_request.resource_spans
+    resource_attributes = {a.key: a.value.string_value for a in resource.resource.attributes}
+    assert (
+        resource_attributes["service.name"],
+        resource_attributes["service.instance.id"],
+        resource_attributes["cloud.availability_zone"],
+    ) == (
         "honeywharf",
         "n3",
         "tartu",
     )
     server, lost, good, wait, *_ = resource.scope_spans[0].spans
-    assert len(resource.scope_spans[0].spans) == 8  # two such requests, one resource
+    assert len(resource.scope_spans[0].spans) == 8  # Both requests have the same resource.
     assert (server.kind, server.parent_span_id.hex(), server.status.code, server.status.message) == (
         Span.SPAN_KIND_SERVER,
         "2" * 16,
@@ -86,7 +90,7 @@
 
 @given(st.floats(1e-6, 1.0))
 @settings(deadline=None)
-def test_the_threshold_that_a_collector_reads_gives_the_weight_back(rate: float) -> None:
+def test_threshold_gives_the_weight(rate: float) -> None:
     digits = otlp.threshold(1.0 / rate).removeprefix("ot=th:")
     rejected = int(digits.ljust(14, "0"), 16) / 2**56
     assert abs(1.0 / (1.0 - rejected) - 1.0 / rate) < 1e-6 / rate
@@ -99,7 +103,7 @@
     st.data(),
 )
 @settings(deadline=None)
-def test_a_queue_stays_in_its_bounds_loses_the_ordinary_first_and_counts_each(
+def test_queue_stays_in_its_limits_and_counts_lost_lines(
     lines: list[tuple[bool, int]],
     most: int,
     most_bytes: int,
@@ -127,29 +131,29 @@
 
 @given(st.lists(st.sampled_from([0, 200, 400, 429, 500, 503]), max_size=40), st.integers(0, 9))
 @settings(deadline=None)
-def test_waits_between_batches_are_bounded_and_grow_only_with_failures(
+def test_backoff_is_limited_and_grows_only_with_failures(
     statuses: list[int],
     seed: int,
 ) -> None:
-    made, now = Delivery(random.Random(seed)), 0.0
+    deliveries, now = Delivery(random.Random(seed)), 0.0
     for status in statuses:
-        now += made.due(now, BATCH_TRACES)
-        assert made.due(now, BATCH_TRACES) == 0.0
-        failures = made.failures
-        done = made.response_received(now, CollectorResponse(status))
+        now += deliveries.due(now, BATCH_TRACES)
+        assert deliveries.due(now, BATCH_TRACES) == 0.0
+        failures = deliveries.failures
+        done = deliveries.response_received(now, CollectorResponse(status))
         assert done == (status in (200, 400, 500))
-        wait = made.due(now, BATCH_TRACES)
+        wait = deliveries.due(now, BATCH_TRACES)
         assert wait <= (0.0 if done else min(MAX_BACKOFF_MS, 1000.0 * 2.0**failures))
         now += wait
     now += MAX_BACKOFF_MS
-    assert made.due(now, 0) == float("inf")
-    first = made.due(now, 1)
-    assert first == pytest.approx(MAX_BATCH_WAIT_MS)  # one that is not full waits to fill
-    assert made.due(now + 100.0, 1) == pytest.approx(MAX_BATCH_WAIT_MS - 100.0)
-    made.response_received(now, CollectorResponse(503, retry_after_s=7.0))
-    assert made.due(now, BATCH_TRACES) == pytest.approx(7000.0)
-    made.response_received(now, CollectorResponse(429, retry_after_s=1e9))
-    assert made.due(now, BATCH_TRACES) == pytest.approx(delivery.MAX_RETRY_AFTER_MS)
+    assert deliveries.due(now, 0) == float("inf")
+    first = deliveries.due(now, 1)
+    assert first == pytest.approx(MAX_BATCH_WAIT_MS)  # A batch that is not full waits.
+    assert deliveries.due(now + 100.0, 1) == pytest.approx(MAX_BATCH_WAIT_MS - 100.0)
+    deliveries.response_received(now, CollectorResponse(503, retry_after_s=7.0))
+    assert deliveries.due(now, BATCH_TRACES) == pytest.approx(7000.0)
+    deliveries.response_received(now, CollectorResponse(429, retry_after_s=1e9))
+    assert deliveries.due(now, BATCH_TRACES) == pytest.approx(delivery.MAX_RETRY_AFTER_MS)
 
 
 @pytest.mark.parametrize(
@@ -166,7 +170,7 @@
         ),
     ],
 )
-def test_what_a_collector_answers_is_read_with_care(
+def test_collector_responses_are_decoded(
     headers: dict[str, str | None],
     body: bytes,
     answer: CollectorResponse,
@@ -175,7 +179,7 @@
 
 
 async def failed(w: World, backend: Backend, number: int) -> float:
-    """So many failing requests, one after the other; the longest time of one, ms."""
+    """Sends failing requests one after the other. Returns the longest duration in ms."""
     client, longest = await Client.to(w.port), 0.0
     backend.script += [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"] * number
     for _ in range(number):
@@ -186,34 +190,34 @@
     return longest
 
 
-def test_bad_traces_arrive_after_refusals_silence_and_an_absence_and_cost_no_request() -> None:
+def test_bad_traces_arrive_after_collector_failures() -> None:
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         collector.script = [503, (429, 1), ("two of them", 2)]
-        async with world([backend.row("b")], on(collector)) as w:
+        async with world([backend.row("b")], trace_features(collector)) as w:
             await failed(w, backend, 1)
-            made = exporter(w)
-            await until(lambda: made.sent == 1)
-            assert (collector.refused, made.delivery.counts["rejected spans"]) == (2, 2)
+            otlp_exporter = exporter(w)
+            await until(lambda: otlp_exporter.sent == 1)
+            assert (collector.refused, otlp_exporter.delivery.counts["rejected spans"]) == (2, 2)
             assert collector.headers[b"x-scope"] == b"tiles"
-            assert made.last_error == "two of them"
+            assert otlp_exporter.last_error == "two of them"
             collector.silent = True
             await failed(w, backend, 1)
-            await until(lambda: made.delivery.counts["retried"] >= 3)  # it said nothing in 300 ms
+            await until(lambda: otlp_exporter.delivery.counts["retried"] >= 3)  # The time-out is 300 ms.
             collector.silent = False
             await collector.stop()
             await failed(w, backend, 1)
             await collector.start()
-            await until(lambda: made.sent == 3)
+            await until(lambda: otlp_exporter.sent == 3)
             assert len({s.trace_id for s in collector.spans}) == 3
-            assert made.queue.lost == {"lost bad": 0, "lost ordinary": 0}
+            assert otlp_exporter.queue.lost == {"lost bad": 0, "lost ordinary": 0}
         await backend.stop()
         await collector.close()
 
     run(main())
 
 
-def test_the_stand_in_s_port_is_its_own_while_it_is_away() -> None:
+def test_stand_in_keeps_its_port_while_stopped() -> None:
     async def main() -> None:
         collector = await StandIn().start()
         await collector.stop()
@@ -229,40 +233,40 @@
     run(main())
 
 
-def test_a_collector_that_stays_away_loses_the_oldest_beyond_the_bound_counted() -> None:
+def test_unreachable_collector_loses_the_oldest_traces_counted() -> None:
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         await collector.stop()
-        async with world([backend.row("b")], on(collector, queued=2)) as w:
-            made = exporter(w)
+        async with world([backend.row("b")], trace_features(collector, queued=2)) as w:
+            otlp_exporter = exporter(w)
             backend.then = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
             client = await Client.to(w.port)
             for _ in range(5):
                 client.send("pay", b"x")
                 assert await client.status() in (502, 503)
-            await until(lambda: len(made.queue) == 2 or made.delivery.failures > 0)
+            await until(lambda: len(otlp_exporter.queue) == 2 or otlp_exporter.delivery.failures > 0)
             (part,) = w.proxy.components
             await until(lambda: part.counts()["traces:otlp lost bad"] == 3)
             await collector.start()
-            await until(lambda: made.sent == 2)
+            await until(lambda: otlp_exporter.sent == 2)
         await backend.stop()
         await collector.close()
 
     run(main())
 
 
-def test_what_waits_at_the_end_is_sent_and_a_dead_collector_holds_nobody_up() -> None:
+def test_close_sends_queued_traces_and_does_not_hang() -> None:
     async def main(alive: bool) -> int:
         collector = await StandIn().start()
         if not alive:
             await collector.stop()
-        made = otlp.OtlpExporter(collector.endpoint, {}, 0.2, Queue())
-        made.start()
-        made.put(orjson.dumps(hop().fields("t", "n", "z")), True)
+        otlp_exporter = otlp.OtlpExporter(collector.endpoint, {}, 0.2, Queue())
+        otlp_exporter.start()
+        otlp_exporter.put(orjson.dumps(hop().fields("t", "n", "z")), True)
         begun = time.monotonic()
-        await asyncio.to_thread(made.close)
-        assert time.monotonic() - begun < 30.0  # of which the machine may need most
-        assert made.sent + made.queue.lost["lost bad"] == 1
+        await asyncio.to_thread(otlp_exporter.close)
+        assert time.monotonic() - begun < 30.0  # The bound allows for a busy machine.
+        assert otlp_exporter.sent + otlp_exporter.queue.lost["lost bad"] == 1
         await collector.close()
         return len(collector.spans)
 
@@ -270,7 +274,7 @@
     assert run(main(False)) == 0
 
 
-def test_without_the_libraries_the_file_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_package_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     import sys
 
     from honeywharf.traces import make_exporters
--- a/tests/traces/test_asking.py
+++ b/tests/traces/test_queries.py
@@ -1,4 +1,4 @@
-"""The language, its errors, causes, and the commands."""
+"""Expressions and their errors, causes, and the commands that read traces."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "holds"),
+    ("expression", "holds"),
     [
         ("failed", True),
         ("not failed", False),
         ('failed and attempts > 1 and zone = "tartu"', True),
         ("refused or served or attempts = 2", True),
-        ('zone != "tartu"', False),  # one of its texts is equal
+        ('zone != "tartu"', False),  # One of the texts is equal.
         ('zone != "tallinn"', True),
         ('zone in ["tallinn", "parnu"]', True),
         ("attempts in [1, 3]", False),
@@ -51,14 +51,14 @@
         ('reason = "crowded"', False),
     ],
 )
-def test_what_an_expression_holds_for(asked: str, holds: bool) -> None:
+def test_expression_selects_rows(expression: str, holds: bool) -> None:
     others = [row(duration=float(d), **{"class": frozenset(("read",))}) for d in range(1, 100)]
-    found = language.compile_expression(asked).select([*others, ROW])
+    found = language.compile_expression(expression).select([*others, ROW])
     assert (ROW in found) is holds
 
 
 @pytest.mark.parametrize(
-    ("asked", "at", "words"),
+    ("expression", "position", "message"),
     [
         ("failed and", 10, ", got the end"),
         ("failed or or slow", 10, ", got 'or'"),
@@ -75,18 +75,18 @@
         ("failed" + " " * 2000, 0, "expected at most 2000 characters, got 2006"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(asked: str, at: int, words: str) -> None:
+def test_error_gives_position_and_expectation(expression: str, position: int, message: str) -> None:
     with pytest.raises(language.ExpressionError, match=r"expected .*, got |found field ") as fault:
-        language.compile_expression(asked)
-    assert words in str(fault.value)
-    assert fault.value.position == at
-    assert str(fault.value).splitlines()[2].index("^") == at + 2
+        language.compile_expression(expression)
+    assert message in str(fault.value)
+    assert fault.value.position == position
+    assert str(fault.value).splitlines()[2].index("^") == position + 2
 
 
-def test_a_sampler_rule_may_ask_only_what_one_hop_knows() -> None:
-    for asked in ("hops > 2", 'node = "n"', "duration > p50(class)"):
+def test_sampler_rule_allows_only_single_hop_fields() -> None:
+    for expression in ("hops > 2", 'node = "n"', "duration > p50(class)"):
         with pytest.raises(language.ExpressionError):
-            language.compile_expression(asked, language.SINGLE_HOP_FIELDS, allow_quantiles=False)
+            language.compile_expression(expression, language.SINGLE_HOP_FIELDS, allow_quantiles=False)
     assert (
         language.compile_expression(
             "duration > 5 ms", language.SINGLE_HOP_FIELDS, allow_quantiles=False
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("planted", PLANTED)
-def test_a_planted_cause_is_named_first_in_nearly_every_day(planted: str) -> None:
+def test_planted_cause_is_reported_first(planted: str) -> None:
     hits = 0
     for seed in range(5):
         rows = list(store.rows_by_trace(day(seed, 3000, planted)))
@@ -109,7 +109,7 @@
     assert hits == 5
 
 
-def test_on_clean_days_nothing_is_named() -> None:
+def test_no_cause_is_reported_without_faults() -> None:
     for seed in range(10):
         rows = list(store.rows_by_trace(day(seed, 3000)))
         bad = [r for r in rows if r["failed"] or r["slow"]]
@@ -118,13 +118,13 @@
         assert found == {"unserved": [], "late": []}
 
 
-def test_hops_are_put_in_order_without_comparing_their_clocks() -> None:
+def test_hops_are_sorted_without_comparing_clocks() -> None:
     hops = [h for h in day(1, 400) if h["kept"] == ["ordinary"]]
-    whole = [r for r in store.rows_by_trace(hops) if r["hops"] == 3.0]
-    assert len(whole) > 5
-    for found in whole:
+    complete = [r for r in store.rows_by_trace(hops) if r["hops"] == 3.0]
+    assert len(complete) > 5
+    for found in complete:
         spans = found["spans"]
-        spans[0]["start_ms"] += 2000.0  # its clock is 2 s ahead
+        spans[0]["start_ms"] += 2000.0  # This hop's clock is 2 s ahead.
         again = store.callers_first([spans[2], spans[0], spans[1]])
         assert [h["hop"] for h in again] == ["front", "render", "store"]
         own = causes.own_times(found)
@@ -135,37 +135,37 @@
 def file(tmp_path: Path) -> Path:
     path = tmp_path / "traces.jsonl"
     lines = [orjson.dumps(h) for h in day(5, 3000, "zone")]
-    path.write_bytes(b"\n".join(lines) + b"\n" + lines[0][:50])  # killed while it wrote
+    path.write_bytes(b"\n".join(lines) + b"\n" + lines[0][:50])  # The last line is truncated.
     return path
 
 
-def test_the_commands_answer_from_files(file: Path) -> None:
-    def ask(*words: str) -> tuple[int, str]:
-        done = CliRunner().invoke(main, [*words])
+def test_commands_read_files(file: Path) -> None:
+    def run_command(*arguments: str) -> tuple[int, str]:
+        done = CliRunner().invoke(main, [*arguments])
         return done.exit_code, done.output
 
-    status, said = ask("traces", "failed", str(file))
+    status, printed = run_command("traces", "failed", str(file))
     assert status == 0
-    assert "1 lines are no traces" in said
-    assert "failed" in said
-    assert ask("traces", "duration > 1000 s", str(file))[0] == 1
-    status, said = ask("traces", "zona", str(file))
+    assert "1 lines are no traces" in printed
+    assert "failed" in printed
+    assert run_command("traces", "duration > 1000 s", str(file))[0] == 1
+    status, printed = run_command("traces", "zona", str(file))
     assert status == 2
-    assert "found field 'zona'" in said
-    status, said = ask("traces", "failed", str(file), "--by", "zone", "--json")
+    assert "found field 'zona'" in printed
+    status, printed = run_command("traces", "failed", str(file), "--by", "zone", "--json")
     assert status == 0
-    assert orjson.loads(said[said.index("[") :])[0]["zone"] == "tartu"
-    assert ask("traces", "failed", str(file), "--by", "duration")[0] == 2
-    status, said = ask("causes", str(file), "--bad", "failed")
+    assert orjson.loads(printed[printed.index("[") :])[0]["zone"] == "tartu"
+    assert run_command("traces", "failed", str(file), "--by", "duration")[0] == 2
+    status, printed = run_command("causes", str(file), "--bad", "failed")
     assert status == 0
-    assert "zone tartu" in said
-    assert "first fail at store" in said
-    status, said = ask("causes", str(file), "--json", "--bad", "failed")
+    assert "zone tartu" in printed
+    assert "first fail at store" in printed
+    status, printed = run_command("causes", str(file), "--json", "--bad", "failed")
     assert status == 0
-    assert orjson.loads(said[said.index("{") :])["causes"][0]["text"] == "tartu (store)"
+    assert orjson.loads(printed[printed.index("{") :])["causes"][0]["text"] == "tartu (store)"
     hops, _ = store.read([file])
     name = next(h["request"] for h in hops if h["end"] == "failed" and h["hop"] == "front")
-    status, said = ask("explain", name, str(file))
+    status, printed = run_command("explain", name, str(file))
     assert status == 0
-    assert "error after" in said
-    assert ask("explain", "nobody", str(file))[0] == 1
+    assert "error after" in printed
+    assert run_command("explain", "nobody", str(file))[0] == 1
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_sampling.py
@@ -1,4 +1,4 @@
-"""Trace context, what a sampler keeps, and its bounds."""
+"""Trace context, and the decisions and limits of the sampler."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         ([GOOD.upper()], False, "parent"),
         ([GOOD[:-1]], False, "parent"),
         ([GOOD + b"-more"], False, "parent"),
-        ([b"cc" + GOOD[2:] + b"-what comes later"], True, ""),  # a later version is read by its first fields
+        ([b"cc" + GOOD[2:] + b"-what comes later"], True, ""),  # A later version is read by its first fields.
         ([b"cc" + GOOD[2:] + b"."], False, "parent"),
         ([b"ff" + GOOD[2:]], False, "parent"),
         ([f"00-{'0' * 32}-{SPAN}-01".encode()], False, "parent"),
@@ -36,11 +36,11 @@
         ([b"\xff\x00"], False, "parent"),
     ],
 )
-def test_a_damaged_context_begins_a_new_trace(parents: list[bytes], found: bool, fault: str) -> None:
-    made, wrong = context.parse(parents, [b"a=1"])
-    assert (made is not None, wrong) == (found, fault)
-    if made is not None:
-        assert (made.trace_id, made.parent_id, made.trace_state) == (ID, SPAN, "a=1")
+def test_invalid_context_begins_a_new_trace(parents: list[bytes], found: bool, fault: str) -> None:
+    parsed, wrong = context.parse(parents, [b"a=1"])
+    assert (parsed is not None, wrong) == (found, fault)
+    if parsed is not None:
+        assert (parsed.trace_id, parsed.parent_id, parsed.trace_state) == (ID, SPAN, "a=1")
 
 
 @pytest.mark.parametrize(
@@ -58,34 +58,34 @@
         ([b"a=" + b"x" * 10_000], "", False, "state"),
     ],
 )
-def test_a_tracestate_is_passed_on_within_its_bound(
+def test_tracestate_is_propagated_within_its_limit(
     states: list[bytes],
     kept: str,
     bad: bool,
     fault: str,
 ) -> None:
-    made, wrong = context.parse([GOOD], states, trusts=True)
-    assert made is not None
-    assert (made.trace_state, made.bad, wrong) == (kept, bad, fault)
-    assert len(made.trace_state) <= context.MAX_TRACE_STATE_CHARS
+    parsed, wrong = context.parse([GOOD], states, trusts=True)
+    assert parsed is not None
+    assert (parsed.trace_state, parsed.bad, wrong) == (kept, bad, fault)
+    assert len(parsed.trace_state) <= context.MAX_TRACE_STATE_CHARS
 
 
 @given(st.lists(st.binary(max_size=80), max_size=3), st.lists(st.binary(max_size=80), max_size=3))
 @settings(deadline=None)
-def test_what_is_parsed_is_passed_on_as_a_sound_context(parents: list[bytes], states: list[bytes]) -> None:
+def test_parsed_context_is_propagated_as_a_valid_one(parents: list[bytes], states: list[bytes]) -> None:
     for given_parents in (parents, [GOOD]):
-        made, _ = context.parse(given_parents, states, trusts=True)
-        if made is None:
+        parsed, _ = context.parse(given_parents, states, trusts=True)
+        if parsed is None:
             continue
         lines = context.request_header_lines(
-            made.trace_id, SPAN, made.flags, made.trace_state, bad=True
+            parsed.trace_id, SPAN, parsed.flags, parsed.trace_state, bad=True
         ).split(b"\r\n")
         values = dict(line.split(b": ", 1) for line in lines if line)
         again, fault = context.parse([values[b"traceparent"]], [values[b"tracestate"]], trusts=True)
         assert again is not None
         assert (again.trace_id, again.trace_state, again.bad, fault) == (
-            made.trace_id,
-            made.trace_state,
+            parsed.trace_id,
+            parsed.trace_state,
             True,
             "",
         )
@@ -95,41 +95,41 @@
 
 
 @pytest.mark.parametrize(
-    ("trusts", "states", "randomness", "passed_on"),
+    ("trusts", "states", "randomness", "propagated"),
     [
         (True, [], "f" * 14, ""),
         (True, [b"ot=rv:00000000000001,a=1"], "00000000000001", "ot=rv:00000000000001,a=1"),
         (True, [b"ot=th:0;rv:00000000000001"], "00000000000001", "ot=th:0;rv:00000000000001"),
-        (True, [b"ot=rv:0001,a=1"], "f" * 14, "a=1"),  # no such member: the random flag says what counts
+        (True, [b"ot=rv:0001,a=1"], "f" * 14, "a=1"),  # The member is invalid.
         (False, [], "", ""),
         (False, [b"ot=rv:ffffffffffffff,a=1", b"hw=bad"], "", "a=1"),
     ],
 )
-def test_randomness_counts_only_from_those_who_are_trusted(
+def test_randomness_is_accepted_only_from_trusted_callers(
     trusts: bool,
     states: list[bytes],
     randomness: str,
-    passed_on: str,
+    propagated: str,
 ) -> None:
-    made, fault = context.parse([FORGED], states, trusts=trusts)
-    assert made is not None
-    assert (made.randomness, made.trace_state, made.bad, fault) == (randomness, passed_on, False, "")
+    parsed, fault = context.parse([FORGED], states, trusts=trusts)
+    assert parsed is not None
+    assert (parsed.randomness, parsed.trace_state, parsed.bad, fault) == (randomness, propagated, False, "")
 
 
-def test_a_trusted_id_without_the_random_flag_or_randomness_vouches_for_nothing() -> None:
-    made, _ = context.parse([FORGED[:-2] + b"01"], [], trusts=True)
-    assert made is not None
-    assert made.randomness == ""
+def test_trusted_trace_id_without_random_flag_has_no_randomness() -> None:
+    parsed, _ = context.parse([FORGED[:-2] + b"01"], [], trusts=True)
+    assert parsed is not None
+    assert parsed.randomness == ""
 
 
 @given(st.floats(1e-18, 1.0), st.integers(0, 2**56 - 1))
 @settings(deadline=None)
-def test_digits_compare_with_a_threshold_as_the_numbers_do(rate: float, number: int) -> None:
+def test_hex_digits_compare_with_the_threshold_as_numbers_do(rate: float, number: int) -> None:
     assert (f"{number:014x}" >= context.threshold(rate)) == (number >= round((1.0 - rate) * 2**56))
 
 
 @pytest.mark.parametrize("first", ["held", "bad"])
-def test_one_bad_part_keeps_a_bounded_number_of_a_trace_s_others(first: str) -> None:
+def test_one_bad_part_keeps_a_limited_number_of_other_parts(first: str) -> None:
     found: list[HopTrace] = []
     s, bad = sampler(found, trusts=False), hop(ID, "failed")
     s.answered(bad)
@@ -141,10 +141,10 @@
         s.settled(400.0, bad)
     assert len(found) == 1 + MAX_FURTHER_PARTS
     assert s.counts["told over"] == 9 * MAX_FURTHER_PARTS
-    assert sum(h.weight for h in found) == len(found)  # none of them stands for others
+    assert sum(h.weight for h in found) == len(found)  # No weight is above 1.
 
 
-def test_an_answer_tells_only_of_its_own_trace_that_it_is_kept() -> None:
+def test_traceresponse_counts_only_for_its_own_trace() -> None:
     for bad in (False, True):
         line = context.response_header_line(ID, SPAN, bad=bad).strip().split(b": ")[1]
         assert context.kept_below(line, ID) is bad
@@ -179,7 +179,7 @@
         ("served", 10.0, late, ["late attempt"]),
     ],
 )
-def test_what_is_bad_is_kept_and_what_is_not_is_held(
+def test_bad_traces_are_kept_and_ordinary_ones_are_pending(
     how: str,
     took: float,
     what: object,
@@ -196,7 +196,7 @@
     assert len(s.pending) == (0 if kept else 1)
 
 
-def test_an_answer_later_than_nearly_all_is_slow_though_within_its_aim() -> None:
+def test_answer_beyond_the_learned_quantile_is_slow() -> None:
     found: list[HopTrace] = []
     s, rng = sampler(found), random.Random(1)
     for i in range(4 * MIN_ANSWERS):
@@ -209,14 +209,14 @@
     assert h.kept == ["slow"]
 
 
-def test_answers_that_all_take_as_long_are_not_slow() -> None:
+def test_answers_of_equal_duration_are_not_slow() -> None:
     s = sampler([])
     late = sum(s.answered(hop(f"{i:032x}", "served", 15.0)) for i in range(10 * MIN_ANSWERS))
     assert late == 0
 
 
 @pytest.mark.parametrize("after", [False, True])
-def test_a_note_exports_what_is_held_and_what_is_still_to_end(after: bool) -> None:
+def test_note_exports_pending_and_later_parts(after: bool) -> None:
     found: list[HopTrace] = []
     s, h = sampler(found), hop("00" * 16)
     for step in (0, 1) if after else (1, 0):
@@ -229,7 +229,7 @@
     assert (len(s.pending), s.pending_bytes) == (0, 0)
 
 
-def test_a_client_that_says_keep_on_everything_gains_nothing_at_the_entry() -> None:
+def test_untrusted_client_cannot_force_traces_to_be_kept() -> None:
     for trusts in (False, True):
         found: list[HopTrace] = []
         s = sampler(found, trusts)
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("bound", [{"max_pending": 50}, {"max_pending_bytes": 50 * 1600}])
-def test_held_traces_are_bounded_and_the_oldest_go_counted(bound: dict[str, int]) -> None:
+def test_pending_traces_are_limited_and_dropped_ones_counted(bound: dict[str, int]) -> None:
     found: list[HopTrace] = []
     s = sampler(found, changes=bound)
     for i in range(500):
@@ -265,20 +265,21 @@
     )
 
 
-def test_every_hop_keeps_the_same_ordinary_traces_and_estimates_are_true() -> None:
+def test_hops_keep_the_same_ordinary_traces_with_unbiased_weights() -> None:
     kept = day(3, 20_000)
     by: dict[str, set[str]] = {}
     for h in kept:
         if h["kept"] == ["ordinary"]:
             by.setdefault(h["hop"], set()).add(h["trace_id"])
     fronts = [h for h in kept if h["hop"] == "front"]
-    assert by["front"] <= by["render"] <= by["store"]  # what is slow at one hop alone is kept as bad there
+    # A trace that is slow at one hop alone is kept there as a bad one.
+    assert by["front"] <= by["render"] <= by["store"]
     estimated = sum(h["weight"] for h in fronts if h["kept"] == ["ordinary"])
     bad = sum(h["kept"] != ["ordinary"] for h in fronts)
     assert abs(estimated + bad - 20_000) < 4 * (20_000 / 0.05) ** 0.5
 
 
-def test_what_fails_below_is_kept_at_every_hop_above() -> None:
+def test_downstream_failure_is_kept_at_every_upstream_hop() -> None:
     kept = day(4, 5000)
     failed = {h["trace_id"] for h in kept if h["end"] == "failed"}
     assert len(failed) > 3
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -1,5 +1,4 @@
-"""Traces of a running proxy: attempts and context on the wire, the file, its bounds, and nothing where it is
-off."""
+"""Traces of a running proxy: attempts, context, the file and its limits, and notes."""
 
 from __future__ import annotations
 
@@ -33,7 +32,7 @@
 ID = PARENT[3:35]
 
 
-def on(path: Path, **changes: Any) -> Features:
+def trace_features(path: Path, **changes: Any) -> Features:
     return Features(traces=Traces(file=str(path), **{"rate": 1e-9, **changes}))
 
 
@@ -45,17 +44,17 @@
 
 
 async def kept(w: World, number: int) -> list[dict[str, Any]]:
-    """The traces in the file, once so many are written."""
+    """Waits until `number` traces are written, and returns those in the file."""
     spool = spool_of(w)
     await until(lambda: spool.written >= number)
     return store.read([spool.path])[0]
 
 
-def test_a_retry_that_succeeds_has_both_spans_and_one_verdict(tmp_path: Path) -> None:
+def test_successful_retry_has_both_spans_and_one_end(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.script = ["close"]  # unanswered, then as ever
-        async with world([backend.row("b1"), backend.row("b2")], on(tmp_path / "t")) as w:
+        backend.script = ["close"]  # Only the first request gets no answer.
+        async with world([backend.row("b1"), backend.row("b2")], trace_features(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             name = client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: other=1")
             first, headers, _ = await client.answer()
@@ -70,10 +69,13 @@
             assert {lost["server.address"], ok["server.address"]} == {"b1", "b2"}
             assert lost["honeywharf.why"]["usable"] == 2
             assert ok["honeywharf.why"]["budget"] < lost["honeywharf.why"]["budget"]
-            told = [m[1] for m in backend.requests]
-            assert [t[b"traceparent"][36:52].decode() for t in told] == [lost["span_id"], ok["span_id"]]
-            # The hops behind learn with the retry that the trace is kept.
-            states = [t[b"tracestate"].decode() for t in told]
+            request_headers = [m[1] for m in backend.requests]
+            assert [t[b"traceparent"][36:52].decode() for t in request_headers] == [
+                lost["span_id"],
+                ok["span_id"],
+            ]
+            # The retry has the member by which downstream hops keep the trace.
+            states = [t[b"tracestate"].decode() for t in request_headers]
             assert states[1] == f"hw=bad,{states[0]}"
             assert re.fullmatch(r"ot=rv:[0-9a-f]{14},other=1", states[0])
         await backend.stop()
@@ -89,14 +91,14 @@
         ((f"traceparent: {PARENT}", "tracestate: =,="), "state"),
     ],
 )
-def test_a_request_with_a_damaged_context_is_served_and_counted(
+def test_request_with_invalid_context_is_served_and_counted(
     tmp_path: Path,
     lines: tuple[str, ...],
     fault: str,
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
+        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", *lines)
             assert await client.status() == 200
@@ -110,10 +112,10 @@
     run(main())
 
 
-def test_what_a_hop_below_keeps_is_kept_and_a_client_can_force_nothing(tmp_path: Path) -> None:
+def test_trace_kept_downstream_is_kept_and_clients_cannot_force_it(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t")) as w:
+        async with world([backend.row("b")], trace_features(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             for below in (0, 1):
                 parent = PARENT.replace("0af7", f"0af{below}")
@@ -128,49 +130,50 @@
     run(main())
 
 
-def test_made_up_trace_ids_and_randomness_choose_nothing_at_the_entry(tmp_path: Path) -> None:
-    """3,000 forged requests beside 3,000 others: both kept at the rate, and both estimated truly."""
+def test_forged_trace_ids_and_randomness_do_not_bias_sampling(tmp_path: Path) -> None:
+    """3,000 forged requests and 3,000 others are kept at the same rate, with unbiased weights."""
     number, rate = 3000, 0.02
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=rate)) as w:
+        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=rate)) as w:
 
-            async def ask(tenant: str, lines: Callable[[int], tuple[str, ...]]) -> None:
+            async def send_requests(tenant: str, lines: Callable[[int], tuple[str, ...]]) -> None:
                 client = await Client.to(w.port)
                 for i in range(number):
                     client.send("read", b"", "4000m", f"X-Account: {tenant}", *lines(i))
                     assert await client.status() == 200
 
             await asyncio.gather(
-                ask(
+                send_requests(
                     "forger",
                     lambda i: (
                         f"traceparent: 00-{i + 1:018x}{'f' * 14}-b7ad6b7169203331-03",
                         "tracestate: ot=rv:ffffffffffffff,hw=bad",
                     ),
                 ),
-                ask("plain", lambda i: ()),
+                send_requests("plain", lambda i: ()),
             )
             spool = spool_of(w)
             (part,) = w.proxy.components
             hops = await kept(w, part.counts()["traces:ordinary kept"] + part.counts()["traces:bad"])
             assert not spool.queue.lost["lost ordinary"]
-            spread = 5.0 * (number * rate) ** 0.5
+            tolerance = 5.0 * (number * rate) ** 0.5
             for tenant in ("forger", "plain"):
-                some = [h for h in hops if h["tenant"] == tenant and h["kept"] == ["ordinary"]]
-                assert abs(len(some) - number * rate) < spread, tenant
-                assert abs(sum(h["weight"] for h in some) - number) < spread / rate
+                sampled = [h for h in hops if h["tenant"] == tenant and h["kept"] == ["ordinary"]]
+                assert abs(len(sampled) - number * rate) < tolerance, tenant
+                assert abs(sum(h["weight"] for h in sampled) - number) < tolerance / rate
             forged = [h for h in hops if h["tenant"] == "forger"]
-            assert all(h["trace_id"].endswith("f" * 14) for h in forged)  # it can be found again by its id
-            told = [
+            # The trace-ids stay, so that a client finds its traces.
+            assert all(h["trace_id"].endswith("f" * 14) for h in forged)
+            trace_states = [
                 m[1].get(b"tracestate", b"")
                 for m in backend.requests
                 if m[1][b"traceparent"][21:35] == b"f" * 14
             ]
-            assert len(told) == number
-            assert all(t.startswith(b"ot=rv:") and b"ffffffffffffff" not in t for t in told)
-            # Nobody below may take the made-up bits for random ones.
+            assert len(trace_states) == number
+            assert all(t.startswith(b"ot=rv:") and b"ffffffffffffff" not in t for t in trace_states)
+            # Downstream hops must not use the forged bits as random ones.
             assert not any(
                 int(m[1][b"traceparent"][-2:], 16) & 2
                 for m in backend.requests
@@ -190,10 +193,10 @@
         ("callers", 0, True),
     ],
 )
-def test_who_is_trusted_is_configured(tmp_path: Path, trust: str, tier: int, trusted: bool) -> None:
+def test_trusted_callers_are_configured(tmp_path: Path, trust: str, tier: int, trusted: bool) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        features = on(tmp_path / "t", trust=trust)
+        features = trace_features(tmp_path / "t", trust=trust)
         async with world([backend.row("b")], features, tier=tier, tiers=["t", "u"]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: ot=rv:ffffffffffffff")
@@ -206,10 +209,10 @@
     run(main())
 
 
-def test_refused_failed_and_asked_for_are_kept_and_the_rest_is_held(tmp_path: Path) -> None:
+def test_refused_failed_and_matching_requests_are_kept(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        features = on(tmp_path / "t", keep='tenant = "acme" and duration >= 0 ms')
+        features = trace_features(tmp_path / "t", keep='tenant = "acme" and duration >= 0 ms')
         async with world([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             for code, tenant, status in ((200, "other", 200), (500, "other", 502), (200, "acme", 200)):
@@ -218,7 +221,7 @@
                 assert await client.status() == status
             hops = await kept(w, 2)
             assert [(h["end"], h["kept"]) for h in hops] == [("failed", ["failed"]), ("served", ["rule"])]
-            assert hops[0]["reason"] == "no server"  # that a request which may have run could go to
+            assert hops[0]["reason"] == "no server"  # A request that may have run can't be retried.
             assert hops[0]["honeywharf.why"]["usable"] == hops[0]["honeywharf.why"]["ready"] == 1
             assert "honeywharf.why" not in hops[1]
             (part,) = w.proxy.components
@@ -228,7 +231,7 @@
     run(main())
 
 
-def test_where_it_is_off_nothing_of_it_is_on_the_wire_or_in_memory() -> None:
+def test_disabled_traces_add_no_headers_and_import_nothing() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w:
@@ -242,7 +245,7 @@
         await backend.stop()
 
     run(main())
-    said = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -253,10 +256,10 @@
         text=True,
         check=True,
     )
-    assert said.stdout.strip() == "[]"
+    assert process.stdout.strip() == "[]"
 
 
-def test_the_file_and_the_one_before_it_stay_within_their_bound(tmp_path: Path) -> None:
+def test_both_files_stay_within_the_limit(tmp_path: Path) -> None:
     spool = Spool(tmp_path / "t", 100_000)
     for i in range(300):
         spool.put(b"%0999d" % i, bad=True)
@@ -270,7 +273,7 @@
     assert os.stat(tmp_path / "t").st_mode & 0o777 == 0o600
 
 
-def test_a_full_queue_loses_the_ordinary_first_and_counts_by_kind(tmp_path: Path) -> None:
+def test_full_queue_drops_ordinary_lines_first_and_counts_them(tmp_path: Path) -> None:
     spool = Spool(tmp_path / "t", 100_000_000)
     for i in range(MAX_QUEUED_LINES):
         spool.put(b"%d" % i, bad=bool(i % 2))
@@ -282,10 +285,10 @@
     assert spool.queue.bytes <= 8 * 1024 * 1024
 
 
-def test_a_disk_that_refuses_costs_no_request_and_what_is_lost_is_counted(tmp_path: Path) -> None:
+def test_disk_failure_fails_no_request_and_counts_lost_traces(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
+        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
             client, spool = await Client.to(w.port), spool_of(w)
             spool.path = tmp_path / "not there" / "t"
             for _ in range(3):
@@ -314,7 +317,7 @@
 """
 
 
-def test_a_writer_that_is_killed_leaves_whole_lines_and_a_cut_one_at_most(tmp_path: Path) -> None:
+def test_killed_writer_truncates_at_most_one_line(tmp_path: Path) -> None:
     async def main() -> None:
         path = tmp_path / "t"
         for _ in range(3):
@@ -334,7 +337,7 @@
     run(main())
 
 
-def test_a_keep_rule_that_is_wrong_is_told_with_file_key_and_place(tmp_path: Path) -> None:
+def test_invalid_keep_rule_is_reported_with_file_key_and_position(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text('[traces]\nfile = "t"\nkeep = "durations > 5"\n')
     with pytest.raises(FeaturesError, match=r"traces\.keep: found field 'durations', wanted one of") as fault:
@@ -348,21 +351,18 @@
     return part, part.notes_socket
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_a_part_that_ended_well_below_is_kept_when_the_hop_above_says_so_later(
+@pytest.mark.parametrize("notified", [False, True])
+def test_note_keeps_a_part_that_ended_downstream(
     tmp_path: Path,
-    told: bool,
+    notified: bool,
 ) -> None:
-    """Two proxies, one behind the other.
-
-    The upper one keeps the trace by a rule that the lower one has not.
-    """
+    """Only the upstream one of two proxies has the rule that keeps the trace."""
 
     async def main() -> None:
         backend = await Backend().start()
         lower, upper = (
-            on(tmp_path / "b", notes="127.0.0.1:0"),
-            on(tmp_path / "a", notes="127.0.0.1:0", keep="duration >= 0 ms"),
+            trace_features(tmp_path / "b", notes="127.0.0.1:0"),
+            trace_features(tmp_path / "a", notes="127.0.0.1:0", keep="duration >= 0 ms"),
         )
         async with (
             world([backend.row("n")], lower) as b,
@@ -370,14 +370,14 @@
         ):
             (above, up), (below, down) = part_of(a), part_of(b)
             up.peers, down.peers = (
-                frozenset({below.notes_address}) if told else frozenset(),
+                frozenset({below.notes_address}) if notified else frozenset(),
                 frozenset({above.notes_address}),
             )
             client = await Client.to(a.port)
             client.send()
             assert await client.status() == 200
             (first,) = await kept(a, 1)
-            if not told:
+            if not notified:
                 assert below.recorder.sampler.counts["ordinary"] == 1
                 assert spool_of(b).written == 0
                 return
@@ -385,7 +385,7 @@
             assert (first["kept"], second["kept"]) == (["rule"], ["told"])
             assert second["parent_id"] == first["attempts"][0]["span_id"]
             await until(lambda: down.notes.counts["heard"] == SENDS_PER_ID)
-            assert down.notes.counts["told"] == 0  # each trouble is told of once
+            assert down.notes.counts["told"] == 0  # A received note causes no further notes.
             up.notes.counts["strange"] = 0
             up.datagram_received(b"hwn1" + b"x" * 16, ("127.0.0.9", 9))
             assert up.notes.counts["strange"] == 1
@@ -394,7 +394,7 @@
     run(main())
 
 
-def test_notes_leave_in_batches_twice_and_within_their_bound() -> None:
+def test_notes_are_sent_twice_in_limited_batches() -> None:
     notes, ids = Notes(), [f"{i:032x}" for i in range(MAX_PENDING_IDS + 10)]
     for name in ids:
         notes.add(0.0, name)
@@ -420,7 +420,7 @@
         b"hwn1" + b"x" * 16 * (MAX_IDS_PER_DATAGRAM + 1),
     ],
 )
-def test_what_is_no_note_is_dropped_and_counted(datagram: bytes) -> None:
+def test_invalid_note_is_dropped_and_counted(datagram: bytes) -> None:
     notes = Notes()
     assert notes.received(datagram) == []
     assert notes.counts["damaged"] == 1
--- a/tests/traces/test_tiers.py
+++ b/tests/traces/test_tiers.py
@@ -1,4 +1,4 @@
-"""Three tiers on sockets, small: nothing is missing of a bad request, and the check would see it."""
+"""A small run of three tiers on sockets: every hop and attempt of a bad request is kept."""
 
 from __future__ import annotations
 
@@ -18,15 +18,19 @@
         try:
             await house.start()
             await house.ask(600, 300.0)
-            await asyncio.sleep(0.5)  # a note is sent a second time after 0.1 s
+            await asyncio.sleep(0.5)  # A note is sent a second time after 0.1 s.
         finally:
             await house.stop()
         assert house.network is not None
-        made = checked(house.asked, house.seen(), house.files(), {}, house.network)
-        assert made.bad > 10
-        assert made.unexplained == []
-        assert (made.whole, made.kept_parts, made.kept_attempts) == (made.bad, made.parts, made.attempts)
-        assert made.spans < 0.5 * made.of_spans  # it was no matter of keeping all
+        verdict = checked(house.asked, house.seen(), house.files(), {}, house.network)
+        assert verdict.bad > 10
+        assert verdict.unexplained == []
+        assert (verdict.whole, verdict.kept_parts, verdict.kept_attempts) == (
+            verdict.bad,
+            verdict.parts,
+            verdict.attempts,
+        )
+        assert verdict.spans < 0.5 * verdict.of_spans  # Most other traces are not kept.
 
     run(main(), 120.0)
 
@@ -36,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("lost", "explained"), [(False, "unexplained"), (True, "notes lost twice")])
-def test_the_check_sees_a_hop_that_is_missing_and_believes_only_the_record(
+def test_check_explains_a_missing_hop_only_by_the_record(
     tmp_path: Path,
     lost: bool,
     explained: str,
@@ -52,7 +56,7 @@
         .replace("%s", "ab" * 16, 1)
         .replace("%s", TIERS[0], 1)
     )
-    made = checked([Asked("c", "entry-0", 200, 0.0)], record, [file], {}, network)
-    assert (made.bad, made.whole, made.parts, made.kept_parts) == (1, 0, 2, 1)
-    assert dict(made.missing) == {explained: 1}
-    assert len(made.unexplained) == (not lost)
+    verdict = checked([Asked("c", "entry-0", 200, 0.0)], record, [file], {}, network)
+    assert (verdict.bad, verdict.whole, verdict.parts, verdict.kept_parts) == (1, 0, 2, 1)
+    assert dict(verdict.missing) == {explained: 1}
+    assert len(verdict.unexplained) == (not lost)
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -1,4 +1,4 @@
-"""Waits, joins and others' answers as spans with links; the context of CoAP clients and nodes."""
+"""Spans and links of waits and joined requests, and the context of CoAP clients and nodes."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 ID = PARENT[3:35]
 
 
-def on(path: Path, **more: Any) -> Features:
-    return Features(traces=Traces(file=str(path), rate=1.0), **more)
+def trace_features(path: Path, **others: Any) -> Features:
+    return Features(traces=Traces(file=str(path), rate=1.0), **others)
 
 
 async def kept(w: World, number: int) -> list[dict[str, Any]]:
@@ -40,13 +40,13 @@
     return f"{hop['trace_id']}-{hop['attempts'][attempt]['span_id']}"
 
 
-def test_a_joined_repeat_links_to_the_attempt_it_waited_on_and_a_late_one_to_who_earned_the_answer(
+def test_joined_and_late_repeats_link_to_the_attempt_that_was_answered(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
-        features = on(tmp_path / "t", order_keys=OrderKeys(store="process"))
+        features = trace_features(tmp_path / "t", order_keys=OrderKeys(store="process"))
         async with world([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", key="k")
@@ -79,11 +79,11 @@
     run(main())
 
 
-def test_a_repeat_that_runs_after_it_waited_has_one_trace_with_its_wait(tmp_path: Path) -> None:
+def test_repeat_that_runs_after_a_wait_has_a_wait_span(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.script = [None]  # the first is never answered
-        features = on(tmp_path / "t", order_keys=OrderKeys(store="process"))
+        backend.script = [None]  # The first request is never answered.
+        features = trace_features(tmp_path / "t", order_keys=OrderKeys(store="process"))
         async with world([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", "300m", key="k")
@@ -98,13 +98,13 @@
             assert ran["end"] == "served"
             assert ran["start_ms"] + ran["wait_ms"] == pytest.approx(attempt["start_ms"])
             assert wait["start_ms"] + wait["duration_ms"] <= attempt["start_ms"] + 1.0
-            assert "link" not in ran  # its answer is its own
+            assert "link" not in ran  # The answer was made for this request.
         await backend.stop()
 
     run(main())
 
 
-def test_a_shared_key_s_claim_and_the_note_of_a_new_place_are_waits(tmp_path: Path) -> None:
+def test_claims_and_notes_of_a_shared_key_are_waits(tmp_path: Path) -> None:
     async def main() -> None:
         async with sharing(1, 2) as (_, (w,), backends):
             traced: list[HopTrace] = []
@@ -112,7 +112,7 @@
                 Sampler(Sampling(1.0), {}, traced.append, trusts=False), random.Random(1)
             )
             for backend in backends:
-                backend.script = ["close"]  # unprovable: it may be sent again in its own cell only
+                backend.script = ["close"]  # The outcome is unknown, so a retry has to stay in the cell.
             client = await Client.to(w.port)
             client.send("order", b"x", key="k1")
             await client.status()
@@ -131,10 +131,10 @@
     run(main())
 
 
-def test_a_unit_s_context_is_read_passed_on_to_http_and_answered(tmp_path: Path) -> None:
+def test_coap_client_context_is_propagated_to_http_and_answered(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        features = on(tmp_path / "t", coap=Coap(listen="127.0.0.1:0"))
+        features = trace_features(tmp_path / "t", coap=Coap(listen="127.0.0.1:0"))
         async with world([backend.row("b")], features) as w:
             front = next(p for p in w.proxy.components if isinstance(p, CoapPart)).front
             assert front is not None
@@ -166,7 +166,7 @@
     run(main())
 
 
-def test_a_coap_node_gets_the_context_and_says_that_its_hop_keeps_the_trace(tmp_path: Path) -> None:
+def test_coap_node_gets_the_context_and_reports_that_it_keeps_the_trace(tmp_path: Path) -> None:
     async def main() -> None:
         node = await Node().start()
         features = Features(traces=Traces(file=str(tmp_path / "t"), rate=1e-9), coap=Coap(nodes=True))
@@ -189,7 +189,7 @@
 
 
 @given(st.binary(max_size=40))
-def test_26_bytes_of_context_are_a_header_and_back_and_all_else_is_damaged(value: bytes) -> None:
+def test_context_bytes_convert_to_a_header_and_back(value: bytes) -> None:
     text = options.trace_context_text(value)
     if len(value) == options.TRACE_CONTEXT_BYTES:
         assert options.trace_context_bytes(text) == value
@@ -202,11 +202,11 @@
     )
 
 
-def test_a_request_that_is_refused_before_the_module_has_a_trace(tmp_path: Path) -> None:
+def test_request_refused_before_the_decision_has_a_trace(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = None
-        async with world([backend.row("b")], on(tmp_path / "t"), bounds={"openCap": 1}) as w:
+        async with world([backend.row("b")], trace_features(tmp_path / "t"), bounds={"openCap": 1}) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send("read", b"", "500m")
             await until(lambda: bool(backend.requests))
