--- a/honeywharf/traces/causes.py
+++ b/honeywharf/traces/causes.py
@@ -19,7 +19,7 @@
 
 MIN_ODDS_RATIO = 3.0
 MIN_SHARE_BAD = 0.2
-MIN_BAD_TRACES = 8  # Fewer have no causes.
+MIN_BAD_TRACES = 8  # Fewer bad traces are not analysed.
 FALSE_POSITIVE_RATE = 1e-4  # The probability of a cause where bad traces have nothing in common.
 MAX_CANDIDATES = 10_000  # The limit of texts that are tested, from the most frequent on.
 MAX_CAUSES = 5
--- a/honeywharf/traces/context.py
+++ b/honeywharf/traces/context.py
@@ -26,7 +26,7 @@
 RANDOM_BITS = 56
 RANDOM_DIGITS = RANDOM_BITS // 4
 UNREACHABLE_THRESHOLD = "g"  # Greater than every text of hex digits.
-FLAGS_SUFFIXES = ("-00", "-01", "-02", "-03")  # Precomputed, as formatting a number is slow.
+FLAG_SUFFIXES = ("-00", "-01", "-02", "-03")  # Precomputed, as formatting a number is slow.
 
 _PARENT = re.compile(r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?", re.DOTALL)
 _OTEL_RANDOMNESS = re.compile(r"ot=(?:[^;]*;)*rv:([0-9a-f]{14})(?:;.*)?")
@@ -80,9 +80,8 @@
     flags = int(match[4], 16) & RANDOM
     randomness = member[1] if member is not None else match[2][-RANDOM_DIGITS:] if flags else ""
     if member is None:
-        members.pop(
-            OTEL_KEY, ""
-        )  # Keeps a downstream hop from reading randomness that this hop does not use.
+        # Keeps a downstream hop from reading randomness that this hop does not use.
+        members.pop(OTEL_KEY, "")
     return Context(match[2], match[3], flags, ",".join(members.values()), bad, randomness), fault
 
 
@@ -113,7 +112,7 @@
     trace_id: str, span_id: str, flags: int, trace_state: str, *, bad: bool = False
 ) -> bytes:
     """Returns the header lines for the next hop; `bad`: whether this hop keeps the trace for a reason."""
-    lines = "traceparent: 00-" + trace_id + "-" + span_id + FLAGS_SUFFIXES[flags] + "\r\n"
+    lines = "traceparent: 00-" + trace_id + "-" + span_id + FLAG_SUFFIXES[flags] + "\r\n"
     if bad:  # A member that was changed moves to the front (3.3.1.1).
         trace_state = f"{BAD_MEMBER},{trace_state}" if trace_state else BAD_MEMBER
     if trace_state:
@@ -126,7 +125,7 @@
 
     `bad` sets the sampled flag: this hop keeps the trace for a reason other than random sampling.
     """
-    return ("traceresponse: 00-" + trace_id + "-" + span_id + FLAGS_SUFFIXES[bad] + "\r\n").encode()
+    return ("traceresponse: 00-" + trace_id + "-" + span_id + FLAG_SUFFIXES[bad] + "\r\n").encode()
 
 
 def kept_below(value: bytes, trace_id: str) -> bool:
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -267,11 +267,11 @@
         return TEXT, lambda row, quantiles: value
 
     def _field(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
-        name = self._field_name(tree.children[0])
+        name = self._resolve_name(tree.children[0])
         return FIELDS[name], lambda row, quantiles: row[name]
 
     def _quantile(self, tree: Tree[Token]) -> tuple[str, Evaluator]:
-        function, name = str(tree.children[0]), self._field_name(tree.children[1])
+        function, name = str(tree.children[0]), self._resolve_name(tree.children[1])
         if function not in QUANTILES or not self.allow_quantiles:
             expected = ", ".join(QUANTILES) if self.allow_quantiles else "none here"
             raise self.error(tree.children[0], f"function: expected {expected}, got '{function}'")
@@ -285,7 +285,7 @@
 
         return NUMBER, value
 
-    def _field_name(self, token: Tree[Token] | Token) -> str:
+    def _resolve_name(self, token: Tree[Token] | Token) -> str:
         name = str(token)
         if name not in self.fields:
             raise self.error(token, f"found field '{name}', wanted one of {', '.join(sorted(self.fields))}")
--- a/honeywharf/traces/sampler.py
+++ b/honeywharf/traces/sampler.py
@@ -111,7 +111,7 @@
         # Pending traces from the oldest on, with those that were exported since.
         self.queue: deque[HopTrace] = deque()
         self.pending_bytes = 0
-        self.expire_ms = 0.0  # When expired traces are dropped next.
+        self.next_expiry_ms = 0.0  # When expired traces are dropped next.
         # The keys are trace-ids, in the order of expiry.
         self.kept_traces: OrderedDict[str, KeptTrace] = OrderedDict()
         self.counts = dict.fromkeys(
@@ -139,10 +139,10 @@
             latency_quantile = self.latency_quantiles.get(hop.cls)
             if latency_quantile is None and hop.cls in self.latency_targets_ms:
                 latency_quantile = self.latency_quantiles[hop.cls] = LatencyQuantile(self.settings.quantile)
-            took = hop.duration_ms
+            latency_ms = hop.duration_ms
             if (
-                latency_quantile is not None and latency_quantile.observe(took)
-            ) or took > self.latency_targets_ms.get(hop.cls, took):
+                latency_quantile is not None and latency_quantile.observe(latency_ms)
+            ) or latency_ms > self.latency_targets_ms.get(hop.cls, latency_ms):
                 hop.keep("slow")
         if len(hop.attempts) > 1:
             hop.keep("copied" if any(a.copy for a in hop.attempts) else "retried")
@@ -152,7 +152,7 @@
 
     def settled(self, now: float, hop: HopTrace) -> None:
         """Exports the trace of a request that is settled, or makes it pending."""
-        if now >= self.expire_ms:
+        if now >= self.next_expiry_ms:
             self.expire(now)
         for attempt in hop.attempts:
             if attempt.after_answer and attempt.outcome != "ok":
@@ -210,13 +210,13 @@
 
     def expire(self, now: float) -> None:
         """Drops pending and kept traces that have expired."""
-        self.expire_ms = now + EXPIRY_INTERVAL_FRACTION * self.settings.hold_ms
+        self.next_expiry_ms = now + EXPIRY_INTERVAL_FRACTION * self.settings.hold_ms
         while self.queue and self.queue[0].answered_ms + self.settings.hold_ms <= now:
             self._drop_oldest("held out")
         while self.kept_traces and next(iter(self.kept_traces.values())).expires_ms <= now:
             self.kept_traces.popitem(last=False)
 
-    def _drop_oldest(self, why: str) -> None:
+    def _drop_oldest(self, reason: str) -> None:
         """Drops the oldest entry of the queue, and counts it unless it was exported."""
         hop = self.queue.popleft()
         if hop.bytes:
@@ -225,4 +225,4 @@
             hops.remove(hop)
             if not hops:
                 del self.pending[hop.trace_id]
-            self.counts[why] += 1
+            self.counts[reason] += 1
