--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -25,7 +25,7 @@
     hops, damaged = store.read(files)
     if damaged:
         click.echo(f"{damaged} lines are no traces, and were left out", err=True)
-    return list(store.joined(hops))
+    return list(store.rows_by_trace(hops))
 
 
 def selected(rows: list[dict[str, Any]], asked: str, option: str) -> list[Mapping[str, Any]]:
@@ -33,7 +33,7 @@
     from honeywharf.traces import language
 
     try:
-        return language.compiled(asked).select(list(rows))
+        return language.compile_expression(asked).select(list(rows))
     except language.ExpressionError as fault:
         raise click.BadParameter(str(fault), param_hint=option) from None
 
@@ -108,7 +108,7 @@
 
     rows = rows_of(files)
     wrong, good = selected(rows, bad, "--bad"), selected(rows, GOOD, "--good")
-    named, where = rules.by_kind(wrong, good), rules.groups(wrong)
+    named, where = rules.by_kind(wrong, good), rules.failure_groups(wrong)
     if as_json:
         show(
             {
@@ -134,7 +134,7 @@
     click.echo(f"{len(wrong)} bad traces beside {len(good)} ordinary ones")
     for kind, some in named.items():
         for cause in some:
-            click.echo(f"  {kind}: {cause.words()}")
+            click.echo(f"  {kind}: {cause.description()}")
     if not any(named.values()):
         click.echo("  nothing is more frequent among the bad than chance makes it")
     for group in where:
--- a/tests/traces/test_rules.py
+++ b/tests/traces/test_sampling.py
@@ -1,4 +1,4 @@
-"""Trace context, what a sampler keeps, and its bounds."""
+"""Trace context, and the decisions and limits of the sampler."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from honeywharf.policy import interface as api
 from honeywharf.traces import context
-from honeywharf.traces.sampler import MAX_TOLD, MIN_ANSWERS, Sampler, Sampling
+from honeywharf.traces.sampler import MAX_FURTHER_PARTS, MIN_ANSWERS, Sampler, Sampling
 from honeywharf.traces.spans import HopTrace
 from tests.traces.model import attempt, day, hop
 
@@ -27,7 +27,7 @@
         ([GOOD.upper()], False, "parent"),
         ([GOOD[:-1]], False, "parent"),
         ([GOOD + b"-more"], False, "parent"),
-        ([b"cc" + GOOD[2:] + b"-what comes later"], True, ""),  # a later version is read by its first fields
+        ([b"cc" + GOOD[2:] + b"-what comes later"], True, ""),  # A later version is read by its first fields.
         ([b"cc" + GOOD[2:] + b"."], False, "parent"),
         ([b"ff" + GOOD[2:]], False, "parent"),
         ([f"00-{'0' * 32}-{SPAN}-01".encode()], False, "parent"),
@@ -36,11 +36,11 @@
         ([b"\xff\x00"], False, "parent"),
     ],
 )
-def test_a_damaged_context_begins_a_new_trace(parents: list[bytes], found: bool, fault: str) -> None:
-    made, wrong = context.parse(parents, [b"a=1"])
-    assert (made is not None, wrong) == (found, fault)
-    if made is not None:
-        assert (made.trace_id, made.parent_id, made.state) == (ID, SPAN, "a=1")
+def test_invalid_context_begins_a_new_trace(parents: list[bytes], found: bool, fault: str) -> None:
+    parsed, wrong = context.parse(parents, [b"a=1"])
+    assert (parsed is not None, wrong) == (found, fault)
+    if parsed is not None:
+        assert (parsed.trace_id, parsed.parent_id, parsed.trace_state) == (ID, SPAN, "a=1")
 
 
 @pytest.mark.parametrize(
@@ -58,88 +58,95 @@
         ([b"a=" + b"x" * 10_000], "", False, "state"),
     ],
 )
-def test_a_tracestate_is_passed_on_within_its_bound(
+def test_tracestate_is_propagated_within_its_limit(
     states: list[bytes],
     kept: str,
     bad: bool,
     fault: str,
 ) -> None:
-    made, wrong = context.parse([GOOD], states, trusts=True)
-    assert made is not None
-    assert (made.state, made.bad, wrong) == (kept, bad, fault)
-    assert len(made.state) <= context.MAX_STATE
+    parsed, wrong = context.parse([GOOD], states, trusts=True)
+    assert parsed is not None
+    assert (parsed.trace_state, parsed.bad, wrong) == (kept, bad, fault)
+    assert len(parsed.trace_state) <= context.MAX_TRACE_STATE_CHARS
 
 
 @given(st.lists(st.binary(max_size=80), max_size=3), st.lists(st.binary(max_size=80), max_size=3))
 @settings(deadline=None)
-def test_what_is_parsed_is_passed_on_as_a_sound_context(parents: list[bytes], states: list[bytes]) -> None:
+def test_parsed_context_is_propagated_as_a_valid_one(parents: list[bytes], states: list[bytes]) -> None:
     for given_parents in (parents, [GOOD]):
-        made, _ = context.parse(given_parents, states, trusts=True)
-        if made is None:
+        parsed, _ = context.parse(given_parents, states, trusts=True)
+        if parsed is None:
             continue
-        lines = context.child(made.trace_id, SPAN, made.flags, made.state, bad=True).split(b"\r\n")
+        lines = context.request_header_lines(
+            parsed.trace_id, SPAN, parsed.flags, parsed.trace_state, bad=True
+        ).split(b"\r\n")
         values = dict(line.split(b": ", 1) for line in lines if line)
         again, fault = context.parse([values[b"traceparent"]], [values[b"tracestate"]], trusts=True)
         assert again is not None
-        assert (again.trace_id, again.state, again.bad, fault) == (made.trace_id, made.state, True, "")
+        assert (again.trace_id, again.trace_state, again.bad, fault) == (
+            parsed.trace_id,
+            parsed.trace_state,
+            True,
+            "",
+        )
 
 
 FORGED = f"00-{ID[:18]}{'f' * 14}-{SPAN}-03".encode()
 
 
 @pytest.mark.parametrize(
-    ("trusts", "states", "randomness", "passed_on"),
+    ("trusts", "states", "randomness", "propagated"),
     [
         (True, [], "f" * 14, ""),
         (True, [b"ot=rv:00000000000001,a=1"], "00000000000001", "ot=rv:00000000000001,a=1"),
         (True, [b"ot=th:0;rv:00000000000001"], "00000000000001", "ot=th:0;rv:00000000000001"),
-        (True, [b"ot=rv:0001,a=1"], "f" * 14, "a=1"),  # no such member: the random flag says what counts
+        (True, [b"ot=rv:0001,a=1"], "f" * 14, "a=1"),  # The member is invalid.
         (False, [], "", ""),
         (False, [b"ot=rv:ffffffffffffff,a=1", b"hw=bad"], "", "a=1"),
     ],
 )
-def test_randomness_counts_only_from_those_who_are_trusted(
+def test_randomness_is_accepted_only_from_trusted_callers(
     trusts: bool,
     states: list[bytes],
     randomness: str,
-    passed_on: str,
+    propagated: str,
 ) -> None:
-    made, fault = context.parse([FORGED], states, trusts=trusts)
-    assert made is not None
-    assert (made.randomness, made.state, made.bad, fault) == (randomness, passed_on, False, "")
+    parsed, fault = context.parse([FORGED], states, trusts=trusts)
+    assert parsed is not None
+    assert (parsed.randomness, parsed.trace_state, parsed.bad, fault) == (randomness, propagated, False, "")
 
 
-def test_a_trusted_id_without_the_random_flag_or_randomness_vouches_for_nothing() -> None:
-    made, _ = context.parse([FORGED[:-2] + b"01"], [], trusts=True)
-    assert made is not None
-    assert made.randomness == ""
+def test_trusted_trace_id_without_random_flag_has_no_randomness() -> None:
+    parsed, _ = context.parse([FORGED[:-2] + b"01"], [], trusts=True)
+    assert parsed is not None
+    assert parsed.randomness == ""
 
 
 @given(st.floats(1e-18, 1.0), st.integers(0, 2**56 - 1))
 @settings(deadline=None)
-def test_digits_compare_with_a_threshold_as_the_numbers_do(rate: float, number: int) -> None:
+def test_hex_digits_compare_with_the_threshold_as_numbers_do(rate: float, number: int) -> None:
     assert (f"{number:014x}" >= context.threshold(rate)) == (number >= round((1.0 - rate) * 2**56))
 
 
 @pytest.mark.parametrize("first", ["held", "bad"])
-def test_one_bad_part_keeps_a_bounded_number_of_a_trace_s_others(first: str) -> None:
+def test_one_bad_part_keeps_a_limited_number_of_other_parts(first: str) -> None:
     found: list[HopTrace] = []
     s, bad = sampler(found, trusts=False), hop(ID, "failed")
     s.answered(bad)
     if first == "bad":
         s.settled(0.0, bad)
-    for i in range(10 * MAX_TOLD):
+    for i in range(10 * MAX_FURTHER_PARTS):
         s.settled(1.0 + i / 10.0, hop(ID, at=float(i)))
     if first == "held":
         s.settled(400.0, bad)
-    assert len(found) == 1 + MAX_TOLD
-    assert s.counts["told over"] == 9 * MAX_TOLD
-    assert sum(h.weight for h in found) == len(found)  # none of them stands for others
+    assert len(found) == 1 + MAX_FURTHER_PARTS
+    assert s.counts["told over"] == 9 * MAX_FURTHER_PARTS
+    assert sum(h.weight for h in found) == len(found)  # No weight is above 1.
 
 
-def test_an_answer_tells_only_of_its_own_trace_that_it_is_kept() -> None:
+def test_traceresponse_counts_only_for_its_own_trace() -> None:
     for bad in (False, True):
-        line = context.response(ID, SPAN, bad=bad).strip().split(b": ")[1]
+        line = context.response_header_line(ID, SPAN, bad=bad).strip().split(b": ")[1]
         assert context.kept_below(line, ID) is bad
         assert not context.kept_below(line, "1" * 32)
     assert not context.kept_below(b"nonsense", ID)
@@ -156,7 +163,7 @@
 
 def late(h: HopTrace) -> None:
     h.attempts.append(attempt(api.Outcome.RESET))
-    h.attempts[0].late = True
+    h.attempts[0].after_answer = True
 
 
 @pytest.mark.parametrize(
@@ -172,7 +179,7 @@
         ("served", 10.0, late, ["late attempt"]),
     ],
 )
-def test_what_is_bad_is_kept_and_what_is_not_is_held(
+def test_bad_traces_are_kept_and_ordinary_ones_are_pending(
     how: str,
     took: float,
     what: object,
@@ -186,43 +193,43 @@
     s.settled(took, h)
     assert h.kept == kept
     assert found == ([h] if kept else [])
-    assert len(s.held) == (0 if kept else 1)
+    assert len(s.pending) == (0 if kept else 1)
 
 
-def test_an_answer_later_than_nearly_all_is_slow_though_within_its_aim() -> None:
+def test_answer_beyond_the_learned_quantile_is_slow() -> None:
     found: list[HopTrace] = []
     s, rng = sampler(found), random.Random(1)
     for i in range(4 * MIN_ANSWERS):
         h = hop(f"{i:032x}", "served", rng.uniform(9.0, 11.0))
         s.answered(h)
-    usual = s.usual["read"]
-    assert 10.5 < usual.late_ms < 11.8
+    latency_quantile = s.latency_quantiles["read"]
+    assert 10.5 < latency_quantile.slow_threshold_ms < 11.8
     h = hop("f" * 32, "served", 20.0)
     assert s.answered(h)
     assert h.kept == ["slow"]
 
 
-def test_answers_that_all_take_as_long_are_not_slow() -> None:
+def test_answers_of_equal_duration_are_not_slow() -> None:
     s = sampler([])
     late = sum(s.answered(hop(f"{i:032x}", "served", 15.0)) for i in range(10 * MIN_ANSWERS))
     assert late == 0
 
 
 @pytest.mark.parametrize("after", [False, True])
-def test_a_note_exports_what_is_held_and_what_is_still_to_end(after: bool) -> None:
+def test_note_exports_pending_and_later_parts(after: bool) -> None:
     found: list[HopTrace] = []
     s, h = sampler(found), hop("00" * 16)
     for step in (0, 1) if after else (1, 0):
         if step:
             s.settled(10.0, h)
         else:
-            s.note(10.0, h.trace_id)
+            s.keep_trace(10.0, h.trace_id)
     assert found == [h]
     assert h.kept == ["told"]
-    assert (len(s.held), s.held_bytes) == (0, 0)
+    assert (len(s.pending), s.pending_bytes) == (0, 0)
 
 
-def test_a_client_that_says_keep_on_everything_gains_nothing_at_the_entry() -> None:
+def test_untrusted_client_cannot_force_traces_to_be_kept() -> None:
     for trusts in (False, True):
         found: list[HopTrace] = []
         s = sampler(found, trusts)
@@ -234,38 +241,45 @@
         assert len(found) == (100 if trusts else 0)
 
 
-@pytest.mark.parametrize("bound", [{"most_held": 50}, {"most_bytes": 50 * 1600}])
-def test_held_traces_are_bounded_and_the_oldest_go_counted(bound: dict[str, int]) -> None:
+@pytest.mark.parametrize("bound", [{"max_pending": 50}, {"max_pending_bytes": 50 * 1600}])
+def test_pending_traces_are_limited_and_dropped_ones_counted(bound: dict[str, int]) -> None:
     found: list[HopTrace] = []
     s = sampler(found, changes=bound)
     for i in range(500):
         h = hop(f"{i:032x}", at=0.0)
         h.attempts.append(attempt(api.Outcome.OK))
         s.settled(0.0, h)
-        s.note(0.0, f"{i + 10_000:032x}")
-        assert len(s.held) <= len(s.queue) <= 50
-        assert s.held_bytes <= 50 * 1600
-        assert len(s.told) <= s.rules.most_held
+        s.keep_trace(0.0, f"{i + 10_000:032x}")
+        assert len(s.pending) <= len(s.queue) <= 50
+        assert s.pending_bytes <= 50 * 1600
+        assert len(s.kept_traces) <= s.settings.max_pending
     assert s.counts["no room"] == 450
-    assert f"{499:032x}" in s.held
+    assert f"{499:032x}" in s.pending
     s.expire(10_000.0)
-    assert (len(s.held), len(s.queue), s.held_bytes, len(s.told), s.counts["held out"]) == (0, 0, 0, 0, 50)
+    assert (len(s.pending), len(s.queue), s.pending_bytes, len(s.kept_traces), s.counts["held out"]) == (
+        0,
+        0,
+        0,
+        0,
+        50,
+    )
 
 
-def test_every_hop_keeps_the_same_ordinary_traces_and_estimates_are_true() -> None:
+def test_hops_keep_the_same_ordinary_traces_with_unbiased_weights() -> None:
     kept = day(3, 20_000)
     by: dict[str, set[str]] = {}
     for h in kept:
         if h["kept"] == ["ordinary"]:
             by.setdefault(h["hop"], set()).add(h["trace_id"])
     fronts = [h for h in kept if h["hop"] == "front"]
-    assert by["front"] <= by["render"] <= by["store"]  # what is slow at one hop alone is kept as bad there
-    told = sum(h["weight"] for h in fronts if h["kept"] == ["ordinary"])
+    # A trace that is slow at one hop alone is kept there as a bad one.
+    assert by["front"] <= by["render"] <= by["store"]
+    estimated = sum(h["weight"] for h in fronts if h["kept"] == ["ordinary"])
     bad = sum(h["kept"] != ["ordinary"] for h in fronts)
-    assert abs(told + bad - 20_000) < 4 * (20_000 / 0.05) ** 0.5
+    assert abs(estimated + bad - 20_000) < 4 * (20_000 / 0.05) ** 0.5
 
 
-def test_what_fails_below_is_kept_at_every_hop_above() -> None:
+def test_downstream_failure_is_kept_at_every_upstream_hop() -> None:
     kept = day(4, 5000)
     failed = {h["trace_id"] for h in kept if h["end"] == "failed"}
     assert len(failed) > 3
