--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -16,7 +16,7 @@
 from bench.scale.plan import MANAGEMENT, Plan
 from bench.scale.processes import Spawned
 from bench.scale.reach import Zones
-from honeywharf.cli.ending import WrongError
+from honeywharf.cli.exit_status import MeshCallError
 from honeywharf.cli.mesh import call
 from honeywharf.programs.start import SETTINGS_VARIABLE
 from honeywharf.simulation import deployment
@@ -208,7 +208,7 @@
             at = f"{ip}:{self.plan.port(deployment.CONTROL)}"
             try:
                 status, _ = call(at, "POST", "/api/configuration/replace", text, ORDER_S)
-            except WrongError:
+            except MeshCallError:
                 status = 0
             if status == 200:
                 return begun, time.monotonic()
@@ -228,5 +228,5 @@
         """Whether a machine says that it is ready."""
         try:
             return call(f"{ip}:{self.plan.port(port)}", "GET", "/api/readiness", b"", ORDER_S)[0] == 200
-        except WrongError:
+        except MeshCallError:
             return False
--- a/honeywharf/cli/__init__.py
+++ b/honeywharf/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `honeywharf run|demo|check-config|version`. A command imports only what it needs."""
+"""The command line, `honeywharf COMMAND`. Each command imports only the modules that it needs."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from honeywharf.cli.config import check_config, config
 from honeywharf.cli.keys import keys, metrics
 from honeywharf.cli.lab import lab
-from honeywharf.cli.operation import activate, evacuate, exclude, include, readyz
-from honeywharf.cli.tables import needed
+from honeywharf.cli.operator_commands import activate, evacuate, exclude, include, readyz
+from honeywharf.cli.tables import require_packages
 from honeywharf.cli.traces import causes, explain, traces
 
 FEATURES = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -25,9 +25,11 @@
 
 
 @main.command()
-@click.option("--features", type=FEATURES, help="The file of features; HONEYWHARF_FEATURES names it else.")
+@click.option(
+    "--features", type=FEATURES, help="The file of features; default: the one that HONEYWHARF_FEATURES names."
+)
 def run(features: Path | None) -> None:
-    """Run one proxy with the configuration that NODE_CONFIG names."""
+    """Run one proxy with the configuration file that NODE_CONFIG names."""
     from honeywharf.proxy import run_proxy
 
     if features is not None:
@@ -42,51 +44,51 @@
     type=click.FloatRange(1.0, 2000.0),
     default=300.0,
     show_default=True,
-    help="Orders a second, over all zones.",
+    help="Orders per second, over all zones.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--keys",
     "with_keys",
     is_flag=True,
-    help="Show what order keys shared in Redis prevent: the same short day without them and with them.",
+    help="Show what order keys shared in Redis prevent: the same short run without them and with them.",
 )
 @click.option(
     "--coap",
     is_flag=True,
-    help="Show orders by CoAP and HTTP clients over a bad network, without order keys and with them.",
+    help="Show orders by CoAP and HTTP clients over a lossy network, without order keys and with them.",
 )
 @click.option(
     "--traces",
     "with_traces",
     is_flag=True,
-    help="Show three tiers on sockets, and how one missing tile is followed from the complaint to its cause.",
+    help="Show three tiers on sockets, and how a missing tile is traced from the complaint to its cause.",
 )
 @click.option(
     "--upgrade",
     is_flag=True,
-    help="Show an upgrade, a ban and an evacuation under load, the four rules counted.",
+    help="Show an upgrade, an exclusion and an evacuation under load, with the four rules checked.",
 )
 @click.option(
     "--mesh",
     is_flag=True,
     help="Show a mesh of 3 control nodes and 5 sidecars: a change of routes, a"
-    " drain and a kill, the rules counted.",
+    " drain and a kill, with the rules checked.",
 )
 @click.option(
     "--gateway",
     is_flag=True,
-    help="Show gateways between two regions that drain and die under uploads and print orders, counted.",
+    help="Show gateways between two regions that drain and crash under uploads and print orders.",
 )
 @click.option(
     "--drift",
     is_flag=True,
-    help="Show five slips put into running sidecars, one after the other, each caught and healed.",
+    help="Show five drifts injected into running sidecars one after the other, each detected and repaired.",
 )
 @click.option(
     "--storm",
     is_flag=True,
-    help="Show an outage and the clients that come back, damped and not, in virtual time.",
+    help="Show an outage and the clients that reconnect, with and without damping, in virtual time.",
 )
 def demo(
     seconds: float,
@@ -101,12 +103,12 @@
     drift: bool,
     storm: bool,
 ) -> None:
-    """Play a small fleet on loopback, with a crash and a drain; status 0 where all four rules held."""
+    """Run a small fleet on loopback with a crash and a drain; status 0 if no rule of the four is broken."""
     if storm:
-        needed("lab")
-        from honeywharf.lab import demo as outage
+        require_packages("lab")
+        from honeywharf.lab import demo as storm_demo
 
-        sys.exit(outage.show(seed, click.echo))
+        sys.exit(storm_demo.show(seed, click.echo))
     if drift:
         from honeywharf.standins import driftdemo
 
@@ -127,14 +129,14 @@
         from honeywharf.standins import tracedemo
 
         sys.exit(tracedemo.show(seed, click.echo))
-    from honeywharf.standins import demo as played
+    from honeywharf.standins import demo as fleet_demo
 
     if with_keys:
-        needed("demo")
-        sys.exit(played.play_keys(seconds, seed, click.echo))
+        require_packages("demo")
+        sys.exit(fleet_demo.play_keys(seconds, seed, click.echo))
     if coap:
-        sys.exit(played.play_coap(seconds, seed, click.echo))
-    sys.exit(played.play(seconds, rate, seed, click.echo))
+        sys.exit(fleet_demo.play_coap(seconds, seed, click.echo))
+    sys.exit(fleet_demo.play(seconds, rate, seed, click.echo))
 
 
 for command in (
@@ -161,8 +163,8 @@
 
 @main.command("mesh", add_help_option=False, context_settings={"ignore_unknown_options": True})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-def on_mesh(words: tuple[str, ...]) -> None:
-    """Check files of the mesh, and give a running mesh its orders."""
+def mesh_command(words: tuple[str, ...]) -> None:
+    """Check the mesh's files, and operate a running mesh."""
     from honeywharf.cli.mesh import main as command
 
     sys.exit(command(list(words)))
@@ -170,8 +172,8 @@
 
 @main.command("drift", add_help_option=False, context_settings={"ignore_unknown_options": True})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-def on_drift(words: tuple[str, ...]) -> None:
-    """Tell whether every sidecar of a mesh runs what was told."""
+def drift_command(words: tuple[str, ...]) -> None:
+    """Report whether every sidecar of a mesh runs the ordered configuration."""
     from honeywharf.cli.drift import main as command
 
     sys.exit(command(list(words)))
@@ -179,8 +181,8 @@
 
 @main.command("simulation", add_help_option=False, context_settings={"ignore_unknown_options": True})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-def on_simulation(words: tuple[str, ...]) -> None:
-    """Play days of the mesh in a simulated network, and check every rule."""
+def simulation_command(words: tuple[str, ...]) -> None:
+    """Run the mesh in a simulated network, and check every rule."""
     from honeywharf.cli.simulation import main as command
 
     sys.exit(command(list(words)))
@@ -188,8 +190,8 @@
 
 @main.command("mesh-store", add_help_option=False, context_settings={"ignore_unknown_options": True})
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
-def on_mesh_store(words: tuple[str, ...]) -> None:
-    """Look at a control node's disk, mend it, back its word up, and return one."""
+def mesh_store_command(words: tuple[str, ...]) -> None:
+    """Check, repair, back up and restore a control node's disk."""
     from honeywharf.cli.store import main as command
 
     sys.exit(command(list(words)))
--- a/honeywharf/cli/admin.py
+++ b/honeywharf/cli/admin.py
@@ -1,7 +1,7 @@
-"""`honeywharf status|top|endpoints|drain`: ask a running proxy over its admin socket.
+"""`honeywharf status|top|endpoints|drain`: requests to a running proxy over its admin socket.
 
-Status 0 where it answered, 1 where it did not do what was asked, 2 where the call is wrong, 3 where nobody
-answers.
+Exit status: 0 the proxy answered; 1 it refused the request; 2 the arguments are invalid; 3 the proxy does not
+answer.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 import click
 
-from honeywharf.cli.tables import needed, shown, table
+from honeywharf.cli.tables import print_data, print_table, require_packages
 
-AT = click.option(
+SOCKET_OPTION = click.option(
     "--socket",
     "path",
     type=click.Path(path_type=Path),
@@ -24,29 +24,29 @@
     show_envvar=True,
     help="The proxy's admin socket: [admin] socket in its features.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="JSON.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
-def ask(path: Path, do: str, yes: bool = False, of: Mapping[str, str] | None = None) -> Any:
-    """What the proxy answers; the command ends where there is no answer."""
+def admin_request(path: Path, do: str, yes: bool = False, of: Mapping[str, str] | None = None) -> Any:
+    """Sends a request to the proxy and returns its answer; exits if it refuses or does not answer."""
     from honeywharf.admin import client
 
     try:
         return client.ask(path, do, yes, of)
-    except client.AdminError as fault:
-        click.echo(f"{path}: {fault}" if fault.answered else f"{path}: nobody answers: {fault}", err=True)
-        sys.exit(1 if fault.answered else 3)
+    except client.AdminError as error:
+        click.echo(f"{path}: {error}" if error.answered else f"{path}: nobody answers: {error}", err=True)
+        sys.exit(1 if error.answered else 3)
 
 
 @click.command()
-@AT
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def status(path: Path, as_json: bool) -> None:
-    """A running proxy in a few figures: zones with their limits, servers by state, refusals by reason."""
-    shown(ask(path, "status"), as_json, _status)
+    """Show a running proxy's zones with their limits, its servers by state and its refusals by reason."""
+    print_data(admin_request(path, "status"), as_json, _print_status)
 
 
-def _status(data: dict[str, Any]) -> None:
+def _print_status(data: dict[str, Any]) -> None:
     click.echo(
         f"{data['name']} in {data['zone']}: {'ready' if data['ready'] else 'not ready'},"
         f" {data['open']} requests open, {data['retry_budget']:.1f} further attempts left"
@@ -54,7 +54,7 @@
     if data["storms"]:
         click.echo(data["storms"])
     click.echo(", ".join(f"{n} {state}" for state, n in sorted(data["endpoints"].items())) or "no endpoints")
-    table(
+    print_table(
         [
             (
                 ("*" if z["own"] else " ") + z["zone"],
@@ -69,25 +69,25 @@
         ],
         ("zone", "limit", "in flight", "ready", "ejected", "crowded", "reports"),
     )
-    table([(k, str(v)) for k, v in sorted(data["counts"].items())], ("count", "since the start"))
+    print_table([(k, str(v)) for k, v in sorted(data["counts"].items())], ("count", "since the start"))
 
 
 @click.command()
-@AT
-@click.option("--zone", help="Only those of one zone.")
-@click.option("--out", is_flag=True, help="Only those that are ejected, with why and for how long.")
-@JSON
+@SOCKET_OPTION
+@click.option("--zone", help="Only the servers of this zone.")
+@click.option("--out", is_flag=True, help="Only ejected servers, with the reason and the time left.")
+@JSON_OPTION
 def endpoints(path: Path, zone: str | None, out: bool, as_json: bool) -> None:
-    """The servers that a running proxy knows, and what it makes of them."""
-    data = ask(path, "endpoints")
+    """List the servers that a running proxy knows, with their states and shares."""
+    data = admin_request(path, "endpoints")
     data["endpoints"] = [
         e for e in data["endpoints"] if (zone is None or e["zone"] == zone) and (not out or "why" in e)
     ]
-    shown(data, as_json, _endpoints)
+    print_data(data, as_json, _print_endpoints)
 
 
-def _endpoints(data: dict[str, Any]) -> None:
-    table(
+def _print_endpoints(data: dict[str, Any]) -> None:
+    print_table(
         [
             (
                 e["endpoint"],
@@ -107,23 +107,23 @@
 
 
 @click.command()
-@AT
-@click.option("--yes", is_flag=True, help="Do not ask.")
+@SOCKET_OPTION
+@click.option("--yes", is_flag=True, help="Skip the confirmation.")
 def drain(path: Path, yes: bool) -> None:
-    """Take a running proxy out of service: it finishes what it holds, and ends."""
+    """Drain a running proxy: it completes its pending requests, then exits."""
     if not yes:
         click.confirm(f"The proxy at {path} ends when it has finished what it holds. Drain it?", abort=True)
-    ask(path, "drain", yes=True)
+    admin_request(path, "drain", yes=True)
     click.echo("it drains")
 
 
 @click.command()
-@AT
+@SOCKET_OPTION
 def top(path: Path) -> None:
-    """A running proxy, looked at each second: zones, refusals by reason, who is out, why and until when."""
-    needed("ops")
+    """Watch a running proxy: its zones, its refusals by reason, its ejected servers, updated each second."""
+    require_packages("ops")
     if not sys.stdout.isatty():
-        raise click.ClickException("found no terminal at standard output, wanted one; `status` needs none")
+        raise click.ClickException("standard output: expected a terminal, got none; `status` needs none")
     from honeywharf.cli import screen
 
     screen.show(path)
--- a/honeywharf/cli/config.py
+++ b/honeywharf/cli/config.py
@@ -8,8 +8,8 @@
 
 import click
 
-from honeywharf.cli.admin import AT, JSON, ask
-from honeywharf.cli.tables import shown, table
+from honeywharf.cli.admin import JSON_OPTION, SOCKET_OPTION, admin_request
+from honeywharf.cli.tables import print_data, print_table
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -69,10 +69,10 @@
 
 
 @config.command()
-@AT
+@SOCKET_OPTION
 @click.option("--all", "everything", is_flag=True, help="Also what is as it is by default.")
 @click.argument("section", default="")
-@JSON
+@JSON_OPTION
 def show(path: Path, everything: bool, section: str, as_json: bool) -> None:
     """What a running proxy holds, and which file and line say so; of SECTION only, such as traces or node."""
     import msgspec
@@ -81,14 +81,14 @@
 
     found = [
         v
-        for v in source.sourced(ask(path, "config"))
+        for v in source.sourced(admin_request(path, "config"))
         if (v.key + ".").startswith(section + "." if section else "")
         and (everything or section or v.source != "default")
     ]
-    shown(
+    print_data(
         [msgspec.to_builtins(v) for v in found],
         as_json,
-        lambda rows: table(
+        lambda rows: print_table(
             [(r["key"], _said(r["value"]), r["source"]) for r in rows], ("key", "in force", "source")
         ),
     )
@@ -96,10 +96,10 @@
 
 
 @config.command()
-@AT
+@SOCKET_OPTION
 @click.option("--features", type=FILE, help="A file of features; the proxy's own else.")
 @click.option("--node", type=FILE, help="A file of the platform's configuration; the proxy's own else.")
-@JSON
+@JSON_OPTION
 def diff(path: Path, features: Path | None, node: Path | None, as_json: bool) -> None:
     """What files would change in a running proxy, and whether a reload (SIGHUP) takes it over or a start.
 
@@ -110,7 +110,7 @@
     from honeywharf.config import features as of_features, node as of_node, source
     from honeywharf.proxy import senseless
 
-    held = ask(path, "config")
+    held = admin_request(path, "config")
     features_file, node_file = str(features or held["features_file"]), str(node or held["node_file"])
     try:
         wanted = source.values(
@@ -121,11 +121,11 @@
         click.echo(str(fault), err=True)
         sys.exit(2)
     found = source.differences(held["values"], wanted)
-    shown(
+    print_data(
         [msgspec.to_builtins(d) for d in found],
         as_json,
         lambda rows: (
-            table(
+            print_table(
                 [(r["key"], _said(r["held"]), _said(r["wanted"]), f"at the next {r['when']}") for r in rows],
                 ("key", "in force", "in the files", "taken over"),
             )
--- a/honeywharf/cli/drift.py
+++ b/honeywharf/cli/drift.py
@@ -15,8 +15,8 @@
 
 import cappa
 
-from honeywharf.cli import ending
-from honeywharf.cli.ending import DONE, NO, WrongError
+from honeywharf.cli import exit_status
+from honeywharf.cli.exit_status import NEGATIVE, SUCCESS, MeshCallError
 from honeywharf.cli.mesh import call
 
 VARIABLE = "HONEYWHARF_CONTROL_NODE"
@@ -35,10 +35,10 @@
     """The view of all. WrongError where none comes."""
     status, body = _ask(at, "/api/drift", within)
     if status != 200:
-        raise WrongError(f"no view: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
+        raise MeshCallError(f"no view: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
     found = json.loads(body)
     if not isinstance(found, dict):
-        raise WrongError("what came is no view")
+        raise MeshCallError("what came is no view")
     return found
 
 
@@ -74,7 +74,7 @@
     bad = found["silent"] or any(
         view["state"] not in WELL or _differs(view, found["told"]) for view in found["views"]
     )
-    return NO if bad or not found["told"] else DONE
+    return NEGATIVE if bad or not found["told"] else SUCCESS
 
 
 @cappa.command(name="show", help="Tell which sidecar runs what, since when, and the last slips.")
@@ -108,7 +108,7 @@
         view = next((one for one in found["views"] if one["node"] == self.node), None)
         if view is None:
             print(f"{self.node}: {'does not answer' if self.node in found['silent'] else 'not known'}")
-            return NO
+            return NEGATIVE
         for line in explained(view, found):
             print(line)
         return judged({**found, "views": [view], "silent": []})
@@ -147,7 +147,7 @@
         """Exit status."""
         status, body = _ask(self.at, f"/api/drift/between/{self.before}/{self.after}", self.within)
         print(body.decode("utf-8", "backslashreplace").rstrip("\n"))
-        return DONE if status == 200 else NO
+        return SUCCESS if status == 200 else NEGATIVE
 
 
 @cappa.command(name="honeywharf drift", help="Tell whether every sidecar runs what was told.")
@@ -160,12 +160,12 @@
 
 def main(arguments: list[str]) -> int:
     """The command line behind `honeywharf drift`; without a word it is `show`. Exit status."""
-    ending.log_faults()
+    exit_status.use_absl_logging()
     words = arguments if arguments[:1] and not arguments[0].startswith("--") else ["show", *arguments]
     if arguments[:1] in (["--help"], ["-h"]):
         words = arguments
-    return ending.status(
+    return exit_status.run_command(
         lambda: cappa.parse(Drift, argv=words, completion=False).command(),
-        ending.logged,
-        (ValueError, KeyError, WrongError),
+        exit_status.log_error,
+        (ValueError, KeyError, MeshCallError),
     )
--- a/honeywharf/cli/keys.py
+++ b/honeywharf/cli/keys.py
@@ -7,8 +7,8 @@
 
 import click
 
-from honeywharf.cli.admin import AT, JSON, ask
-from honeywharf.cli.tables import show as shown_as_json, shown, table
+from honeywharf.cli.admin import JSON_OPTION, SOCKET_OPTION, admin_request
+from honeywharf.cli.tables import print_data, print_json, print_table
 
 TENANT = click.option("--tenant", default="", help="As X-Account has it.")
 CLASS = click.option("--class", "cls", default="", help="The request's class; the only keyed one else.")
@@ -20,15 +20,15 @@
 
 
 @keys.command()
-@AT
+@SOCKET_OPTION
 @click.argument("key", default="")
 @TENANT
 @CLASS
-@JSON
+@JSON_OPTION
 def show(path: Path, key: str, tenant: str, cls: str, as_json: bool) -> None:
     """How many keys are known, or what is known of KEY: whether it runs, has run, or may have."""
     of = {"key": key, "tenant": tenant, "class": cls} if key else {}
-    shown(ask(path, "keys", of=of), as_json, _one if key else _all)
+    print_data(admin_request(path, "keys", of=of), as_json, _one if key else _all)
 
 
 def _one(data: dict[str, Any]) -> None:
@@ -46,11 +46,13 @@
     click.echo(f"{data['keys']} keys{room} in {data['bytes']} bytes, {data['waiting']} requests wait")
     for state, number in data.get("states", {}).items():
         click.echo(f"  {state}: {number}")
-    table([(tenant or "-", str(number)) for tenant, number in data["tenants"].items()], ("tenant", "keys"))
+    print_table(
+        [(tenant or "-", str(number)) for tenant, number in data["tenants"].items()], ("tenant", "keys")
+    )
 
 
 @keys.command()
-@AT
+@SOCKET_OPTION
 @click.argument("key")
 @TENANT
 @CLASS
@@ -59,21 +61,21 @@
     """Have a settled KEY forgotten. The proxy's log tells who asked."""
     of = {"key": key, "tenant": tenant, "class": cls}
     if not yes:
-        _one(ask(path, "keys", of=of))
+        _one(admin_request(path, "keys", of=of))
         click.confirm(
             "A repeat of a key that is forgotten runs, and may be charged again. Forget it?", abort=True
         )
-    ask(path, "keys forget", yes=True, of=of)
+    admin_request(path, "keys forget", yes=True, of=of)
     click.echo("it is forgotten")
 
 
 @click.command()
-@AT
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def metrics(path: Path, as_json: bool) -> None:
     """A running proxy's figures as they are scraped: OpenMetrics, with exemplars that name kept traces."""
-    data = ask(path, "metrics")
+    data = admin_request(path, "metrics")
     if as_json:
-        shown_as_json(data)
+        print_json(data)
     else:
         click.echo(data["text"], nl=False)
--- a/honeywharf/cli/lab.py
+++ b/honeywharf/cli/lab.py
@@ -6,7 +6,7 @@
 
 import click
 
-from honeywharf.cli.tables import needed, table
+from honeywharf.cli.tables import print_table, require_packages
 
 PATH = click.Path(dir_okay=False, path_type=Path)
 READ = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -15,7 +15,7 @@
 @click.group()
 def lab() -> None:
     """Experiments with the real decision modules in virtual time (docs/operators/lab.md)."""
-    needed("lab")
+    require_packages("lab")
 
 
 @lab.command()
@@ -36,7 +36,7 @@
     except (experiments.ExperimentError, ResultsError) as fault:
         raise click.ClickException(str(fault)) from None
     click.echo(f"{name}: {played} days played, {known} were there")
-    table(
+    print_table(
         [
             (setting, *(reports.words(reports.mean(some, one)) for one in reports.SHOWN))
             for setting, some in found.items()
@@ -72,7 +72,7 @@
         told = reports.compare(rows, axis, first, second)
     except (reports.ReportError, ResultsError) as fault:
         raise click.ClickException(str(fault)) from None
-    table(
+    print_table(
         [
             (
                 d.setting,
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -17,8 +17,8 @@
 import cappa
 from absl import logging
 
-from honeywharf.cli import ending
-from honeywharf.cli.ending import DONE, NO, UNKNOWN, WrongError
+from honeywharf.cli import exit_status
+from honeywharf.cli.exit_status import NEGATIVE, SUCCESS, UNKNOWN, MeshCallError
 from honeywharf.mesh_config import changes, configuration, settings
 from honeywharf.mesh_config.quantities import address
 from honeywharf.mesh_config.routes import Route, RoutingTable
@@ -68,13 +68,13 @@
             found = settings.parse(_read(self.file).decode("utf-8"), self.file)
         except settings.SettingsError as fault:
             print(fault)
-            return NO
+            return NEGATIVE
         except UnicodeDecodeError:
             print(f"{self.file}: the file: found bytes that are not UTF-8, wanted YAML in UTF-8")
-            return NO
+            return NEGATIVE
         for line in _settings_lines(found):
             print(line)
-        return DONE
+        return SUCCESS
 
 
 @cappa.command(name="route", help="Tell which route of a configuration a request takes.")
@@ -94,10 +94,10 @@
         found = RoutingTable(_read(self.file)).find(self.host.encode(), path)
         if found is None:
             print("no route: such a request is answered 404")
-            return NO
+            return NEGATIVE
         for line in _route_lines(found):
             print(line)
-        return DONE
+        return SUCCESS
 
 
 @cappa.command(name="diff", help="Tell what the second configuration changes of the first.")
@@ -115,7 +115,7 @@
         lines = list(changes.changes(RoutingTable(_read(self.before)), RoutingTable(_read(self.after))))
         for line in lines:
             print(line)
-        return NO if lines else DONE
+        return NEGATIVE if lines else SUCCESS
 
 
 @cappa.command(name="describe", help="Print the configuration that a mesh holds, as it was sent.")
@@ -132,7 +132,7 @@
         if status == 200:
             sys.stdout.buffer.write(body)
             sys.stdout.buffer.flush()
-            return DONE
+            return SUCCESS
         return _ended(status, body)
 
 
@@ -148,7 +148,7 @@
     def __call__(self) -> int:
         """Exit status."""
         if _checked(self.file):
-            return NO
+            return NEGATIVE
         text = _read(self.file)
         status, body = call(self.address, "POST", "/api/configuration/replace", text, self.within)
         return _ended(status, body) or _told(self.file, f"acknowledged: {_summary(text)}")
@@ -186,7 +186,7 @@
     """What a control node shows at `/api/NAME`. `within`: seconds. WrongError where it shows nothing."""
     status, body = call(address, "GET", f"/api/{name}", b"", within)
     if status != 200:
-        raise WrongError(f"no {name}: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
+        raise MeshCallError(f"no {name}: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
     return json.loads(body)
 
 
@@ -265,8 +265,8 @@
         logging.set_verbosity(logging.INFO if parsed.verbose else logging.WARNING)
         return parsed.command()
 
-    ending.log_faults()
-    return ending.status(run, ending.logged, (WrongError,))
+    exit_status.use_absl_logging()
+    return exit_status.run_command(run, exit_status.log_error, (MeshCallError,))
 
 
 _input: list[bytes] = []  # standard input, once it has been read
@@ -283,15 +283,15 @@
 
 def _told(file: str, what: str) -> int:
     print(f"{file}: {what}")
-    return DONE
+    return SUCCESS
 
 
 def _checked(file: str) -> int:
     """Print every fault of a configuration; NO where there are any."""
-    status = DONE
+    status = SUCCESS
     for fault in configuration.errors(_read(file)):
         print(f"{file}: {fault}")
-        status = NO
+        status = NEGATIVE
     return status
 
 
@@ -347,14 +347,14 @@
     try:
         to = address(at)
     except ValueError as fault:
-        raise WrongError(str(fault)) from None
+        raise MeshCallError(str(fault)) from None
     for _ in range(REDIRECTS + 1):
         status, answer, location = _once(to, method, path, body, within)
         logging.info("%s http://%s:%d%s -> %d, %d bytes", method, *to, path, status, len(answer))
         if status != 307:
             return status, answer
         to, path = _moved(location)
-    raise WrongError(f"{at} redirects more than {REDIRECTS} times")
+    raise MeshCallError(f"{at} redirects more than {REDIRECTS} times")
 
 
 def _once(
@@ -372,7 +372,7 @@
         return answer.status, answer.read(MAX_ANSWER), answer.getheader("Location") or ""
     except (OSError, http.client.HTTPException) as fault:
         words = f"{to[0]}:{to[1]}: no clear answer: {fault!r}"
-        raise WrongError(words if method == "GET" else f"{words}. {OPEN}") from None
+        raise MeshCallError(words if method == "GET" else f"{words}. {OPEN}") from None
     finally:
         connection.close()
 
@@ -386,16 +386,16 @@
         query = f"?{parts.query}" if parts.query else ""
         return address(parts.netloc if parts.port else f"{parts.netloc}:80"), parts.path + query
     except ValueError:
-        raise WrongError(f"a redirect leads to {location!r}, wanted http://address:port/path") from None
+        raise MeshCallError(f"a redirect leads to {location!r}, wanted http://address:port/path") from None
 
 
 def _ended(status: int, body: bytes) -> int:
     """The exit status for an answer's status; what it says is printed unless it is a success."""
     if 200 <= status < 300:
-        return DONE
+        return SUCCESS
     said = body[:1000].decode("utf-8", "backslashreplace").strip()
     if 400 <= status < 500 and status not in AGAIN:
         logging.error("refused with %d: %s", status, said)
-        return NO
+        return NEGATIVE
     logging.error("no clear answer, %d: %s. %s", status, said, OPEN)
     return UNKNOWN
--- a/honeywharf/cli/store.py
+++ b/honeywharf/cli/store.py
@@ -13,8 +13,8 @@
 
 import cappa
 
-from honeywharf.cli import ending
-from honeywharf.cli.ending import DONE, NO
+from honeywharf.cli import exit_status
+from honeywharf.cli.exit_status import NEGATIVE, SUCCESS
 from honeywharf.control import backup, repair
 from honeywharf.transport.event_loop import EventLoop
 
@@ -34,7 +34,7 @@
         report = repair.check(_disk(self.directory))
         for line in [*report.lines, *(f"FAULT {fault}" for fault in report.faults)]:
             print(line)
-        return NO if report.faults else DONE
+        return NEGATIVE if report.faults else SUCCESS
 
 
 @cappa.command(name="repair", help="Set aside what is damaged. Stop the control node first.")
@@ -48,7 +48,7 @@
         """Exit status."""
         for line in repair.repair(_disk(self.directory)) or ["nothing to mend"]:
             print(line)
-        return DONE
+        return SUCCESS
 
 
 @cappa.command(name="backup", help="Write the word of a disk, with its text, to a new file.")
@@ -69,7 +69,7 @@
             os.fsync(handle)
         value = backup.Backup.unpack(packed).value
         print(f"{self.file}: word {value.revision}, configuration r{value.version}, {len(packed)} bytes")
-        return DONE
+        return SUCCESS
 
 
 @cappa.command(name="return", help="Write a backup to an empty disk, as one of a new roster.")
@@ -94,7 +94,7 @@
         with open(self.file, "rb") as opened:
             packed = opened.read()
         print(backup.restore(_disk(self.directory), packed, members, self.here))
-        return DONE
+        return SUCCESS
 
 
 @cappa.command(name="honeywharf mesh-store", help="Look at a control node's disk, mend it, back it up.")
@@ -107,7 +107,7 @@
 
 def main(arguments: list[str]) -> int:
     """The command line behind `honeywharf mesh-store`. Exit status."""
-    return ending.status(
+    return exit_status.run_command(
         lambda: cappa.parse(MeshStore, argv=arguments, completion=False).command(),
         lambda fault: print(fault, file=sys.stderr),
         (),
--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -11,7 +11,7 @@
 
 import click
 
-from honeywharf.cli.tables import show, table
+from honeywharf.cli.tables import print_json, print_table
 
 FILES = click.Path(exists=True, dir_okay=False, path_type=Path)
 BAD = "failed or refused or slow"
@@ -69,15 +69,15 @@
                 counted.setdefault(text, []).append(row["weight"])
         ranked = sorted(counted.items(), key=lambda item: (-sum(item[1]), item[0]))[:most]
         if as_json:
-            show([{by: text, "kept": len(w), "estimated": sum(w)} for text, w in ranked])
+            print_json([{by: text, "kept": len(w), "estimated": sum(w)} for text, w in ranked])
         else:
-            table(
+            print_table(
                 [(text or "-", str(len(w)), f"{sum(w):.0f}") for text, w in ranked], (by, "kept", "estimated")
             )
     elif as_json:
-        show([said(row) for row in found[:most]])
+        print_json([said(row) for row in found[:most]])
     else:
-        table(
+        print_table(
             [
                 (
                     next(iter(r["trace"])),
@@ -110,7 +110,7 @@
     wrong, good = selected(rows, bad, "--bad"), selected(rows, GOOD, "--good")
     named, where = rules.by_kind(wrong, good), rules.groups(wrong)
     if as_json:
-        show(
+        print_json(
             {
                 "bad": len(wrong),
                 "good": len(good),
@@ -154,7 +154,7 @@
     """
     found = [r for r in rows_of(files) if request in r["request"] or request in r["trace"]]
     if as_json:
-        show([said(row) for row in found])
+        print_json([said(row) for row in found])
     for row in () if as_json else found:
         click.echo(f"trace {next(iter(row['trace']))}: {end_of(row)} after {row['duration']:.1f} ms")
         for hop in row["spans"]:
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeywharf.cli import drift, ending
-from honeywharf.cli.ending import WrongError
+from honeywharf.cli import drift, exit_status
+from honeywharf.cli.exit_status import MeshCallError
 from honeywharf.simulation.slips import Trial
 
 
@@ -74,11 +74,11 @@
 
 def test_without_an_answer_the_exit_status_is_unknown(monkeypatch: pytest.MonkeyPatch) -> None:
     def no_answer(*arguments: object) -> tuple[int, bytes]:
-        raise WrongError("no clear answer")
+        raise MeshCallError("no clear answer")
 
     monkeypatch.setattr(drift, "call", no_answer)
-    assert drift.main([]) == ending.UNKNOWN
-    assert drift.main(["between", "r1", "r2"]) == ending.UNKNOWN
+    assert drift.main([]) == exit_status.UNKNOWN
+    assert drift.main(["between", "r1", "r2"]) == exit_status.UNKNOWN
     monkeypatch.setattr(drift, "call", lambda *arguments: (503, b"no majority"))
-    assert drift.main(["explain", "10.1.0.8"]) == ending.UNKNOWN
-    assert drift.main(["between", "r1", "r2"]) == ending.NO
+    assert drift.main(["explain", "10.1.0.8"]) == exit_status.UNKNOWN
+    assert drift.main(["between", "r1", "r2"]) == exit_status.NEGATIVE
