--- a/honeywharf/cli/keys.py
+++ b/honeywharf/cli/keys.py
@@ -1,4 +1,4 @@
-"""`honeywharf keys show|forget` and `honeywharf metrics`: what a running proxy knows, and one change."""
+"""`honeywharf keys show|forget` and `honeywharf metrics`: a running proxy's idempotency keys and metrics."""
 
 from __future__ import annotations
 
@@ -10,28 +10,30 @@
 from honeywharf.cli.admin import JSON_OPTION, SOCKET_OPTION, admin_request
 from honeywharf.cli.tables import print_data, print_json, print_table
 
-TENANT = click.option("--tenant", default="", help="As X-Account has it.")
-CLASS = click.option("--class", "cls", default="", help="The request's class; the only keyed one else.")
+TENANT_OPTION = click.option("--tenant", default="", help="The tenant, as in X-Account.")
+CLASS_OPTION = click.option(
+    "--class", "cls", default="", help="The request's class; default: the only keyed class."
+)
 
 
 @click.group()
 def keys() -> None:
-    """Idempotency keys that a running proxy knows (docs/operators/orderkeys.md)."""
+    """Inspect the idempotency keys of a running proxy (docs/operators/orderkeys.md)."""
 
 
 @keys.command()
 @SOCKET_OPTION
 @click.argument("key", default="")
-@TENANT
-@CLASS
+@TENANT_OPTION
+@CLASS_OPTION
 @JSON_OPTION
 def show(path: Path, key: str, tenant: str, cls: str, as_json: bool) -> None:
-    """How many keys are known, or what is known of KEY: whether it runs, has run, or may have."""
+    """Show how many keys are known, or the state of KEY: running, ended, or possibly executed."""
     of = {"key": key, "tenant": tenant, "class": cls} if key else {}
-    print_data(admin_request(path, "keys", of=of), as_json, _one if key else _all)
+    print_data(admin_request(path, "keys", of=of), as_json, _print_key if key else _print_summary)
 
 
-def _one(data: dict[str, Any]) -> None:
+def _print_key(data: dict[str, Any]) -> None:
     for name, value in data.items():
         if value != "":
             click.echo(
@@ -41,9 +43,9 @@
             )
 
 
-def _all(data: dict[str, Any]) -> None:
-    room = f" of {data['most']}" if "most" in data else ""
-    click.echo(f"{data['keys']} keys{room} in {data['bytes']} bytes, {data['waiting']} requests wait")
+def _print_summary(data: dict[str, Any]) -> None:
+    limit = f" of {data['most']}" if "most" in data else ""
+    click.echo(f"{data['keys']} keys{limit} in {data['bytes']} bytes, {data['waiting']} requests wait")
     for state, number in data.get("states", {}).items():
         click.echo(f"  {state}: {number}")
     print_table(
@@ -54,14 +56,14 @@
 @keys.command()
 @SOCKET_OPTION
 @click.argument("key")
-@TENANT
-@CLASS
-@click.option("--yes", is_flag=True, help="Do not ask.")
+@TENANT_OPTION
+@CLASS_OPTION
+@click.option("--yes", is_flag=True, help="Skip the confirmation.")
 def forget(path: Path, key: str, tenant: str, cls: str, yes: bool) -> None:
-    """Have a settled KEY forgotten. The proxy's log tells who asked."""
+    """Forget a KEY whose request has ended. The proxy logs the user."""
     of = {"key": key, "tenant": tenant, "class": cls}
     if not yes:
-        _one(admin_request(path, "keys", of=of))
+        _print_key(admin_request(path, "keys", of=of))
         click.confirm(
             "A repeat of a key that is forgotten runs, and may be charged again. Forget it?", abort=True
         )
@@ -73,7 +75,7 @@
 @SOCKET_OPTION
 @JSON_OPTION
 def metrics(path: Path, as_json: bool) -> None:
-    """A running proxy's figures as they are scraped: OpenMetrics, with exemplars that name kept traces."""
+    """Print a running proxy's metrics in the OpenMetrics format, with exemplars that name kept traces."""
     data = admin_request(path, "metrics")
     if as_json:
         print_json(data)
--- a/honeywharf/cli/lab.py
+++ b/honeywharf/cli/lab.py
@@ -1,4 +1,4 @@
-"""`honeywharf lab run|compare|report`: experiments in virtual time. Wants requirements-lab.txt."""
+"""`honeywharf lab run|compare|report`: experiments in virtual time. Needs requirements-lab.txt."""
 
 from __future__ import annotations
 
@@ -8,56 +8,57 @@
 
 from honeywharf.cli.tables import print_table, require_packages
 
-PATH = click.Path(dir_okay=False, path_type=Path)
-READ = click.Path(exists=True, dir_okay=False, path_type=Path)
+NEW_FILE = click.Path(dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group()
 def lab() -> None:
-    """Experiments with the real decision modules in virtual time (docs/operators/lab.md)."""
+    """Run experiments with the real decision modules in virtual time (docs/operators/lab.md)."""
     require_packages("lab")
 
 
 @lab.command()
-@click.argument("experiment", type=READ)
-@click.option("--out", type=PATH, help="The file of results; beside the experiment else, with .results.")
-@click.option("--jobs", type=click.IntRange(0, 512), default=0, help="Processes; 0 for one a core.")
+@click.argument("experiment", type=EXISTING_FILE)
+@click.option(
+    "--out", type=NEW_FILE, help="The file of results; default: the experiment's path, with .results."
+)
+@click.option("--jobs", type=click.IntRange(0, 512), default=0, help="Number of processes; 0: one per core.")
 @click.option("--quiet", is_flag=True, help="No progress bar.")
 def run(experiment: Path, out: Path | None, jobs: int, quiet: bool) -> None:
-    """Play the days of an experiment that are not in its results yet; go on where a run was killed."""
+    """Simulate the days of an experiment that its results lack; a killed run is resumed."""
     from honeywharf.lab import experiments, reports, runs
     from honeywharf.lab.results import Results, ResultsError, fingerprint
 
     try:
         name, cells = experiments.load(experiment)
         results = Results(out or experiment.with_suffix(".results"), code=fingerprint())
-        played, known = runs.run(name, cells, results, jobs, quiet)
-        found = reports.groups(results.rows(name))
-    except (experiments.ExperimentError, ResultsError) as fault:
-        raise click.ClickException(str(fault)) from None
-    click.echo(f"{name}: {played} days played, {known} were there")
+        played_days, known_days = runs.run(name, cells, results, jobs, quiet)
+        groups_by_setting = reports.groups(results.rows(name))
+    except (experiments.ExperimentError, ResultsError) as error:
+        raise click.ClickException(str(error)) from None
+    click.echo(f"{name}: {played_days} days played, {known_days} were there")
     print_table(
         [
-            (setting, *(reports.words(reports.mean(some, one)) for one in reports.SHOWN))
-            for setting, some in found.items()
+            (setting, *(reports.words(reports.mean(some, metric)) for metric in reports.SHOWN))
+            for setting, some in groups_by_setting.items()
         ],
         ("setting", *reports.SHOWN),
     )
 
 
 @lab.command()
-@click.argument("results", type=READ)
+@click.argument("results", type=EXISTING_FILE)
 @click.argument("axis")
 @click.argument("first")
 @click.argument("second")
 @click.option(
     "--also",
-    type=READ,
-    help="Results of an earlier build, to be put beside these: the axis is"
-    " then build, with the cases earlier and now.",
+    type=EXISTING_FILE,
+    help="Results of an earlier build: the axis is then build, with the cases earlier and now.",
 )
 def compare(results: Path, axis: str, first: str, second: str, also: Path | None) -> None:
-    """Two cases of an axis side by side, over days of equal seeds and settings."""
+    """Compare two cases of an axis over days with equal seeds and settings."""
     from honeywharf.lab import reports
     from honeywharf.lab.results import Results, ResultsError
 
@@ -69,42 +70,42 @@
                 for build, some in (("earlier", Results(also).rows()), ("now", rows))
                 for name, labels, seed, result in some
             ]
-        told = reports.compare(rows, axis, first, second)
-    except (reports.ReportError, ResultsError) as fault:
-        raise click.ClickException(str(fault)) from None
+        differences = reports.compare(rows, axis, first, second)
+    except (reports.ReportError, ResultsError) as error:
+        raise click.ClickException(str(error)) from None
     print_table(
         [
             (
-                d.setting,
-                d.figure,
-                reports.words(d.first),
-                reports.words(d.second),
-                f"{d.second - d.first:+.3f}",
-                f"{d.low:+.3f} to {d.high:+.3f}",
-                str(d.pairs),
+                difference.setting,
+                difference.figure,
+                reports.words(difference.first),
+                reports.words(difference.second),
+                f"{difference.second - difference.first:+.3f}",
+                f"{difference.low:+.3f} to {difference.high:+.3f}",
+                str(difference.pairs),
             )
-            for d in told
+            for difference in differences
         ],
         ("setting", "figure", first, second, "difference", "95 in 100", "pairs"),
     )
 
 
 @lab.command()
-@click.argument("results", type=READ)
-@click.argument("page", type=PATH)
+@click.argument("results", type=EXISTING_FILE)
+@click.argument("page", type=NEW_FILE)
 @click.option(
     "--over",
     multiple=True,
     default=("recovery_s",),
-    help="Figures plotted over axes of three cases and more.",
+    help="Metrics to plot over axes of three or more cases.",
 )
 def report(results: Path, page: Path, over: tuple[str, ...]) -> None:
-    """Write one HTML page: the sweep's table, the day's lines, distributions, figures over an axis."""
+    """Write an HTML page: the sweep's table, time series, distributions, and metrics over an axis."""
     from honeywharf.lab import reports
     from honeywharf.lab.results import Results, ResultsError
 
     try:
         page.write_text(reports.page(list(Results(results).rows()), over=over), "utf-8")
-    except (reports.ReportError, ResultsError, OSError) as fault:
-        raise click.ClickException(str(fault)) from None
+    except (reports.ReportError, ResultsError, OSError) as error:
+        raise click.ClickException(str(error)) from None
     click.echo(f"wrote {page}")
