--- a/honeywharf/cli/lab.py
+++ b/honeywharf/cli/lab.py
@@ -40,8 +40,8 @@
     click.echo(f"{name}: {played_days} days played, {known_days} were there")
     print_table(
         [
-            (setting, *(reports.words(reports.mean(some, metric)) for metric in reports.SHOWN))
-            for setting, some in groups_by_setting.items()
+            (setting, *(reports.words(reports.mean(rows_of_case, metric)) for metric in reports.SHOWN))
+            for setting, rows_of_case in groups_by_setting.items()
         ],
         ("setting", *reports.SHOWN),
     )
@@ -67,8 +67,8 @@
         if also is not None:
             rows = [
                 (name, {**labels, "build": build}, seed, result)
-                for build, some in (("earlier", Results(also).rows()), ("now", rows))
-                for name, labels, seed, result in some
+                for build, rows_of_case in (("earlier", Results(also).rows()), ("now", rows))
+                for name, labels, seed, result in rows_of_case
             ]
         differences = reports.compare(rows, axis, first, second)
     except (reports.ReportError, ResultsError) as error:
--- a/honeywharf/cli/screen.py
+++ b/honeywharf/cli/screen.py
@@ -1,4 +1,4 @@
-"""`honeywharf top`: a running proxy, looked at each second, on a terminal interface (`textual`)."""
+"""`honeywharf top`: a terminal interface (`textual`) that polls a running proxy each second."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 
 from honeywharf.admin.client import AdminError, ask
 
-EACH_S = 1.0
-MAX_OUT = 200  # ejected servers that are listed
-ZONES = ("zone", "limit", "in flight", "ready", "ejected", "crowded")
-OUT = ("ejected", "zone", "why", "for, s")
-COUNTS = ("what", "a second", "in all")
+REFRESH_INTERVAL_S = 1.0
+MAX_EJECTED_ROWS = 200
+ZONE_COLUMNS = ("zone", "limit", "in flight", "ready", "ejected", "crowded")
+EJECTED_COLUMNS = ("ejected", "zone", "why", "for, s")
+COUNT_COLUMNS = ("what", "a second", "in all")
 
 
 class Top(App[None]):
-    """Zones with their limits, what is refused and why, who is out, why and until when."""
+    """Shows zones with their limits, refusals by reason, and ejected servers with reason and time left."""
 
     TITLE = "honeywharf"
     CSS = "DataTable { height: auto; margin: 0 1 1 1; } Static { margin: 0 1; }"
     BINDINGS: ClassVar[list[BindingType]] = [("q", "quit", "Quit"), ("p", "pause", "Pause")]
 
-    def __init__(self, path: Path, asked: Callable[[Path, str], Any] = ask, each_s: float = EACH_S) -> None:
+    def __init__(
+        self, path: Path, request: Callable[[Path, str], Any] = ask, interval_s: float = REFRESH_INTERVAL_S
+    ) -> None:
         super().__init__()
-        self.path, self.asked, self.each_s = path, asked, each_s
+        self.path, self.request, self.interval_s = path, request, interval_s
         self.paused = False
-        self.before: dict[str, int] = {}
+        self.previous_counts: dict[str, int] = {}
 
     def compose(self) -> ComposeResult:
-        """The parts, from top to bottom."""
+        """Yields the widgets from top to bottom."""
         yield Header()
         yield Static("", id="line")
         for name in ("zones", "out", "counts"):
@@ -42,30 +44,30 @@
         yield Footer()
 
     def on_mount(self) -> None:
-        """Begin to look."""
-        for name, head in (("zones", ZONES), ("out", OUT), ("counts", COUNTS)):
-            self.table(name).add_columns(*head)
-        self.look()
-        self.set_interval(self.each_s, self.look)
+        """Adds the tables' columns and starts polling."""
+        for name, columns in (("zones", ZONE_COLUMNS), ("out", EJECTED_COLUMNS), ("counts", COUNT_COLUMNS)):
+            self.table(name).add_columns(*columns)
+        self.poll()
+        self.set_interval(self.interval_s, self.poll)
 
     def table(self, name: str) -> DataTable[str]:
-        """One of the tables."""
-        found: DataTable[str] = self.query_one(f"#{name}", DataTable)
-        return found
+        """Returns the table with this id."""
+        data_table: DataTable[str] = self.query_one(f"#{name}", DataTable)
+        return data_table
 
     def action_pause(self) -> None:
-        """Stop looking, or go on."""
+        """Pauses or resumes polling."""
         self.paused = not self.paused
 
-    def look(self) -> None:
-        """Ask once, and show it; a proxy that does not answer is told of, and asked again."""
+    def poll(self) -> None:
+        """Requests the proxy's state and shows it, or shows that the proxy does not answer."""
         if self.paused:
             return
         line = self.query_one("#line", Static)
         try:
-            status, endpoints = self.asked(self.path, "status"), self.asked(self.path, "endpoints")
-        except AdminError as fault:
-            line.update(f"nobody answers: {fault}")
+            status, endpoints = self.request(self.path, "status"), self.request(self.path, "endpoints")
+        except AdminError as error:
+            line.update(f"nobody answers: {error}")
             return
         states = ", ".join(f"{n} {state}" for state, n in sorted(status["endpoints"].items()))
         line.update(
@@ -91,7 +93,7 @@
             "out",
             [
                 (e["endpoint"], e["zone"], e["why"], f"{e['out_for_ms'] / 1000.0:.1f}")
-                for e in endpoints["endpoints"][:MAX_OUT]
+                for e in endpoints["endpoints"][:MAX_EJECTED_ROWS]
                 if "why" in e
             ],
         )
@@ -99,20 +101,24 @@
         self.fill(
             "counts",
             [
-                (name, f"{(number - self.before.get(name, number)) / self.each_s:.0f}", str(number))
+                (
+                    name,
+                    f"{(number - self.previous_counts.get(name, number)) / self.interval_s:.0f}",
+                    str(number),
+                )
                 for name, number in sorted(counts.items())
             ],
         )
-        self.before = counts
+        self.previous_counts = counts
 
     def fill(self, name: str, rows: list[tuple[str, ...]]) -> None:
-        """Put rows in place of those before."""
+        """Replaces the rows of a table."""
         table = self.table(name)
         table.clear()
         table.add_rows(rows)
 
 
 def show(path: Path) -> None:
-    """Until the operator quits."""
+    """Runs the interface until the operator quits, then exits."""
     Top(path).run()
     sys.exit(0)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -232,19 +232,19 @@
         }
 
     async def main() -> None:
-        app = Top(tmp_path / "s", answers, each_s=1000.0)
+        app = Top(tmp_path / "s", answers, interval_s=1000.0)
         async with app.run_test() as pilot:
-            app.look()
+            app.poll()
             await pilot.pause()
             assert "n3 in a: ready, 2 open" in str(app.query_one("#line", Static).content)
             assert app.table("zones").get_row_at(0) == ["*a", "4.5", "2", "3", "1", "yes"]
             assert app.table("out").get_row_at(0) == ["s1", "a", "failures in a row", "1.5"]
             assert app.table("counts").get_row_at(0) == ["served", "0", "30"]
             await pilot.press("p")
-            app.look()
+            app.poll()
             assert len(asked) == 4
             await pilot.press("p")
-            app.look()
+            app.poll()
             assert "nobody answers: refused" in str(app.query_one("#line", Static).content)
             assert app.table("zones").row_count == 1  # what was seen last stays
 
