--- a/honeywharf/cli/drift.py
+++ b/honeywharf/cli/drift.py
@@ -1,7 +1,7 @@
-"""`honeywharf drift`: which sidecar runs what, since when, by digest; what slipped; what changed between two.
+"""`honeywharf drift`: the digests that each sidecar runs, drift reports, and the changes between versions.
 
-Exit status: 0 all run what was told; 1 somebody does not, or does not answer; 2 not known (a call that is
-wrong, no control node that answers).
+Exit status: 0 every sidecar runs the ordered configuration; 1 a sidecar does not, or does not answer;
+2 unknown (the arguments are invalid, or no control node answers).
 """
 
 from __future__ import annotations
@@ -19,138 +19,144 @@
 from honeywharf.cli.exit_status import NEGATIVE, SUCCESS, MeshCallError
 from honeywharf.cli.mesh import call
 
-VARIABLE = "HONEYWHARF_CONTROL_NODE"
-SHOWN_SLIPS = 20
-WELL = ("told", "applying", "agreed", "healed")
+ADDRESS_VARIABLE = "HONEYWHARF_CONTROL_NODE"
+MAX_SHOWN_REPORTS = 20
+HEALTHY_STATES = ("told", "applying", "agreed", "healed")
 
-At = Annotated[str, cappa.Arg(long=True, help=f"A control node's control-plane address; else ${VARIABLE}.")]
-Within = Annotated[float, cappa.Arg(long=True, help="Seconds to wait for the answer.")]
+AddressOption = Annotated[
+    str, cappa.Arg(long=True, help=f"A control node's control-plane address; default: ${ADDRESS_VARIABLE}.")
+]
+TimeoutOption = Annotated[float, cappa.Arg(long=True, help="Time-out of the call, in seconds.")]
 
 
-def _ask(at: str, path: str, within: float) -> tuple[int, bytes]:
-    return call(at or os.environ.get(VARIABLE, ""), "GET", path, b"", within)
+def _get(at: str, path: str, within: float) -> tuple[int, bytes]:
+    return call(at or os.environ.get(ADDRESS_VARIABLE, ""), "GET", path, b"", within)
 
 
-def _view(at: str, within: float) -> dict[str, Any]:
-    """The view of all. WrongError where none comes."""
-    status, body = _ask(at, "/api/drift", within)
+def _get_overview(at: str, within: float) -> dict[str, Any]:
+    """Returns the views of all sidecars. Raises MeshCallError without a valid answer."""
+    status, body = _get(at, "/api/drift", within)
     if status != 200:
         raise MeshCallError(f"no view: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
-    found = json.loads(body)
-    if not isinstance(found, dict):
-        raise MeshCallError("what came is no view")
-    return found
+    overview = json.loads(body)
+    if not isinstance(overview, dict):
+        raise MeshCallError(f"the view: expected a JSON object, got {type(overview).__name__}")
+    return overview
 
 
-def _differs(view: dict[str, Any], told: dict[str, Any]) -> list[str]:
-    """Branches in which a node's live structures differ from what a majority holds."""
-    mine, all_ = view.get("branches", {}), told.get("branches", {})
-    return sorted(name for name in {*mine, *all_} if mine.get(name) != all_.get(name))
+def _differing_branches(view: dict[str, Any], ordered: dict[str, Any]) -> list[str]:
+    """Returns the branches of the digest tree in which a node differs from the committed configuration."""
+    actual, expected = view.get("branches", {}), ordered.get("branches", {})
+    return sorted(name for name in {*actual, *expected} if actual.get(name) != expected.get(name))
 
 
-def lines(found: dict[str, Any]) -> Iterator[str]:
-    """The view as a table, a line each."""
-    told = found["told"]
-    parts = [f"{name} {told.get(name, '-')}" for name in ("revision", "version", "root", "digest")]
+def format_overview(overview: dict[str, Any]) -> Iterator[str]:
+    """Yields the lines of a table of all sidecars and the last drift reports."""
+    ordered = overview["told"]
+    parts = [f"{name} {ordered.get(name, '-')}" for name in ("revision", "version", "root", "digest")]
     yield f"told: {', '.join(parts)}"
     yield (
         f"{'node':<16} {'zone':<14} {'state':<12} {'for s':>8} {'rev':>6} {'version':>8} {'root':<17} refused"
     )
-    for view in sorted(found["views"], key=lambda one: str(one["node"])):
-        mark = "" if not _differs(view, told) else "  differs"
+    for view in sorted(overview["views"], key=lambda node_view: str(node_view["node"])):
+        mark = "" if not _differing_branches(view, ordered) else "  differs"
         yield (
             f"{view['node']:<16} {view['zone']:<14} {view['state']:<12} {view['for']:>8.1f} "
             f"{view['revision']:>6} {view['version']:>8} {view['root']:<17} {view['refused']}{mark}"
         )
-    for node in found["silent"]:
+    for node in overview["silent"]:
         yield f"{node:<16} does not answer"
-    for wall, node, by, cause, revision in found["slips"][-SHOWN_SLIPS:]:
-        when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(wall))
+    for reported_at, node, by, cause, revision in overview["slips"][-MAX_SHOWN_REPORTS:]:
+        when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(reported_at))
         yield f"slip {when} {node} at revision {revision}, found by {by}: {cause}"
 
 
-def judged(found: dict[str, Any]) -> int:
-    """The exit status for a view: whether all run what was told."""
-    bad = found["silent"] or any(
-        view["state"] not in WELL or _differs(view, found["told"]) for view in found["views"]
+def exit_status_of(overview: dict[str, Any]) -> int:
+    """Returns the exit status for an overview: whether all sidecars run the ordered configuration."""
+    has_deviation = overview["silent"] or any(
+        view["state"] not in HEALTHY_STATES or _differing_branches(view, overview["told"])
+        for view in overview["views"]
     )
-    return NEGATIVE if bad or not found["told"] else SUCCESS
+    return NEGATIVE if has_deviation or not overview["told"] else SUCCESS
 
 
-@cappa.command(name="show", help="Tell which sidecar runs what, since when, and the last slips.")
+@cappa.command(name="show", help="Show what each sidecar runs, since when, and the last drift reports.")
 @dataclass
 class Show:
     """`drift show`."""
 
-    at: At = ""
-    within: Within = 10.0
+    at: AddressOption = ""
+    within: TimeoutOption = 10.0
 
     def __call__(self) -> int:
-        """Exit status."""
-        found = _view(self.at, self.within)
-        for line in lines(found):
+        """Executes the command and returns its exit status."""
+        overview = _get_overview(self.at, self.within)
+        for line in format_overview(overview):
             print(line)
-        return judged(found)
+        return exit_status_of(overview)
 
 
-@cappa.command(name="explain", help="Tell what one sidecar runs, what differs, and its slips.")
+@cappa.command(name="explain", help="Show what one sidecar runs, what differs, and its drift reports.")
 @dataclass
 class Explain:
     """`drift explain NODE`."""
 
     node: Annotated[str, cappa.Arg(help="A sidecar's IPv4 address.")]
-    at: At = ""
-    within: Within = 10.0
+    at: AddressOption = ""
+    within: TimeoutOption = 10.0
 
     def __call__(self) -> int:
-        """Exit status."""
-        found = _view(self.at, self.within)
-        view = next((one for one in found["views"] if one["node"] == self.node), None)
+        """Executes the command and returns its exit status."""
+        overview = _get_overview(self.at, self.within)
+        view = next((node_view for node_view in overview["views"] if node_view["node"] == self.node), None)
         if view is None:
-            print(f"{self.node}: {'does not answer' if self.node in found['silent'] else 'not known'}")
+            print(f"{self.node}: {'does not answer' if self.node in overview['silent'] else 'not known'}")
             return NEGATIVE
-        for line in explained(view, found):
+        for line in format_view(view, overview):
             print(line)
-        return judged({**found, "views": [view], "silent": []})
+        return exit_status_of({**overview, "views": [view], "silent": []})
 
 
-def explained(view: dict[str, Any], found: dict[str, Any]) -> Iterator[str]:
-    """One node's view, a line each."""
+def format_view(view: dict[str, Any], overview: dict[str, Any]) -> Iterator[str]:
+    """Yields the lines that describe one node."""
     why = f": {view['why']}" if view["why"] else ""
     yield f"{view['node']} in {view['zone']} is {view['state']} for {view['for']:.1f} s{why}"
     yield f"runs revision {view['revision']}, configuration {view['version']}, digest {view['digest']}"
     if view["standing"]:
         yield "refuses mutating requests and uploads until it has healed"
-    differing = _differs(view, found["told"])
+    differing = _differing_branches(view, overview["told"])
     for name in differing:
-        mine = view["branches"].get(name, "nothing")
-        yield f"differs in {name}: runs {mine}, told {found['told'].get('branches', {}).get(name, 'nothing')}"
+        actual = view["branches"].get(name, "nothing")
+        yield (
+            f"differs in {name}: runs {actual},"
+            f" told {overview['told'].get('branches', {}).get(name, 'nothing')}"
+        )
     if not differing:
         yield "runs in every branch what a majority holds"
-    caught = ", ".join(f"{by} {many}" for by, many in sorted(view["caught"].items()))
+    caught = ", ".join(f"{by} {number}" for by, number in sorted(view["caught"].items()))
     yield f"slips found here by: {caught or 'none'}; requests refused for drift: {view['refused']}"
-    for wall, by, cause in view["slips"]:
-        yield f"slip {time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(wall))} by {by}: {cause}"
+    for reported_at, by, cause in view["slips"]:
+        yield f"slip {time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(reported_at))} by {by}: {cause}"
 
 
-@cappa.command(name="between", help="Tell what changed from one version to another.")
+@cappa.command(name="between", help="Show what changed from one version to another.")
 @dataclass
 class Between:
     """`drift between r7 r12`."""
 
     before: Annotated[str, cappa.Arg(help="A version such as r7.")]
     after: Annotated[str, cappa.Arg(help="A version such as r12.")]
-    at: At = ""
-    within: Within = 10.0
+    at: AddressOption = ""
+    within: TimeoutOption = 10.0
 
     def __call__(self) -> int:
-        """Exit status."""
-        status, body = _ask(self.at, f"/api/drift/between/{self.before}/{self.after}", self.within)
+        """Executes the command and returns its exit status."""
+        status, body = _get(self.at, f"/api/drift/between/{self.before}/{self.after}", self.within)
         print(body.decode("utf-8", "backslashreplace").rstrip("\n"))
         return SUCCESS if status == 200 else NEGATIVE
 
 
-@cappa.command(name="honeywharf drift", help="Tell whether every sidecar runs what was told.")
+@cappa.command(name="honeywharf drift", help="Report whether every sidecar runs the ordered configuration.")
 @dataclass
 class Drift:
     """`honeywharf drift ...`."""
@@ -159,13 +165,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The command line behind `honeywharf drift`; without a word it is `show`. Exit status."""
+    """Executes `honeywharf drift`, by default with `show`, and returns the exit status."""
     exit_status.use_absl_logging()
-    words = arguments if arguments[:1] and not arguments[0].startswith("--") else ["show", *arguments]
+    command_line = arguments if arguments[:1] and not arguments[0].startswith("--") else ["show", *arguments]
     if arguments[:1] in (["--help"], ["-h"]):
-        words = arguments
+        command_line = arguments
     return exit_status.run_command(
-        lambda: cappa.parse(Drift, argv=words, completion=False).command(),
+        lambda: cappa.parse(Drift, argv=command_line, completion=False).command(),
         exit_status.log_error,
         (ValueError, KeyError, MeshCallError),
     )
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -51,7 +51,7 @@
     file: File
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         return _checked(self.file) or _told(self.file, _summary(_read(self.file)))
 
 
@@ -63,7 +63,7 @@
     file: File
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         try:
             found = settings.parse(_read(self.file).decode("utf-8"), self.file)
         except settings.SettingsError as fault:
@@ -87,7 +87,7 @@
     path: Annotated[str, cappa.Arg(help="With or without a query.")]
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         if _checked(self.file):
             return UNKNOWN
         path = self.path.partition("?")[0].encode()
@@ -127,7 +127,7 @@
     within: Within = 5.0
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         status, body = call(self.address, "GET", "/api/configuration/describe", b"", self.within)
         if status == 200:
             sys.stdout.buffer.write(body)
@@ -146,7 +146,7 @@
     within: Within = 10.0
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         if _checked(self.file):
             return NEGATIVE
         text = _read(self.file)
@@ -164,7 +164,7 @@
     within: Within = 5.0
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         return _order(self.address, self.zone, "start", self.within)
 
 
@@ -178,7 +178,7 @@
     within: Within = 5.0
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         return _order(self.address, self.zone, "complete", self.within)
 
 
@@ -201,7 +201,7 @@
     within: Within = 5.0
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         for line in duties(view(self.address, "duties", self.within)):
             print(line)
         return 0
--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -54,7 +54,7 @@
     any_kind: AnyKind = False
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         return _days(self.seed, 1, 1, self.shape, self.any_kind, quiet=False)
 
 
@@ -70,7 +70,7 @@
     any_kind: AnyKind = False
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         if self.count < 1 or not 0 <= self.jobs <= MAX_JOBS:
             print(f"found {self.count} days and {self.jobs} jobs, wanted 1 or more, and 0 to {MAX_JOBS}")
             return 2
@@ -88,7 +88,7 @@
     any_kind: AnyKind = False
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         with _pool(1) as pool:
             report = pool.submit(run, self.seed, shape=self.shape, any_kind=self.any_kind).result()
         print(report)
--- a/honeywharf/cli/store.py
+++ b/honeywharf/cli/store.py
@@ -30,7 +30,7 @@
     directory: Directory
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         report = repair.check(_disk(self.directory))
         for line in [*report.lines, *(f"FAULT {fault}" for fault in report.faults)]:
             print(line)
@@ -45,7 +45,7 @@
     directory: Directory
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         for line in repair.repair(_disk(self.directory)) or ["nothing to mend"]:
             print(line)
         return SUCCESS
@@ -60,7 +60,7 @@
     file: File
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         packed = backup.backup(_disk(self.directory))
         handle = os.open(self.file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         with open(handle, "wb") as opened:
@@ -83,7 +83,7 @@
     members: Annotated[str, cappa.Arg(long=True, help="All of the new roster: ADDRESS/ZONE,ADDRESS/ZONE,...")]
 
     def __call__(self) -> int:
-        """Exit status."""
+        """Executes the command and returns its exit status."""
         members = []
         for one in self.members.split(","):
             address, slash, zone = one.partition("/")
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -42,11 +42,11 @@
     found = json.loads(call.answered)
     assert (call.status, len(found["views"]), found["silent"]) == (200, 6, [])
     assert {view["root"] for view in found["views"]} == {found["told"]["root"]}
-    assert drift.judged(found) == 0
-    slips = [line for line in drift.lines(found) if line.startswith("slip")]
+    assert drift.exit_status_of(found) == 0
+    slips = [line for line in drift.format_overview(found) if line.startswith("slip")]
     assert len(slips) == 2
     view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
-    explanation = list(drift.explained(view, found))
+    explanation = list(drift.format_view(view, found))
     assert "runs in every branch what a majority holds" in explanation
     assert any(line.startswith("slip ") for line in explanation)
 
@@ -56,8 +56,8 @@
     found = json.loads(get(trial, b"/api/drift").answered)
     view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     assert view["state"] in ("doubted", "quarantined")
-    assert drift.judged(found) == 1
-    explanation = list(drift.explained(view, found))
+    assert drift.exit_status_of(found) == 1
+    explanation = list(drift.format_view(view, found))
     assert "refuses mutating requests and uploads until it has healed" in explanation
     assert any(line.startswith("differs in routes/shop.example") for line in explanation)
 
