--- a/honeywharf/cli/drift.py
+++ b/honeywharf/cli/drift.py
@@ -37,7 +37,9 @@
     """Returns the views of all sidecars. Raises MeshCallError without a valid answer."""
     status, body = _get(at, "/api/drift", within)
     if status != 200:
-        raise MeshCallError(f"no view: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
+        raise MeshCallError(
+            f"/api/drift: expected status 200, got {status}: {body[:200].decode('utf-8', 'backslashreplace')}"
+        )
     overview = json.loads(body)
     if not isinstance(overview, dict):
         raise MeshCallError(f"the view: expected a JSON object, got {type(overview).__name__}")
--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -1,7 +1,7 @@
-"""`honeywharf mesh`: check files of the mesh before they are used, and give a running mesh its orders.
+"""`honeywharf mesh`: checks the mesh's files before they are used, and operates a running mesh.
 
-Exit status: 0 done, or good; 1 no (faults, no route, a difference, refused by the mesh); 2 not known (a call
-or file that is wrong, nobody who answers, an answer that leaves open whether an order is in force).
+Exit status: 0 success; 1 negative (errors in a file, no route, a difference, rejected by the mesh); 2 unknown
+(invalid arguments or file, no answer, or an answer that leaves open whether an order is in force).
 """
 
 from __future__ import annotations
@@ -23,94 +23,96 @@
 from honeywharf.mesh_config.quantities import address
 from honeywharf.mesh_config.routes import Route, RoutingTable
 
-REDIRECTS = 2  # as many as the callers of the mesh follow
-MAX_ANSWER = 64 << 20  # bytes of an answer that are read
-OPEN = "What was ordered may be in force, or may not: send it again"
-AGAIN = (408, 429)  # of the statuses that tell nothing for good
+MAX_REDIRECTS = 2
+MAX_ANSWER_BYTES = 64 << 20
+ORDER_UNCERTAIN = "The order may be in force, or may not: send it again"
+RETRYABLE_STATUSES = (408, 429)  # The client errors that may not recur.
 
-File = Annotated[str, cappa.Arg(help="A file; - is standard input.")]
-At = Annotated[str, cappa.Arg(help="The control-plane address of a control node, such as 10.1.0.12:8306.")]
-Zone = Annotated[str, cappa.Arg(help="A zone's name.")]
-Within = Annotated[float, cappa.Arg(long=True, help="Seconds to wait for each answer.")]
+FileArgument = Annotated[str, cappa.Arg(help="A file; - for standard input.")]
+AddressArgument = Annotated[
+    str, cappa.Arg(help="A control node's control-plane address, such as 10.1.0.12:8306.")
+]
+ZoneArgument = Annotated[str, cappa.Arg(help="A zone's name.")]
+TimeoutOption = Annotated[float, cappa.Arg(long=True, help="Time-out of each call, in seconds.")]
 
 
-#: How settings are printed where scripts of operators may know them by other names than the attributes have.
-SHOWN_SETTINGS = {
+#: Printed names of settings that differ from the attributes' names. Operators' scripts depend on them.
+PRINTED_SETTING_NAMES = {
     "internal_ports": "ports",
     "listen_addresses": "listen",
     "max_file_descriptors": "fds",
 }
-NOT_SHOWN_AS_SETTINGS = ("bounds", "unknown_bounds", "file")
+UNPRINTED_ATTRIBUTES = ("bounds", "unknown_bounds", "file")
 
 
-@cappa.command(name="check", help="Tell every fault of a configuration, one a line.")
+@cappa.command(name="check", help="Print every error of a configuration, one per line.")
 @dataclass
 class Check:
     """`mesh check FILE`."""
 
-    file: File
+    file: FileArgument
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        return _checked(self.file) or _told(self.file, _summary(_read(self.file)))
+        return _print_errors(self.file) or _print_success(self.file, _summary(_read(self.file)))
 
 
-@cappa.command(name="settings", help="Tell what a settings file says, or its first fault.")
+@cappa.command(name="settings", help="Print the settings of a file, or its first error.")
 @dataclass
 class ShowSettings:
     """`mesh settings FILE`."""
 
-    file: File
+    file: FileArgument
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
         try:
-            found = settings.parse(_read(self.file).decode("utf-8"), self.file)
-        except settings.SettingsError as fault:
-            print(fault)
+            parsed = settings.parse(_read(self.file).decode("utf-8"), self.file)
+        except settings.SettingsError as error:
+            print(error)
             return NEGATIVE
         except UnicodeDecodeError:
-            print(f"{self.file}: the file: found bytes that are not UTF-8, wanted YAML in UTF-8")
+            print(f"{self.file}: the file: expected YAML in UTF-8, got bytes that are not UTF-8")
             return NEGATIVE
-        for line in _settings_lines(found):
+        for line in _settings_lines(parsed):
             print(line)
         return SUCCESS
 
 
-@cappa.command(name="route", help="Tell which route of a configuration a request takes.")
+@cappa.command(name="route", help="Print the route of a configuration that a request takes.")
 @dataclass
 class FindRoute:
     """`mesh route FILE HOST PATH`."""
 
-    file: File
-    host: Annotated[str, cappa.Arg(help="As in the Host header.")]
-    path: Annotated[str, cappa.Arg(help="With or without a query.")]
+    file: FileArgument
+    host: Annotated[str, cappa.Arg(help="The value of the Host header.")]
+    path: Annotated[str, cappa.Arg(help="The request's path; a query is ignored.")]
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        if _checked(self.file):
+        if _print_errors(self.file):
             return UNKNOWN
         path = self.path.partition("?")[0].encode()
-        found = RoutingTable(_read(self.file)).find(self.host.encode(), path)
-        if found is None:
+        route = RoutingTable(_read(self.file)).find(self.host.encode(), path)
+        if route is None:
             print("no route: such a request is answered 404")
             return NEGATIVE
-        for line in _route_lines(found):
+        for line in _route_lines(route):
             print(line)
         return SUCCESS
 
 
-@cappa.command(name="diff", help="Tell what the second configuration changes of the first.")
+@cappa.command(name="diff", help="Print the changes from the first configuration to the second.")
 @dataclass
 class Diff:
     """`mesh diff FILE FILE`."""
 
-    before: File
-    after: File
+    before: FileArgument
+    after: FileArgument
 
     def __call__(self) -> int:
-        """Exit status, as diff(1)."""
-        if _checked(self.before) or _checked(self.after):
+        """Executes the command and returns its exit status, as diff(1) does."""
+        if _print_errors(self.before) or _print_errors(self.after):
             return UNKNOWN
         lines = list(changes.changes(RoutingTable(_read(self.before)), RoutingTable(_read(self.after))))
         for line in lines:
@@ -118,13 +120,13 @@
         return NEGATIVE if lines else SUCCESS
 
 
-@cappa.command(name="describe", help="Print the configuration that a mesh holds, as it was sent.")
+@cappa.command(name="describe", help="Print the configuration of a mesh, byte for byte as it was sent.")
 @dataclass
 class Describe:
     """`mesh describe ADDRESS`."""
 
-    address: At
-    within: Within = 5.0
+    address: AddressArgument
+    within: TimeoutOption = 5.0
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
@@ -133,132 +135,144 @@
             sys.stdout.buffer.write(body)
             sys.stdout.buffer.flush()
             return SUCCESS
-        return _ended(status, body)
+        return _exit_status_of(status, body)
 
 
-@cappa.command(name="replace", help="Check a configuration and give it to a mesh.")
+@cappa.command(name="replace", help="Check a configuration and send it to a mesh.")
 @dataclass
 class Replace:
     """`mesh replace ADDRESS FILE`."""
 
-    address: At
-    file: File
-    within: Within = 10.0
+    address: AddressArgument
+    file: FileArgument
+    within: TimeoutOption = 10.0
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        if _checked(self.file):
+        if _print_errors(self.file):
             return NEGATIVE
         text = _read(self.file)
         status, body = call(self.address, "POST", "/api/configuration/replace", text, self.within)
-        return _ended(status, body) or _told(self.file, f"acknowledged: {_summary(text)}")
+        return _exit_status_of(status, body) or _print_success(self.file, f"acknowledged: {_summary(text)}")
 
 
-@cappa.command(name="evacuate", help="Have nothing more sent to the backends of a zone.")
+@cappa.command(name="evacuate", help="Stop sending requests to the backends of a zone.")
 @dataclass
 class Evacuate:
     """`mesh evacuate ADDRESS ZONE`."""
 
-    address: At
-    zone: Zone
-    within: Within = 5.0
+    address: AddressArgument
+    zone: ZoneArgument
+    within: TimeoutOption = 5.0
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        return _order(self.address, self.zone, "start", self.within)
+        return _change_evacuation(self.address, self.zone, "start", self.within)
 
 
-@cappa.command(name="activate", help="Have requests sent to the backends of a zone again.")
+@cappa.command(name="activate", help="Resume sending requests to the backends of a zone.")
 @dataclass
 class Activate:
     """`mesh activate ADDRESS ZONE`."""
 
-    address: At
-    zone: Zone
-    within: Within = 5.0
+    address: AddressArgument
+    zone: ZoneArgument
+    within: TimeoutOption = 5.0
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        return _order(self.address, self.zone, "complete", self.within)
+        return _change_evacuation(self.address, self.zone, "complete", self.within)
 
 
-def view(address: str, name: str, within: float) -> Any:
-    """What a control node shows at `/api/NAME`. `within`: seconds. WrongError where it shows nothing."""
+def get_view(address: str, name: str, within: float) -> Any:
+    """Returns a control node's view at `/api/NAME`. `within`: seconds. Raises MeshCallError without one."""
     status, body = call(address, "GET", f"/api/{name}", b"", within)
     if status != 200:
-        raise MeshCallError(f"no {name}: {status} {body[:200].decode('utf-8', 'backslashreplace')}")
+        raise MeshCallError(
+            f"/api/{name}: expected status 200, got {status}: {body[:200].decode('utf-8', 'backslashreplace')}"
+        )
     return json.loads(body)
 
 
 @cappa.command(
-    name="duties", help="Tell who holds which duty, by one control node's votes, and its hinted handoff."
+    name="duties", help="Show the leases that one control node has granted, and its hinted handoff."
 )
 @dataclass
-class Duties:
+class ShowLeases:
     """`mesh duties ADDRESS`."""
 
-    address: At
-    within: Within = 5.0
+    address: AddressArgument
+    within: TimeoutOption = 5.0
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        for line in duties(view(self.address, "duties", self.within)):
+        for line in format_leases(get_view(self.address, "duties", self.within)):
             print(line)
         return 0
 
 
-def duties(found: dict[str, Any]) -> Iterator[str]:
-    """A control node's view of duties, a line each."""
-    waits = f", grants no {' and no '.join(found['waits'])} yet" if found["waits"] else ""
-    yield f"{found['node']}: roster {found['roster']}{waits}"
-    for kind, scope, place, holder, number, left in found["votes"]:
-        yield f"vote {kind} {scope or 'all'} {place}: {holder}, number {number}, {left:.2f} s left"
+def format_leases(view: dict[str, Any]) -> Iterator[str]:
+    """Yields the lines that show a control node's leases."""
+    waits = f", grants no {' and no '.join(view['waits'])} yet" if view["waits"] else ""
+    yield f"{view['node']}: roster {view['roster']}{waits}"
+    for kind, scope, slot, holder, number, remaining_s in view["votes"]:
+        yield f"vote {kind} {scope or 'all'} {slot}: {holder}, number {number}, {remaining_s:.2f} s left"
     for name in ("refused", "upkeep", "hinted_handoff"):
-        yield f"{name} " + (" ".join(f"{key}={int(n)}" for key, n in sorted(found[name].items())) or "none")
+        yield f"{name} " + (" ".join(f"{key}={int(n)}" for key, n in sorted(view[name].items())) or "none")
 
 
 @cappa.command(
-    name="members", help="Tell who keeps the mesh's state, who is behind, and how many losses can be borne."
+    name="members",
+    help="Show the replicas of the mesh's state, those that are behind, and how many losses are tolerable.",
 )
 @dataclass
-class Members:
+class ShowMembers:
     """`mesh members ADDRESS`."""
 
-    address: At
-    within: Within = 5.0
+    address: AddressArgument
+    within: TimeoutOption = 5.0
 
     def __call__(self) -> int:
-        """Exit status: 1 where no further loss can be borne."""
-        found = view(self.address, "members", self.within)
-        for line in members(found):
+        """Executes the command and returns its exit status: 1 if no further loss is tolerable."""
+        view = get_view(self.address, "members", self.within)
+        for line in format_members(view):
             print(line)
-        return 0 if found["bearable-losses"] else 1
+        return 0 if view["bearable-losses"] else 1
 
 
-def members(found: dict[str, Any]) -> Iterator[str]:
-    """A control node's view of the membership, a line each."""
-    yield f"{found['node']}: membership {found['epoch']}, majority {found['majority']}"
-    for one in found["members"]:
-        yield f"member {one['address']} zone {one['zone'] or '?'}: {one['fault'] or 'current'}"
-    for one in found["standbys"]:
-        yield f"standby {one['address']} zone {one['zone'] or '?'}"
-    yield f"losses that can be borne now: {found['bearable-losses']}"
-    yield f"zones that can be lost now: {' '.join(found['bearable-zones']) or 'none'}"
+def format_members(view: dict[str, Any]) -> Iterator[str]:
+    """Yields the lines that show a control node's view of the membership."""
+    yield f"{view['node']}: membership {view['epoch']}, majority {view['majority']}"
+    for member in view["members"]:
+        yield f"member {member['address']} zone {member['zone'] or '?'}: {member['fault'] or 'current'}"
+    for member in view["standbys"]:
+        yield f"standby {member['address']} zone {member['zone'] or '?'}"
+    yield f"losses that can be borne now: {view['bearable-losses']}"
+    yield f"zones that can be lost now: {' '.join(view['bearable-zones']) or 'none'}"
 
 
-@cappa.command(name="honeywharf mesh", help="Check files of the mesh, and give a running mesh its orders.")
+@cappa.command(name="honeywharf mesh", help="Check the mesh's files, and operate a running mesh.")
 @dataclass
 class Mesh:
     """`honeywharf mesh ...`."""
 
     command: cappa.Subcommands[
-        Check | ShowSettings | FindRoute | Diff | Describe | Replace | Evacuate | Activate | Duties | Members
+        Check
+        | ShowSettings
+        | FindRoute
+        | Diff
+        | Describe
+        | Replace
+        | Evacuate
+        | Activate
+        | ShowLeases
+        | ShowMembers
     ]
     verbose: Annotated[bool, cappa.Arg(short=True, long=True, propagate=True, help="Log each call.")] = False
 
 
 def main(arguments: list[str]) -> int:
-    """The command line behind `honeywharf mesh`. Exit status."""
+    """Executes `honeywharf mesh` and returns the exit status."""
 
     def run() -> int:
         parsed = cappa.parse(Mesh, argv=arguments, completion=False)
@@ -269,28 +283,28 @@
     return exit_status.run_command(run, exit_status.log_error, (MeshCallError,))
 
 
-_input: list[bytes] = []  # standard input, once it has been read
+_standard_input: list[bytes] = []  # Empty until standard input has been read.
 
 
 def _read(file: str) -> bytes:
     if file != "-":
         with open(file, "rb") as opened:
             return opened.read(configuration.MAX_BYTES + 1)
-    if not _input:
-        _input.append(sys.stdin.buffer.read(configuration.MAX_BYTES + 1))
-    return _input[0]
+    if not _standard_input:
+        _standard_input.append(sys.stdin.buffer.read(configuration.MAX_BYTES + 1))
+    return _standard_input[0]
 
 
-def _told(file: str, what: str) -> int:
-    print(f"{file}: {what}")
+def _print_success(file: str, summary: str) -> int:
+    print(f"{file}: {summary}")
     return SUCCESS
 
 
-def _checked(file: str) -> int:
-    """Print every fault of a configuration; NO where there are any."""
+def _print_errors(file: str) -> int:
+    """Prints every error of a configuration; returns NEGATIVE if there are any."""
     status = SUCCESS
-    for fault in configuration.errors(_read(file)):
-        print(f"{file}: {fault}")
+    for error in configuration.errors(_read(file)):
+        print(f"{file}: {error}")
         status = NEGATIVE
     return status
 
@@ -303,82 +317,82 @@
     )
 
 
-def _settings_lines(found: settings.Settings) -> Iterator[str]:
+def _settings_lines(parsed: settings.Settings) -> Iterator[str]:
     shown = {
-        SHOWN_SETTINGS.get(attribute, attribute): getattr(found, attribute)
-        for attribute in found.__slots__
-        if attribute not in NOT_SHOWN_AS_SETTINGS
+        PRINTED_SETTING_NAMES.get(attribute, attribute): getattr(parsed, attribute)
+        for attribute in parsed.__slots__
+        if attribute not in UNPRINTED_ATTRIBUTES
     }
     for name, value in sorted(shown.items()):
         if isinstance(value, dict):
             for key, each in value.items():
-                yield f"{name}.{key}: {_plain(each)}"
+                yield f"{name}.{key}: {_format_value(each)}"
         else:
-            yield f"{name}: {_plain(value)}"
-    for name, number in found.bounds.items():
+            yield f"{name}: {_format_value(value)}"
+    for name, number in parsed.bounds.items():
         yield f"bound {name}: {number:g}"
-    for line in found.unknown_bounds:
+    for line in parsed.unknown_bounds:
         yield f"bound not understood: {line}"
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, tuple) and len(value) == 2:
         return f"{value[0]}:{value[1]}" if isinstance(value[0], str) else f"{value[0]} to {value[1]}"
     if isinstance(value, list):
-        return ", ".join(_plain(each) for each in value)
+        return ", ".join(_format_value(each) for each in value)
     return "none" if value is None else str(value)
 
 
 def _route_lines(route: Route) -> Iterator[str]:
     yield f"{changes.format_route(route)}: {route.name}"
     yield f"to: {changes.format_split(route)}"
-    for name, told in changes.ROUTE_FIELDS[1:]:
-        yield f"{told}: {changes.format_value(name, getattr(route, name))}"
+    for name, label in changes.ROUTE_FIELDS[1:]:
+        yield f"{label}: {changes.format_value(name, getattr(route, name))}"
 
 
-def _order(at: str, zone: str, order: str, within: float) -> int:
+def _change_evacuation(at: str, zone: str, order: str, within: float) -> int:
     path = f"/api/evacuations/{quote(zone, safe='')}/{order}"
     status, body = call(at, "POST", path, b"", within)
-    return _ended(status, body) or _told(zone, f"evacuation {order} acknowledged")
+    return _exit_status_of(status, body) or _print_success(zone, f"evacuation {order} acknowledged")
 
 
 def call(at: str, method: str, path: str, body: bytes, within: float) -> tuple[int, bytes]:
-    """Status and body of the answer, redirects followed. WrongError where there is none."""
+    """Returns the status and body of the answer, following redirects. Raises MeshCallError without one."""
     try:
-        to = address(at)
-    except ValueError as fault:
-        raise MeshCallError(str(fault)) from None
-    for _ in range(REDIRECTS + 1):
-        status, answer, location = _once(to, method, path, body, within)
-        logging.info("%s http://%s:%d%s -> %d, %d bytes", method, *to, path, status, len(answer))
+        target = address(at)
+    except ValueError as error:
+        raise MeshCallError(str(error)) from None
+    for _ in range(MAX_REDIRECTS + 1):
+        status, answer, location = _send_request(target, method, path, body, within)
+        logging.info("%s http://%s:%d%s -> %d, %d bytes", method, *target, path, status, len(answer))
         if status != 307:
             return status, answer
-        to, path = _moved(location)
-    raise MeshCallError(f"{at} redirects more than {REDIRECTS} times")
+        target, path = _redirect_target(location)
+    raise MeshCallError(f"{at}: expected at most {MAX_REDIRECTS} redirects, got more")
 
 
-def _once(
-    to: tuple[str, int],
+def _send_request(
+    target: tuple[str, int],
     method: str,
     path: str,
     body: bytes,
     within: float,
 ) -> tuple[int, bytes, str]:
     headers = {"Content-Type": "application/json"} if body else {}
-    connection = http.client.HTTPConnection(*to, timeout=within)
+    connection = http.client.HTTPConnection(*target, timeout=within)
     try:
         connection.request(method, path, body, headers)
         answer = connection.getresponse()
-        return answer.status, answer.read(MAX_ANSWER), answer.getheader("Location") or ""
-    except (OSError, http.client.HTTPException) as fault:
-        words = f"{to[0]}:{to[1]}: no clear answer: {fault!r}"
-        raise MeshCallError(words if method == "GET" else f"{words}. {OPEN}") from None
+        return answer.status, answer.read(MAX_ANSWER_BYTES), answer.getheader("Location") or ""
+    except (OSError, http.client.HTTPException) as error:
+        message = f"{target[0]}:{target[1]}: no clear answer: {error!r}"
+        raise MeshCallError(message if method == "GET" else f"{message}. {ORDER_UNCERTAIN}") from None
     finally:
         connection.close()
 
 
-def _moved(location: str) -> tuple[tuple[str, int], str]:
-    """Where a redirect leads: address and path."""
+def _redirect_target(location: str) -> tuple[tuple[str, int], str]:
+    """Returns the address and path of a redirect."""
     try:
         parts = urlsplit(location)
         if parts.scheme != "http" or not parts.path:
@@ -389,13 +403,13 @@
         raise MeshCallError(f"a redirect leads to {location!r}, wanted http://address:port/path") from None
 
 
-def _ended(status: int, body: bytes) -> int:
-    """The exit status for an answer's status; what it says is printed unless it is a success."""
+def _exit_status_of(status: int, body: bytes) -> int:
+    """Returns the exit status for an answer, and logs its text unless it is a success."""
     if 200 <= status < 300:
         return SUCCESS
-    said = body[:1000].decode("utf-8", "backslashreplace").strip()
-    if 400 <= status < 500 and status not in AGAIN:
-        logging.error("refused with %d: %s", status, said)
+    response_text = body[:1000].decode("utf-8", "backslashreplace").strip()
+    if 400 <= status < 500 and status not in RETRYABLE_STATUSES:
+        logging.error("refused with %d: %s", status, response_text)
         return NEGATIVE
-    logging.error("no clear answer, %d: %s. %s", status, said, OPEN)
+    logging.error("no clear answer, %d: %s. %s", status, response_text, ORDER_UNCERTAIN)
     return UNKNOWN
--- a/tests/control/test_members_view.py
+++ b/tests/control/test_members_view.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from honeywharf.cli.mesh import members as lines
+from honeywharf.cli.mesh import format_members as lines
 from tests.control.cluster import ControlCluster
 
 A, B, C, NEW = "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.14"
--- a/tests/mesh_config/test_command.py
+++ b/tests/mesh_config/test_command.py
@@ -89,7 +89,7 @@
 
 def test_check_reads_standard_input_once(monkeypatch: pytest.MonkeyPatch, capsys: Capture) -> None:
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(CONFIGURATION)))
-    monkeypatch.setattr(mesh, "_input", [])
+    monkeypatch.setattr(mesh, "_standard_input", [])
     assert mesh.main(["check", "-"]) == 0
     assert capsys.readouterr().out.startswith("-: r7, 2 routes")
 
