--- a/honeywharf/cli/mesh.py
+++ b/honeywharf/cli/mesh.py
@@ -189,7 +189,7 @@
     status, body = call(address, "GET", f"/api/{name}", b"", within)
     if status != 200:
         raise MeshCallError(
-            f"/api/{name}: expected status 200, got {status}: {body[:200].decode('utf-8', 'backslashreplace')}"
+            f"/api/{name}: expected status 200, got {status} {body[:200].decode('utf-8', 'backslashreplace')}"
         )
     return json.loads(body)
 
