--- a/honeywharf/cli/simulation.py
+++ b/honeywharf/cli/simulation.py
@@ -1,10 +1,10 @@
-"""`honeywharf simulation`: days of the simulated network by seed, the rules checked after each step.
+"""`honeywharf simulation`: seeded runs ("days") of the mesh in a simulated network, checked after each step.
 
-Exit status: 0 no rule was broken; 1 one was; 2 the call was wrong. A broken day is printed with its seed, the
-rule, the step and as few of its troubles as still break the rule, then what happened up to there.
+Exit status: 0 no rule is broken; 1 a rule is broken; 2 the arguments are invalid. For a broken day the seed,
+the rule, the step, a minimal list of faults that break the rule, and the history up to the step are printed.
 
-A day belongs to its seed and the shape of its field: sidecar machines in each of three zones, and core
-machines, as `2,2,2/3`.
+A day is determined by its seed and by the shape of the deployment, such as `2,2,2/3`: the number of sidecar
+machines in each of three zones, and of control machines.
 """
 
 from __future__ import annotations
@@ -24,68 +24,68 @@
 from honeywharf.simulation.deployment import Shape
 from honeywharf.simulation.run import Report, play, run
 
-HASHES = "PYTHONHASHSEED"  # the order of sets of texts belongs to a day
+HASH_SEED_VARIABLE = "PYTHONHASHSEED"  # The iteration order of sets of strings affects a day.
 MAX_JOBS = 512
-TOLD = 50  # days after which a hunt says how far it is
+PROGRESS_INTERVAL_DAYS = 50
 
-Shaped = Annotated[
+ShapeOption = Annotated[
     Shape,
     cappa.Arg(
         long="--shape",
         parse=Shape.from_text,
-        help="Sidecar machines of each zone, and core machines: 2,2,2/3.",
+        help="Number of sidecar machines in each zone, and of control machines: 2,2,2/3.",
     ),
 ]
-Seed = Annotated[int, cappa.Arg(help="The number that a day is drawn from.")]
+SeedArgument = Annotated[int, cappa.Arg(help="The seed of the day's random choices.")]
 
 
-AnyKind = Annotated[
-    bool, cappa.Arg(long="--any-kind", help="Draw from every kind of trouble, not just those of sites.")
+AnyKindOption = Annotated[
+    bool, cappa.Arg(long="--any-kind", help="Draw from every kind of fault, not only those that sites list.")
 ]
 
 
-@cappa.command(name="run", help="Play one day.")
+@cappa.command(name="run", help="Run one day.")
 @dataclass
 class Run:
     """`simulation run SEED`."""
 
-    seed: Seed
-    shape: Shaped = field(default_factory=Shape)
-    any_kind: AnyKind = False
+    seed: SeedArgument
+    shape: ShapeOption = field(default_factory=Shape)
+    any_kind: AnyKindOption = False
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
-        return _days(self.seed, 1, 1, self.shape, self.any_kind, quiet=False)
+        return _run_days(self.seed, 1, 1, self.shape, self.any_kind, quiet=False)
 
 
-@cappa.command(name="hunt", help="Play days from a seed on, and print those that break a rule.")
+@cappa.command(name="hunt", help="Run days with consecutive seeds, and print those that break a rule.")
 @dataclass
 class Hunt:
     """`simulation hunt FIRST COUNT`."""
 
     first: Annotated[int, cappa.Arg(help="The first seed.")]
-    count: Annotated[int, cappa.Arg(help="How many days.")]
-    jobs: Annotated[int, cappa.Arg(long=True, help="Processes; 0 for one a core.")] = 0
-    shape: Shaped = field(default_factory=Shape)
-    any_kind: AnyKind = False
+    count: Annotated[int, cappa.Arg(help="The number of days.")]
+    jobs: Annotated[int, cappa.Arg(long=True, help="Number of processes; 0: one per core.")] = 0
+    shape: ShapeOption = field(default_factory=Shape)
+    any_kind: AnyKindOption = False
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
         if self.count < 1 or not 0 <= self.jobs <= MAX_JOBS:
-            print(f"found {self.count} days and {self.jobs} jobs, wanted 1 or more, and 0 to {MAX_JOBS}")
+            print(f"expected 1 day or more and 0 to {MAX_JOBS} jobs, got {self.count} and {self.jobs}")
             return 2
         jobs = self.jobs or os.cpu_count() or 1
-        return _days(self.first, self.count, jobs, self.shape, self.any_kind, quiet=True)
+        return _run_days(self.first, self.count, jobs, self.shape, self.any_kind, quiet=True)
 
 
-@cappa.command(name="replay", help="Play one day whole, and print its last steps too.")
+@cappa.command(name="replay", help="Run one day with all its faults, and print its last steps too.")
 @dataclass
 class Replay:
     """`simulation replay SEED`."""
 
-    seed: Seed
-    shape: Shaped = field(default_factory=Shape)
-    any_kind: AnyKind = False
+    seed: SeedArgument
+    shape: ShapeOption = field(default_factory=Shape)
+    any_kind: AnyKindOption = False
 
     def __call__(self) -> int:
         """Executes the command and returns its exit status."""
@@ -97,7 +97,9 @@
         return 1 if report.broken else 0
 
 
-@cappa.command(name="honeywharf simulation", help="Play days of the simulated network, and check every rule.")
+@cappa.command(
+    name="honeywharf simulation", help="Run the mesh in a simulated network, and check every rule."
+)
 @dataclass
 class Simulation:
     """`honeywharf simulation ...`."""
@@ -106,41 +108,41 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The command line behind `honeywharf simulation`. Exit status."""
+    """Executes `honeywharf simulation` and returns the exit status."""
     try:
         return cappa.parse(Simulation, argv=arguments, completion=False).command()
-    except cappa.Exit as ended:
-        return int(ended.code or 0)
+    except cappa.Exit as exiting:
+        return int(exiting.code or 0)
 
 
 @contextmanager
 def _pool(jobs: int) -> Iterator[ProcessPoolExecutor]:
-    """Processes that know the same order of sets; what was set here before is set again afterwards."""
-    before = os.environ.get(HASHES)
-    os.environ[HASHES] = "0"
+    """Yields a pool of processes with equal hash seeds; restores this process's environment afterwards."""
+    previous = os.environ.get(HASH_SEED_VARIABLE)
+    os.environ[HASH_SEED_VARIABLE] = "0"
     try:
         with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
             yield pool
     finally:
-        if before is None:
-            del os.environ[HASHES]
+        if previous is None:
+            del os.environ[HASH_SEED_VARIABLE]
         else:
-            os.environ[HASHES] = before
+            os.environ[HASH_SEED_VARIABLE] = previous
 
 
-def _days(first: int, count: int, jobs: int, shape: Shape, any_kind: bool, quiet: bool) -> int:
-    bad, begun = 0, time.monotonic()
+def _run_days(first: int, count: int, jobs: int, shape: Shape, any_kind: bool, quiet: bool) -> int:
+    broken_days, started_at = 0, time.monotonic()
     seeds = range(first, first + count)
     with _pool(min(jobs, count)) as pool:
-        for done, report in enumerate(pool.map(play, seeds, repeat(shape), repeat(any_kind)), 1):
-            bad += bool(report.broken)
+        for completed, report in enumerate(pool.map(play, seeds, repeat(shape), repeat(any_kind)), 1):
+            broken_days += bool(report.broken)
             _print(report, quiet)
-            if done % TOLD == 0 and done < count:
-                print(f"{done} days so far, {bad} broke a rule", flush=True)
-    spent = time.monotonic() - begun
-    each = spent * min(jobs, count) / count
-    print(f"{bad} of {count} days broke a rule; {spent:.0f} s in all, {each:.2f} s a day")
-    return 1 if bad else 0
+            if completed % PROGRESS_INTERVAL_DAYS == 0 and completed < count:
+                print(f"{completed} days so far, {broken_days} broke a rule", flush=True)
+    duration_s = time.monotonic() - started_at
+    per_day_s = duration_s * min(jobs, count) / count
+    print(f"{broken_days} of {count} days broke a rule; {duration_s:.0f} s in all, {per_day_s:.2f} s a day")
+    return 1 if broken_days else 0
 
 
 def _print(report: Report, quiet: bool) -> None:
