--- a/honeywharf/config/features.py
+++ b/honeywharf/config/features.py
@@ -1,4 +1,4 @@
-"""The file of features: one TOML file of ours, decoded into typed values. All is off where none is given."""
+"""The file of features: a TOML file, decoded into typed values. Without a file every feature is off."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 import msgspec
 
-from honeywharf.config import words
+from honeywharf.config import file_errors
 from honeywharf.core.transport import address
 
 VARIABLE = "HONEYWHARF_FEATURES"
 
 
 class FeaturesError(Exception):
-    """What is wrong with the file, in one line that names file, key, what was found and what is wanted."""
+    """An invalid file; the message is one line with the file, the key, and the expected and actual value."""
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[limits]`: how admission learns what servers can hold; see docs/operators/limits.md."""
+    """`[limits]`: the algorithm that estimates the limits of servers; see docs/operators/limits.md."""
 
     limiter: Literal["lateness", "open", "formerly", "gradient", "vegas", "aimd", "codel"] = "lateness"
 
@@ -31,7 +31,7 @@
 
 
 class Redis(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[order_keys.redis]`: the store that proxies share. The password lies in `password_file`."""
+    """`[order_keys.redis]`: the store that proxies share. The password is read from `password_file`."""
 
     url: str = "redis://127.0.0.1:6379"
     password_file: str = ""
@@ -42,7 +42,7 @@
 
 
 class OrderKeys(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[order_keys]`: idempotency keys known at the edge; see docs/operators/orderkeys.md."""
+    """`[order_keys]`: idempotency keys, deduplicated by the proxy; see docs/operators/orderkeys.md."""
 
     store: Literal["off", "process", "redis"] = "off"
     entries: Count = 20_000
@@ -54,7 +54,7 @@
 
 
 class Coap(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[coap]`: CoAP clients over UDP; see docs/operators/coap.md. Off where no address is given."""
+    """`[coap]`: CoAP clients over UDP; see docs/operators/coap.md. Off without a listen address."""
 
     listen: str = ""
     nodes: bool = False
@@ -71,7 +71,7 @@
 
 
 class Otlp(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[traces.otlp]`: a collector that speaks OTLP over HTTP. Off where no endpoint is given."""
+    """`[traces.otlp]`: a collector that accepts OTLP over HTTP. Off without an endpoint."""
 
     endpoint: str = ""
     headers: dict[str, str] = {}
@@ -89,7 +89,7 @@
 class Traces(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[traces]`: traces with every attempt; see docs/operators/traces.md.
 
-    Off where neither a file nor a collector is named.
+    Off without a file and a collector.
     """
 
     file: str = ""
@@ -107,25 +107,25 @@
 
     @property
     def on(self) -> bool:
-        """Whether traces are recorded at all."""
+        """Returns whether traces are recorded."""
         return bool(self.file or self.otlp.endpoint)
 
 
 class Admin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[admin]`: the operators' socket; see docs/operators/admin.md. Off where no path is given."""
+    """`[admin]`: the operators' socket; see docs/operators/admin.md. Off without a path."""
 
     socket: Annotated[str, msgspec.Meta(max_length=100)] = ""
 
 
 class Metrics(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[metrics]`: figures for Prometheus; see docs/operators/metrics.md."""
+    """`[metrics]`: metrics for Prometheus; see docs/operators/metrics.md."""
 
     on: bool = False
     listen: str = ""
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[log]`: lines for the operator; see docs/operators/metrics.md."""
+    """`[log]`: the format and level of log lines; see docs/operators/metrics.md."""
 
     format: Literal["plain", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -145,58 +145,65 @@
     log: Log = msgspec.field(default_factory=Log)
 
 
-Sense = Callable[["Features"], Iterable[tuple[str, str]]]  # what only shows once all is read: key, and words
+#: A check of all features together: yields the key and the message of each error.
+FeatureCheck = Callable[["Features"], Iterable[tuple[str, str]]]
 
 
-def load(path: Path, sense: Sense | None = None) -> Features:
-    """The features that the file asks for; `FeaturesError` names the first thing that is wrong."""
-    made, wrong = read(path, sense)
-    if wrong:
-        raise FeaturesError(wrong[0])
-    return made
+def load(path: Path, check: FeatureCheck | None = None) -> Features:
+    """Reads the features of a file. Raises FeaturesError with the first error."""
+    features, errors = read(path, check)
+    if errors:
+        raise FeaturesError(errors[0])
+    return features
 
 
-def read(path: Path, sense: Sense | None = None) -> tuple[Features, list[str]]:
-    """The features that the file asks for, and a line for everything that is wrong with it.
+def read(path: Path, check: FeatureCheck | None = None) -> tuple[Features, list[str]]:
+    """Reads the features of a file; returns them and a line for each error.
 
-    A line has the file, the line and column, the key, what was found and what is wanted. `sense` tells what
-    the packages of the features find wrong; it is asked where the types are right.
+    A line has the file, the line and column, the key, and the expected and actual value. `check` is called
+    only if all types match.
     """
     try:
         text = path.read_text("utf-8")
         raw = tomllib.loads(text)
-    except OSError as fault:
-        return Features(), [f"{path}: {fault.strerror or fault}"]
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        return Features(), [f"{path}: not TOML: {fault}"]
-    wrong = [words.located(path, text, str(fault), fault.where) for fault in words.faults(raw, Features)]
-    if wrong:
-        return Features(), wrong
-    made = msgspec.convert(raw, Features)
-    found = [*_senseless(made), *(sense(made) if sense is not None else ())]
-    return made, [words.located(path, text, f"{key}: {told}", words.undotted(key)) for key, told in found]
-
-
-def _senseless(made: Features) -> Iterator[tuple[str, str]]:
-    """Addresses that are none."""
-    one: Iterable[tuple[str, str]] = (
-        ("traces.notes", made.traces.notes),
-        ("coap.listen", made.coap.listen),
-        ("metrics.listen", made.metrics.listen),
-        *((f"traces.peers[{i}]", text) for i, text in enumerate(made.traces.peers)),
+    except OSError as error:
+        return Features(), [f"{path}: {error.strerror or error}"]
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        return Features(), [f"{path}: not TOML: {error}"]
+    errors = [
+        file_errors.with_position(path, text, str(error), error.where)
+        for error in file_errors.find_errors(raw, Features)
+    ]
+    if errors:
+        return Features(), errors
+    features = msgspec.convert(raw, Features)
+    violations = [*_invalid_addresses(features), *(check(features) if check is not None else ())]
+    return features, [
+        file_errors.with_position(path, text, f"{key}: {message}", file_errors.parse_key_path(key))
+        for key, message in violations
+    ]
+
+
+def _invalid_addresses(features: Features) -> Iterator[tuple[str, str]]:
+    """Yields the key and the message of each invalid address."""
+    addresses: Iterable[tuple[str, str]] = (
+        ("traces.notes", features.traces.notes),
+        ("coap.listen", features.coap.listen),
+        ("metrics.listen", features.metrics.listen),
+        *((f"traces.peers[{i}]", text) for i, text in enumerate(features.traces.peers)),
     )
-    endpoint = made.traces.otlp.endpoint
+    endpoint = features.traces.otlp.endpoint
     if endpoint and not re.fullmatch(r"https?://[^/@?#\s]+(/[^?#\s]*)?", endpoint):
-        yield "traces.otlp.endpoint", f"found {endpoint!r}, wanted http://host:port/v1/traces"
-    for name, text in one:
+        yield "traces.otlp.endpoint", f"expected http://host:port/v1/traces, got {endpoint!r}"
+    for name, text in addresses:
         if text:
             try:
                 address(text)
             except ValueError:
-                yield name, f"found {text!r}, wanted host:port, such as 127.0.0.1:4000"
+                yield name, f"expected host:port, such as 127.0.0.1:4000, got {text!r}"
 
 
-def given(environ: Mapping[str, str], sense: Sense | None = None) -> Features | None:
-    """The features of the file that the environment names; None where it names none."""
+def load_from_environment(environ: Mapping[str, str], check: FeatureCheck | None = None) -> Features | None:
+    """Reads the features of the file that the environment names; returns None if it names none."""
     path = environ.get(VARIABLE)
-    return load(Path(path), sense) if path else None
+    return load(Path(path), check) if path else None
--- a/honeywharf/config/source.py
+++ b/honeywharf/config/source.py
@@ -1,7 +1,8 @@
-"""What configuration is in force, where each value comes from, and what a reload or a start would change.
+"""The effective configuration of a proxy, the source of each value, and the changes that files would make.
 
-Values are flat, by dotted key, as plain as JSON: the platform's configuration under `node.`, features under
-their sections. A password's file is named, never read; header lines for a collector are not shown.
+Values are flat: a JSON value for each dotted key. The platform's configuration has the prefix `node.`,
+features have their section. The file of a password is named but not read, and a collector's header lines are
+not shown.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 
 import msgspec
 
-from honeywharf.config import features as of_features, node, places
+from honeywharf.config import features as of_features, key_positions, node
 
-#: What SIGHUP takes over, with all below it; all else waits for a start.
-RELOADED = ("node.discovery", "node.settings", "node.report_fields")
-HIDDEN = ("traces.otlp.headers",)  # values that may be credentials
-UNSHOWN = frozenset({"node.known", "node.seed", "node.raw"})  # a list of nodes, and what nobody sets
+#: The keys that SIGHUP reloads, with all keys below them. Changes of other keys need a restart.
+RELOADED_KEYS = ("node.discovery", "node.settings", "node.report_fields")
+SECRET_KEYS = ("traces.otlp.headers",)  # May contain credentials.
+UNLISTED_KEYS = frozenset({"node.known", "node.seed", "node.raw"})  # Not set by operators.
 
 
 class Value(msgspec.Struct, frozen=True):
-    """One key: what is in force, and the file and line that say so, or `default`."""
+    """The effective value of one key, and its source: a file with a line, or `default`."""
 
     key: str
     value: Any
@@ -31,7 +32,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """One key that a file would change; `when`: "reload" or "start"."""
+    """One key that a file would change; `when` is "reload" or "start"."""
 
     key: str
     held: Any
@@ -39,50 +40,50 @@
     when: str
 
 
-def plain(value: Any) -> Any:
-    """As JSON has it."""
+def to_json_types(value: Any) -> Any:
+    """Converts a value to the types of JSON."""
     if isinstance(value, Enum):
         return value.value
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return {f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)}
+        return {f.name: to_json_types(getattr(value, f.name)) for f in dataclasses.fields(value)}
     if isinstance(value, msgspec.Struct):
-        return {f: plain(getattr(value, f)) for f in value.__struct_fields__}
+        return {f: to_json_types(getattr(value, f)) for f in value.__struct_fields__}
     if isinstance(value, Mapping):
-        return {str(k): plain(v) for k, v in value.items()}
+        return {str(k): to_json_types(v) for k, v in value.items()}
     if isinstance(value, list | tuple | set | frozenset):
-        return [plain(v) for v in value]
+        return [to_json_types(v) for v in value]
     return value
 
 
-def flat(value: Any, above: str = "") -> Iterator[tuple[str, Any]]:
-    """Each value that is no table, by its dotted key; an empty table is one."""
+def flatten(value: Any, prefix: str = "") -> Iterator[tuple[str, Any]]:
+    """Yields each value that is not a table, or is an empty table, with its dotted key."""
     if isinstance(value, dict) and value:
         for name, inner in value.items():
-            yield from flat(inner, f"{above}.{name}" if above else name)
+            yield from flatten(inner, f"{prefix}.{name}" if prefix else name)
     else:
-        yield above, value
+        yield prefix, value
 
 
 def values(conf: node.Config, features: of_features.Features | None) -> dict[str, Any]:
-    """All that is in force, by key."""
-    told = {"node": plain(conf), **plain(features or of_features.Features())}
-    told["node"]["listen"] = "{}:{}".format(*conf.listen)
-    told["node"]["discovery"] = "{}:{}".format(*conf.discovery)
-    found = {}
-    for key, value in flat(told):
-        if key.rpartition(".")[0] in UNSHOWN or any(key.startswith(k) for k in UNSHOWN):
+    """Returns the listed values of a configuration by key."""
+    described = {"node": to_json_types(conf), **to_json_types(features or of_features.Features())}
+    described["node"]["listen"] = "{}:{}".format(*conf.listen)
+    described["node"]["discovery"] = "{}:{}".format(*conf.discovery)
+    flat_values = {}
+    for key, value in flatten(described):
+        if key.rpartition(".")[0] in UNLISTED_KEYS or any(key.startswith(k) for k in UNLISTED_KEYS):
             continue
-        hidden = any(key.startswith(k) for k in HIDDEN) and value
-        found[key] = "(not shown)" if hidden else value
-    return found
+        is_secret = any(key.startswith(k) for k in SECRET_KEYS) and value
+        flat_values[key] = "(not shown)" if is_secret else value
+    return flat_values
 
 
-def in_force(
+def effective_configuration(
     conf: node.Config,
     features: of_features.Features | None,
     environ: Mapping[str, str],
 ) -> dict[str, object]:
-    """What a running proxy tells of its configuration."""
+    """Returns the answer of a running proxy about its configuration: values and file names."""
     return {
         "values": values(conf, features),
         "node_file": environ.get("NODE_CONFIG", ""),
@@ -90,29 +91,31 @@
     }
 
 
-def sourced(told: Mapping[str, Any]) -> list[Value]:
-    """Each key of `in_force` with its source, as far as the files can still be read."""
-    file = str(told["features_file"])
-    found: dict[tuple[str | int, ...], tuple[int, int]] = {}
+def with_sources(effective: Mapping[str, Any]) -> list[Value]:
+    """Returns each key of `effective_configuration` with its source, as far as the files are readable."""
+    file = str(effective["features_file"])
+    positions_by_path: dict[tuple[str | int, ...], tuple[int, int]] = {}
     try:
-        found = places.places(Path(file).read_text("utf-8")) if file else {}
+        positions_by_path = key_positions.positions(Path(file).read_text("utf-8")) if file else {}
     except (OSError, UnicodeDecodeError):
         file = ""
-    made = []
-    for key, value in told["values"].items():
+    sourced_values = []
+    for key, value in effective["values"].items():
         if key.startswith("node."):
-            made.append(Value(key, value, str(told["node_file"]) or "environment"))
+            sourced_values.append(Value(key, value, str(effective["node_file"]) or "environment"))
             continue
-        place = found.get(tuple(key.split(".")))
-        made.append(Value(key, value, f"{file}:{place[0]}" if place is not None else "default"))
-    return made
+        position = positions_by_path.get(tuple(key.split(".")))
+        sourced_values.append(
+            Value(key, value, f"{file}:{position[0]}" if position is not None else "default")
+        )
+    return sourced_values
 
 
 def differences(held: Mapping[str, Any], wanted: Mapping[str, Any]) -> list[Difference]:
-    """The keys whose values differ, and when what the files say would be taken over."""
+    """Returns the keys whose values differ, with what applies the change: a reload or a start."""
     keys = [*held, *(k for k in wanted if k not in held)]
     return [
-        Difference(k, held.get(k), wanted.get(k), "reload" if k.startswith(RELOADED) else "start")
+        Difference(k, held.get(k), wanted.get(k), "reload" if k.startswith(RELOADED_KEYS) else "start")
         for k in keys
         if held.get(k) != wanted.get(k)
     ]
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -29,7 +29,7 @@
 import msgspec
 
 from honeywharf import limits
-from honeywharf.config import words
+from honeywharf.config import file_errors
 from honeywharf.lab import days
 from honeywharf.lab.habits import MIXED, known
 from honeywharf.lab.model import NodeSpec
@@ -156,7 +156,7 @@
         return cells(raw)
     except ExperimentError as fault:
         raise ExperimentError(
-            "\n".join(words.located(path, text, told) for told in str(fault).split("; "))
+            "\n".join(file_errors.with_position(path, text, told) for told in str(fault).split("; "))
         ) from None
 
 
@@ -234,7 +234,7 @@
 
 def _checked(raw: dict[str, Any]) -> Setting:
     """The setting, where all of it can be played."""
-    found = list(words.faults(raw, Setting))
+    found = list(file_errors.find_errors(raw, Setting))
     if found:
         raise ExperimentError("; ".join(map(str, found)))
     setting = msgspec.convert(raw, Setting)
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -88,7 +88,7 @@
         """The configuration that is held, and where it was read."""
         from honeywharf.config import source
 
-        return source.in_force(self.conf, self.features, self.environ)
+        return source.effective_configuration(self.conf, self.features, self.environ)
 
     def add_transport(self, scheme: str, transport: Transport, book: AddressBook) -> None:
         """Endpoints of that scheme are reached by another transport, beside those of before."""
@@ -165,18 +165,18 @@
 
     def reload(self) -> None:
         """Take a new file over, whole or not at all. All that is held, requests and records, goes on."""
-        from honeywharf.config import retune
+        from honeywharf.config import reloading
 
         held = self.conf
         try:
             conf = config.load(self.environ)
-            retune.check(held, conf)
+            reloading.check(held, conf)
             faults = list(unfit(self.features, conf)) if self.features is not None else []
             if faults:
-                raise retune.RetuneError("{}: {}".format(*faults[0]))
+                raise reloading.ReloadError("{}: {}".format(*faults[0]))
             # Held against what is in force, with classes that vanished only just now.
-            between = retune.between(self.driver.settings, conf.settings)
-            former = retune.former(self.driver.settings, conf.settings)
+            between = reloading.transition_settings(self.driver.settings, conf.settings)
+            former = reloading.former_classes(self.driver.settings, conf.settings)
         except Exception as fault:  # a bad file, however bad, must not end a proxy in service
             log(
                 f"reload: {fault or type(fault).__name__}; the configuration held stays",
@@ -198,7 +198,7 @@
                 "reload.done",
                 fields={"classes": [c.name for c in conf.settings.classes]},
             )
-            grace_s = retune.grace_ms(self.driver.settings, conf.settings) / 1000.0
+            grace_s = reloading.transition_ms(self.driver.settings, conf.settings) / 1000.0
             self._retune(between, former)
             self.loop.call_later(grace_s, self._retuned, self.conf)
         self.watch.move(conf.discovery)
@@ -373,7 +373,7 @@
     from honeywharf.config import features
 
     try:
-        return features.given(os.environ, senseless)
+        return features.load_from_environment(os.environ, senseless)
     except features.FeaturesError as fault:
         raise config.ConfigError(str(fault)) from None
 
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -88,7 +88,7 @@
             Traces(), otlp=msgspec.structs.replace(Traces().otlp, headers={"Authorization": "Bearer secret"})
         )
     )
-    shown = {k: v for k, v in source.flat(source.plain(made)) if "Authorization" in k}
+    shown = {k: v for k, v in source.flatten(source.to_json_types(made)) if "Authorization" in k}
     assert list(shown.values()) == ["Bearer secret"]  # it is there to be hidden
     assert "secret" not in str(source.values(make_config(1, []), made))
 
--- a/tests/config/test_features.py
+++ b/tests/config/test_features.py
@@ -17,7 +17,7 @@
 
 from honeywharf import VERSION, limits
 from honeywharf.cli import main
-from honeywharf.config import features, places
+from honeywharf.config import features, key_positions
 from honeywharf.proxy import Proxy
 from tests.loopback import make_config, run
 
@@ -62,8 +62,11 @@
         ("[order_keys]\nalone = 'a'", ":2:1: order_keys.alone: found 'a', wanted a list, each of it text"),
         ("[order_keys]\nalone = [\n 'a', 7]", ":3:7: order_keys.alone[1]: found 7, wanted text"),
         ("[order_keys.redis]\nprefix = ''", ":2:1: order_keys.redis.prefix: found '', wanted text"),
-        ("[traces]\npeers = ['a:1',\n'b']", ":3:1: traces.peers[1]: found 'b', wanted host:port"),
-        ("[coap]\nlisten = 'x'", ":2:1: coap.listen: found 'x', wanted host:port"),
+        (
+            "[traces]\npeers = ['a:1',\n'b']",
+            ":3:1: traces.peers[1]: expected host:port, such as 127.0.0.1:4000, got 'b'",
+        ),
+        ("[coap]\nlisten = 'x'", ":2:1: coap.listen: expected host:port, such as 127.0.0.1:4000, got 'x'"),
     ],
 )
 def test_what_is_wrong_is_told_with_file_key_found_and_wanted(tmp_path: Path, text: str, told: str) -> None:
@@ -76,8 +79,8 @@
 
 def test_a_file_that_is_not_there_is_told(tmp_path: Path) -> None:
     with pytest.raises(features.FeaturesError, match="No such file"):
-        features.given({"HONEYWHARF_FEATURES": str(tmp_path / "none.toml")})
-    assert features.given({}) is None
+        features.load_from_environment({"HONEYWHARF_FEATURES": str(tmp_path / "none.toml")})
+    assert features.load_from_environment({}) is None
 
 
 def test_every_limiter_can_be_named(tmp_path: Path) -> None:
@@ -105,7 +108,7 @@
     node.write_text("{}")
     result = CliRunner().invoke(main, ["check-config", str(node)])
     assert result.exit_code == 2
-    assert "settings: an object is wanted" in result.output
+    assert "settings: expected an object, got NoneType" in result.output
 
 
 def test_every_fault_of_a_file_is_told_at_once(tmp_path: Path) -> None:
@@ -126,7 +129,7 @@
     ]
     path.write_text('[traces]\nnotes = "nowhere"\npeers = ["a:1", "b"]\nkeep = "durations > 5"\n')
     words = CliRunner().invoke(main, ["check-config", str(path)]).output
-    assert words.count("wanted host:port") == 2
+    assert words.count("expected host:port") == 2
     assert f"{path}:4:1: traces.keep: found field 'durations'" in words
 
 
@@ -156,7 +159,7 @@
 
     text = f"# first\n[t]\nkey = {written(value)}\nlast = 1\n"
     assert tomllib.loads(text)["t"]["last"] == 1
-    found = places.places(text)
+    found = key_positions.positions(text)
     lines = text.split("\n")
     assert found[("t", "last")] == (len(lines) - 1, 1)
     for path in paths(value, ("t", "key")):
--- a/tests/config/test_retune.py
+++ b/tests/config/test_reloading.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings as of_test, strategies as st
 
-from honeywharf.config import node, retune
+from honeywharf.config import node, reloading
 from honeywharf.policy import interface as api
 from tests.helpers import KEYED, REPEATABLE, Driver, endpoint, make_settings
 from tests.loopback import SETTINGS, Backend, Client, reply, row, run, soon, until, world
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize(
     ("path", "value", "words"),
     [
-        (("name",), "m", "name: found 'm', wanted 'n'"),
+        (("name",), "m", "name: expected 'n', got 'm'"),
         (("settings", "profiles", 0, "deadlineMs"), 0, "aim outside"),
         (("settings", "profiles", 0, "deadlineMs"), -5, "aim outside"),
         (("settings", "profiles", 0, "deadlineMs"), "soon", "deadlineMs: a number is wanted, not 'soon'"),
@@ -65,17 +65,25 @@
         (("settings", "profiles", 0, "deadlineMs"), [1], "deadlineMs: a number is wanted"),
         (("settings", "profiles", 0, "deadlineMs"), 1e300, "a number of at most 1e\\+18"),
         (("settings", "profiles", 0, "deadlineMs"), None, "deadlineMs"),
-        (("settings", "profiles", 1, "windowMs"), None, "settings.profiles.order.windowMs: found nothing"),
+        (
+            ("settings", "profiles", 1, "windowMs"),
+            None,
+            "settings.profiles.order.windowMs: expected a value, as the current classes have, got nothing",
+        ),
         (("settings", "profiles"), {}, "profiles: a list of objects"),
         (("settings", "profiles"), [], "no request class"),
         (("settings", "bounds", "mostTries"), 0, "no attempt allowed"),
         (("settings", "bounds", "mostTries"), -1, "no attempt allowed"),
         (("settings", "bounds", "mostTries"), "3", "mostTries: a whole number is wanted, not '3'"),
         (("settings", "bounds", "mostTries"), 2.5, "mostTries: a whole number is wanted, not 2.5"),
-        (("settings", "bounds", "mostTries"), None, "settings.bounds.mostTries: found nothing"),
+        (
+            ("settings", "bounds", "mostTries"),
+            None,
+            "settings.bounds.mostTries: expected a value, as in the current file, got nothing",
+        ),
         (("settings", "bounds"), 7, "bounds: an object is wanted"),
-        (("settings",), None, "settings: an object is wanted"),
-        (("limits",), None, "limits: found nothing, wanted a value"),
+        (("settings",), None, "settings: expected an object, got NoneType"),
+        (("limits",), None, "limits: expected a value, as in the current file, got nothing"),
     ],
 )
 def test_what_is_turned_down_is_told_by_key(
@@ -85,8 +93,8 @@
     words: str,
 ) -> None:
     held = load(tmp_path, json.dumps(GOOD))
-    with pytest.raises((node.ConfigError, retune.RetuneError), match=words):
-        retune.check(held, load(tmp_path, json.dumps(changed(path, value))))
+    with pytest.raises((node.ConfigError, reloading.ReloadError), match=words):
+        reloading.check(held, load(tmp_path, json.dumps(changed(path, value))))
 
 
 def test_a_file_cut_at_any_byte_is_turned_down(tmp_path: Path) -> None:
@@ -94,11 +102,11 @@
     for end in range(len(text)):
         with pytest.raises(node.ConfigError):
             load(tmp_path, text[:end])
-    with pytest.raises(node.ConfigError, match="found over"):
+    with pytest.raises(node.ConfigError, match="expected at most"):
         load(tmp_path, text + " " * node.MAX_BYTES)
-    with pytest.raises(node.ConfigError, match="not JSON"):
+    with pytest.raises(node.ConfigError, match="expected JSON"):
         load(tmp_path, text.replace("5000.0", "NaN"))
-    retune.check(held, load(tmp_path, text))
+    reloading.check(held, load(tmp_path, text))
 
 
 def test_any_key_that_is_gone_is_told_and_nothing_else_is_asked_for(tmp_path: Path) -> None:
@@ -107,14 +115,14 @@
     for path in places(GOOD):
         if isinstance(path[-1], int) or path[0] == "known":
             continue  # an entry of a list, or the list of backends, which is the start's alone
-        with pytest.raises((node.ConfigError, retune.RetuneError), match=str(path[-1])):
-            retune.check(held, load(tmp_path, json.dumps(changed(path, None, drop=True))))
+        with pytest.raises((node.ConfigError, reloading.ReloadError), match=str(path[-1])):
+            reloading.check(held, load(tmp_path, json.dumps(changed(path, None, drop=True))))
     more = changed(
         ("settings", "profiles"),
         [*SETTINGS["profiles"], {"name": "new", "aimMs": 1.0, "deadlineMs": 2.0, "idempotency": "once"}],
     )
     more["settings"]["new"] = 1
-    retune.check(held, load(tmp_path, json.dumps(more)))
+    reloading.check(held, load(tmp_path, json.dumps(more)))
 
 
 SOME = st.sampled_from([None, 0, -1, 1.5, 3, "x", "", True, [], {}, [1], {"a": 1}, 1e30])
@@ -129,8 +137,8 @@
     text = json.dumps(changed(path, data.draw(SOME), drop=data.draw(st.booleans())))
     try:
         wanted = load(tmp_path, text)
-        retune.check(held, wanted)
-    except (node.ConfigError, retune.RetuneError) as fault:
+        reloading.check(held, wanted)
+    except (node.ConfigError, reloading.ReloadError) as fault:
         words = str(fault)
     else:
         words = ""
@@ -141,7 +149,7 @@
     assert wanted.settings.limits.max_attempts >= 1
     driver = Driver(held.settings)
     driver.list([endpoint("b", "z")])
-    driver.feed(api.SettingsChanged(retune.between(held.settings, wanted.settings)))
+    driver.feed(api.SettingsChanged(reloading.transition_settings(held.settings, wanted.settings)))
     (action,) = driver.request(wanted.settings.classes[0].name)
     assert isinstance(action, api.Send | api.Refuse)
 
