--- a/honeywharf/wire.py
+++ b/honeywharf/wire.py
@@ -1,4 +1,4 @@
-"""The wire's names and forms: one JSON value a line, turned into the interface's types and back."""
+"""Converts between the wire's JSON objects, one per line, and the types of the decision interface."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WireError(Exception):
-    """A line that is not what the wire allows."""
+    """A line that violates the wire protocol."""
 
 
 OUTCOMES = {
@@ -57,33 +57,33 @@
     "failed_ps": "errors_per_s",
 }
 
-_MISSING = object()
-MOST = 1e18  # of any figure: times are ms of Unix time, 1.8e12
+_REQUIRED = object()
+MAX_NUMBER = 1e18  # Above every valid value: Unix times in ms are about 1.8e12.
 
 
-def _number(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
+def _number(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> float:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return float(default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise WireError(f"{name}: a number is wanted, not {value!r}")
-    if not -MOST <= value <= MOST:  # so neither infinity nor what is no number
-        raise WireError(f"{name}: a number of at most {MOST:g} is wanted, not {value!r}")
+    if not -MAX_NUMBER <= value <= MAX_NUMBER:  # Rejects infinity and NaN too.
+        raise WireError(f"{name}: a number of at most {MAX_NUMBER:g} is wanted, not {value!r}")
     return float(value)
 
 
-def _integer(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
+def _integer(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> int:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return int(default)
     if isinstance(value, bool) or not isinstance(value, int):
         raise WireError(f"{name}: a whole number is wanted, not {value!r}")
     return value
 
 
-def _text(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
+def _text(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> str:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return str(default)
     if not isinstance(value, str):
         raise WireError(f"{name}: text is wanted, not {value!r}")
@@ -99,9 +99,9 @@
     return value
 
 
-def _choice(table: Mapping[Any, Any], fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> Any:
+def _choice(table: Mapping[Any, Any], fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> Any:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return default
     if isinstance(value, bool) or not isinstance(value, str | int) or value not in table:
         raise WireError(f"{name}: unknown value {value!r}")
@@ -117,9 +117,9 @@
     return value
 
 
-def _objects(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> list[Fields]:
+def _objects(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> list[Fields]:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return list(default)
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise WireError(f"{name}: a list of objects is wanted")
@@ -148,7 +148,7 @@
 
 
 def settings(raw: Fields) -> api.Settings:
-    """The settings of a `Born` event."""
+    """Converts the settings of a `Born` event."""
     report, family = _object(raw, "report"), _object(raw, "familyInfo")
     tiers, zones = _texts(raw, "tiers"), _texts(raw, "zones")
     return api.Settings(
@@ -257,7 +257,7 @@
 
 
 def endpoints(rows: list[Fields]) -> tuple[api.Endpoint, ...]:
-    """The entries of a `Ledger`."""
+    """Converts the entries of a `Ledger` message."""
     return tuple(
         api.Endpoint(
             id=_text(row, "backend"),
@@ -272,7 +272,7 @@
     )
 
 
-def _arrived(f: Fields) -> api.Event:
+def _request_arrived(f: Fields) -> api.Event:
     tenant = f.get("team")
     return api.RequestArrived(
         _text(f, "ref"),
@@ -286,13 +286,13 @@
     )
 
 
-def _opened(f: Fields) -> api.Event:
+def _attempt_opened(f: Fields) -> api.Event:
     return api.AttemptOpened(
         _text(f, "ref"), _integer(f, "shot"), _text(f, "backend", ""), _number(f, "waitTimeMs", 0.0)
     )
 
 
-def _mail(f: Fields) -> api.Event:
+def _peer_message(f: Fields) -> api.Event:
     try:
         payload = bytes.fromhex(_text(f, "bytes", ""))
     except ValueError:
@@ -300,7 +300,7 @@
     return api.PeerMessage(_integer(f, "sender"), payload)
 
 
-def _ended(f: Fields) -> api.Event:
+def _attempt_ended(f: Fields) -> api.Event:
     return api.AttemptEnded(
         _text(f, "ref"),
         _integer(f, "shot"),
@@ -312,23 +312,23 @@
     )
 
 
-def _probed(f: Fields) -> api.Event:
+def _probe_ended(f: Fields) -> api.Event:
     outcome = _choice(OUTCOMES, f, "how")
     return api.ProbeEnded(_text(f, "backend"), outcome, _number(f, "waitTimeMs"), _report(f))
 
 
-#: Events that concern a running instance and need nothing but their own fields.
+#: Decoders of the events of a running instance that depend on nothing but their fields.
 EVENTS: dict[str, Callable[[Fields], api.Event]] = {
-    "WorkItem": _arrived,
-    "Ended": _ended,
-    "Opened": _opened,
+    "WorkItem": _request_arrived,
+    "Ended": _attempt_ended,
+    "Opened": _attempt_opened,
     "Expired": lambda f: api.RequestExpired(_text(f, "ref")),
     "Wake": lambda f: api.TimerFired(_text(f, "ctx")),
-    "Probed": _probed,
-    "Mail": _mail,
+    "Probed": _probe_ended,
+    "Mail": _peer_message,
 }
 
-#: What each action looks like on the wire; {"who": instance} is added.
+#: The wire name and the encoder of each action; the host adds {"who": instance}.
 ACTIONS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
     api.Send: (
         "Transmit",
@@ -349,29 +349,29 @@
 }
 
 
-def integer(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
-    """A whole number of a message, required where no default is given."""
+def integer(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> int:
+    """Returns an integer of a message. Raises WireError if it is missing and has no default."""
     return _integer(fields, name, default)
 
 
 def number(fields: Mapping[str, Any], name: str) -> float:
-    """A required number of a message."""
+    """Returns a required number of a message."""
     return _number(fields, name)
 
 
 def list_kind(fields: Mapping[str, Any]) -> api.ListKind:
-    """The kind of a `Membership` event."""
+    """Returns the kind of list of a `Membership` event."""
     kind: api.ListKind = _choice(LIST_KINDS, fields, "kind")
     return kind
 
 
 def members(fields: Mapping[str, Any]) -> tuple[api.Endpoint, ...]:
-    """The entries that a `Ledger` message holds."""
+    """Returns the entries of a `Ledger` message."""
     return endpoints(_objects(fields, "members"))
 
 
 def born_settings(fields: Mapping[str, Any]) -> api.Settings:
-    """The settings that a `Born` event carries."""
+    """Returns the settings of a `Born` event."""
     raw = fields.get("settings")
     if not isinstance(raw, dict):
         raise WireError("settings: an object is wanted")
