--- a/honeywharf/simhost.py
+++ b/honeywharf/simhost.py
@@ -1,6 +1,6 @@
-"""Host for many balancers on the wire: batches on standard input, replies on standard output.
+"""Hosts balancers of a simulation: reads batches from standard input, writes replies to standard output.
 
-It turns wire messages into events and actions into wire messages. It decides nothing.
+The host converts wire messages to events, and actions to wire messages. All decisions are the balancers'.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 class Host:
-    """The instances of one process. They share nothing but the lists the wire shares."""
+    """The balancer instances of one process. They share only the endpoint lists of `Ledger` messages."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.reports = os.environ.get("HONEYWHARF_REPORTS") == "1"  # whether load reports are read
+        self.reports = os.environ.get("HONEYWHARF_REPORTS") == "1"  # Whether load reports are used.
         self.pages: dict[int, tuple[api.Endpoint, ...]] = {}
         self.round = 0
 
     def batch(self, message: Any) -> dict[str, Any]:
-        """Answer one batch."""
+        """Processes one batch and returns the reply. Raises WireError for an invalid batch."""
         if not isinstance(message, dict):
             raise wire.WireError("a batch is an object")
         self.round = wire.integer(message, "round")
@@ -42,40 +42,42 @@
             if not isinstance(fields, dict):
                 raise wire.WireError(f"{name}: its fields are an object")
             try:
-                self._event(now, name, fields, output)
-            except wire.WireError as fault:
-                raise wire.WireError(f"{name}: {fault}") from None
+                self._on_event(now, name, fields, output)
+            except wire.WireError as error:
+                raise wire.WireError(f"{name}: {error}") from None
         return {"round": self.round, "output": output}
 
-    def _event(self, now: float, name: str, fields: dict[str, Any], output: list[dict[str, Any]]) -> None:
+    def _on_event(self, now: float, name: str, fields: dict[str, Any], output: list[dict[str, Any]]) -> None:
         if name == "Ledger":
             self.pages[wire.integer(fields, "page")] = wire.members(fields)
             return
-        who = wire.integer(fields, "who")
+        instance = wire.integer(fields, "who")
         decode = wire.EVENTS.get(name)
         if decode is not None:
-            self._handle(now, who, decode(fields), output)
+            self._handle(now, instance, decode(fields), output)
         elif name == "Membership":
-            self._handle(now, who, self._listed(fields), output)
+            self._handle(now, instance, self._endpoints_listed(fields), output)
         elif name == "Born":
-            self._born(now, who, fields, output)
+            self._instance_started(now, instance, fields, output)
         elif name == "Exit":
-            self.balancers.pop(who, None)
+            self.balancers.pop(instance, None)
         else:
             raise wire.WireError("unknown event")
 
-    def _born(self, now: float, who: int, fields: dict[str, Any], output: list[dict[str, Any]]) -> None:
+    def _instance_started(
+        self, now: float, instance: int, fields: dict[str, Any], output: list[dict[str, Any]]
+    ) -> None:
         seed = wire.integer(fields, "prng")
         try:
             settings = wire.born_settings(fields)
-            made = self.balancers[who] = Balancer(settings, seed)
+            balancer = self.balancers[instance] = Balancer(settings, seed)
             if self.reports:
-                made.choice.loads = LoadReports(settings)
-        except ValueError as fault:
-            raise wire.WireError(str(fault)) from None
-        self._handle(now, who, api.Started(), output)
+                balancer.choice.loads = LoadReports(settings)
+        except ValueError as error:
+            raise wire.WireError(str(error)) from None
+        self._handle(now, instance, api.Started(), output)
 
-    def _listed(self, fields: dict[str, Any]) -> api.EndpointsListed:
+    def _endpoints_listed(self, fields: dict[str, Any]) -> api.EndpointsListed:
         kind = wire.list_kind(fields)
         if kind is api.ListKind.FAILED:
             return api.EndpointsListed(kind)
@@ -84,33 +86,33 @@
             raise wire.WireError(f"page {page} was never sent")
         return api.EndpointsListed(kind, self.pages[page], wire.integer(fields, "serial", 0))
 
-    def _handle(self, now: float, who: int, event: api.Event, output: list[dict[str, Any]]) -> None:
-        balancer = self.balancers.get(who)
+    def _handle(self, now: float, instance: int, event: api.Event, output: list[dict[str, Any]]) -> None:
+        balancer = self.balancers.get(instance)
         if balancer is None:
             return
         try:
             actions = balancer.handle(now, event)
-        except Exception as fault:  # the wire wants a broken decision told, never swallowed
-            output.append({"Panic": {"who": who, "words": f"{type(fault).__name__}: {fault}"}})
+        except Exception as error:  # The protocol requires a Panic for a failed decision.
+            output.append({"Panic": {"who": instance, "words": f"{type(error).__name__}: {error}"}})
             return
         for action in actions:
             name, encode = wire.ACTIONS[type(action)]
             body = encode(action)
-            body["who"] = who
+            body["who"] = instance
             output.append({name: body})
 
 
 def main() -> int:
-    """Serve batches until the input ends; 1 when a line was not what the wire allows."""
+    """Serves batches until the input ends. Returns 1 if a line is invalid."""
     host = Host()
     for line in sys.stdin.buffer:
         try:
             reply = host.batch(orjson.loads(line))
-        except orjson.JSONDecodeError as fault:
-            print(f"after round {host.round}: malformed JSON: {fault}", file=sys.stderr)
+        except orjson.JSONDecodeError as error:
+            print(f"after round {host.round}: malformed JSON: {error}", file=sys.stderr)
             return 1
-        except wire.WireError as fault:
-            print(f"round {host.round}: {fault}", file=sys.stderr)
+        except wire.WireError as error:
+            print(f"round {host.round}: {error}", file=sys.stderr)
             return 1
         sys.stdout.buffer.write(orjson.dumps(reply) + b"\n")
         sys.stdout.buffer.flush()
