--- a/honeywharf/rpc_methods.py
+++ b/honeywharf/rpc_methods.py
@@ -1,43 +1,43 @@
-"""Names of the remote calls between the mesh's processes, as they stand on the wire.
+"""Names of the remote calls between the mesh's processes, as sent on the wire.
 
-Both builds of a rolling upgrade use them, so a value here never changes; a call whose arguments change gets a
-new name. Each constant says who calls whom, with what, and what is answered. `None` is the answer of a callee
-that cannot serve the call, and of a call that failed (`transport.rpc_client`).
+Both builds of a rolling upgrade use these names, so a value never changes; a call whose arguments change gets
+a new name. Each comment names the caller, the callee, the arguments and the answer. A callee that cannot
+serve the call answers `None`, and so does a failed call (`transport.rpc_client`).
 """
 
 from __future__ import annotations
 
-#: Control node to control node: `control.messages.Heartbeat`, answered with the callee's own.
+#: Control node to control node: `control.messages.Heartbeat`, answered with the callee's heartbeat.
 HEARTBEAT = "ping"
 #: Control node to control node: `[packed request, configuration text or nil]`, answered with a packed answer.
 REGISTER_REQUEST = "register.ask"
-#: Control node to control node: the public mesh state that was committed, answered with true.
+#: Control node to control node: the committed public mesh state, answered with true.
 STATE_COMMITTED = "register.learn"
-#: Control node to control node: nothing, answered with the decided membership.
+#: Control node to control node: no arguments, answered with the decided membership.
 DECIDED_MEMBERSHIP = "register.roster"
 #: Control node to control node: `[address, disk, zone, initial, digest]`, answered with the decided
 #: membership.
 ADMIT_MEMBER = "register.admit"
 
-#: Anyone to a control node: nothing, answered with the mesh state that a majority holds.
+#: Any process to a control node: no arguments, answered with the mesh state that a majority has accepted.
 READ_STATE = "word.read"
-#: Anyone to any process: nothing, answered with the committed mesh state that the callee knows.
+#: Any process to any process: no arguments, answered with the committed mesh state that the callee knows.
 KNOWN_STATE = "word.known"
-#: Anyone to any process: a digest, answered with the configuration's compressed text.
+#: Any process to any process: a digest, answered with the configuration's compressed text.
 CONFIGURATION_TEXT = "word.body"
 
-#: Anyone to a control node: `[kind, scope, slot, holder, number, epoch, disk]`, answered with `[answer,
+#: Any process to a control node: `[kind, scope, slot, holder, number, epoch, disk]`, answered with `[answer,
 #: number]`.
 LEASE_REQUEST = "lease.ask"
-#: Anyone to a control node: `[kind, scope, slot, holder, number, disk]`, answered with true.
+#: Any process to a control node: `[kind, scope, slot, holder, number, disk]`, answered with true.
 LEASE_RELEASE = "lease.free"
 
-#: Control node to a member that is back: the public mesh state that it missed, answered with true.
+#: Control node to a member that has returned: the public mesh state that it missed, answered with true.
 HINTED_HANDOFF = "hinted_handoff.hand"
 
 #: Sidecar to a control node: `[node, seconds, way, cause, revision]`, answered with true.
 DRIFT_REPORT = "drift.slip"
-#: Control node to a sidecar: nothing, answered with the sidecar's view of its own drift.
+#: Control node to a sidecar: no arguments, answered with the sidecar's view of its own drift.
 DRIFT_VIEW = "drift.view"
 #: Control node to control node: `[disk, highest accepted number]`, answered whether the callee's register
 #: is older.
