--- a/honeywharf/rpc_methods.py
+++ b/honeywharf/rpc_methods.py
@@ -1,4 +1,4 @@
-"""Names of the remote calls between the mesh's processes, as sent on the wire.
+"""Names of the remote calls between the mesh's processes, as they appear on the wire.
 
 Both builds of a rolling upgrade use these names, so a value never changes; a call whose arguments change gets
 a new name. Each comment names the caller, the callee, the arguments and the answer. A callee that cannot
--- a/tests/config/test_features.py
+++ b/tests/config/test_features.py
@@ -1,4 +1,4 @@
-"""The file of features, and the command line round it."""
+"""The file of features, and the commands that read it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     return path
 
 
-def test_the_file_that_is_shipped_is_good_and_gives_what_holds_without_it() -> None:
+def test_the_shipped_file_is_valid_and_equals_the_defaults() -> None:
     assert features.load(ROOT / "deploy" / "features.toml") == features.Features()
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("[limits]\nlimiter = 'red'", ":2:1: limits.limiter: found 'red', wanted one of lateness, open"),
         ("[limits]\n  limiter = 3", ":2:3: limits.limiter: found 3, wanted one of lateness"),
@@ -69,36 +69,36 @@
         ("[coap]\nlisten = 'x'", ":2:1: coap.listen: expected host:port, such as 127.0.0.1:4000, got 'x'"),
     ],
 )
-def test_what_is_wrong_is_told_with_file_key_found_and_wanted(tmp_path: Path, text: str, told: str) -> None:
+def test_an_error_names_file_position_key_and_values(tmp_path: Path, text: str, message: str) -> None:
     path = write(tmp_path, text)
     with pytest.raises(features.FeaturesError) as caught:
         features.load(path)
-    assert str(caught.value).startswith(f"{path}{told}")
+    assert str(caught.value).startswith(f"{path}{message}")
     assert "\n" not in str(caught.value)
 
 
-def test_a_file_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(features.FeaturesError, match="No such file"):
         features.load_from_environment({"HONEYWHARF_FEATURES": str(tmp_path / "none.toml")})
     assert features.load_from_environment({}) is None
 
 
-def test_every_limiter_can_be_named(tmp_path: Path) -> None:
+def test_every_limiter_can_be_configured(tmp_path: Path) -> None:
     for name in limits.LIMITERS:
         assert features.load(write(tmp_path, f"[limits]\nlimiter = '{name}'")).limits.limiter == name
 
 
-def test_a_proxy_takes_the_limiter_that_the_file_names(tmp_path: Path) -> None:
+def test_a_proxy_uses_the_configured_limiter(tmp_path: Path) -> None:
     async def build() -> str:
         loop = asyncio.get_running_loop()
-        given = features.load(write(tmp_path, "[limits]\nlimiter = 'aimd'"))
+        configured = features.load(write(tmp_path, "[limits]\nlimiter = 'aimd'"))
         assert Proxy(make_config(1, []), loop).balancer.admission.limiter == limits.DEFAULT
-        return Proxy(make_config(1, []), loop, given).balancer.admission.limiter
+        return Proxy(make_config(1, []), loop, configured).balancer.admission.limiter
 
     assert run(build()) == "aimd"
 
 
-def test_check_config_tells_good_from_bad_by_its_status(tmp_path: Path) -> None:
+def test_check_config_exits_with_2_for_an_invalid_file(tmp_path: Path) -> None:
     good, bad = ROOT / "deploy" / "features.toml", write(tmp_path, "[limits]\nlimiter = 'red'")
     assert CliRunner().invoke(main, ["check-config", str(good)]).exit_code == 0
     result = CliRunner().invoke(main, ["check-config", str(good), str(bad)])
@@ -111,7 +111,7 @@
     assert "settings: expected an object, got NoneType" in result.output
 
 
-def test_every_fault_of_a_file_is_told_at_once(tmp_path: Path) -> None:
+def test_all_errors_of_a_file_are_reported_at_once(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text(
         '[limits]\nlimiter = "loud"\n[storms]\non = 1\nrate = 2\n'
@@ -119,8 +119,8 @@
     )
     result = CliRunner().invoke(main, ["check-config", str(path)])
     assert result.exit_code == 2
-    told = result.output.splitlines()
-    assert [line.removeprefix(f"{path}:").split(": found")[0] for line in told] == [
+    lines = result.output.splitlines()
+    assert [line.removeprefix(f"{path}:").split(": found")[0] for line in lines] == [
         "2:1: limits.limiter",
         "4:1: storms.on",
         "5:1: storms.rate",
@@ -128,9 +128,9 @@
         "8:1: colour",
     ]
     path.write_text('[traces]\nnotes = "nowhere"\npeers = ["a:1", "b"]\nkeep = "durations > 5"\n')
-    words = CliRunner().invoke(main, ["check-config", str(path)]).output
-    assert words.count("expected host:port") == 2
-    assert f"{path}:4:1: traces.keep: found field 'durations'" in words
+    value_errors = CliRunner().invoke(main, ["check-config", str(path)]).output
+    assert value_errors.count("expected host:port") == 2
+    assert f"{path}:4:1: traces.keep: found field 'durations'" in value_errors
 
 
 @given(
@@ -143,29 +143,29 @@
     )
 )
 @settings(deadline=None, max_examples=60)
-def test_every_value_of_any_file_has_the_place_where_its_key_or_it_stands(value: Any) -> None:
-    def written(one: Any) -> str:
-        if isinstance(one, dict):
-            return "{ " + ", ".join(f'"{k}" = {written(v)}' for k, v in one.items()) + " }"
-        if isinstance(one, list):
-            return "[\n" + "".join(f"  {written(v)}, # {i}\n" for i, v in enumerate(one)) + "]"
-        return json.dumps(one) if not isinstance(one, float) else f"{one:.3f}"
-
-    def paths(one: Any, at: tuple[str | int, ...]) -> Iterator[tuple[str | int, ...]]:
-        yield at
-        inner = one.items() if isinstance(one, dict) else enumerate(one) if isinstance(one, list) else ()
-        for step, more in inner:
-            yield from paths(more, (*at, step))
-
-    text = f"# first\n[t]\nkey = {written(value)}\nlast = 1\n"
+def test_every_value_has_the_position_of_its_key(value: Any) -> None:
+    def to_toml(node: Any) -> str:
+        if isinstance(node, dict):
+            return "{ " + ", ".join(f'"{k}" = {to_toml(v)}' for k, v in node.items()) + " }"
+        if isinstance(node, list):
+            return "[\n" + "".join(f"  {to_toml(v)}, # {i}\n" for i, v in enumerate(node)) + "]"
+        return json.dumps(node) if not isinstance(node, float) else f"{node:.3f}"
+
+    def paths(node: Any, path_so_far: tuple[str | int, ...]) -> Iterator[tuple[str | int, ...]]:
+        yield path_so_far
+        inner = node.items() if isinstance(node, dict) else enumerate(node) if isinstance(node, list) else ()
+        for key, child in inner:
+            yield from paths(child, (*path_so_far, key))
+
+    text = f"# first\n[t]\nkey = {to_toml(value)}\nlast = 1\n"
     assert tomllib.loads(text)["t"]["last"] == 1
-    found = key_positions.positions(text)
+    positions_by_path = key_positions.positions(text)
     lines = text.split("\n")
-    assert found[("t", "last")] == (len(lines) - 1, 1)
+    assert positions_by_path[("t", "last")] == (len(lines) - 1, 1)
     for path in paths(value, ("t", "key")):
-        line, column = found[path]
+        line, column = positions_by_path[path]
         rest = lines[line - 1][column - 1 :]
-        if isinstance(path[-1], str):  # a key stands there, as it is written
+        if isinstance(path[-1], str):  # The key as it is written.
             assert rest.startswith((path[-1], f'"{path[-1]}"'))
 
 
@@ -174,7 +174,7 @@
     assert all(name in CliRunner().invoke(main, []).output for name in ("run", "demo", "check-config"))
 
 
-def test_a_proxy_with_a_bad_file_of_features_does_not_start(tmp_path: Path) -> None:
+def test_a_proxy_with_an_invalid_file_of_features_does_not_start(tmp_path: Path) -> None:
     conf = tmp_path / "node.json"
     conf.write_text("{}")
     bad = write(tmp_path, "[limits]\nlimiter = 'red'")
@@ -192,7 +192,7 @@
 
 
 def test_a_proxy_without_features_imports_none_of_them() -> None:
-    """Guards the memory of the platform's proxies: click, msgspec, stand-ins and tomllib stay out."""
+    """A proxy without features saves memory by not importing click, msgspec, stand-ins and tomllib."""
     script = (
         "import sys, honeywharf.__main__; "
         "print([m for m in ('click', 'msgspec', 'tomllib', 'honeywharf.standins',"
