--- a/tests/config/test_reloading.py
+++ b/tests/config/test_reloading.py
@@ -1,4 +1,4 @@
-"""A reload takes a file's settings whole, or nothing of it."""
+"""A reload applies a file's settings completely, or not at all."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from typing import Any
 
 import pytest
-from hypothesis import HealthCheck, given, settings as of_test, strategies as st
+from hypothesis import HealthCheck, given, settings as hypothesis_settings, strategies as st
 
 from honeywharf.config import node, reloading
 from honeywharf.policy import interface as api
 from tests.helpers import KEYED, REPEATABLE, Driver, endpoint, make_settings
 from tests.loopback import SETTINGS, Backend, Client, reply, row, run, soon, until, world
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:1",
@@ -33,29 +33,29 @@
     return node.load({"NODE_CONFIG": str(file)})
 
 
-def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Every key and place of a JSON value."""
+def paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the path of every key and index of a JSON value."""
     found = [path] if path else []
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    for key, inner in items:
-        found += places(inner, (*path, key))
+    for key, child in items:
+        found += paths(child, (*path, key))
     return found
 
 
-def changed(path: tuple[Any, ...], value: Any, drop: bool = False) -> dict[str, Any]:
-    made = copy.deepcopy(GOOD)
-    inner: Any = made
+def mutate(path: tuple[Any, ...], value: Any, drop: bool = False) -> dict[str, Any]:
+    mutated = copy.deepcopy(VALID)
+    container: Any = mutated
     for key in path[:-1]:
-        inner = inner[key]
+        container = container[key]
     if drop:
-        del inner[path[-1]]
+        del container[path[-1]]
     else:
-        inner[path[-1]] = value
-    return made
+        container[path[-1]] = value
+    return mutated
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "words"),
+    ("path", "value", "message"),
     [
         (("name",), "m", "name: expected 'n', got 'm'"),
         (("settings", "profiles", 0, "deadlineMs"), 0, "aim outside"),
@@ -86,19 +86,19 @@
         (("limits",), None, "limits: expected a value, as in the current file, got nothing"),
     ],
 )
-def test_what_is_turned_down_is_told_by_key(
+def test_a_rejected_file_is_reported_by_key(
     tmp_path: Path,
     path: tuple[Any, ...],
     value: Any,
-    words: str,
+    message: str,
 ) -> None:
-    held = load(tmp_path, json.dumps(GOOD))
-    with pytest.raises((node.ConfigError, reloading.ReloadError), match=words):
-        reloading.check(held, load(tmp_path, json.dumps(changed(path, value))))
+    current = load(tmp_path, json.dumps(VALID))
+    with pytest.raises((node.ConfigError, reloading.ReloadError), match=message):
+        reloading.check(current, load(tmp_path, json.dumps(mutate(path, value))))
 
 
-def test_a_file_cut_at_any_byte_is_turned_down(tmp_path: Path) -> None:
-    held, text = load(tmp_path, json.dumps(GOOD)), json.dumps(GOOD)
+def test_a_file_truncated_at_any_byte_is_rejected(tmp_path: Path) -> None:
+    current, text = load(tmp_path, json.dumps(VALID)), json.dumps(VALID)
     for end in range(len(text)):
         with pytest.raises(node.ConfigError):
             load(tmp_path, text[:end])
@@ -106,68 +106,72 @@
         load(tmp_path, text + " " * node.MAX_BYTES)
     with pytest.raises(node.ConfigError, match="expected JSON"):
         load(tmp_path, text.replace("5000.0", "NaN"))
-    reloading.check(held, load(tmp_path, text))
+    reloading.check(current, load(tmp_path, text))
 
 
-def test_any_key_that_is_gone_is_told_and_nothing_else_is_asked_for(tmp_path: Path) -> None:
-    """Each key of the file in force, one at a time; lists may grow and shrink, and what is new is welcome."""
-    held = load(tmp_path, json.dumps(GOOD))
-    for path in places(GOOD):
+def test_any_missing_key_is_reported_and_new_keys_are_accepted(tmp_path: Path) -> None:
+    """Removes one key of the current file at a time. Lists may grow and shrink; new keys are accepted."""
+    current = load(tmp_path, json.dumps(VALID))
+    for path in paths(VALID):
         if isinstance(path[-1], int) or path[0] == "known":
-            continue  # an entry of a list, or the list of backends, which is the start's alone
+            continue  # Lists may shrink, and the list of backends is used only at the start.
         with pytest.raises((node.ConfigError, reloading.ReloadError), match=str(path[-1])):
-            reloading.check(held, load(tmp_path, json.dumps(changed(path, None, drop=True))))
-    more = changed(
+            reloading.check(current, load(tmp_path, json.dumps(mutate(path, None, drop=True))))
+    extended = mutate(
         ("settings", "profiles"),
         [*SETTINGS["profiles"], {"name": "new", "aimMs": 1.0, "deadlineMs": 2.0, "idempotency": "once"}],
     )
-    more["settings"]["new"] = 1
-    reloading.check(held, load(tmp_path, json.dumps(more)))
+    extended["settings"]["new"] = 1
+    reloading.check(current, load(tmp_path, json.dumps(extended)))
 
 
-SOME = st.sampled_from([None, 0, -1, 1.5, 3, "x", "", True, [], {}, [1], {"a": 1}, 1e30])
+VALUES = st.sampled_from([None, 0, -1, 1.5, 3, "x", "", True, [], {}, [1], {"a": 1}, 1e30])
 
 
 @given(st.data())
-@of_test(suppress_health_check=[HealthCheck.function_scoped_fixture], deadline=None, max_examples=150)
-def test_any_mutation_is_taken_over_whole_or_refused_whole(tmp_path: Path, data: st.DataObject) -> None:
-    """What passes is a configuration that the module can be told; what does not has one plain line."""
-    held = load(tmp_path, json.dumps(GOOD))
-    path = data.draw(st.sampled_from(places(GOOD)))
-    text = json.dumps(changed(path, data.draw(SOME), drop=data.draw(st.booleans())))
+@hypothesis_settings(
+    suppress_health_check=[HealthCheck.function_scoped_fixture], deadline=None, max_examples=150
+)
+def test_any_mutation_is_applied_completely_or_rejected(tmp_path: Path, data: st.DataObject) -> None:
+    """An accepted file can be applied to the decision module; a rejected one gives a message of one line."""
+    current = load(tmp_path, json.dumps(VALID))
+    path = data.draw(st.sampled_from(paths(VALID)))
+    text = json.dumps(mutate(path, data.draw(VALUES), drop=data.draw(st.booleans())))
     try:
         wanted = load(tmp_path, text)
-        reloading.check(held, wanted)
-    except (node.ConfigError, reloading.ReloadError) as fault:
-        words = str(fault)
+        reloading.check(current, wanted)
+    except (node.ConfigError, reloading.ReloadError) as error:
+        message = str(error)
     else:
-        words = ""
-    assert "\n" not in words
-    if words:
+        message = ""
+    assert "\n" not in message
+    if message:
         return
     assert all(0 < c.aim_ms <= c.deadline_ms < float("inf") for c in wanted.settings.classes)
     assert wanted.settings.limits.max_attempts >= 1
-    driver = Driver(held.settings)
+    driver = Driver(current.settings)
     driver.list([endpoint("b", "z")])
-    driver.feed(api.SettingsChanged(reloading.transition_settings(held.settings, wanted.settings)))
+    driver.feed(api.SettingsChanged(reloading.transition_settings(current.settings, wanted.settings)))
     (action,) = driver.request(wanted.settings.classes[0].name)
     assert isinstance(action, api.Send | api.Refuse)
 
 
-def test_requests_under_way_keep_their_class_and_new_ones_have_the_new() -> None:
+def test_pending_requests_keep_their_class_and_new_ones_use_the_new() -> None:
     driver = Driver(make_settings(classes=(REPEATABLE, KEYED)))
     driver.list([endpoint(n, started_ms=None) for n in ("a1", "a2", "a3")])
     (sent,) = driver.request("read")
     assert isinstance(sent, api.Send)
     once = api.RequestClass("keyed", aim_ms=1000, deadline_ms=2000, effect=api.Effect.ONCE)
     driver.feed(api.SettingsChanged(make_settings(classes=(once,), limits=api.Limits(max_attempts=2))))
-    again = driver.end(api.Outcome.RESET)  # its class has vanished while its retry waits
+    again = driver.end(api.Outcome.RESET)  # The request's class has been removed.
     assert [type(a) for a in again] == [api.Send]
-    ended = driver.end(api.Outcome.RESET, attempt=1)  # and fewer attempts are allowed
+    ended = driver.end(api.Outcome.RESET, attempt=1)  # The new settings allow fewer attempts.
     assert [type(a) for a in ended] == [api.Refuse]
     (sent,) = driver.request("keyed")
     assert isinstance(sent, api.Send)
-    assert [type(a) for a in driver.end(api.Outcome.RESET)] == [api.Fail]  # it may have run: stricter now
+    assert [type(a) for a in driver.end(api.Outcome.RESET)] == [
+        api.Fail
+    ]  # May have run, and the new effect is stricter.
     assert [type(a) for a in driver.request("read")] == [api.Fail]
 
 
@@ -178,8 +182,8 @@
         async with world([backend.row("b")]) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
-            good = {**GOOD, "discovery": f"127.0.0.1:{w.discovery.port}"}
-            w.proxy.conf = load(tmp_path, json.dumps(good))  # as if it had been started by this file
+            good = {**VALID, "discovery": f"127.0.0.1:{w.discovery.port}"}
+            w.proxy.conf = load(tmp_path, json.dumps(good))  # The proxy behaves as if started with this file.
 
             def reload(**changes: Any) -> None:
                 file.write_text(json.dumps({**good, "settings": {**SETTINGS, **changes}}))
@@ -190,7 +194,7 @@
             await soon(backend.came.wait())
             read, order, pay = SETTINGS["profiles"]
             reload(profiles=[{**read, "deadlineMs": 0}, order, pay])
-            assert w.proxy.driver.validator.classes["read"].deadline_ms == 5000.0  # refused whole
+            assert w.proxy.driver.validator.classes["read"].deadline_ms == 5000.0  # Rejected completely.
             reload(
                 profiles=[
                     order,
@@ -199,13 +203,13 @@
                 ]
             )
             other.send("new", left="5000m")
-            assert await other.status() == 502  # its own deadline, in time
+            assert await other.status() == 502  # The new class's own deadline applies.
             for writer in list(backend.writers):
                 writer.write(reply(200, b"tile"))
-            assert (await client.answer())[2] == b"tile"  # under way: it keeps its class
+            assert (await client.answer())[2] == b"tile"  # A pending request keeps its class.
             reload(profiles=[{**read, "idempotency": "once"}, order, pay])
             backend.then = reply(200, b"tile")
-            client.send("read")  # written before: its method is the former class's
+            client.send("read")  # The client's method is that of the former class.
             assert await client.status() == 200
             reload(
                 profiles=[{**read, "idempotency": "once"}, order, pay],
@@ -218,8 +222,8 @@
     run(main())
 
 
-def test_the_former_form_and_vanished_classes_end_with_the_longest_deadline(tmp_path: Path) -> None:
-    """And a newer reload is not taken back by the end of an older one."""
+def test_former_and_removed_classes_end_after_the_longest_deadline(tmp_path: Path) -> None:
+    """The end of an older reload's transition does not undo a newer reload."""
 
     async def main() -> None:
         short = [{**c, "aimMs": 20.0, "deadlineMs": 60.0} for c in SETTINGS["profiles"]]
@@ -227,7 +231,7 @@
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
             good = {
-                **GOOD,
+                **VALID,
                 "discovery": f"127.0.0.1:{w.discovery.port}",
                 "settings": {**SETTINGS, "profiles": short},
             }
