--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -66,7 +66,7 @@
 
 
 def test_retries_are_limited_by_the_budget() -> None:
-    """Guards against retry storms: when all calls fail, retries stay a small part of first attempts."""
+    """Guards against retry storms: when all calls fail, retries stay a small fraction of first attempts."""
     driver = Driver()
     driver.list(CELLS)
     retries = 0
@@ -124,7 +124,7 @@
 
 
 class RuleBrokenError(AssertionError):
-    """A violation that the checker found."""
+    """A violation of a rule."""
 
 
 class Checker:
@@ -139,7 +139,7 @@
         self.limits = limits
         self.listed: dict[str, api.Endpoint] = {}
         self.requests: dict[str, dict[str, Any]] = {}
-        self.over: set[str] = set()
+        self.ended: set[str] = set()
 
     def on_event(self, now: float, event: api.Event) -> None:
         if isinstance(event, api.EndpointsListed) and event.kind is not api.ListKind.FAILED:
@@ -154,7 +154,7 @@
                 "key": event.key,
             }
         elif isinstance(event, api.RequestExpired):
-            self.over.add(event.request)
+            self.ended.add(event.request)
         elif isinstance(event, api.AttemptEnded):
             attempt = self.requests[event.request]["attempts"][event.attempt]
             attempt["pending"] = False
@@ -163,15 +163,15 @@
             if event.outcome in (O.TIMEOUT, O.RESET, O.CANCELLED) and record["cls"].in_order:
                 self.held_until[record["key"]] = now + self.gap_ms
             if event.request_over:
-                self.over.add(event.request)
+                self.ended.add(event.request)
 
     def on_action(self, now: float, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._sent(now, action)
         elif isinstance(action, api.Refuse | api.Fail):
-            if action.request in self.over:
+            if action.request in self.ended:
                 raise RuleBrokenError("answered twice")
-            self.over.add(action.request)
+            self.ended.add(action.request)
             record = self.requests[action.request]
             ran = any(t["may_have_run"] for t in record["attempts"])
             cls = record["cls"]
@@ -182,7 +182,7 @@
                 raise RuleBrokenError("refused a request that may have run")
 
     def _sent(self, now: float, action: api.Send) -> None:
-        if action.request in self.over:
+        if action.request in self.ended:
             raise RuleBrokenError("sent after the final answer")
         record, target = self.requests[action.request], self.listed.get(action.endpoint)
         if target is None or target.state is not api.EndpointState.READY:
@@ -195,7 +195,7 @@
                 if (
                     other["cls"].in_order
                     and other["key"] == record["key"]
-                    and (key not in self.over or any(t["pending"] for t in other["attempts"]))
+                    and (key not in self.ended or any(t["pending"] for t in other["attempts"]))
                 ):
                     raise RuleBrokenError("sent out of order")
             if not attempts and self.held_until.get(record["key"], 0.0) > now + 1e-6:
@@ -219,7 +219,7 @@
     def check_deadlines(self, now: float) -> None:
         """Checks that every request whose deadline has passed was answered."""
         for key, record in self.requests.items():
-            if key not in self.over and record["deadline"] < now:
+            if key not in self.ended and record["deadline"] < now:
                 raise RuleBrokenError("no answer in time")
 
 
@@ -263,9 +263,9 @@
                 self.feed(api.TimerFired(self.timers.pop(0)[1]))
                 continue
             _, request, attempt, outcome = self.pending.pop(0)
-            over = request in self.checker.over or outcome is O.OK
+            ended = request in self.checker.ended or outcome is O.OK
             elapsed = due - self.checker.requests[request]["attempts"][attempt]["sent"]
-            self.feed(api.AttemptEnded(request, attempt, outcome, elapsed, over))
+            self.feed(api.AttemptEnded(request, attempt, outcome, elapsed, ended))
         self.now = until
         self.checker.check_deadlines(until)
 
@@ -283,7 +283,7 @@
             state = self.random.choice(list(api.EndpointState))
             new = endpoint(old.id, old.zone, cell=old.cell, state=state, started_ms=self.now)
             self.feed(api.EndpointsListed(api.ListKind.CHANGES, (new,)))
-        elif self.count and f"q{self.count}" not in self.checker.over:
+        elif self.count and f"q{self.count}" not in self.checker.ended:
             self.feed(api.RequestExpired(f"q{self.count}"))
 
 
@@ -415,25 +415,25 @@
     assert caught
 
 
-def test_calls_to_a_cold_server_stay_within_its_part() -> None:
-    """The bound of the cold-start rule per balancer: no window gives a server more than its warm part."""
+def test_calls_to_a_cold_server_stay_within_its_share() -> None:
+    """The bound of the cold-start rule per balancer: no window gives a server more than its warm share."""
     driver = Driver()
     start = driver.now
     driver.list([endpoint("a0", started_ms=start), *(endpoint(f"a{i}") for i in range(1, 5))])
     sent: list[float] = []
-    total = 0
+    total_actions = 0
     while driver.now < start + 10000:
         for action in driver.request():
-            total += 1
+            total_actions += 1
             if isinstance(action, api.Send) and action.endpoint == "a0":
                 sent.append(driver.now)
         driver.end(api.Outcome.OK, after_ms=1.0)
-    per_ms = total / (driver.now - start)
+    per_ms = total_actions / (driver.now - start)
     for window in range(0, 10000, 1000):
         fraction = 0.2 + 0.8 * (window + 2000) / 10000
-        part = fraction / (4 + fraction)
-        got = sum(start + window <= t < start + window + 2000 for t in sent)
-        assert got <= 1.35 * part * per_ms * 2000
+        share = fraction / (4 + fraction)
+        calls_in_window = sum(start + window <= t < start + window + 2000 for t in sent)
+        assert calls_in_window <= 1.35 * share * per_ms * 2000
 
 
 def test_an_attempt_that_was_never_made_is_ignored() -> None:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: real standard input and output."""
+"""The host as a process, with real standard input and output."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
     )
 
 
-def test_a_conversation() -> None:
-    done = {
+def test_a_sequence_of_batches() -> None:
+    ended = {
         "Ended": {
             "who": 0,
             "ref": "r1",
@@ -85,7 +85,7 @@
         batch(1),
         batch(2, born(), LEDGER, member()),
         batch(3, item("r1")),
-        batch(4, done),
+        batch(4, ended),
         batch(5, {"Expired": {"who": 0, "ref": "r1"}}, {"Exit": {"who": 0}}, item("r2")),
     )
     assert result.returncode == 0, result.stderr
@@ -123,7 +123,7 @@
         (json.dumps({"tMs": 1.0, "arrivals": []}), "round"),
     ],
 )
-def test_what_the_wire_forbids_ends_the_process(line: str, fault: str) -> None:
+def test_an_invalid_line_ends_the_process(line: str, fault: str) -> None:
     result = run(batch(6), line)
     assert result.returncode != 0
     assert len(result.stdout.splitlines()) == 1
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.pure
-def test_a_broken_decision_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = simhost.Host()
     host.batch(json.loads(batch(1, born(), LEDGER, member())))
 
@@ -144,7 +144,7 @@
     assert reply["output"] == [{"Panic": {"who": 0, "words": "KeyError: 'gone'"}}]
 
 
-def test_instances_do_not_depend_on_their_company() -> None:
+def test_instances_do_not_affect_each_other() -> None:
     script = [
         batch(1, born(0, 5), born(1, 6), LEDGER, member(0), member(1)),
         *(batch(i, item(f"r{i}", i % 2)) for i in range(2, 30)),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Every setting and event field of the wire reaches the module."""
+"""Every setting and event field of the wire is converted to the decision interface."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 }
 
 
-def test_every_setting_is_handed_on() -> None:
+def test_every_setting_is_converted() -> None:
     assert wire.settings(RAW) == api.Settings(
         zone="a",
         zones=2,
@@ -162,21 +162,21 @@
     )
 
 
-def test_absent_settings_take_defaults_and_unknown_ones_are_passed_over() -> None:
-    bare = wire.settings(
+def test_absent_settings_have_defaults_and_unknown_ones_are_ignored() -> None:
+    minimal = wire.settings(
         {
             "zone": "a",
             "novelty": 1,
             "profiles": [{"name": "c", "aimMs": 1, "deadlineMs": 2, "idempotency": "once"}],
         }
     )
-    assert bare == api.Settings(
+    assert minimal == api.Settings(
         zone="a",
         classes=(api.RequestClass("c", 1.0, 2.0, api.Effect.ONCE),),
         limits=api.Limits(max_attempts=1),
         rules=api.Rules(ask_every_ms=10000.0),
         passes_deadline=False,
-    )  # a mark that is false is left out on the wire
+    )  # The wire omits flags that are false.
 
 
 @pytest.mark.parametrize(
@@ -221,11 +221,11 @@
         ("Expired", {"ref": "q"}, api.RequestExpired("q")),
     ],
 )
-def test_every_event_field_is_handed_on(name: str, fields: dict[str, Any], event: api.Event) -> None:
+def test_every_event_field_is_converted(name: str, fields: dict[str, Any], event: api.Event) -> None:
     assert wire.EVENTS[name](fields) == event
 
 
-def test_endpoints_come_whole() -> None:
+def test_every_endpoint_field_is_converted() -> None:
     row = {
         "familyType": "fast",
         "nominal": 1.5,
@@ -265,6 +265,6 @@
         ({"me": -1}, "own number is negative"),
     ],
 )
-def test_contradictory_settings_are_refused_by_name(change: dict[str, Any], fault: str) -> None:
+def test_contradictory_settings_are_rejected(change: dict[str, Any], fault: str) -> None:
     with pytest.raises(ValueError, match=fault):
         wire.settings({**RAW, **change})
