--- a/tests/every_command.py
+++ b/tests/every_command.py
@@ -1,7 +1,7 @@
-"""Run every command that `honeywharf --help` leads to; status 1 where one breaks. Needs no test library.
+"""Runs every command of `honeywharf`; exits with status 1 if one fails. Needs no test library.
 
-None may end in a traceback, ask for another file of requirements, or with another status than it should. A
-command for which nothing stands here fails as well: who adds one says how it is called.
+A command fails by a traceback, by a missing requirements file, or by an unexpected exit status. A command
+without an entry in `all_calls` is a failure too.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 import click
 
 from honeywharf.cli import drift, main, mesh, simulation, store
-from honeywharf.lab.model import NodeSpec  # noqa: F401  (the laboratory is laid too)
+from honeywharf.lab.model import NodeSpec  # noqa: F401  (The laboratory is installed too.)
 from honeywharf.simulation import deployment
 from honeywharf.standins import meshdemo, node
 
 MAX_S = 120.0
-DAY = """name = "short"
+EXPERIMENT = """name = "short"
 seeds = 2
 [day]
 length_ms = 2000.0
@@ -45,49 +45,55 @@
 """
 
 
-def leaves(command: click.Command, above: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """All commands that are no groups, by their words."""
+def leaf_commands(command: click.Command, above: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+    """Returns the names of all commands that are not groups."""
     if isinstance(command, click.Group):
-        return [leaf for name, inner in command.commands.items() for leaf in leaves(inner, (*above, name))]
+        return [
+            leaf for name, inner in command.commands.items() for leaf in leaf_commands(inner, (*above, name))
+        ]
     return [above]
 
 
-def words_of(group: type) -> set[str]:
-    """The commands of a group that another library reads."""
-    some = typing.get_args(typing.get_type_hints(group)["command"])
-    return {str(cappa.Command.get(one).name) for one in some}
+def subcommand_names(group: type) -> set[str]:
+    """Returns the names of the subcommands of a cappa command."""
+    subcommands = typing.get_args(typing.get_type_hints(group)["command"])
+    return {str(cappa.Command.get(subcommand).name) for subcommand in subcommands}
 
 
-def called(words: tuple[str, ...], wanted: tuple[int, ...], more: dict[str, str] | None = None) -> str:
-    """What is wrong with one call; empty where nothing is."""
-    done = subprocess.run(
-        [sys.executable, "-m", "honeywharf", *words],
+def check_call(
+    command_line: tuple[str, ...],
+    expected_statuses: tuple[int, ...],
+    extra_environment: dict[str, str] | None = None,
+) -> str:
+    """Runs a command; returns the problem with its output, or an empty string."""
+    completed = subprocess.run(
+        [sys.executable, "-m", "honeywharf", *command_line],
         capture_output=True,
         text=True,
         timeout=MAX_S,
         check=False,
         stdin=subprocess.DEVNULL,
-        env={**os.environ, **(more or {})},
+        env={**os.environ, **(extra_environment or {})},
     )
-    told = done.stdout + done.stderr
-    fault = ""
-    if "Traceback" in told or "No module named" in told:
-        fault = "a traceback"
-    elif "requirements-" in told:
-        fault = "asked for another file of requirements"
-    elif done.returncode not in wanted:
-        fault = f"status {done.returncode}, wanted one of {wanted}"
-    return f"{' '.join(words)}: {fault}\n{told[-2000:]}" if fault else ""
+    output = completed.stdout + completed.stderr
+    problem = ""
+    if "Traceback" in output or "No module named" in output:
+        problem = "a traceback"
+    elif "requirements-" in output:
+        problem = "asked for another file of requirements"
+    elif completed.returncode not in expected_statuses:
+        problem = f"expected one of the statuses {expected_statuses}, got {completed.returncode}"
+    return f"{' '.join(command_line)}: {problem}\n{output[-2000:]}" if problem else ""
 
 
-def calls(folder: Path) -> dict[tuple[str, ...], list[tuple[tuple[str, ...], tuple[int, ...]]]]:
-    """For each command, how it is called and the statuses that are right."""
-    at = ("--socket", str(folder / "s"))
-    nobody = ("--socket", str(folder / "nobody"))
+def all_calls(folder: Path) -> dict[tuple[str, ...], list[tuple[tuple[str, ...], tuple[int, ...]]]]:
+    """Returns the calls of each command: their arguments and the expected exit statuses."""
+    socket = ("--socket", str(folder / "s"))
+    unused_socket = ("--socket", str(folder / "nobody"))
     traces, day = str(folder / "t.jsonl"), str(folder / "day.toml")
     results = str(folder / "day.results")
     disk = str(folder / "disk")
-    routes, settings, nowhere = str(folder / "r.json"), str(folder / "boot.yaml"), "127.0.0.1:9"
+    routes, settings, unused_address = str(folder / "r.json"), str(folder / "boot.yaml"), "127.0.0.1:9"
     return {
         ("run",): [((), (2,))],
         ("demo",): [
@@ -102,25 +108,25 @@
         ],
         ("check-config",): [((str(folder / "f.toml"), str(folder / "n.json")), (0,)), ((day,), (2,))],
         ("config", "check"): [((str(folder / "f.toml"),), (0,))],
-        ("config", "show"): [((*at,), (0,)), ((*at, "--all", "--json"), (0,)), (nobody, (3,))],
-        ("config", "diff"): [((*at,), (0,)), (nobody, (3,))],
-        ("keys", "show"): [((*at,), (0,)), ((*at, "k", "--json"), (0,)), (nobody, (3,))],
-        ("keys", "forget"): [((*at, "k", "--yes"), (1,)), (("k", *nobody, "--yes"), (3,))],
-        ("metrics",): [((*at,), (0,)), (nobody, (3,))],
-        ("status",): [((*at,), (0,)), ((*at, "--json"), (0,)), (nobody, (3,))],
-        ("endpoints",): [((*at, "--out"), (0,)), (nobody, (3,))],
-        ("top",): [((*at,), (1,))],  # no terminal here
-        ("drain",): [((*at,), (1,)), (nobody, (1,))],
+        ("config", "show"): [((*socket,), (0,)), ((*socket, "--all", "--json"), (0,)), (unused_socket, (3,))],
+        ("config", "diff"): [((*socket,), (0,)), (unused_socket, (3,))],
+        ("keys", "show"): [((*socket,), (0,)), ((*socket, "k", "--json"), (0,)), (unused_socket, (3,))],
+        ("keys", "forget"): [((*socket, "k", "--yes"), (1,)), (("k", *unused_socket, "--yes"), (3,))],
+        ("metrics",): [((*socket,), (0,)), (unused_socket, (3,))],
+        ("status",): [((*socket,), (0,)), ((*socket, "--json"), (0,)), (unused_socket, (3,))],
+        ("endpoints",): [((*socket, "--out"), (0,)), (unused_socket, (3,))],
+        ("top",): [((*socket,), (1,))],  # Standard output is not a terminal.
+        ("drain",): [((*socket,), (1,)), (unused_socket, (1,))],
         ("readyz",): [
-            ((*at,), (1,)),
-            (nobody, (3,)),  # 1: discovery is not up here
+            ((*socket,), (1,)),
+            (unused_socket, (3,)),  # The call before gives 1, because discovery is not running.
             ((), (2,)),
             (("--operator", "127.0.0.1:9"), (3,)),
         ],
-        ("exclude",): [((*at, "never-listed"), (1,)), ((*nobody, "s"), (3,))],
-        ("include",): [((*at, "never-listed"), (1,)), ((*nobody, "s"), (3,))],
-        ("evacuate",): [((*at,), (0,)), (nobody, (3,))],
-        ("activate",): [((*at,), (0,)), (nobody, (3,))],
+        ("exclude",): [((*socket, "never-listed"), (1,)), ((*unused_socket, "s"), (3,))],
+        ("include",): [((*socket, "never-listed"), (1,)), ((*unused_socket, "s"), (3,))],
+        ("evacuate",): [((*socket,), (0,)), (unused_socket, (3,))],
+        ("activate",): [((*socket,), (0,)), (unused_socket, (3,))],
         ("traces",): [
             (("failed", traces), (0,)),
             (("failed", traces, "--by", "server"), (0,)),
@@ -136,12 +142,12 @@
             (("settings", settings), (0,)),
             (("route", routes, "maps.example", "/tiles/1"), (0,)),
             (("diff", routes, routes), (0,)),
-            (("describe", nowhere), (2,)),
-            (("replace", nowhere, routes), (2,)),
-            (("evacuate", nowhere, "z"), (2,)),
-            (("activate", nowhere, "z"), (2,)),
-            (("duties", nowhere), (2,)),
-            (("members", nowhere), (2,)),
+            (("describe", unused_address), (2,)),
+            (("replace", unused_address, routes), (2,)),
+            (("evacuate", unused_address, "z"), (2,)),
+            (("activate", unused_address, "z"), (2,)),
+            (("duties", unused_address), (2,)),
+            (("members", unused_address), (2,)),
         ],
         ("simulation",): [
             (("run", "1"), (0,)),
@@ -149,16 +155,24 @@
             (("replay", "1"), (0,)),
         ],
         ("drift",): [
-            (("show", "--at", nowhere), (2,)),
-            (("explain", "10.1.0.8", "--at", nowhere), (2,)),
-            (("between", "r7", "r12", "--at", nowhere), (2,)),
+            (("show", "--at", unused_address), (2,)),
+            (("explain", "10.1.0.8", "--at", unused_address), (2,)),
+            (("between", "r7", "r12", "--at", unused_address), (2,)),
         ],
         ("mesh-store",): [
             (("check", disk), (0,)),
             (("repair", disk), (0,)),
-            (("backup", disk, str(folder / "backup")), (1,)),  # an empty disk
+            (("backup", disk, str(folder / "backup")), (1,)),  # The disk is empty.
             (
-                ("return", str(folder / "no backup"), disk, "--here", nowhere, "--members", f"{nowhere}/z"),
+                (
+                    "return",
+                    str(folder / "no backup"),
+                    disk,
+                    "--here",
+                    unused_address,
+                    "--members",
+                    f"{unused_address}/z",
+                ),
                 (2,),
             ),
         ],
@@ -166,14 +180,14 @@
     }
 
 
-def files(folder: Path) -> None:
-    """What the calls read."""
+def write_files(folder: Path) -> None:
+    """Writes the files that the calls read."""
     (folder / "disk").mkdir()
     (folder / "r.json").write_bytes(meshdemo.configuration(7, moved=False).text)
     (folder / "boot.yaml").write_text(
         deployment.settings("10.1.0.8", deployment.ZONES[0], ["10.1.0.9"], True, "s")
     )
-    (folder / "day.toml").write_text(DAY)
+    (folder / "day.toml").write_text(EXPERIMENT)
     (folder / "f.toml").write_text(
         f'[admin]\nsocket = "{folder}/s"\n[order_keys]\nstore = "process"\n[metrics]\non = true\n'
         f'[log]\nformat = "json"\n[traces]\nfile = "{folder}/own.jsonl"\n'
@@ -227,20 +241,22 @@
     )
 
 
-def every(folder: Path) -> list[str]:
-    """All calls; what is wrong."""
-    files(folder)
-    table, wrong = calls(folder), []
+def check_every_command(folder: Path) -> list[str]:
+    """Runs all calls and returns the problems."""
+    write_files(folder)
+    table, problems = all_calls(folder), []
     for name, group in (
         ("mesh", mesh.Mesh),
         ("drift", drift.Drift),
         ("simulation", simulation.Simulation),
         ("mesh-store", store.MeshStore),
     ):
-        left = words_of(group) - {more[0] for more, _ in table[name,]}
-        wrong += [f"{name} {word}: nothing says how it is called" for word in sorted(left)]
-    wrong += [
-        f"{' '.join(leaf)}: nothing says how it is called" for leaf in leaves(main) if leaf not in table
+        untested = subcommand_names(group) - {arguments[0] for arguments, _ in table[name,]}
+        problems += [f"{name} {word}: expected an entry in all_calls, got none" for word in sorted(untested)]
+    problems += [
+        f"{' '.join(leaf)}: expected an entry in all_calls, got none"
+        for leaf in leaf_commands(main)
+        if leaf not in table
     ]
     environ = {"NODE_CONFIG": str(folder / "n.json"), "HONEYWHARF_FEATURES": str(folder / "f.toml")}
     with (folder / "log").open("wb") as log:
@@ -251,31 +267,37 @@
     while not (folder / "s").exists() and proxy.poll() is None and time.monotonic() < end:
         time.sleep(0.05)
     quick = [
-        ((*leaf, *more), wanted)
-        for leaf, some in table.items()
-        for more, wanted in some
+        ((*leaf, *arguments), expected)
+        for leaf, calls_of_leaf in table.items()
+        for arguments, expected in calls_of_leaf
         if leaf[0] not in ("lab", "demo", "evacuate", "activate")
     ]
     with ThreadPoolExecutor(4) as pool:
-        wrong += filter(None, pool.map(lambda one: called(*one), quick))
-        wrong += filter(None, pool.map(lambda leaf: called((*leaf, "--help"), (0,)), leaves(main)))
-    # Each reads what the last one wrote, or takes back what it did.
+        problems += filter(None, pool.map(lambda call: check_call(*call), quick))
+        problems += filter(
+            None, pool.map(lambda leaf: check_call((*leaf, "--help"), (0,)), leaf_commands(main))
+        )
+    # Each call uses the files of the previous one, or reverses its effect.
     for leaf in (("lab", "run"), ("lab", "compare"), ("lab", "report"), ("evacuate",), ("activate",)):
-        wrong += filter(None, (called((*leaf, *more), wanted) for more, wanted in table[leaf]))
-    with ThreadPoolExecutor(2) as pool:  # two at a time: they are not to crowd each other
-        wrong += filter(None, pool.map(lambda one: called(("demo", *one[0]), one[1]), table["demo",]))
+        problems += filter(
+            None, (check_call((*leaf, *arguments), expected) for arguments, expected in table[leaf])
+        )
+    with ThreadPoolExecutor(2) as pool:  # Two at a time, so that they do not overload the machine.
+        problems += filter(
+            None, pool.map(lambda call: check_call(("demo", *call[0]), call[1]), table["demo",])
+        )
     proxy.send_signal(signal.SIGTERM)
     if proxy.wait(20) != 0:
-        wrong.append(f"run: status {proxy.returncode}, wanted 0 after SIGTERM")
+        problems.append(f"run: expected status 0 after SIGTERM, got {proxy.returncode}")
     lines = (folder / "log").read_text().splitlines()
-    wrong += [f"run: found {line!r}, wanted JSON" for line in lines if not re.fullmatch(r"\{.*\}", line)]
-    return wrong
+    problems += [f"run: expected JSON, got {line!r}" for line in lines if not re.fullmatch(r"\{.*\}", line)]
+    return problems
 
 
 if __name__ == "__main__":
     with tempfile.TemporaryDirectory() as name:
-        found = every(Path(name))
-    for words in found:
-        print(words)
-    print(f"{len(leaves(main))} commands run in a fresh environment, {len(found)} faults")
+        found = check_every_command(Path(name))
+    for problem in found:
+        print(problem)
+    print(f"{len(leaf_commands(main))} commands run in a fresh environment, {len(found)} faults")
     sys.exit(1 if found else 0)
