--- a/honeywharf/config/__init__.py
+++ b/honeywharf/config/__init__.py
@@ -1,1 +1,1 @@
-"""Checked configuration of honeywharf's own features; imported only where a file of them is given."""
+"""Configuration of a proxy: parsing, checks and reload rules. `features` is imported only if it is used."""
