--- a/honeywharf/cli/__init__.py
+++ b/honeywharf/cli/__init__.py
@@ -103,7 +103,7 @@
     drift: bool,
     storm: bool,
 ) -> None:
-    """Run a small fleet on loopback with a crash and a drain; exits with 0 if none of the four rules is broken."""
+    """Run a small fleet on loopback with a crash and a drain; exits with 0 if no rule is broken."""
     if storm:
         require_packages("lab")
         from honeywharf.lab import demo as storm_demo
