--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from honeywharf.cli import drift, ending
-from honeywharf.cli.ending import WrongError
+from honeywharf.cli import drift, exit_status
+from honeywharf.cli.exit_status import MeshCallError
 from honeywharf.simulation.slips import Trial
 
 
@@ -42,11 +42,11 @@
     found = json.loads(call.answered)
     assert (call.status, len(found["views"]), found["silent"]) == (200, 6, [])
     assert {view["root"] for view in found["views"]} == {found["told"]["root"]}
-    assert drift.judged(found) == 0
-    slips = [line for line in drift.lines(found) if line.startswith("slip")]
+    assert drift.exit_status_of(found) == 0
+    slips = [line for line in drift.format_overview(found) if line.startswith("slip")]
     assert len(slips) == 2
     view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
-    explanation = list(drift.explained(view, found))
+    explanation = list(drift.format_view(view, found))
     assert "runs in every branch what a majority holds" in explanation
     assert any(line.startswith("slip ") for line in explanation)
 
@@ -56,8 +56,8 @@
     found = json.loads(get(trial, b"/api/drift").answered)
     view = next(one for one in found["views"] if one["node"] == trial.injected_drifts[0].victim)
     assert view["state"] in ("doubted", "quarantined")
-    assert drift.judged(found) == 1
-    explanation = list(drift.explained(view, found))
+    assert drift.exit_status_of(found) == 1
+    explanation = list(drift.format_view(view, found))
     assert "refuses mutating requests and uploads until it has healed" in explanation
     assert any(line.startswith("differs in routes/shop.example") for line in explanation)
 
@@ -74,11 +74,11 @@
 
 def test_without_an_answer_the_exit_status_is_unknown(monkeypatch: pytest.MonkeyPatch) -> None:
     def no_answer(*arguments: object) -> tuple[int, bytes]:
-        raise WrongError("no clear answer")
+        raise MeshCallError("no clear answer")
 
     monkeypatch.setattr(drift, "call", no_answer)
-    assert drift.main([]) == ending.UNKNOWN
-    assert drift.main(["between", "r1", "r2"]) == ending.UNKNOWN
+    assert drift.main([]) == exit_status.UNKNOWN
+    assert drift.main(["between", "r1", "r2"]) == exit_status.UNKNOWN
     monkeypatch.setattr(drift, "call", lambda *arguments: (503, b"no majority"))
-    assert drift.main(["explain", "10.1.0.8"]) == ending.UNKNOWN
-    assert drift.main(["between", "r1", "r2"]) == ending.NO
+    assert drift.main(["explain", "10.1.0.8"]) == exit_status.UNKNOWN
+    assert drift.main(["between", "r1", "r2"]) == exit_status.NEGATIVE
