--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -81,7 +81,7 @@
         if not isinstance(given, dict):
             return None
         self._said(given.get("words"))
-        self.keeper.bans.remember(state.names(given.get("ever")))
+        self.keeper.bans.add_formerly_listed(state.names(given.get("ever")))
         later = state.newer(given.get("list"), self.lists.generation)
         if later is None:
             return None
@@ -98,7 +98,7 @@
             number = knowledge.know(self.balancer, self.clock.now(), given.get("learned"))
             log(
                 f"handover: taken from the process in service: {number} limits and servers, list"
-                f" {self.lists.generation}, out are {self.keeper.bans.words()}",
+                f" {self.lists.generation}, out are {self.keeper.bans.summary()}",
                 "handover.taken",
                 fields={"learned": number, "generation": self.lists.generation},
             )
@@ -144,14 +144,16 @@
         bans = self.keeper.bans
         return {
             "words": self._plain(),
-            "ever": [*bans.gone, *bans.listed],
+            "ever": [*bans.formerly_listed, *bans.listed],
             "list": self.lists.plain(),
             "learned": knowledge.learned(self.balancer),
         }
 
     def _plain(self) -> dict[str, Any]:
         keeper = self.keeper
-        return state.Words(keeper.bans.since, keeper.bans.back, keeper.evacuated, keeper.evacuated_ms).plain()
+        return state.Words(
+            keeper.bans.excluded_ms, keeper.bans.included_ms, keeper.evacuated, keeper.evacuated_ms
+        ).plain()
 
     def _words(self) -> None:
         self.desk.say_words(self._plain())
@@ -159,7 +161,7 @@
     def _said(self, value: Any) -> None:
         said = state.words(value)
         if said is not None:
-            self.keeper.said_elsewhere(said.out, said.back, said.evacuated, said.evacuated_ms)
+            self.keeper.said_elsewhere(said.excluded_ms, said.included_ms, said.evacuated, said.evacuated_ms)
 
     def _changed(self) -> None:
         """A process has come or gone: two share the bounds on memory and descriptors."""
--- a/honeywharf/handover/state.py
+++ b/honeywharf/handover/state.py
@@ -13,21 +13,26 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from honeywharf.service.bans import MAX_ID, MAX_KNOWN, MOST
+from honeywharf.service.bans import MAX_BANS, MAX_FORMERLY_LISTED, MAX_ID_CHARS
 
 
 @dataclass(slots=True)
 class Words:
     """What operators said last, each with its time in Unix ms. The later word on one thing holds."""
 
-    out: dict[str, float] = field(default_factory=dict)
-    back: dict[str, float] = field(default_factory=dict)
+    excluded_ms: dict[str, float] = field(default_factory=dict)
+    included_ms: dict[str, float] = field(default_factory=dict)
     evacuated: bool = False
     evacuated_ms: float = 0.0
 
     def plain(self) -> dict[str, Any]:
         """As JSON has it."""
-        return {"out": self.out, "back": self.back, "evacuated": self.evacuated, "at": self.evacuated_ms}
+        return {
+            "out": self.excluded_ms,
+            "back": self.included_ms,
+            "evacuated": self.evacuated,
+            "at": self.evacuated_ms,
+        }
 
 
 def _times(value: Any, most: int) -> dict[str, float]:
@@ -37,7 +42,7 @@
         (k, float(v))
         for k, v in value.items()
         if isinstance(k, str)
-        and 0 < len(k) <= MAX_ID
+        and 0 < len(k) <= MAX_ID_CHARS
         and not isinstance(v, bool)
         and isinstance(v, int | float)
         and 0 <= v < 1e15
@@ -53,7 +58,7 @@
     if isinstance(at, bool) or not isinstance(at, int | float) or not 0 <= at < 1e15:
         return None
     return Words(
-        _times(value.get("out"), MOST), _times(value.get("back"), MOST), value["evacuated"], float(at)
+        _times(value.get("out"), MAX_BANS), _times(value.get("back"), MAX_BANS), value["evacuated"], float(at)
     )
 
 
@@ -63,7 +68,7 @@
         return {}
     return {
         k: v
-        for k, v in list(value.items())[:MOST]
+        for k, v in list(value.items())[:MAX_BANS]
         if isinstance(k, str) and isinstance(v, int) and not isinstance(v, bool) and 0 < v < 100_000
     }
 
@@ -72,7 +77,7 @@
     """Ids, bounded."""
     if not isinstance(value, list):
         return []
-    return [x for x in value if isinstance(x, str) and 0 < len(x) <= MAX_ID][-MAX_KNOWN:]
+    return [x for x in value if isinstance(x, str) and 0 < len(x) <= MAX_ID_CHARS][-MAX_FORMERLY_LISTED:]
 
 
 def newer(value: Any, than: int) -> Mapping[str, Any] | None:
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -160,7 +160,7 @@
         tell: Callable[[api.EndpointsListed], None] | None = None,
     ) -> None:
         """Discovery has spoken: the module is told, and who may be banned is known."""
-        self.keeper.bans.saw(self.directory.rows)
+        self.keeper.bans.set_listed(self.directory.rows)
         (tell or self.driver.endpoints_listed)(event)
 
     def reload(self) -> None:
--- a/honeywharf/service/keeper.py
+++ b/honeywharf/service/keeper.py
@@ -220,7 +220,7 @@
 
     def banned(self) -> None:
         """The bans have changed: the module, the books and the other process are told."""
-        self.served.excluded(self.bans.since)
+        self.served.excluded(self.bans.excluded_ms)
         if self.changed is not None:
             self.changed()
 
@@ -246,19 +246,19 @@
 
     def said_elsewhere(
         self,
-        out: Mapping[str, float],
-        back: Mapping[str, float],
+        other_excluded_ms: Mapping[str, float],
+        other_included_ms: Mapping[str, float],
         evacuated: bool,
         evacuated_ms: float,
     ) -> None:
         """Take over what operators said to another process of this proxy; the later word holds."""
-        if self.bans.merge(out, back):
+        if self.bans.merge(other_excluded_ms, other_included_ms):
             log(
-                f"operator: said to the other process, out are {self.bans.words()}",
+                f"operator: said to the other process, out are {self.bans.summary()}",
                 "operator.change",
-                fields={"out": sorted(self.bans.since)},
+                fields={"out": sorted(self.bans.excluded_ms)},
             )
-            self.served.excluded(self.bans.since)
+            self.served.excluded(self.bans.excluded_ms)
         if evacuated_ms > self.evacuated_ms:
             changed = evacuated != self.evacuated
             self.evacuated, self.evacuated_ms = evacuated, evacuated_ms
--- a/tests/handover/test_rules.py
+++ b/tests/handover/test_rules.py
@@ -174,7 +174,7 @@
         {"evacuated": False, "at": 5, "out": {"a": 1, "": 2, "b": "x", "c": -1, "d" * 300: 3}, "back": [1]}
     )
     assert said is not None
-    assert (said.out, said.back, said.evacuated_ms) == ({"a": 1.0}, {}, 5.0)
+    assert (said.excluded_ms, said.included_ms, said.evacuated_ms) == ({"a": 1.0}, {}, 5.0)
     assert state.names(["a", 3, "", "b"]) == ["a", "b"]
     assert state.newer({"generation": 3, "instances": []}, 3) is None
     assert state.newer({"generation": 4, "instances": []}, 3) is not None
--- a/tests/service/test_rules.py
+++ b/tests/service/test_rules.py
@@ -96,7 +96,7 @@
     ever: set[str] = set()
     for i, (act, what) in enumerate(acts):
         if isinstance(what, frozenset):
-            made.saw(what)
+            made.set_listed(what)
             ever |= what
         elif what not in ever:
             with pytest.raises(bans.BanError, match="no list has named"):
@@ -107,18 +107,18 @@
         else:
             assert made.include(what, float(i)) == (what in out)
             out.discard(what)
-        assert set(made.since) == out
-        assert all(made.knows(name) for name in ever)
+        assert set(made.excluded_ms) == out
+        assert all(made.is_known(name) for name in ever)
 
 
 def test_the_tables_of_bans_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bans, "MOST", 3)
-    monkeypatch.setattr(bans, "MAX_KNOWN", 5)
+    monkeypatch.setattr(bans, "MAX_BANS", 3)
+    monkeypatch.setattr(bans, "MAX_FORMERLY_LISTED", 5)
     made = bans.Bans()
-    made.saw([f"n{i}" for i in range(20)])
-    made.saw(["last"])
-    assert sum(made.knows(f"n{i}") for i in range(20)) == 5
-    made.saw(["n1", "n2", "n3", "n4"])
+    made.set_listed([f"n{i}" for i in range(20)])
+    made.set_listed(["last"])
+    assert sum(made.is_known(f"n{i}") for i in range(20)) == 5
+    made.set_listed(["n1", "n2", "n3", "n4"])
     for i in (1, 2, 3):
         made.exclude(f"n{i}", 0.0)
     with pytest.raises(bans.BanError, match="found 3 backends out by hand, wanted fewer"):
@@ -126,9 +126,9 @@
     for i in range(1, 4):
         made.include(f"n{i}", 1.0)
     made.merge({f"m{i}": float(i) for i in range(9)}, {f"k{i}": float(i) for i in range(9)})
-    assert sorted(made.since) == ["m0", "m1", "m2"]
-    assert len(made.back) == 3
-    assert made.knows("n1")
+    assert sorted(made.excluded_ms) == ["m0", "m1", "m2"]
+    assert len(made.included_ms) == 3
+    assert made.is_known("n1")
 
 
 # What the module makes of a ban.
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -211,7 +211,7 @@
             assert (await said(port, b"exclude b", end=True)).startswith(b"ERR found 9 bytes and no end")
             with suppress(ConnectionError):  # what is behind the bound is not read, so it may be reset
                 assert (await said(port, b"x" * 1_000_000)).startswith(b"ERR found 513 bytes and no end")
-            assert not w.proxy.keeper.bans.since
+            assert not w.proxy.keeper.bans.excluded_ms
             for _, writer in idle:
                 writer.close()
 
