--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -136,7 +136,7 @@
         if self.conf.operator is not None:
             from honeywharf.service.door import HttpServer
 
-            self.door = HttpServer(self.loop, self.keeper.call)
+            self.door = HttpServer(self.loop, self.keeper.execute)
             host, port = await self.door.listen(self.conf.operator)
             log(
                 f"{self.conf.name} takes operators' calls on {host}:{port}",
--- a/honeywharf/service/door.py
+++ b/honeywharf/service/door.py
@@ -11,12 +11,12 @@
 from typing import cast
 
 from honeywharf.core.transport import Address
-from honeywharf.service import calls
+from honeywharf.service import operator_protocol
 
 MAX_AT_ONCE = 16  # callers; each holds a descriptor
 PATIENCE_S = 5.0  # for a call to be whole: callers who finish none are met for some seconds
 BACKLOG = 64
-Do = Callable[[calls.Call], str]
+Do = Callable[[operator_protocol.OperatorRequest], str]
 
 
 class Caller(asyncio.Protocol):
@@ -37,8 +37,8 @@
         """Answer once the call is whole; what comes after that is not read."""
         if self.told:
             return
-        self.data += data[: calls.MAX_LINE + 1 - len(self.data)]
-        if calls.whole(self.data):
+        self.data += data[: operator_protocol.MAX_LINE_BYTES + 1 - len(self.data)]
+        if operator_protocol.is_complete(self.data):
             self._say(*self.door.answer(self.data))
 
     def eof_received(self) -> bool:
@@ -54,7 +54,7 @@
 
     def _say(self, yes: bool, words: str) -> None:
         self.told = True
-        self.transport.write(calls.answer(yes, words))
+        self.transport.write(operator_protocol.encode_reply(yes, words))
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -92,7 +92,7 @@
     def answer(self, data: bytes) -> tuple[bool, str]:
         """Carry a call out: whether it was, and what to say."""
         try:
-            words = self.do(calls.call(data))
+            words = self.do(operator_protocol.parse_request(data))
         except ValueError as fault:
             self.refused += 1
             return False, str(fault)
--- a/honeywharf/service/keeper.py
+++ b/honeywharf/service/keeper.py
@@ -9,8 +9,8 @@
 from honeywharf.core.components import MutatingCommand, OperatorCommand, OperatorCommandError
 from honeywharf.core.transport import Clock, log
 from honeywharf.service.bans import BanError, Bans
-from honeywharf.service.calls import Call
 from honeywharf.service.life import Event, ImpossibleError, Life, State, Step
+from honeywharf.service.operator_protocol import OperatorRequest
 
 FINISHED_S = 0.02  # how often it is asked whether clients without connections have been answered, at the end
 
@@ -178,16 +178,16 @@
             "activate": MutatingCommand(lambda _: self.activate()),
         }
 
-    def call(self, call: Call) -> str:
+    def execute(self, request: OperatorRequest) -> str:
         """Carry out what was said at the second address; ValueError says why not."""
-        ask = self.operator_commands()[call.do]
+        ask = self.operator_commands()[request.command]
         if isinstance(ask, MutatingCommand):
             log(
-                f"operator: {call.do} {call.of}".rstrip(),
+                f"operator: {request.command} {request.endpoint_id}".rstrip(),
                 "operator.change",
-                fields={"do": call.do, "id": call.of},
+                fields={"do": request.command, "id": request.endpoint_id},
             )
-        return str(ask({"id": call.of}))
+        return str(ask({"id": request.endpoint_id}))
 
     def readyz(self) -> str:
         """Whether this process takes clients."""
--- a/tests/service/test_rules.py
+++ b/tests/service/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies as st
 
 from honeywharf.policy import interface as api
-from honeywharf.service import bans, calls, life
+from honeywharf.service import bans, life, operator_protocol
 from honeywharf.service.life import CONDUCT, TRANSITIONS, Event, ImpossibleError, Life, State, Step
 from tests.helpers import Driver, endpoint
 
@@ -203,15 +203,15 @@
 @pytest.mark.parametrize(
     ("line", "wanted"),
     [
-        (b"readyz\n", calls.Call("readyz")),
-        (b"exclude s-1\r\n", calls.Call("exclude", "s-1")),
-        (b"  include   s-1  \n", calls.Call("include", "s-1")),
-        (b"evacuate\n\n", calls.Call("evacuate")),
+        (b"readyz\n", operator_protocol.OperatorRequest("readyz")),
+        (b"exclude s-1\r\n", operator_protocol.OperatorRequest("exclude", "s-1")),
+        (b"  include   s-1  \n", operator_protocol.OperatorRequest("include", "s-1")),
+        (b"evacuate\n\n", operator_protocol.OperatorRequest("evacuate")),
     ],
 )
-def test_a_sound_call(line: bytes, wanted: calls.Call) -> None:
-    assert calls.whole(line)
-    assert calls.call(line) == wanted
+def test_a_sound_call(line: bytes, wanted: operator_protocol.OperatorRequest) -> None:
+    assert operator_protocol.is_complete(line)
+    assert operator_protocol.parse_request(line) == wanted
 
 
 @pytest.mark.parametrize(
@@ -231,19 +231,19 @@
     ],
 )
 def test_what_is_no_call_is_told_with_what_was_found(line: bytes, words: str) -> None:
-    with pytest.raises(calls.CallError, match=words):
-        calls.call(line)
+    with pytest.raises(operator_protocol.OperatorRequestError, match=words):
+        operator_protocol.parse_request(line)
 
 
 @given(st.binary(max_size=700), st.text(max_size=80))
 def test_whatever_is_said_is_one_call_or_one_fault_and_answers_are_one_line(data: bytes, text: str) -> None:
     try:
-        said = calls.call(data).do
-    except calls.CallError as fault:
+        said = operator_protocol.parse_request(data).command
+    except operator_protocol.OperatorRequestError as fault:
         said = str(fault)
-    assert said in calls.CALLS or said.startswith("found ")
+    assert said in operator_protocol.COMMANDS or said.startswith("found ")
     for yes in (True, False):
-        told = calls.answer(yes, text)
+        told = operator_protocol.encode_reply(yes, text)
         assert told.startswith(b"OK" if yes else b"ERR")
         assert told.count(b"\n") == 1
         assert told.endswith(b"\n")
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -30,7 +30,7 @@
 @asynccontextmanager
 async def operated(w: World) -> AsyncIterator[int]:
     """The second address of a running proxy; its port."""
-    made = HttpServer(asyncio.get_running_loop(), w.proxy.keeper.call)
+    made = HttpServer(asyncio.get_running_loop(), w.proxy.keeper.execute)
     _, port = await made.listen(("127.0.0.1", 0))
     w.proxy.door = made
     yield port
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -134,7 +134,7 @@
     "core/hooks.py",
     "service/life.py",
     "service/bans.py",
-    "service/calls.py",
+    "service/operator_protocol.py",
     "handover/frames.py",
     "handover/knowledge.py",
     "handover/state.py",
