--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -30,7 +30,7 @@
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Features
-    from honeywharf.service.door import HttpServer
+    from honeywharf.service.operator_server import OperatorServer
 
 # Shares of the descriptors: callers hold a third at most with requests, each of which wants a connection to a
 # backend; the rest is for callers that idle. The proxy's own are those of the interpreter, the loop, the
@@ -80,7 +80,7 @@
         )
         self.features = features
         self.components: list[Component] = attached(self, features) if features is not None else []
-        self.door: HttpServer | None = None  # operators' second address
+        self.operator_server: OperatorServer | None = None  # operators' second address
         self.told: dict[str, int] = {}
         self.environ: Mapping[str, str] = os.environ
 
@@ -134,10 +134,10 @@
         if not self.conf.settings.polled_discovery:
             self.watch.watch()
         if self.conf.operator is not None:
-            from honeywharf.service.door import HttpServer
+            from honeywharf.service.operator_server import OperatorServer
 
-            self.door = HttpServer(self.loop, self.keeper.execute)
-            host, port = await self.door.listen(self.conf.operator)
+            self.operator_server = OperatorServer(self.loop, self.keeper.execute)
+            host, port = await self.operator_server.listen(self.conf.operator)
             log(
                 f"{self.conf.name} takes operators' calls on {host}:{port}",
                 "listening",
@@ -148,8 +148,8 @@
         gc.freeze()  # the collector need not look at what stays
         gc.set_threshold(20000, 20, 50)
         await self.keeper.stopped.wait()
-        if self.door is not None:
-            self.door.close()
+        if self.operator_server is not None:
+            self.operator_server.close()
         for part in self.components:
             part.close()
         self._stats()  # what was done since the last line is told too
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from honeywharf.service import door, life
-from honeywharf.service.door import HttpServer
+from honeywharf.service import life, operator_server
 from honeywharf.service.life import State
+from honeywharf.service.operator_server import OperatorServer
 from tests.loopback import Backend, Client, World, reply, row, run, soon, until, world
 
 
@@ -30,9 +30,9 @@
 @asynccontextmanager
 async def operated(w: World) -> AsyncIterator[int]:
     """The second address of a running proxy; its port."""
-    made = HttpServer(asyncio.get_running_loop(), w.proxy.keeper.execute)
+    made = OperatorServer(asyncio.get_running_loop(), w.proxy.keeper.execute)
     _, port = await made.listen(("127.0.0.1", 0))
-    w.proxy.door = made
+    w.proxy.operator_server = made
     yield port
     made.close()
 
@@ -194,8 +194,8 @@
 
 
 def test_callers_that_finish_no_call_are_not_in_the_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(door, "MAX_AT_ONCE", 4)
-    monkeypatch.setattr(door, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(operator_server, "MAX_CONNECTIONS", 4)
+    monkeypatch.setattr(operator_server, "REQUEST_TIMEOUT_S", 0.2)
 
     async def main() -> None:
         async with world([row("b", 1)]) as w, operated(w) as port:
@@ -203,9 +203,9 @@
             for _, writer in idle[:5]:
                 writer.write(b"exc")
             assert await said(port, b"readyz\n") == b"OK ready\n"
-            assert w.proxy.door is not None
-            assert len(w.proxy.door.callers) <= 4
-            assert w.proxy.door.cut >= 6
+            assert w.proxy.operator_server is not None
+            assert len(w.proxy.operator_server.connections) <= 4
+            assert w.proxy.operator_server.evicted >= 6
             told = [await soon(reader.read()) for reader, _ in idle[-3:]]
             assert all(answer.startswith(b"ERR found no whole line within") for answer in told)
             assert (await said(port, b"exclude b", end=True)).startswith(b"ERR found 9 bytes and no end")
