--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -14,7 +14,7 @@
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
 from honeywharf.service.keeper import Keeper
-from honeywharf.service.life import State
+from honeywharf.service.lifecycle import State
 
 CALLS_S = 0.02  # how often one process tells the other how many calls it has out, where that has changed
 READY_S = 0.01  # how often it is looked whether clients may come, until they may
@@ -113,7 +113,7 @@
     def _look(self) -> None:
         if self.front.ready():
             self._ready()
-        elif self.keeper.life.state in (State.STARTING, State.READY):
+        elif self.keeper.lifecycle.state in (State.STARTING, State.READY):
             self.loop.call_later(READY_S, self._look)
 
     def _ready(self) -> None:
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -207,7 +207,7 @@
         """Let all parts go by new settings."""
         self.driver.change_settings(settings, self.conf.report_fields, former)
         self.pool.retune(settings.limits)
-        self.keeper.life.longest_ms = max(c.deadline_ms for c in settings.classes)
+        self.keeper.lifecycle.longest_deadline_ms = max(c.deadline_ms for c in settings.classes)
         for part in self.components:
             part.settings_changed()
 
--- a/honeywharf/service/keeper.py
+++ b/honeywharf/service/keeper.py
@@ -9,7 +9,7 @@
 from honeywharf.core.components import MutatingCommand, OperatorCommand, OperatorCommandError
 from honeywharf.core.transport import Clock, log
 from honeywharf.service.bans import BanError, Bans
-from honeywharf.service.life import Event, ImpossibleError, Life, State, Step
+from honeywharf.service.lifecycle import Event, InvalidTransitionError, Lifecycle, State, Step
 from honeywharf.service.operator_protocol import OperatorRequest
 
 FINISHED_S = 0.02  # how often it is asked whether clients without connections have been answered, at the end
@@ -67,10 +67,10 @@
         clock: Clock,
         front: Front,
         served: Served,
-        longest_ms: float,
+        longest_deadline_ms: float,
     ) -> None:
         self.loop, self.clock, self.front, self.served = loop, clock, front, served
-        self.life, self.bans = Life(longest_ms), Bans()
+        self.lifecycle, self.bans = Lifecycle(longest_deadline_ms), Bans()
         self.shares_listener = False  # with another process, which goes on
         self.stopped = asyncio.Event()
         self.timer: asyncio.TimerHandle | None = None
@@ -86,12 +86,12 @@
 
     # What happens.
 
-    def happens(self, event: Event, cause: str) -> bool:
+    def handle_event(self, event: Event, cause: str) -> bool:
         """Take an event; whether the state changed. `ImpossibleError` where it can't be."""
-        before = self.life.state
-        if not self.life.happens(self.clock.now(), event):
+        before = self.lifecycle.state
+        if not self.lifecycle.handle_event(self.clock.now(), event):
             return False
-        state, conduct = self.life.state, self.life.conduct
+        state, properties = self.lifecycle.state, self.lifecycle.properties
         if event is not Event.LISTENING:  # which has a line of its own
             log(
                 f"life: {before.value} -> {state.value}: {cause}",
@@ -99,8 +99,8 @@
                 fields={"before": before.value, "after": state.value, "cause": cause},
             )
         front = self.front
-        front.closing = not conduct.keeps
-        front.healthy, front.rejecting = conduct.healthy, False
+        front.closing = not properties.keeps_connections
+        front.healthy, front.rejecting = properties.healthy, False
         if state in (State.ENDING, State.HANDING_OVER):
             self.served.leaving()
         elif state is State.ENDED:
@@ -110,58 +110,60 @@
 
     def listening(self) -> None:
         """The listener is open."""
-        self.happens(Event.LISTENING, "the listener is open")
+        self.handle_event(Event.LISTENING, "the listener is open")
 
     def terminate(self, cause: str = "SIGTERM") -> None:
         """Leave service for good, without losing a request."""
-        self.happens(Event.HAND_OVER if self.shares_listener else Event.TERMINATE, cause)
+        self.handle_event(Event.HAND_OVER if self.shares_listener else Event.TERMINATE, cause)
 
     def emptied(self) -> None:
         """No client's connection is left, as far as is known."""
         if not self.front.empty():
             return
-        if self.life.state is State.EVACUATING and self.life.refuses:  # until then the front sends some more
-            self.happens(Event.EMPTIED, "no client's connection is left")
-        elif self.life.state in (State.ENDING, State.HANDING_OVER) and not any(
-            step is Step.STOP_ACCEPTING for _, step in self.life.due
+        if (
+            self.lifecycle.state is State.EVACUATING and self.lifecycle.rejects_requests
+        ):  # until then the front sends some more
+            self.handle_event(Event.EMPTIED, "no client's connection is left")
+        elif self.lifecycle.state in (State.ENDING, State.HANDING_OVER) and not any(
+            step is Step.STOP_ACCEPTING for _, step in self.lifecycle.due
         ):
             if self.served.has_pending_answers():  # those without a connection, who are waited for
                 self.loop.call_later(FINISHED_S, self.emptied)
             else:
-                self.happens(Event.FINISHED, "nothing is open")
+                self.handle_event(Event.FINISHED, "nothing is open")
 
     def _steps(self) -> None:
         """Do what is due, and come back for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while (step := self.life.step(self.clock.now())) is not None:
+        while (step := self.lifecycle.pop_due_step(self.clock.now())) is not None:
             self._do(step)
-        due_ms = self.life.next_ms()
+        due_ms = self.lifecycle.next_step_ms()
         if due_ms is not None:
             self.timer = self.loop.call_later(max(0.0, due_ms - self.clock.now()) / 1000.0, self._steps)
 
     def _do(self, step: Step) -> None:
         if step is Step.CLOSE_IDLE:
             self.front.close_idle()
-        elif step is Step.CLOSE_SILENT:
+        elif step is Step.CLOSE_WITHOUT_REQUEST:
             self.front.close_without_request()
-        elif step is Step.REFUSE:
+        elif step is Step.REJECT:
             self.front.rejecting = True
             self.loop.call_soon(self.emptied)
         elif step is Step.STOP_ACCEPTING:
             self.front.stop_listening()
             self.loop.call_soon(self.emptied)
-        elif step is Step.GIVE:
+        elif step is Step.HAND_OVER_CONNECTIONS:
             self.heir_changed()
         elif step is Step.ANSWER_ALL:
             self.served.answer_all()
         else:
-            self.happens(Event.FINISHED, "time is up")
+            self.handle_event(Event.FINISHED, "time is up")
 
     def heir_changed(self) -> None:
         """A process that takes over has come or gone; while there is one, connections are kept for it."""
-        if self.life.state is State.HANDING_OVER:
+        if self.lifecycle.state is State.HANDING_OVER:
             heir = self.heir()
             self.front.closing = not heir
             self.front.hand_over_connections(self.give if heir else None)
@@ -191,12 +193,16 @@
 
     def readyz(self) -> str:
         """Whether this process takes clients."""
-        if not (self.life.conduct.readyz and self.front.ready()):
-            why = self.life.state.value if not self.life.conduct.readyz else "waiting for discovery's list"
+        if not (self.lifecycle.properties.readyz and self.front.ready()):
+            why = (
+                self.lifecycle.state.value
+                if not self.lifecycle.properties.readyz
+                else "waiting for discovery's list"
+            )
             raise OperatorCommandError(f"not ready: {why}")
         if self.ready_told is not None:
             self.ready_told()
-        return self.life.state.value
+        return self.lifecycle.state.value
 
     def exclude(self, name: str) -> str:
         """Take a backend out until it is included again."""
@@ -233,16 +239,16 @@
         return self._by_hand(Event.ACTIVATE)
 
     def _by_hand(self, event: Event) -> str:
-        passed_on = self.life.state is State.HANDING_OVER and self.heir()
+        passed_on = self.lifecycle.state is State.HANDING_OVER and self.heir()
         try:
             if not passed_on:  # else it is the other process's to carry out
-                self.happens(event, f"an operator's {event.value}")
-        except ImpossibleError as fault:
+                self.handle_event(event, f"an operator's {event.value}")
+        except InvalidTransitionError as fault:
             raise OperatorCommandError(str(fault)) from None
         self.evacuated, self.evacuated_ms = event is Event.EVACUATE, self.clock.now()
         if self.changed is not None:
             self.changed()
-        return "passed on to the process that takes over" if passed_on else self.life.state.value
+        return "passed on to the process that takes over" if passed_on else self.lifecycle.state.value
 
     def said_elsewhere(
         self,
@@ -262,8 +268,13 @@
         if evacuated_ms > self.evacuated_ms:
             changed = evacuated != self.evacuated
             self.evacuated, self.evacuated_ms = evacuated, evacuated_ms
-            if changed and self.life.state in (State.STARTING, State.READY, State.EVACUATING, State.EMPTY):
-                self.happens(
+            if changed and self.lifecycle.state in (
+                State.STARTING,
+                State.READY,
+                State.EVACUATING,
+                State.EMPTY,
+            ):
+                self.handle_event(
                     Event.EVACUATE if evacuated else Event.ACTIVATE, "an operator's word to the other process"
                 )
 
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -19,7 +19,7 @@
 from honeywharf.codecs import coap
 from honeywharf.config.features import Coap, Features, OrderKeys
 from honeywharf.policy import interface as api
-from honeywharf.service.life import Step
+from honeywharf.service.lifecycle import Step
 from honeywharf.standins.lossy import Lossy
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
 
@@ -516,7 +516,7 @@
             await until(lambda: len(backend.requests) == 1)
             w.proxy.drain()
             assert (await second.ask(request_options(key=b"new"))).code == coap.SERVICE_UNAVAILABLE
-            await until(lambda: not any(s is Step.STOP_ACCEPTING for _, s in w.proxy.keeper.life.due))
+            await until(lambda: not any(s is Step.STOP_ACCEPTING for _, s in w.proxy.keeper.lifecycle.due))
             assert w.running is not None
             assert not w.running.done()  # open requests keep the process running
             for writer in list(backend.writers):
--- a/tests/service/test_rules.py
+++ b/tests/service/test_rules.py
@@ -6,8 +6,16 @@
 from hypothesis import given, strategies as st
 
 from honeywharf.policy import interface as api
-from honeywharf.service import bans, life, operator_protocol
-from honeywharf.service.life import CONDUCT, TRANSITIONS, Event, ImpossibleError, Life, State, Step
+from honeywharf.service import bans, lifecycle, operator_protocol
+from honeywharf.service.lifecycle import (
+    STATE_PROPERTIES,
+    TRANSITIONS,
+    Event,
+    InvalidTransitionError,
+    Lifecycle,
+    State,
+    Step,
+)
 from tests.helpers import Driver, endpoint
 
 EVENTS = st.lists(st.tuples(st.sampled_from(Event), st.floats(0.0, 5000.0)), max_size=30)
@@ -16,64 +24,64 @@
 @given(EVENTS, st.sampled_from((800.0, 5000.0)))
 def test_a_life_follows_its_table_and_steps_come_once_in_order(
     events: list[tuple[Event, float]],
-    longest_ms: float,
+    longest_deadline_ms: float,
 ) -> None:
-    made, now, ended = Life(longest_ms), 0.0, False
+    made, now, ended = Lifecycle(longest_deadline_ms), 0.0, False
     for event, ms in events:
         now += ms
         before = made.state
         if (before, event) in TRANSITIONS:
-            changed = made.happens(now, event)
+            changed = made.handle_event(now, event)
             assert changed == (made.state is not before)
         else:
-            with pytest.raises(ImpossibleError, match=before.value):
-                made.happens(now, event)
+            with pytest.raises(InvalidTransitionError, match=before.value):
+                made.handle_event(now, event)
             assert made.state is before
         assert not ended or made.state is State.ENDED  # nothing leads back from the end
         ended = made.state is State.ENDED
-        assert made.state is not State.READY or made.listens
+        assert made.state is not State.READY or made.is_listening
         due = [at for at, _ in made.due]
         assert due == sorted(due)
-        while made.step(now) is not None:
+        while made.pop_due_step(now) is not None:
             pass
-        assert made.next_ms() is None or made.next_ms() > now  # type: ignore[operator]
+        assert made.next_step_ms() is None or made.next_step_ms() > now  # type: ignore[operator]
 
 
 def test_every_state_is_in_the_tables_and_nothing_but_the_end_is_a_dead_end() -> None:
-    assert set(CONDUCT) == set(State)
+    assert set(STATE_PROPERTIES) == set(State)
     for state in set(State) - {State.ENDED}:
         assert any(s is state and after is not state for (s, _), after in TRANSITIONS.items()), state
 
 
-@pytest.mark.parametrize("longest_ms", [300.0, 2000.0, 5000.0])
-def test_all_is_answered_before_the_platform_kills(longest_ms: float) -> None:
+@pytest.mark.parametrize("longest_deadline_ms", [300.0, 2000.0, 5000.0])
+def test_all_is_answered_before_the_platform_kills(longest_deadline_ms: float) -> None:
     """SIGKILL comes the longest deadline, or 3 s, and 0.7 s after SIGTERM."""
     for state in (State.ENDING, State.HANDING_OVER):
-        told = {step: ms for ms, step in life.steps(state, longest_ms)}
-        assert told[Step.ANSWER_ALL] < told[Step.END] < min(longest_ms, 3000.0) + 700.0
-        assert told[Step.CLOSE_SILENT] <= told[Step.ANSWER_ALL] or state is State.ENDING
+        told = {step: ms for ms, step in lifecycle.steps(state, longest_deadline_ms)}
+        assert told[Step.ANSWER_ALL] < told[Step.END] < min(longest_deadline_ms, 3000.0) + 700.0
+        assert told[Step.CLOSE_WITHOUT_REQUEST] <= told[Step.ANSWER_ALL] or state is State.ENDING
 
 
 def test_an_evacuated_proxy_holds_no_young_request_when_it_has_to_be_empty() -> None:
     """The operators' figures: 4 s after the call no connection idle, none with a request of the last 2 s."""
-    told = [(step, ms) for ms, step in life.steps(State.EVACUATING, 5000.0)]
-    refuses = dict(told)[Step.REFUSE]
-    assert refuses < life.EMPTY_WITHIN_MS - life.YOUNG_REQUEST_MS
-    assert dict(told)[Step.CLOSE_IDLE] <= refuses
+    told = [(step, ms) for ms, step in lifecycle.steps(State.EVACUATING, 5000.0)]
+    reject_ms = dict(told)[Step.REJECT]
+    assert reject_ms < lifecycle.EMPTY_WITHIN_MS - lifecycle.YOUNG_REQUEST_MS
+    assert dict(told)[Step.CLOSE_IDLE] <= reject_ms
 
 
 def test_evacuated_refuses_late_calls_until_it_is_activated() -> None:
-    made = Life(5000.0)
-    made.happens(0.0, Event.LISTENING)
-    made.happens(10.0, Event.EVACUATE)
-    assert not made.happens(1000.0, Event.EVACUATE)  # said again: the clock does not begin anew
-    steps = [made.step(life.LATE_FROM_MS + 10.0) for _ in range(3)]
-    assert steps == [Step.CLOSE_IDLE, Step.REFUSE, Step.CLOSE_SILENT]
-    assert made.refuses
-    made.happens(2500.0, Event.ACTIVATE)
+    made = Lifecycle(5000.0)
+    made.handle_event(0.0, Event.LISTENING)
+    made.handle_event(10.0, Event.EVACUATE)
+    assert not made.handle_event(1000.0, Event.EVACUATE)  # said again: the clock does not begin anew
+    steps = [made.pop_due_step(lifecycle.REJECT_AFTER_MS + 10.0) for _ in range(3)]
+    assert steps == [Step.CLOSE_IDLE, Step.REJECT, Step.CLOSE_WITHOUT_REQUEST]
+    assert made.rejects_requests
+    made.handle_event(2500.0, Event.ACTIVATE)
     assert made.state is State.READY
-    assert not made.refuses
-    assert made.next_ms() is None
+    assert not made.rejects_requests
+    assert made.next_step_ms() is None
 
 
 # Bans.
@@ -250,10 +258,12 @@
 
 
 def test_what_can_happen_in_a_state_is_told_where_something_else_was_asked() -> None:
-    made = Life(5000.0)
-    made.happens(0.0, Event.LISTENING)
-    made.happens(0.0, Event.TERMINATE)
+    made = Lifecycle(5000.0)
+    made.handle_event(0.0, Event.LISTENING)
+    made.handle_event(0.0, Event.TERMINATE)
     for event in (Event.EVACUATE, Event.ACTIVATE):
-        with pytest.raises(ImpossibleError, match=f"found {event.value!r} while ending, wanted one of"):
-            made.happens(1.0, event)
-    assert made.step(1.0) is Step.CLOSE_IDLE
+        with pytest.raises(
+            InvalidTransitionError, match=f"found {event.value!r} while ending, wanted one of"
+        ):
+            made.handle_event(1.0, event)
+    assert made.pop_due_step(1.0) is Step.CLOSE_IDLE
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from honeywharf.service import life, operator_server
-from honeywharf.service.life import State
+from honeywharf.service import lifecycle, operator_server
+from honeywharf.service.lifecycle import State
 from honeywharf.service.operator_server import OperatorServer
 from tests.loopback import Backend, Client, World, reply, row, run, soon, until, world
 
@@ -144,8 +144,8 @@
 def test_an_evacuation_empties_the_proxy_and_activate_brings_it_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(life, "IDLE_UNTIL_MS", 150.0)
-    monkeypatch.setattr(life, "LATE_FROM_MS", 300.0)
+    monkeypatch.setattr(lifecycle, "CLOSE_IDLE_AFTER_MS", 150.0)
+    monkeypatch.setattr(lifecycle, "REJECT_AFTER_MS", 300.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -176,11 +176,11 @@
             late = await Client.to(w.port)
             late.send()
             assert await late.status() == 503
-            assert w.proxy.keeper.life.state is State.EVACUATING  # what it holds is still answered
+            assert w.proxy.keeper.lifecycle.state is State.EVACUATING  # what it holds is still answered
             for writer in list(backend.writers):
                 writer.write(reply(200, b"slow"))
             assert (await held.answer())[2] == b"slow"
-            await until(lambda: w.proxy.keeper.life.state is State.EMPTY)
+            await until(lambda: w.proxy.keeper.lifecycle.state is State.EMPTY)
             assert (await said(port, b"activate\n")) == b"OK ready\n"
             again = await Client.to(w.port)
             assert await again.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -342,7 +342,7 @@
 
 
 def test_service_ends_even_if_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("honeywharf.service.life.KILL_AFTER_MS", 100.0)
+    monkeypatch.setattr("honeywharf.service.lifecycle.KILL_AFTER_MS", 100.0)
 
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -132,7 +132,7 @@
     "core/validation.py",
     "core/probes.py",
     "core/hooks.py",
-    "service/life.py",
+    "service/lifecycle.py",
     "service/bans.py",
     "service/operator_protocol.py",
     "handover/frames.py",
