--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -13,7 +13,7 @@
 from honeywharf.handover.link import Desk
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
-from honeywharf.service.keeper import Keeper
+from honeywharf.service.controller import ServiceController
 from honeywharf.service.lifecycle import State
 
 CALLS_S = 0.02  # how often one process tells the other how many calls it has out, where that has changed
@@ -54,13 +54,13 @@
         clock: Clock,
         folder: str,
         where: Address,
-        keeper: Keeper,
+        controller: ServiceController,
         balancer: Balancer,
         lists: Lists,
         front: Shared,
         beside: Callable[[dict[str, int]], None],
     ) -> None:
-        self.loop, self.clock, self.keeper, self.balancer = loop, clock, keeper, balancer
+        self.loop, self.clock, self.controller, self.balancer = loop, clock, controller, balancer
         self.lists, self.front = lists, front
         self.desk = Desk(loop, folder, *where)
         self.desk.state, self.desk.words, self.desk.adopt = self._state, self._said, front.adopt
@@ -69,9 +69,9 @@
         self.told_calls: dict[str, int] = {}
         self.telling: asyncio.TimerHandle | None = None
         self.desk.calls = beside
-        keeper.changed, keeper.give = self._words, self.desk.give
-        keeper.heir = lambda: self.desk.heir is not None
-        keeper.ready_told = self._ready
+        controller.on_operator_change, controller.hand_over = self._words, self.desk.give
+        controller.has_successor = lambda: self.desk.heir is not None
+        controller.on_ready = self._ready
 
     async def take(self) -> api.EndpointsListed | None:
         """Ask the process in service for its state: a later list than the one held, if it has one."""
@@ -81,7 +81,7 @@
         if not isinstance(given, dict):
             return None
         self._said(given.get("words"))
-        self.keeper.bans.add_formerly_listed(state.names(given.get("ever")))
+        self.controller.bans.add_formerly_listed(state.names(given.get("ever")))
         later = state.newer(given.get("list"), self.lists.generation)
         if later is None:
             return None
@@ -98,7 +98,7 @@
             number = knowledge.know(self.balancer, self.clock.now(), given.get("learned"))
             log(
                 f"handover: taken from the process in service: {number} limits and servers, list"
-                f" {self.lists.generation}, out are {self.keeper.bans.summary()}",
+                f" {self.lists.generation}, out are {self.controller.bans.summary()}",
                 "handover.taken",
                 fields={"learned": number, "generation": self.lists.generation},
             )
@@ -113,7 +113,7 @@
     def _look(self) -> None:
         if self.front.ready():
             self._ready()
-        elif self.keeper.lifecycle.state in (State.STARTING, State.READY):
+        elif self.controller.lifecycle.state in (State.STARTING, State.READY):
             self.loop.call_later(READY_S, self._look)
 
     def _ready(self) -> None:
@@ -141,7 +141,7 @@
         self.desk.close()
 
     def _state(self) -> dict[str, Any]:
-        bans = self.keeper.bans
+        bans = self.controller.bans
         return {
             "words": self._plain(),
             "ever": [*bans.formerly_listed, *bans.listed],
@@ -150,9 +150,12 @@
         }
 
     def _plain(self) -> dict[str, Any]:
-        keeper = self.keeper
+        controller = self.controller
         return state.Words(
-            keeper.bans.excluded_ms, keeper.bans.included_ms, keeper.evacuated, keeper.evacuated_ms
+            controller.bans.excluded_ms,
+            controller.bans.included_ms,
+            controller.evacuated,
+            controller.evacuated_ms,
         ).plain()
 
     def _words(self) -> None:
@@ -161,7 +164,9 @@
     def _said(self, value: Any) -> None:
         said = state.words(value)
         if said is not None:
-            self.keeper.said_elsewhere(said.excluded_ms, said.included_ms, said.evacuated, said.evacuated_ms)
+            self.controller.merge_operator_state(
+                said.excluded_ms, said.included_ms, said.evacuated, said.evacuated_ms
+            )
 
     def _changed(self) -> None:
         """A process has come or gone: two share the bounds on memory and descriptors."""
@@ -169,4 +174,4 @@
         if self.telling is None:
             self.told_calls = {}
             self._tell_calls()
-        self.keeper.heir_changed()
+        self.controller.successor_changed()
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -26,7 +26,7 @@
 from honeywharf.http.front import Front
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
-from honeywharf.service.keeper import Keeper
+from honeywharf.service.controller import ServiceController
 
 if TYPE_CHECKING:
     from honeywharf.config.features import Features
@@ -75,7 +75,7 @@
         self.front = Front(
             loop, self.clock, self.driver, room - upstream, lambda: self.watch.up, self.buffer_budget
         )
-        self.keeper = Keeper(
+        self.controller = ServiceController(
             loop, self.clock, self.front, self, max(c.deadline_ms for c in conf.settings.classes)
         )
         self.features = features
@@ -104,7 +104,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.listed(self.directory.take(self.conf.known, api.ListKind.CACHED), self.driver.start)
         inherited = inherited_listener(self.conf.inherited)
-        self.keeper.shares_listener = inherited is not None
+        self.controller.shares_listener = inherited is not None
         if inherited is not None and os.environ.get("TMPDIR"):
             from honeywharf.handover.part import Handover
 
@@ -113,7 +113,7 @@
                 self.clock,
                 os.environ["TMPDIR"],
                 inherited.getsockname()[:2],
-                self.keeper,
+                self.controller,
                 self.balancer,
                 self.directory,
                 self.front,
@@ -126,7 +126,7 @@
             self.components.append(handover)
         host, port = await self.front.listen(self.conf.listen, inherited)
         log(f"{self.conf.name} listens on {host}:{port}", "listening", fields={"host": host, "port": port})
-        self.keeper.listening()
+        self.controller.listening()
         for part in self.components:
             words = await part.start()
             if words:
@@ -136,7 +136,7 @@
         if self.conf.operator is not None:
             from honeywharf.service.operator_server import OperatorServer
 
-            self.operator_server = OperatorServer(self.loop, self.keeper.execute)
+            self.operator_server = OperatorServer(self.loop, self.controller.execute)
             host, port = await self.operator_server.listen(self.conf.operator)
             log(
                 f"{self.conf.name} takes operators' calls on {host}:{port}",
@@ -147,7 +147,7 @@
         gc.collect()
         gc.freeze()  # the collector need not look at what stays
         gc.set_threshold(20000, 20, 50)
-        await self.keeper.stopped.wait()
+        await self.controller.stopped.wait()
         if self.operator_server is not None:
             self.operator_server.close()
         for part in self.components:
@@ -160,7 +160,7 @@
         tell: Callable[[api.EndpointsListed], None] | None = None,
     ) -> None:
         """Discovery has spoken: the module is told, and who may be banned is known."""
-        self.keeper.bans.set_listed(self.directory.rows)
+        self.controller.bans.set_listed(self.directory.rows)
         (tell or self.driver.endpoints_listed)(event)
 
     def reload(self) -> None:
@@ -207,7 +207,7 @@
         """Let all parts go by new settings."""
         self.driver.change_settings(settings, self.conf.report_fields, former)
         self.pool.retune(settings.limits)
-        self.keeper.lifecycle.longest_deadline_ms = max(c.deadline_ms for c in settings.classes)
+        self.controller.lifecycle.longest_deadline_ms = max(c.deadline_ms for c in settings.classes)
         for part in self.components:
             part.settings_changed()
 
@@ -218,20 +218,20 @@
 
     def drain(self) -> None:
         """Leave service without losing a request: see DEPLOY and PROTOCOL on planned restarts."""
-        self.keeper.terminate()
+        self.controller.terminate()
 
     def operations(self) -> Mapping[str, OperatorCommand]:
         """What operators may have done to this proxy, for every door."""
-        return self.keeper.operator_commands()
+        return self.controller.operator_commands()
 
-    # What the keeper acts on.
+    # The methods that the service controller calls.
 
-    def excluded(self, out: Mapping[str, float]) -> None:
+    def exclude_endpoints(self, out: Mapping[str, float]) -> None:
         """These endpoints are out by an operator's word, and no others."""
         self.directory.exclude(out)
         self.driver.endpoints_excluded(frozenset(out))
 
-    def leaving(self) -> None:
+    def drain_components(self) -> None:
         """The process ends: its parts take nothing new."""
         for part in self.components:
             part.drain()
--- a/honeywharf/service/__init__.py
+++ b/honeywharf/service/__init__.py
@@ -1,5 +1,6 @@
-"""The life of a process in service, and what operators do to it by hand.
+"""The lifecycle of a process in service, and the operators' commands to it.
 
-`life` has the states of a process as a table, `bans` who is out by an operator's word, `calls` what is said
-at the second address, all without I/O; `door` is that address, `keeper` has timers and carries steps out.
+`lifecycle` is the state machine of a process, `bans` holds the endpoints that operators have excluded, and
+`operator_protocol` parses requests, all without I/O. `operator_server` is the operators' listener, and
+`controller` has the timers and executes the steps and commands.
 """
--- a/honeywharf/service/operator_protocol.py
+++ b/honeywharf/service/operator_protocol.py
@@ -63,7 +63,7 @@
     return OperatorRequest(*words)
 
 
-def encode_reply(ok: bool, words: str = "") -> bytes:
+def encode_reply(ok: bool, message: str = "") -> bytes:
     """Encodes the reply as one line; characters that can't be printed become spaces."""
-    text = "".join(c if c.isprintable() else " " for c in words)
+    text = "".join(c if c.isprintable() else " " for c in message)
     return f"{'OK' if ok else 'ERR'}{' ' + text if text else ''}\n".encode()
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -516,7 +516,9 @@
             await until(lambda: len(backend.requests) == 1)
             w.proxy.drain()
             assert (await second.ask(request_options(key=b"new"))).code == coap.SERVICE_UNAVAILABLE
-            await until(lambda: not any(s is Step.STOP_ACCEPTING for _, s in w.proxy.keeper.lifecycle.due))
+            await until(
+                lambda: not any(s is Step.STOP_ACCEPTING for _, s in w.proxy.controller.lifecycle.due)
+            )
             assert w.running is not None
             assert not w.running.done()  # open requests keep the process running
             for writer in list(backend.writers):
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -30,7 +30,7 @@
 @asynccontextmanager
 async def operated(w: World) -> AsyncIterator[int]:
     """The second address of a running proxy; its port."""
-    made = OperatorServer(asyncio.get_running_loop(), w.proxy.keeper.execute)
+    made = OperatorServer(asyncio.get_running_loop(), w.proxy.controller.execute)
     _, port = await made.listen(("127.0.0.1", 0))
     w.proxy.operator_server = made
     yield port
@@ -176,11 +176,11 @@
             late = await Client.to(w.port)
             late.send()
             assert await late.status() == 503
-            assert w.proxy.keeper.lifecycle.state is State.EVACUATING  # what it holds is still answered
+            assert w.proxy.controller.lifecycle.state is State.EVACUATING  # what it holds is still answered
             for writer in list(backend.writers):
                 writer.write(reply(200, b"slow"))
             assert (await held.answer())[2] == b"slow"
-            await until(lambda: w.proxy.keeper.lifecycle.state is State.EMPTY)
+            await until(lambda: w.proxy.controller.lifecycle.state is State.EMPTY)
             assert (await said(port, b"activate\n")) == b"OK ready\n"
             again = await Client.to(w.port)
             assert await again.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
@@ -211,7 +211,7 @@
             assert (await said(port, b"exclude b", end=True)).startswith(b"ERR found 9 bytes and no end")
             with suppress(ConnectionError):  # what is behind the bound is not read, so it may be reset
                 assert (await said(port, b"x" * 1_000_000)).startswith(b"ERR found 513 bytes and no end")
-            assert not w.proxy.keeper.bans.excluded_ms
+            assert not w.proxy.controller.bans.excluded_ms
             for _, writer in idle:
                 writer.close()
 
