--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -84,7 +84,7 @@
         descriptors: list[int] = []
         try:
             data, descriptors, _, _ = socket.recv_fds(
-                self.socket, frames.MAX_FRAME, MAX_FDS, socket.MSG_DONTWAIT
+                self.socket, frames.MAX_FRAME_BYTES, MAX_FDS, socket.MSG_DONTWAIT
             )
             if not data:
                 self.close("")
@@ -216,7 +216,7 @@
         """Those that a process before this one has kept; None where there are none."""
         try:
             with open(self.file, "rb") as file:
-                kind, value = frames.decode(file.read(2 * frames.MAX_PAYLOAD))
+                kind, value = frames.decode(file.read(2 * frames.MAX_PAYLOAD_BYTES))
         except FileNotFoundError:
             return None
         except (OSError, FrameError) as fault:
--- a/tests/handover/test_rules.py
+++ b/tests/handover/test_rules.py
@@ -35,15 +35,15 @@
     value = ["x" * 1000] * 200
     parts = list(frames.encode(Kind.STATE, value))
     assert len(parts) > 5
-    assert max(len(p) for p in parts) <= frames.MAX_FRAME
+    assert max(len(p) for p in parts) <= frames.MAX_FRAME_BYTES
     reader = frames.Reader()
     assert [reader.feed(p) for p in parts][-1] == (Kind.STATE, value)
-    with pytest.raises(ValueError, match="wanted 8388608 at most"):
-        list(frames.encode(Kind.STATE, "x" * frames.MAX_PAYLOAD))
+    with pytest.raises(ValueError, match="payload: expected at most 8388608 bytes"):
+        list(frames.encode(Kind.STATE, "x" * frames.MAX_PAYLOAD_BYTES))
     endless = frames.Reader()
-    for _ in range(frames.MAX_PAYLOAD // (frames.MAX_FRAME - frames.HEAD.size)):
+    for _ in range(frames.MAX_PAYLOAD_BYTES // (frames.MAX_FRAME_BYTES - frames.HEADER.size)):
         assert endless.feed(parts[0]) is None
-    with pytest.raises(FrameError, match="found over"):
+    with pytest.raises(FrameError, match="expected at most 8388608 bytes, got more"):
         endless.feed(parts[0])
 
 
@@ -65,12 +65,15 @@
 @pytest.mark.parametrize(
     ("frame", "words"),
     [
-        (b"", "found 0 bytes"),
-        (b"GET / HTTP/1.1\r\n\r\n", "found b'GET ', wanted b'HWHO'"),
-        (frames.HEAD.pack(b"HWHO", 2, 1, 0, 0, 0), "found version 2, wanted 1"),
-        (frames.HEAD.pack(b"HWHO", 1, 99, 0, 0, 0), "found kind 99"),
-        (frames.HEAD.pack(b"HWHO", 1, 1, 0, 5, 0), "found 0 bytes of payload, wanted 5"),
-        (frames.HEAD.pack(b"HWHO", 1, 1, 0, 1, 0) + b"x", "another checksum"),
+        (b"", "header: expected 16 bytes, got 0"),
+        (b"GET / HTTP/1.1\r\n\r\n", "magic: expected b'HWHO', got b'GET '"),
+        (frames.HEADER.pack(b"HWHO", 2, 1, 0, 0, 0), "version: expected 1, got 2"),
+        (frames.HEADER.pack(b"HWHO", 1, 99, 0, 0, 0), "kind: expected one of .*, got 99"),
+        (frames.HEADER.pack(b"HWHO", 1, 1, 0, 5, 0), "payload: expected 5 bytes, got 0"),
+        (
+            frames.HEADER.pack(b"HWHO", 1, 1, 0, 1, 0) + b"x",
+            "checksum: expected that of the payload, got another",
+        ),
     ],
 )
 def test_what_is_no_frame_is_told(frame: bytes, words: str) -> None:
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -199,7 +199,7 @@
     [
         [],
         [b"nonsense"],
-        [frames.HEAD.pack(b"HWHO", 9, 2, 0, 0, 0)],
+        [frames.HEADER.pack(b"HWHO", 9, 2, 0, 0, 0)],
         [
             *frames.encode(
                 Kind.STATE,
