--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -9,7 +9,7 @@
 
 from honeywharf.core.components import Component
 from honeywharf.core.transport import Address, Clock, log
-from honeywharf.handover import knowledge, state
+from honeywharf.handover import learned_state, state
 from honeywharf.handover.link import Desk
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
@@ -95,7 +95,7 @@
         """Let the module know what the process before has learned, once it has the list."""
         given = self.desk.taken
         if isinstance(given, dict):
-            number = knowledge.know(self.balancer, self.clock.now(), given.get("learned"))
+            number = learned_state.import_learned_state(self.balancer, self.clock.now(), given.get("learned"))
             log(
                 f"handover: taken from the process in service: {number} limits and servers, list"
                 f" {self.lists.generation}, out are {self.controller.bans.summary()}",
@@ -146,7 +146,7 @@
             "words": self._plain(),
             "ever": [*bans.formerly_listed, *bans.listed],
             "list": self.lists.plain(),
-            "learned": knowledge.learned(self.balancer),
+            "learned": learned_state.export_learned_state(self.balancer),
         }
 
     def _plain(self) -> dict[str, Any]:
--- a/tests/handover/test_rules.py
+++ b/tests/handover/test_rules.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from honeywharf.handover import frames, knowledge, state
+from honeywharf.handover import frames, learned_state, state
 from honeywharf.handover.frames import FrameError, Kind
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
@@ -100,13 +100,13 @@
 
 def test_a_new_module_knows_what_the_old_one_has_learned() -> None:
     old = busy()
-    told = json.loads(json.dumps(knowledge.learned(old.balancer)))
+    told = json.loads(json.dumps(learned_state.export_learned_state(old.balancer)))
     new = Driver(make_settings(balancers=4))
     new.now = old.now + 50.0
     new.list([endpoint(n) for n in ("a1", "a2", "a3", "a4")] + [endpoint("b1", "b")])
-    assert knowledge.know(new.balancer, new.now, told) >= 3
-    assert knowledge.learned(new.balancer)["typical"] == told["typical"]
-    assert knowledge.learned(new.balancer)["zones"] == told["zones"]
+    assert learned_state.import_learned_state(new.balancer, new.now, told) >= 3
+    assert learned_state.export_learned_state(new.balancer)["typical"] == told["typical"]
+    assert learned_state.export_learned_state(new.balancer)["zones"] == told["zones"]
     out = {n for n, s in old.balancer.endpoints.servers.items() if s.ejected_until > new.now}
     assert (
         out == {"a1"} == {n for n, s in new.balancer.endpoints.servers.items() if s.ejected_until > new.now}
@@ -115,14 +115,14 @@
     other = Driver(make_settings(balancers=4))
     other.now = new.now
     other.list([endpoint("a1", started_ms=new.now - 1.0), endpoint("a2")])  # another process by now
-    knowledge.know(other.balancer, other.now, told)
+    learned_state.import_learned_state(other.balancer, other.now, told)
     assert other.balancer.endpoints.servers["a1"].ejected_until == 0.0
 
 
 def test_a_new_module_lets_cold_servers_wait_no_longer_than_the_old_one() -> None:
     """Guards against a wait set before the rate of answers was given on."""
     old = busy()
-    told = json.loads(json.dumps(knowledge.learned(old.balancer)))
+    told = json.loads(json.dumps(learned_state.export_learned_state(old.balancer)))
     new = Driver(make_settings(balancers=4))
     new.now = old.now + 50.0
     new.list([endpoint("a5", started_ms=new.now), *(endpoint(n) for n in ("a2", "a3", "a4"))])
@@ -130,7 +130,7 @@
     usual, unknown = (d.balancer.endpoints.spacing(new.now, cold) for d in (old, new))
     assert 3.0 * usual < unknown
     cold.next_send_ms = new.now + unknown
-    knowledge.know(new.balancer, new.now, told)
+    learned_state.import_learned_state(new.balancer, new.now, told)
     assert cold.next_send_ms <= new.now + 1.5 * usual
 
 
@@ -142,7 +142,7 @@
     return found
 
 
-TOLD = json.loads(json.dumps(knowledge.learned(busy().balancer)))
+TOLD = json.loads(json.dumps(learned_state.export_learned_state(busy().balancer)))
 LIES = st.sampled_from([None, -1, 0, 1e30, 1e12, "x", [], {}, True, [1], {"a": 1}])
 
 
@@ -156,10 +156,10 @@
     new = Driver(make_settings(balancers=4))
     new.now = 1e6 + 20000.0
     new.list([endpoint(n) for n in ("a1", "a2", "a3", "a4")])
-    knowledge.know(new.balancer, new.now, told)
+    learned_state.import_learned_state(new.balancer, new.now, told)
     assert sum(new.fill(20).values()) >= 1
     assert all(
-        s.ejected_until <= new.now + knowledge.LONGEST_PAUSE_MS
+        s.ejected_until <= new.now + learned_state.MAX_REMAINING_EJECTION_MS
         for s in new.balancer.endpoints.servers.values()
     )
     assert 0.0 <= new.balancer.budget.tokens <= 5.0
@@ -186,7 +186,12 @@
 
 def test_nothing_learned_is_nothing_known() -> None:
     made = Balancer(make_settings(), 7)
-    assert [knowledge.know(made, 1.0, x) for x in (None, 3, {}, {"zones": 1})] == [0, 0, 0, 0]
+    assert [learned_state.import_learned_state(made, 1.0, x) for x in (None, 3, {}, {"zones": 1})] == [
+        0,
+        0,
+        0,
+        0,
+    ]
 
 
 def test_two_processes_hold_no_more_calls_together_than_one_may() -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -136,7 +136,7 @@
     "service/bans.py",
     "service/operator_protocol.py",
     "handover/frames.py",
-    "handover/knowledge.py",
+    "handover/learned_state.py",
     "handover/state.py",
     "orderkeys/table.py",
     "orderkeys/deduplicator.py",
