--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -255,7 +255,7 @@
         elif kind is Kind.WORDS:
             self.words(value)
         elif kind is Kind.CALLS:
-            line.calls = state.calls(value)
+            line.calls = state.parse_calls(value)
             self.count()
 
     def count(self) -> None:
--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -81,8 +81,8 @@
         if not isinstance(given, dict):
             return None
         self._said(given.get("words"))
-        self.controller.bans.add_formerly_listed(state.names(given.get("ever")))
-        later = state.newer(given.get("list"), self.lists.generation)
+        self.controller.bans.add_formerly_listed(state.parse_ids(given.get("ever")))
+        later = state.parse_newer_list(given.get("list"), self.lists.generation)
         if later is None:
             return None
         try:
@@ -151,7 +151,7 @@
 
     def _plain(self) -> dict[str, Any]:
         controller = self.controller
-        return state.Words(
+        return state.OperatorState(
             controller.bans.excluded_ms,
             controller.bans.included_ms,
             controller.evacuated,
@@ -162,7 +162,7 @@
         self.desk.say_words(self._plain())
 
     def _said(self, value: Any) -> None:
-        said = state.words(value)
+        said = state.parse_operator_state(value)
         if said is not None:
             self.controller.merge_operator_state(
                 said.excluded_ms, said.included_ms, said.evacuated, said.evacuated_ms
--- a/honeywharf/handover/state.py
+++ b/honeywharf/handover/state.py
@@ -1,10 +1,11 @@
-"""All that an old process gives, as one value of named sections, and its check when it is taken. Without I/O.
+"""The sections of the state that a process hands over, and their validation. Without I/O.
 
-    words    what operators said last: who is out and back, and whether the proxy is evacuated, each with
-    its time ever     ids that lists have named before list     discovery's list as it was held, in
-    discovery's form, with its generation learned  what the decision module has learned (`knowledge`)
+    words    the operator state: banned and included endpoints, and whether the proxy is evacuated, with times
+    ever     ids that discovery has listed before
+    list     the endpoint list, in discovery's form, with its generation
+    learned  the learned state of the balancer (`learned_state`)
 
-A section that makes no sense is left out, and the new process begins there as it would from nothing.
+An invalid section is skipped, and the new process starts without it.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 
 
 @dataclass(slots=True)
-class Words:
-    """What operators said last, each with its time in Unix ms. The later word on one thing holds."""
+class OperatorState:
+    """The result of operators' commands, each with its time in Unix ms. The later command applies."""
 
     excluded_ms: dict[str, float] = field(default_factory=dict)
     included_ms: dict[str, float] = field(default_factory=dict)
@@ -26,7 +27,7 @@
     evacuated_ms: float = 0.0
 
     def plain(self) -> dict[str, Any]:
-        """As JSON has it."""
+        """Returns the value that is encoded as JSON."""
         return {
             "out": self.excluded_ms,
             "back": self.included_ms,
@@ -35,10 +36,10 @@
         }
 
 
-def _times(value: Any, most: int) -> dict[str, float]:
+def _parse_times(value: Any, maximum: int) -> dict[str, float]:
     if not isinstance(value, dict):
         return {}
-    sound = (
+    valid = (
         (k, float(v))
         for k, v in value.items()
         if isinstance(k, str)
@@ -47,23 +48,30 @@
         and isinstance(v, int | float)
         and 0 <= v < 1e15
     )
-    return dict(sorted(sound, key=lambda item: item[1])[-most:])
+    return dict(sorted(valid, key=lambda item: item[1])[-maximum:])
 
 
-def words(value: Any) -> Words | None:
-    """Operators' words; None where these are none."""
+def parse_operator_state(value: Any) -> OperatorState | None:
+    """Parses an operator state; None if it is invalid."""
     if not isinstance(value, dict) or not isinstance(value.get("evacuated"), bool):
         return None
-    at = value.get("at")
-    if isinstance(at, bool) or not isinstance(at, int | float) or not 0 <= at < 1e15:
+    evacuated_at_ms = value.get("at")
+    if (
+        isinstance(evacuated_at_ms, bool)
+        or not isinstance(evacuated_at_ms, int | float)
+        or not 0 <= evacuated_at_ms < 1e15
+    ):
         return None
-    return Words(
-        _times(value.get("out"), MAX_BANS), _times(value.get("back"), MAX_BANS), value["evacuated"], float(at)
+    return OperatorState(
+        _parse_times(value.get("out"), MAX_BANS),
+        _parse_times(value.get("back"), MAX_BANS),
+        value["evacuated"],
+        float(evacuated_at_ms),
     )
 
 
-def calls(value: Any) -> dict[str, int]:
-    """Calls by zone."""
+def parse_calls(value: Any) -> dict[str, int]:
+    """Parses the calls in flight by zone; invalid entries are skipped."""
     if not isinstance(value, dict):
         return {}
     return {
@@ -73,18 +81,18 @@
     }
 
 
-def names(value: Any) -> list[str]:
-    """Ids, bounded."""
+def parse_ids(value: Any) -> list[str]:
+    """Parses a bounded list of endpoint ids; invalid entries are skipped."""
     if not isinstance(value, list):
         return []
     return [x for x in value if isinstance(x, str) and 0 < len(x) <= MAX_ID_CHARS][-MAX_FORMERLY_LISTED:]
 
 
-def newer(value: Any, than: int) -> Mapping[str, Any] | None:
-    """A list in discovery's form, where its generation is a later one; what is in it is for who reads it."""
+def parse_newer_list(value: Any, known_generation: int) -> Mapping[str, Any] | None:
+    """Returns a list in discovery's form if its generation is newer; the entries are not validated."""
     if not isinstance(value, dict) or not isinstance(value.get("instances"), list):
         return None
     generation = value.get("generation")
-    if isinstance(generation, bool) or not isinstance(generation, int) or generation <= than:
+    if isinstance(generation, bool) or not isinstance(generation, int) or generation <= known_generation:
         return None
     return value
--- a/tests/handover/test_rules.py
+++ b/tests/handover/test_rules.py
@@ -169,19 +169,19 @@
 
 @pytest.mark.parametrize("value", [None, 7, [], {}, {"evacuated": 1}, {"evacuated": True, "at": "now"}])
 def test_what_are_no_words_is_left_out(value: Any) -> None:
-    assert state.words(value) is None
+    assert state.parse_operator_state(value) is None
 
 
 def test_words_are_bounded_and_sound() -> None:
-    said = state.words(
+    said = state.parse_operator_state(
         {"evacuated": False, "at": 5, "out": {"a": 1, "": 2, "b": "x", "c": -1, "d" * 300: 3}, "back": [1]}
     )
     assert said is not None
     assert (said.excluded_ms, said.included_ms, said.evacuated_ms) == ({"a": 1.0}, {}, 5.0)
-    assert state.names(["a", 3, "", "b"]) == ["a", "b"]
-    assert state.newer({"generation": 3, "instances": []}, 3) is None
-    assert state.newer({"generation": 4, "instances": []}, 3) is not None
-    assert state.newer({"generation": True, "instances": []}, 0) is None
+    assert state.parse_ids(["a", 3, "", "b"]) == ["a", "b"]
+    assert state.parse_newer_list({"generation": 3, "instances": []}, 3) is None
+    assert state.parse_newer_list({"generation": 4, "instances": []}, 3) is not None
+    assert state.parse_newer_list({"generation": True, "instances": []}, 0) is None
 
 
 def test_nothing_learned_is_nothing_known() -> None:
@@ -212,5 +212,5 @@
     assert taken() <= 1  # by chance one more, as for any balancer at its limit
     other.feed(api.CallsBeside({}))
     assert taken() >= alone - 1
-    assert state.calls({"a": 2, "b": -1, "c": True, 3: 4, "d": "x"}) == {"a": 2}
-    assert state.calls([1]) == {}
+    assert state.parse_calls({"a": 2, "b": -1, "c": True, 3: 4, "d": "x"}) == {"a": 2}
+    assert state.parse_calls([1]) == {}
