--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -1,12 +1,12 @@
-"""The socket between an old process and the new one, and the file beside it. Thin: frames in, frames out.
+"""The Unix socket between an old and a new process of a proxy, and the file with the operator state.
 
-The process in service listens at `PATH` under `$TMPDIR`. One that starts connects there, says HELLO, and is
-given the STATE before it opens anything; then it takes the path over for the one after it. The line stays:
-READY goes to the old process, operators' words either way, clients' connections to the new one as
-descriptors (SCM_RIGHTS).
+The process in service listens on a socket under `$TMPDIR`. A new process connects to it, sends HELLO, and
+receives the STATE before it opens its listeners. Then it replaces the socket's path, for its own successor.
+The link stays open: READY goes to the old process, the operator state and the calls in flight go either way,
+and client connections go to the new process as descriptors (SCM_RIGHTS).
 
-A peer that is gone, hangs, speaks another version or nonsense costs the new process `WAIT_S` at most: it
-begins with the file of operators' words, and with nothing else.
+If the peer has ended, hangs, or sends another version or invalid data, the new process waits for at most
+`STATE_TIMEOUT_S` and starts with only the operator state from the file.
 """
 
 from __future__ import annotations
@@ -24,36 +24,38 @@
 from honeywharf.handover import frames, state
 from honeywharf.handover.frames import FrameError, Kind
 
-WAIT_S = 0.4  # for the whole state
-MAX_LINES = 4  # processes that are linked at once
-MAX_QUEUED = 512  # frames that a slow peer has still to read; one that does not is left
-AGAIN_S = 0.005  # until a descriptor that the peer's queue had no room for is offered again
+STATE_TIMEOUT_S = 0.4
+MAX_LINKS = 4
+MAX_QUEUED_FRAMES = 512  # A link with more unsent frames is closed.
+DESCRIPTOR_RETRY_S = 0.005
 MAX_FDS = 1
-NAME = "honeywharf-{}-{}.{}"  # host, port, "sock" or "words"
+FILE_NAME_FORMAT = "honeywharf-{}-{}.{}"  # The fields are host, port, and "sock" or "words".
 
 
-class Line:
-    """One link to another process: frames either way, on a socket that keeps messages apart."""
+class Link:
+    """One link to another process, which carries frames in both directions on a SOCK_SEQPACKET socket."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, made: socket.socket, desk: Desk) -> None:
-        self.loop, self.socket, self.desk = loop, made, desk
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, peer_socket: socket.socket, manager: LinkManager
+    ) -> None:
+        self.loop, self.socket, self.manager = loop, peer_socket, manager
         self.reader, self.queue = frames.Reader(), deque[bytes]()
         self.ready = self.closed = False
-        self.calls: dict[str, int] = {}  # that the other has out
-        made.setblocking(False)
-        loop.add_reader(made.fileno(), self._readable)
+        self.calls_in_flight: dict[str, int] = {}  # The calls are those of the other process, by zone.
+        peer_socket.setblocking(False)
+        loop.add_reader(peer_socket.fileno(), self._readable)
 
-    def say(self, kind: Kind, value: Any) -> None:
-        """Queue a value's frames."""
+    def send(self, kind: Kind, value: Any) -> None:
+        """Queues the frames of a value."""
         for frame in frames.encode(kind, value):
             self.queue.append(frame)
-        if len(self.queue) > MAX_QUEUED:
-            self.close("it does not read")
+        if len(self.queue) > MAX_QUEUED_FRAMES:
+            self.close("it does not read its frames")
         else:
             self._write()
 
-    def give(self, descriptor: int) -> bool:
-        """Give a connection away; False where there is no room for it now."""
+    def send_descriptor(self, descriptor: int) -> bool:
+        """Sends a client connection's descriptor; False if the socket has no capacity now."""
         if self.closed or self.queue:
             return False
         (frame,) = frames.encode(Kind.CONNECTION, None)
@@ -89,7 +91,7 @@
             if not data:
                 self.close("")
                 return
-            told = self.reader.feed(data)
+            value = self.reader.feed(data)
         except BlockingIOError:
             return
         except (OSError, FrameError) as fault:
@@ -97,240 +99,239 @@
                 os.close(descriptor)
             self.close(str(fault))
             return
-        if told is not None:
-            self.desk.told(self, told[0], told[1], descriptors)
+        if value is not None:
+            self.manager.handle_value(self, value[0], value[1], descriptors)
         else:
             for descriptor in descriptors:
                 os.close(descriptor)
 
-    def close(self, why: str) -> None:
-        """The link is over."""
+    def close(self, reason: str) -> None:
+        """Closes the link; a reason is logged."""
         if self.closed:
             return
         self.closed = True
         self.loop.remove_reader(self.socket.fileno())
         self.loop.remove_writer(self.socket.fileno())
         self.socket.close()
-        if why:
-            log(f"handover: the other process is left: {why}", "handover.fault", "warning")
-        self.desk.left(self)
+        if reason:
+            log(f"handover: closed the link to the other process: {reason}", "handover.fault", "warning")
+        self.manager.link_closed(self)
 
 
-class Desk:
-    """What one process gives and takes. `state`: what is given now; the callbacks are told what comes."""
+class LinkManager:
+    """The links of one process; `export_state` returns the state to send, other callbacks get what arrives."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, folder: str, host: str, port: int) -> None:
-        self.loop, self.folder = loop, folder
-        self.name = NAME.format(host.replace(":", "_"), port, "sock")
-        self.file = os.path.join(folder, NAME.format(host.replace(":", "_"), port, "words"))
-        self.lines: list[Line] = []
+    def __init__(self, loop: asyncio.AbstractEventLoop, directory: str, host: str, port: int) -> None:
+        self.loop, self.directory = loop, directory
+        self.socket_name = FILE_NAME_FORMAT.format(host.replace(":", "_"), port, "sock")
+        self.operator_state_path = os.path.join(
+            directory, FILE_NAME_FORMAT.format(host.replace(":", "_"), port, "words")
+        )
+        self.links: list[Link] = []
         self.server: socket.socket | None = None
-        self.made: tuple[int, int] | None = None  # device and number of the socket's file
-        self.state: Callable[[], Any] = dict
-        self.words: Callable[[Any], None] = lambda _: None
-        self.adopt: Callable[[socket.socket], None] = lambda made: made.close()
-        self.calls: Callable[[dict[str, int]], None] = lambda _: None  # those of the others, by zone
-        self.changed: Callable[[], None] = lambda: None  # a process has come, or left
-        self.waits: asyncio.Future[Any] | None = None
-        self.taken: Any = None  # the state, until the module knows what is in it
-        self.given = self.adopted = 0  # connections
-
-    # The new process.
-
-    async def take(self) -> Any:
-        """What a process in service gives; None where there is none, or none that answers in time."""
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        made.setblocking(False)
+        self.socket_file_id: tuple[int, int] | None = None  # The device and inode of the socket's file.
+        self.export_state: Callable[[], Any] = dict
+        self.on_operator_state: Callable[[Any], None] = lambda _: None
+        self.adopt: Callable[[socket.socket], None] = lambda peer_socket: peer_socket.close()
+        # Called with the calls in flight of all linked processes, by zone.
+        self.on_sibling_calls: Callable[[dict[str, int]], None] = lambda _: None
+        self.on_links_changed: Callable[[], None] = lambda: None
+        self.pending_state: asyncio.Future[Any] | None = None
+        self.received_state: Any = None  # Kept until the balancer has imported it.
+        self.handed_over_count = self.adopted_count = 0  # The counts are of client connections.
+
+    async def request_state(self) -> Any:
+        """Requests the state of the process in service; None if there is none, or no answer in time."""
+        peer_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        peer_socket.setblocking(False)
         try:
-            with self._folder() as path:
-                made.connect(path + self.name)
-            check_peer(made)
+            with self._socket_directory() as path:
+                peer_socket.connect(path + self.socket_name)
+            check_peer(peer_socket)
         except (OSError, FrameError) as fault:
-            made.close()
+            peer_socket.close()
             if not isinstance(fault, FileNotFoundError | ConnectionRefusedError):
-                log(f"handover: nothing is taken: {fault}", "handover.fault", "warning")
+                log(f"handover: can't request the state: {fault}", "handover.fault", "warning")
             return None
-        line = Line(self.loop, made, self)
-        self.waits = self.loop.create_future()
-        self.lines.append(line)
-        line.say(Kind.HELLO, {"pid": os.getpid()})
+        link = Link(self.loop, peer_socket, self)
+        self.pending_state = self.loop.create_future()
+        self.links.append(link)
+        link.send(Kind.HELLO, {"pid": os.getpid()})
         try:
-            self.taken = await asyncio.wait_for(self.waits, WAIT_S)
-            return self.taken
+            self.received_state = await asyncio.wait_for(self.pending_state, STATE_TIMEOUT_S)
+            return self.received_state
         except TimeoutError:
-            line.close(f"it gave nothing within {WAIT_S:g} s")
+            link.close(f"it sent no state within {STATE_TIMEOUT_S:g} s")
             return None
         finally:
-            self.waits = None
+            self.pending_state = None
 
     def serve(self) -> None:
-        """Listen for the process after this one, in place of the one before."""
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        before = os.umask(0o177)
+        """Listens for a successor, in place of the previous process."""
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        old_umask = os.umask(0o177)
         try:
-            with self._folder() as path:
-                own = f"{path}{self.name}.{os.getpid()}"
+            with self._socket_directory() as path:
+                temporary_path = f"{path}{self.socket_name}.{os.getpid()}"
                 with suppress(FileNotFoundError):
-                    os.unlink(own)
-                made.bind(own)
-                made.listen(MAX_LINES)
-                os.rename(own, path + self.name)  # at once: no moment without one
-                found = os.stat(path + self.name)
-                self.made = found.st_dev, found.st_ino
+                    os.unlink(temporary_path)
+                listener.bind(temporary_path)
+                listener.listen(MAX_LINKS)
+                os.rename(temporary_path, path + self.socket_name)  # Replaces the old socket atomically.
+                status = os.stat(path + self.socket_name)
+                self.socket_file_id = status.st_dev, status.st_ino
         except OSError as fault:
-            made.close()
-            log(f"handover: no process after this one can ask: {fault}", "handover.fault", "warning")
+            listener.close()
+            log(f"handover: can't listen for a successor: {fault}", "handover.fault", "warning")
             return
         finally:
-            os.umask(before)
-        made.setblocking(False)
-        self.server = made
-        self.loop.add_reader(made.fileno(), self._accept)
-
-    def say_ready(self) -> None:
-        """This process takes clients."""
-        for line in self.lines:
-            line.say(Kind.READY, None)
-
-    # Both.
-
-    def say_words(self, words: Any) -> None:
-        """Operators' words: to the file, whole, and to whoever is linked."""
-        whole = b"".join(frames.encode(Kind.WORDS, words))
-        beside = f"{self.file}.{os.getpid()}"
+            os.umask(old_umask)
+        listener.setblocking(False)
+        self.server = listener
+        self.loop.add_reader(listener.fileno(), self._accept)
+
+    def send_ready(self) -> None:
+        """Tells the linked processes that this one accepts clients."""
+        for link in self.links:
+            link.send(Kind.READY, None)
+
+    def publish_operator_state(self, operator_state: Any) -> None:
+        """Writes the operator state to the file and sends it to the linked processes."""
+        data = b"".join(frames.encode(Kind.WORDS, operator_state))
+        temporary_path = f"{self.operator_state_path}.{os.getpid()}"
         try:
-            with open(beside, "wb", opener=lambda p, f: os.open(p, f, 0o600)) as file:
-                file.write(whole)
-            os.replace(beside, self.file)
+            with open(temporary_path, "wb", opener=lambda p, f: os.open(p, f, 0o600)) as file:
+                file.write(data)
+            os.replace(temporary_path, self.operator_state_path)
         except OSError as fault:
-            log(f"handover: words are not kept: {fault}", "handover.fault", "error")
-        for line in list(self.lines):
-            line.say(Kind.WORDS, words)
+            log(f"handover: can't save the operator state: {fault}", "handover.fault", "error")
+        for link in list(self.links):
+            link.send(Kind.WORDS, operator_state)
 
-    def say_calls(self, zones: dict[str, int]) -> None:
-        """This process has so many calls out."""
-        for line in list(self.lines):
-            line.say(Kind.CALLS, zones)
+    def send_calls_in_flight(self, zones: dict[str, int]) -> None:
+        """Sends this process's calls in flight, by zone, to the linked processes."""
+        for link in list(self.links):
+            link.send(Kind.CALLS, zones)
 
-    def kept_words(self) -> Any:
-        """Those that a process before this one has kept; None where there are none."""
+    def load_operator_state(self) -> Any:
+        """Loads the operator state from the file of a previous process; None if there is no valid one."""
         try:
-            with open(self.file, "rb") as file:
+            with open(self.operator_state_path, "rb") as file:
                 kind, value = frames.decode(file.read(2 * frames.MAX_PAYLOAD_BYTES))
         except FileNotFoundError:
             return None
         except (OSError, FrameError) as fault:
-            log(f"handover: the file of words is left out: {fault}", "handover.fault", "error")
+            log(f"handover: ignored the saved operator state: {fault}", "handover.fault", "error")
             return None
         return value if kind is Kind.WORDS else None
 
     @property
-    def heir(self) -> Line | None:
-        """The process that takes connections: the last that said that it is ready."""
-        ready = [line for line in self.lines if line.ready and not line.closed]
+    def successor(self) -> Link | None:
+        """The link to the process that takes over connections: the newest one that is ready."""
+        ready = [link for link in self.links if link.ready and not link.closed]
         return ready[-1] if ready else None
 
-    def give(self, descriptor: int) -> bool:
-        """Give a client's connection to the heir; False where that is not to be now."""
-        heir = self.heir
-        if heir is None or not heir.give(descriptor):
+    def hand_over_connection(self, descriptor: int) -> bool:
+        """Hands a client connection over to the successor; False if that is not possible now."""
+        successor = self.successor
+        if successor is None or not successor.send_descriptor(descriptor):
             return False
-        self.given += 1
+        self.handed_over_count += 1
         return True
 
-    def told(self, line: Line, kind: Kind, value: Any, descriptors: list[int]) -> None:
-        """One value has come on a line."""
+    def handle_value(self, link: Link, kind: Kind, value: Any, descriptors: list[int]) -> None:
+        """Handles a value that has arrived on a link."""
         if kind is Kind.CONNECTION and descriptors:
-            self.adopted += 1
+            self.adopted_count += 1
             self.adopt(socket.socket(fileno=descriptors.pop()))
         for descriptor in descriptors:
             os.close(descriptor)
         if kind is Kind.HELLO:
-            line.say(Kind.STATE, self.state())
-        elif kind is Kind.STATE and self.waits is not None and not self.waits.done():
-            self.waits.set_result(value)
+            link.send(Kind.STATE, self.export_state())
+        elif kind is Kind.STATE and self.pending_state is not None and not self.pending_state.done():
+            self.pending_state.set_result(value)
         elif kind is Kind.READY:
-            line.ready = True
-            self.changed()
+            link.ready = True
+            self.on_links_changed()
         elif kind is Kind.WORDS:
-            self.words(value)
+            self.on_operator_state(value)
         elif kind is Kind.CALLS:
-            line.calls = state.parse_calls(value)
-            self.count()
+            link.calls_in_flight = state.parse_calls(value)
+            self.update_sibling_calls()
 
-    def count(self) -> None:
-        """Add up the calls of all others."""
+    def update_sibling_calls(self) -> None:
+        """Reports the sum of the other processes' calls in flight, by zone."""
         zones: dict[str, int] = {}
-        for line in self.lines:
-            for zone, number in line.calls.items():
-                zones[zone] = zones.get(zone, 0) + number
-        self.calls(zones)
-
-    def left(self, line: Line) -> None:
-        """A line is over."""
-        if line in self.lines:
-            self.lines.remove(line)
-        if self.waits is not None and not self.waits.done():
-            self.waits.set_result(None)
-        self.count()
-        self.changed()
+        for link in self.links:
+            for zone, count in link.calls_in_flight.items():
+                zones[zone] = zones.get(zone, 0) + count
+        self.on_sibling_calls(zones)
+
+    def link_closed(self, link: Link) -> None:
+        """Removes a closed link."""
+        if link in self.links:
+            self.links.remove(link)
+        if self.pending_state is not None and not self.pending_state.done():
+            self.pending_state.set_result(None)
+        self.update_sibling_calls()
+        self.on_links_changed()
 
     def _accept(self) -> None:
         assert self.server is not None
         try:
-            made = self.server.accept()[0]
+            peer_socket = self.server.accept()[0]
         except OSError:
             return
         try:
-            check_peer(made)
-            if len(self.lines) >= MAX_LINES:
-                raise FrameError(f"found {MAX_LINES} processes linked, wanted fewer")
+            check_peer(peer_socket)
+            if len(self.links) >= MAX_LINKS:
+                raise FrameError(f"links: expected fewer than {MAX_LINKS}, got one more")
         except (OSError, FrameError) as fault:
-            made.close()
-            log(f"handover: a caller is left: {fault}", "handover.fault", "warning")
+            peer_socket.close()
+            log(f"handover: rejected a connection: {fault}", "handover.fault", "warning")
             return
-        self.lines.append(Line(self.loop, made, self))
-        self.changed()
+        self.links.append(Link(self.loop, peer_socket, self))
+        self.on_links_changed()
 
-    def _folder(self) -> Folder:
-        return Folder(self.folder, len(self.name) + 24)
+    def _socket_directory(self) -> SocketDirectory:
+        return SocketDirectory(self.directory, len(self.socket_name) + 24)
 
     def close(self) -> None:
-        """Take the path away, unless a process after this one has it."""
-        for line in list(self.lines):
-            line.close("")
+        """Closes the links, and removes the socket's path unless a successor has replaced it."""
+        for link in list(self.links):
+            link.close("")
         if self.server is None:
             return
         self.loop.remove_reader(self.server.fileno())
         self.server.close()
-        with suppress(OSError), self._folder() as path:
-            found = os.stat(path + self.name)
-            if (found.st_dev, found.st_ino) == self.made:
-                os.unlink(path + self.name)
+        with suppress(OSError), self._socket_directory() as path:
+            status = os.stat(path + self.socket_name)
+            if (status.st_dev, status.st_ino) == self.socket_file_id:
+                os.unlink(path + self.socket_name)
 
 
-class Folder:
-    """The folder's path with its slash, short enough for a Unix socket's address (108 bytes)."""
+class SocketDirectory:
+    """The path of a directory, shortened if a Unix socket's address (108 bytes) in it would be too long."""
 
-    def __init__(self, folder: str, name: int) -> None:
-        self.folder, self.name, self.descriptor = folder, name, -1
+    def __init__(self, directory: str, name_bytes: int) -> None:
+        self.directory, self.name_bytes, self.descriptor = directory, name_bytes, -1
 
     def __enter__(self) -> str:
-        """The path to put names behind."""
-        if len(os.fsencode(self.folder)) + 1 + self.name < 108:
-            return self.folder.rstrip("/") + "/"
-        self.descriptor = os.open(self.folder, os.O_PATH | os.O_DIRECTORY)
+        """Returns the path with a trailing slash."""
+        if len(os.fsencode(self.directory)) + 1 + self.name_bytes < 108:
+            return self.directory.rstrip("/") + "/"
+        self.descriptor = os.open(self.directory, os.O_PATH | os.O_DIRECTORY)
         return f"/proc/self/fd/{self.descriptor}/"
 
     def __exit__(self, *_: object) -> None:
-        """Let go of the folder."""
+        """Closes the directory's descriptor."""
         if self.descriptor >= 0:
             os.close(self.descriptor)
 
 
-def check_peer(made: socket.socket) -> None:
-    """`FrameError` where the other end is another user's process (SO_PEERCRED)."""
+def check_peer(peer_socket: socket.socket) -> None:
+    """Raises FrameError if the peer is a process of another user (SO_PEERCRED)."""
     size = struct.calcsize("3i")
-    user = struct.unpack("3i", made.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))[1]
-    if user != os.getuid():
-        raise FrameError(f"found a process of user {user}, wanted one of {os.getuid()}")
+    user_id = struct.unpack("3i", peer_socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))[1]
+    if user_id != os.getuid():
+        raise FrameError(f"peer: expected a process of user {os.getuid()}, got one of user {user_id}")
--- a/honeywharf/handover/part.py
+++ b/honeywharf/handover/part.py
@@ -10,7 +10,7 @@
 from honeywharf.core.components import Component
 from honeywharf.core.transport import Address, Clock, log
 from honeywharf.handover import learned_state, state
-from honeywharf.handover.link import Desk
+from honeywharf.handover.link import LinkManager
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
 from honeywharf.service.controller import ServiceController
@@ -62,21 +62,28 @@
     ) -> None:
         self.loop, self.clock, self.controller, self.balancer = loop, clock, controller, balancer
         self.lists, self.front = lists, front
-        self.desk = Desk(loop, folder, *where)
-        self.desk.state, self.desk.words, self.desk.adopt = self._state, self._said, front.adopt
-        self.desk.changed = self._changed
+        self.link_manager = LinkManager(loop, folder, *where)
+        self.link_manager.export_state, self.link_manager.on_operator_state, self.link_manager.adopt = (
+            self._state,
+            self._said,
+            front.adopt,
+        )
+        self.link_manager.on_links_changed = self._changed
         self.said_ready = False
         self.told_calls: dict[str, int] = {}
         self.telling: asyncio.TimerHandle | None = None
-        self.desk.calls = beside
-        controller.on_operator_change, controller.hand_over = self._words, self.desk.give
-        controller.has_successor = lambda: self.desk.heir is not None
+        self.link_manager.on_sibling_calls = beside
+        controller.on_operator_change, controller.hand_over = (
+            self._words,
+            self.link_manager.hand_over_connection,
+        )
+        controller.has_successor = lambda: self.link_manager.successor is not None
         controller.on_ready = self._ready
 
     async def take(self) -> api.EndpointsListed | None:
         """Ask the process in service for its state: a later list than the one held, if it has one."""
-        given = await self.desk.take()
-        kept = self.desk.kept_words()
+        given = await self.link_manager.request_state()
+        kept = self.link_manager.load_operator_state()
         self._said(kept)
         if not isinstance(given, dict):
             return None
@@ -93,7 +100,7 @@
 
     def know(self) -> None:
         """Let the module know what the process before has learned, once it has the list."""
-        given = self.desk.taken
+        given = self.link_manager.received_state
         if isinstance(given, dict):
             number = learned_state.import_learned_state(self.balancer, self.clock.now(), given.get("learned"))
             log(
@@ -102,11 +109,11 @@
                 "handover.taken",
                 fields={"learned": number, "generation": self.lists.generation},
             )
-            self.desk.taken = None
+            self.link_manager.received_state = None
 
     async def start(self) -> str:
         """Be there for the process after this one."""
-        self.desk.serve()
+        self.link_manager.serve()
         self._look()
         return ""
 
@@ -119,26 +126,29 @@
     def _ready(self) -> None:
         if not self.said_ready:
             self.said_ready = True
-            self.desk.say_ready()
+            self.link_manager.send_ready()
 
     def _tell_calls(self) -> None:
         """Let the other process know what this one has out: the zones' limits hold for both together."""
         self.telling = None
-        if not self.desk.lines:
+        if not self.link_manager.links:
             return
         out = {name: zone.in_flight for name, zone in self.balancer.endpoints.zones.items() if zone.in_flight}
         if out != self.told_calls:
             self.told_calls = out
-            self.desk.say_calls(out)
+            self.link_manager.send_calls_in_flight(out)
         self.telling = self.loop.call_later(CALLS_S, self._tell_calls)
 
     def counts(self) -> Mapping[str, int]:
         """Connections that changed hands."""
-        return {"handover:given": self.desk.given, "handover:adopted": self.desk.adopted}
+        return {
+            "handover:given": self.link_manager.handed_over_count,
+            "handover:adopted": self.link_manager.adopted_count,
+        }
 
     def close(self) -> None:
         """The process ends."""
-        self.desk.close()
+        self.link_manager.close()
 
     def _state(self) -> dict[str, Any]:
         bans = self.controller.bans
@@ -159,7 +169,7 @@
         ).plain()
 
     def _words(self) -> None:
-        self.desk.say_words(self._plain())
+        self.link_manager.publish_operator_state(self._plain())
 
     def _said(self, value: Any) -> None:
         said = state.parse_operator_state(value)
@@ -170,7 +180,7 @@
 
     def _changed(self) -> None:
         """A process has come or gone: two share the bounds on memory and descriptors."""
-        self.front.scale_capacity(0.5 if self.desk.lines else 1.0)
+        self.front.scale_capacity(0.5 if self.link_manager.links else 1.0)
         if self.telling is None:
             self.told_calls = {}
             self._tell_calls()
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -215,16 +215,18 @@
     answers: list[bytes],
 ) -> None:
     async def main() -> None:
-        desk = link.Desk(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
-        peer = Peer(tmp_path / desk.name, answers)
+        link_manager = link.LinkManager(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
+        peer = Peer(tmp_path / link_manager.socket_name, answers)
         serving = asyncio.create_task(peer.serve())
         begun = asyncio.get_running_loop().time()
-        await soon(desk.take())
-        assert asyncio.get_running_loop().time() - begun < 50 * link.WAIT_S  # on a machine in heavy use
-        desk.serve()  # the path is this process's now
-        assert (tmp_path / desk.name).stat().st_mode & 0o777 == 0o600
-        desk.close()
-        assert not (tmp_path / desk.name).exists()
+        await soon(link_manager.request_state())
+        assert (
+            asyncio.get_running_loop().time() - begun < 50 * link.STATE_TIMEOUT_S
+        )  # on a machine in heavy use
+        link_manager.serve()  # the path is this process's now
+        assert (tmp_path / link_manager.socket_name).stat().st_mode & 0o777 == 0o600
+        link_manager.close()
+        assert not (tmp_path / link_manager.socket_name).exists()
         serving.cancel()
         peer.listener.close()
 
@@ -233,15 +235,17 @@
 
 def test_words_are_kept_whole_and_a_spoilt_file_is_left_out(tmp_path: Path) -> None:
     async def main() -> None:
-        desk = link.Desk(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
-        assert desk.kept_words() is None
-        desk.say_words({"evacuated": True})
-        assert desk.kept_words() == {"evacuated": True}
-        whole = Path(desk.file).read_bytes()
+        link_manager = link.LinkManager(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
+        assert link_manager.load_operator_state() is None
+        link_manager.publish_operator_state({"evacuated": True})
+        assert link_manager.load_operator_state() == {"evacuated": True}
+        whole = Path(link_manager.operator_state_path).read_bytes()
         for end in range(len(whole)):
-            Path(desk.file).write_bytes(whole[:end])
-            assert desk.kept_words() is None
-        assert sorted(p.name for p in tmp_path.iterdir()) == [Path(desk.file).name]  # nothing half written
+            Path(link_manager.operator_state_path).write_bytes(whole[:end])
+            assert link_manager.load_operator_state() is None
+        assert sorted(p.name for p in tmp_path.iterdir()) == [
+            Path(link_manager.operator_state_path).name
+        ]  # nothing half written
 
     run(main())
 
@@ -251,24 +255,24 @@
         loop = asyncio.get_running_loop()
         deep = tmp_path / ("d" * 90)  # longer than a Unix socket's address may be
         deep.mkdir()
-        desk = link.Desk(loop, str(deep), "127.0.0.1", 80)
-        desk.serve()
+        link_manager = link.LinkManager(loop, str(deep), "127.0.0.1", 80)
+        link_manager.serve()
         others = []
-        for _ in range(link.MAX_LINES + 2):
+        for _ in range(link.MAX_LINKS + 2):
             other = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            with link.Folder(str(deep), 60) as path:
-                other.connect(path + desk.name)
+            with link.SocketDirectory(str(deep), 60) as path:
+                other.connect(path + link_manager.socket_name)
             others.append(other)
             await asyncio.sleep(0.01)
-        assert len(desk.lines) <= link.MAX_LINES
-        for _ in range(link.MAX_QUEUED * 8):
-            desk.say_words({"evacuated": False, "pad": "x" * 4000})
-            if not desk.lines:
+        assert len(link_manager.links) <= link.MAX_LINKS
+        for _ in range(link.MAX_QUEUED_FRAMES * 8):
+            link_manager.publish_operator_state({"evacuated": False, "pad": "x" * 4000})
+            if not link_manager.links:
                 break
-        assert not desk.lines
+        assert not link_manager.links
         for other in others:
             other.close()
-        desk.close()
-        assert os.listdir(deep) == [Path(desk.file).name]
+        link_manager.close()
+        assert os.listdir(deep) == [Path(link_manager.operator_state_path).name]
 
     run(main())
