--- a/honeywharf/handover/__init__.py
+++ b/honeywharf/handover/__init__.py
@@ -1,5 +1,6 @@
-"""What an old process gives the new one that takes its place.
+"""The handover of state and client connections from an old process to the new one that replaces it.
 
-`frames` has the bytes (versioned, checksummed), `knowledge` what has been learned and `state` all that is
-given, without I/O; `link` is the Unix socket between the two and the file beside it.
+`frames` has the encoding (versioned, checksummed), `learned_state` exports and imports a balancer's state,
+and `state` has the sections that are handed over, all without I/O. `link` is the Unix socket between the
+processes and the file with the operator state; `component` connects them with the proxy.
 """
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -106,7 +106,7 @@
         inherited = inherited_listener(self.conf.inherited)
         self.controller.shares_listener = inherited is not None
         if inherited is not None and os.environ.get("TMPDIR"):
-            from honeywharf.handover.part import Handover
+            from honeywharf.handover.component import Handover
 
             handover = Handover(
                 self.loop,
@@ -119,10 +119,10 @@
                 self.front,
                 self.driver.sibling_calls_changed,
             )
-            later = await handover.take()
-            if later is not None:
-                self.listed(later)
-            handover.know()
+            newer_list = await handover.request_state()
+            if newer_list is not None:
+                self.listed(newer_list)
+            handover.import_learned_state()
             self.components.append(handover)
         host, port = await self.front.listen(self.conf.listen, inherited)
         log(f"{self.conf.name} listens on {host}:{port}", "listening", fields={"host": host, "port": port})
