--- a/honeywharf/admin/__init__.py
+++ b/honeywharf/admin/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' way into a running proxy: a Unix socket with rights 0600, off unless configured.
+"""The admin socket of a running proxy: a Unix socket with mode 0600, off unless configured.
 
-`protocol` has the frames, `views` what is shown, both without I/O; here is the socket and what may be done.
-A change wants its confirmation, and is logged with who asked: the user of the process at the other end, as
-the kernel tells it (SO_PEERCRED), and the name that it gave.
+`protocol` has the frames and `views` the data for operators, both without I/O; `client` sends requests.
+A command that changes something needs a confirmation. The log records the user of the peer process, from the
+kernel (SO_PEERCRED), and the name in the request.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 __all__ = ["AdminPart", "attach"]
 
-PATIENCE_S = 2.0  # for one question and its answer
-MAX_AT_ONCE = 8  # operators; further ones are cut: each holds a descriptor
+REQUEST_TIMEOUT_S = 2.0  # The limit applies to a request and its response together.
+MAX_CONNECTIONS = 8  # Each holds a descriptor; further connections are closed.
 
 
 class AdminPart(Component):
-    """The socket and what is asked on it."""
+    """The admin socket and its commands."""
 
     def __init__(self, proxy: ProxyContext, path: Path) -> None:
         self.proxy, self.path = proxy, path
         self.server: asyncio.Server | None = None
-        self.open = self.asked = self.cut = self.faults = 0
-        self.answers: dict[str, OperatorCommand] = {
+        self.open_connections = self.requests = self.rejected = self.faults = 0
+        self.commands: dict[str, OperatorCommand] = {
             **proxy.operations(),
             "status": lambda _: self._status(),
             "drain": MutatingCommand(lambda _: proxy.drain()),
@@ -46,66 +46,72 @@
         }
 
     async def start(self) -> str:
-        """Listen, in place of a socket that a proxy which is gone has left.
+        """Listens on the socket, and replaces one that a dead proxy has left.
 
-        OSError where that is not to be.
+        Raises OSError if the path is in use or is not a socket.
         """
-        for part in self.proxy.components:
-            self.answers.update(part.operator_commands())
+        for component in self.proxy.components:
+            self.commands.update(component.operator_commands())
         if self.path.exists():
             if not stat.S_ISSOCK(self.path.stat().st_mode):
-                raise OSError(f"admin.socket: found {self.path}, which is no socket, wanted a free path")
-            with socket.socket(socket.AF_UNIX) as other:
-                if other.connect_ex(str(self.path)) == 0:
-                    raise OSError(f"admin.socket: found {self.path} in use, wanted a free path")
+                raise OSError(f"admin.socket: expected a free path, got {self.path}, which is not a socket")
+            with socket.socket(socket.AF_UNIX) as probe:
+                if probe.connect_ex(str(self.path)) == 0:
+                    raise OSError(f"admin.socket: expected a free path, got {self.path}, which is in use")
             self.path.unlink()
-        before = os.umask(0o177)  # guards against the moment between the making of it and a chmod
+        old_umask = os.umask(0o177)  # A later chmod would leave the socket open to others for a moment.
         try:
-            self.server = await asyncio.start_unix_server(self._serve, str(self.path))
+            self.server = await asyncio.start_unix_server(self._handle_connection, str(self.path))
         finally:
-            os.umask(before)
-        return f"is asked at {self.path}"
+            os.umask(old_umask)
+        return f"answers admin requests at {self.path}"
 
     def counts(self) -> Mapping[str, int]:
-        """What was asked, cut for want of room, and no sound question."""
-        return {"admin:asked": self.asked, "admin:cut": self.cut, "admin:faults": self.faults}
+        """Returns the counts of requests, rejected connections and invalid requests."""
+        return {"admin:asked": self.requests, "admin:cut": self.rejected, "admin:faults": self.faults}
 
     def close(self) -> None:
-        """Take the socket away."""
+        """Closes and removes the socket."""
         if self.server is not None:
             self.server.close()
             self.path.unlink(missing_ok=True)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open >= MAX_AT_ONCE:
-            self.cut += 1
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.open_connections >= MAX_CONNECTIONS:
+            self.rejected += 1
             writer.close()
             return
-        self.open += 1
+        self.open_connections += 1
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                writer.write(protocol.frame(await self._answer(reader, writer)))
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                writer.write(protocol.encode_frame(await self._handle_request(reader, writer)))
                 await writer.drain()
         except (TimeoutError, ConnectionError, asyncio.IncompleteReadError):
             self.faults += 1
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> protocol.Answer:
+    async def _handle_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> protocol.Response:
         try:
-            size = protocol.length(await reader.readexactly(protocol.HEAD), protocol.MAX_QUESTION)
-            asked = protocol.question(await reader.readexactly(size))
+            size = protocol.decode_length(
+                await reader.readexactly(protocol.LENGTH_BYTES), protocol.MAX_REQUEST_BYTES
+            )
+            request = protocol.decode_request(await reader.readexactly(size))
         except protocol.ProtocolError as fault:
             self.faults += 1
-            return protocol.Answer(str(fault))
-        self.asked += 1
-        do = self.answers.get(asked.do)
-        if do is None:
-            return protocol.Answer(f"found {asked.do!r}, wanted one of {', '.join(sorted(self.answers))}")
-        if isinstance(do, MutatingCommand):
-            if not asked.yes:
-                return protocol.Answer(f"{asked.do} is a change: it wants its confirmation")
+            return protocol.Response(str(fault))
+        self.requests += 1
+        command = self.commands.get(request.do)
+        if command is None:
+            return protocol.Response(
+                f"found {request.do!r}, wanted one of {', '.join(sorted(self.commands))}"
+            )
+        if isinstance(command, MutatingCommand):
+            if not request.yes:
+                return protocol.Response(f"{request.do} is a change: it wants its confirmation")
             user = struct.unpack(
                 "3i",
                 writer.get_extra_info("socket").getsockopt(
@@ -113,15 +119,15 @@
                 ),
             )[1]
             log(
-                f"admin: {asked.do}, asked for by user {user} as {asked.who[:64]!r}",
+                f"admin: {request.do}, requested by user {user} as {request.who[:64]!r}",
                 "admin.change",
-                fields={"do": asked.do, "user": user, "who": asked.who[:64], **asked.of},
+                fields={"do": request.do, "user": user, "who": request.who[:64], **request.of},
             )
         try:
-            found = do(asked.of)
-            return protocol.Answer(data=await found if isinstance(found, asyncio.Future) else found)
+            result = command(request.of)
+            return protocol.Response(data=await result if isinstance(result, asyncio.Future) else result)
         except OperatorCommandError as fault:
-            return protocol.Answer(str(fault))
+            return protocol.Response(str(fault))
 
     def _status(self) -> dict[str, Any]:
         driver = self.proxy.driver
@@ -136,5 +142,5 @@
 
 
 def attach(proxy: ProxyContext, features: Features) -> Component:
-    """Let operators ask this proxy."""
+    """Creates the component of the admin socket."""
     return AdminPart(proxy, Path(features.socket))
--- a/honeywharf/admin/client.py
+++ b/honeywharf/admin/client.py
@@ -1,4 +1,4 @@
-"""One question to a running proxy's admin socket, and its answer; for the commands."""
+"""The client of a running proxy's admin socket, for the command line."""
 
 from __future__ import annotations
 
@@ -10,29 +10,35 @@
 
 from honeywharf.admin import protocol
 
-WAIT_S = 3.0
+TIMEOUT_S = 3.0
 
 
 class AdminError(Exception):
-    """What the proxy said instead; `answered` is False where nobody did."""
+    """The command failed. `answered` is False if the proxy did not answer."""
 
-    def __init__(self, words: str, answered: bool) -> None:
-        super().__init__(words)
+    def __init__(self, message: str, answered: bool) -> None:
+        super().__init__(message)
         self.answered = answered
 
 
-def ask(path: Path, do: str, yes: bool = False, of: Mapping[str, str] | None = None) -> Any:
-    """What the proxy answers; `AdminError` where it does not, or not that."""
+def send_request(
+    path: Path, command: str, confirmed: bool = False, arguments: Mapping[str, str] | None = None
+) -> Any:
+    """Sends one command and returns its result. Raises AdminError if it fails or there is no response."""
     try:
-        with socket.socket(socket.AF_UNIX) as line:
-            line.settimeout(WAIT_S)
-            line.connect(str(path))
-            line.sendall(protocol.frame(protocol.Question(do, getpass.getuser(), yes, dict(of or {}))))
-            with line.makefile("rb") as read:
-                size = protocol.length(read.read(protocol.HEAD), protocol.MAX_ANSWER)
-                answer = protocol.answer(read.read(size))
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(TIMEOUT_S)
+            connection.connect(str(path))
+            connection.sendall(
+                protocol.encode_frame(
+                    protocol.Request(command, getpass.getuser(), confirmed, dict(arguments or {}))
+                )
+            )
+            with connection.makefile("rb") as stream:
+                size = protocol.decode_length(stream.read(protocol.LENGTH_BYTES), protocol.MAX_RESPONSE_BYTES)
+                response = protocol.decode_response(stream.read(size))
     except (OSError, protocol.ProtocolError) as fault:
         raise AdminError(str(fault), answered=False) from None
-    if answer.fault:
-        raise AdminError(answer.fault, answered=True)
-    return answer.data
+    if response.fault:
+        raise AdminError(response.fault, answered=True)
+    return response.data
--- a/honeywharf/admin/protocol.py
+++ b/honeywharf/admin/protocol.py
@@ -1,13 +1,11 @@
-"""What operators' commands and a running proxy say to each other: frames of MessagePack, version 1. Without
-I/O.
+"""The protocol of a proxy's admin socket: frames of MessagePack, version 1. Without I/O.
 
-    frame     4 bytes of length, big-endian, then so many bytes of one value
-    question  {"v": 1, "do": NAME, "who": TEXT, "yes": BOOL, "of": {NAME: TEXT}}
-    answer    {"v": 1, "fault": TEXT or "", "data": VALUE}
+    frame     4 bytes of length, big-endian, then one value of that length
+    request   {"v": 1, "do": NAME, "who": TEXT, "yes": BOOL, "of": {NAME: TEXT}}
+    response  {"v": 1, "fault": TEXT or "", "data": VALUE}
 
-One question and one answer a connection. A frame longer than its bound, or one that is no such value, is
-answered with what was found and what was wanted; so is another version, which names the one that is spoken
-here.
+A connection carries one request and one response. The response to a frame that is too long, invalid or of
+another version says what was found and what is expected.
 """
 
 from __future__ import annotations
@@ -17,17 +15,20 @@
 import msgspec
 
 VERSION = 1
-MAX_QUESTION = 4 * 1024  # bytes
-MAX_ANSWER = 4 * 1024 * 1024
-HEAD = 4
+MAX_REQUEST_BYTES = 4 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+LENGTH_BYTES = 4
 
 
 class ProtocolError(ValueError):
-    """What was found in place of a frame that was wanted."""
+    """The data is not a valid frame; the message says what was found and what is expected."""
 
 
-class Question(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is asked; `who` asks, for the log; `yes`: a change was confirmed; `of`: of what it is asked."""
+class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A request for the command `do` with the arguments `of`.
+
+    `who` is the operator's name, for the log; `yes` confirms a command that changes something.
+    """
 
     do: str
     who: str = ""
@@ -36,46 +37,46 @@
     v: int = VERSION
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """What came of it; `fault` is empty where all is well."""
+class Response(msgspec.Struct, frozen=True):
+    """The result of a command; `fault` is empty if it succeeded."""
 
     fault: str = ""
     data: Any = None
     v: int = VERSION
 
 
-def frame(value: Question | Answer) -> bytes:
-    """The bytes of a frame; an answer over its bound becomes one that says so."""
+def encode_frame(value: Request | Response) -> bytes:
+    """Encodes a frame; a response over the limit is replaced by one with a fault."""
     data = msgspec.msgpack.encode(value)
-    if len(data) > MAX_ANSWER:
-        words = f"found an answer of {len(data)} bytes, wanted {MAX_ANSWER} at most"
-        data = msgspec.msgpack.encode(Answer(words))
-    return len(data).to_bytes(HEAD, "big") + data
+    if len(data) > MAX_RESPONSE_BYTES:
+        message = f"found an answer of {len(data)} bytes, wanted {MAX_RESPONSE_BYTES} at most"
+        data = msgspec.msgpack.encode(Response(message))
+    return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
-def length(head: bytes, most: int) -> int:
-    """How many bytes follow a frame's head; `ProtocolError` where that is over the bound."""
-    found = int.from_bytes(head, "big")
-    if not 0 < found <= most:
-        raise ProtocolError(f"found a frame of {found} bytes, wanted 1 to {most}")
-    return found
+def decode_length(prefix: bytes, maximum: int) -> int:
+    """Returns the length of a frame's value. Raises ProtocolError if it is over the limit."""
+    size = int.from_bytes(prefix, "big")
+    if not 0 < size <= maximum:
+        raise ProtocolError(f"found a frame of {size} bytes, wanted 1 to {maximum}")
+    return size
 
 
-def question(data: bytes) -> Question:
-    """What a frame asks."""
+def decode_request(data: bytes) -> Request:
+    """Decodes a request. Raises ProtocolError."""
     try:
         raw = msgspec.msgpack.decode(data)
         version = raw.get("v") if isinstance(raw, dict) else None
         if version != VERSION:
             raise ProtocolError(f"found version {version!r}, wanted {VERSION}")
-        return msgspec.convert(raw, Question)
+        return msgspec.convert(raw, Request)
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
         raise ProtocolError(f"found no question: {fault}") from None
 
 
-def answer(data: bytes) -> Answer:
-    """What a frame answers."""
+def decode_response(data: bytes) -> Response:
+    """Decodes a response. Raises ProtocolError."""
     try:
-        return msgspec.msgpack.decode(data, type=Answer)
+        return msgspec.msgpack.decode(data, type=Response)
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
         raise ProtocolError(f"found no answer: {fault}") from None
--- a/honeywharf/cli/admin.py
+++ b/honeywharf/cli/admin.py
@@ -32,7 +32,7 @@
     from honeywharf.admin import client
 
     try:
-        return client.ask(path, do, yes, of)
+        return client.send_request(path, do, yes, of)
     except client.AdminError as fault:
         click.echo(f"{path}: {fault}" if fault.answered else f"{path}: nobody answers: {fault}", err=True)
         sys.exit(1 if fault.answered else 3)
--- a/honeywharf/cli/screen.py
+++ b/honeywharf/cli/screen.py
@@ -11,7 +11,7 @@
 from textual.binding import BindingType
 from textual.widgets import DataTable, Footer, Header, Static
 
-from honeywharf.admin.client import AdminError, ask
+from honeywharf.admin.client import AdminError, send_request
 
 EACH_S = 1.0
 MAX_OUT = 200  # ejected servers that are listed
@@ -27,7 +27,9 @@
     CSS = "DataTable { height: auto; margin: 0 1 1 1; } Static { margin: 0 1; }"
     BINDINGS: ClassVar[list[BindingType]] = [("q", "quit", "Quit"), ("p", "pause", "Pause")]
 
-    def __init__(self, path: Path, asked: Callable[[Path, str], Any] = ask, each_s: float = EACH_S) -> None:
+    def __init__(
+        self, path: Path, asked: Callable[[Path, str], Any] = send_request, each_s: float = EACH_S
+    ) -> None:
         super().__init__()
         self.path, self.asked, self.each_s = path, asked, each_s
         self.paused = False
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -15,7 +15,7 @@
 from hypothesis import given, strategies as st
 from textual.widgets import Static
 
-from honeywharf.admin import MAX_AT_ONCE, AdminPart, protocol, views
+from honeywharf.admin import MAX_CONNECTIONS, AdminPart, protocol, views
 from honeywharf.admin.client import AdminError
 from honeywharf.cli import main as command
 from honeywharf.cli.screen import Top
@@ -60,7 +60,7 @@
 @given(st.binary(max_size=200))
 def test_what_is_no_question_is_told_and_nothing_else_happens(data: bytes) -> None:
     with pytest.raises(protocol.ProtocolError, match=r"^found "):
-        protocol.question(data)
+        protocol.decode_request(data)
 
 
 @pytest.mark.parametrize(
@@ -70,13 +70,13 @@
         (b"\xff\xff\xff\xff", "found a frame of 4294967295 bytes, wanted 1 to 4096"),
         (b"\x00\x00\x00\x01\xc1", "found no question"),
         (b"\x00\x00\x00\x01\x01", "found version None, wanted 1"),
-        (protocol.frame(protocol.Question("status", v=2)), "found version 2, wanted 1"),
+        (protocol.encode_frame(protocol.Request("status", v=2)), "found version 2, wanted 1"),
         (
-            protocol.frame(protocol.Question("reboot")),
+            protocol.encode_frame(protocol.Request("reboot")),
             "found 'reboot', wanted one of activate, config, drain, endpoints, evacuate, exclude, include,"
             " readyz, status",
         ),
-        (protocol.frame(protocol.Question("drain")), "drain is a change: it wants its confirmation"),
+        (protocol.encode_frame(protocol.Request("drain")), "drain is a change: it wants its confirmation"),
     ],
 )
 def test_what_can_not_be_done_is_answered_with_what_was_wanted(
@@ -96,19 +96,21 @@
 
 
 def test_an_answer_over_its_bound_becomes_one_that_says_so() -> None:
-    data = protocol.frame(protocol.Answer(data="x" * protocol.MAX_ANSWER))
-    assert "wanted 4194304 at most" in protocol.answer(data[protocol.HEAD :]).fault
+    data = protocol.encode_frame(protocol.Response(data="x" * protocol.MAX_RESPONSE_BYTES))
+    assert "wanted 4194304 at most" in protocol.decode_response(data[protocol.LENGTH_BYTES :]).fault
 
 
 def on(path: Path) -> Features:
     return Features(admin=Admin(socket=str(path)))
 
 
-async def said(path: Path, sent: bytes) -> protocol.Answer:
+async def said(path: Path, sent: bytes) -> protocol.Response:
     reader, writer = await asyncio.open_unix_connection(str(path))
     writer.write(sent)
-    size = protocol.length(await soon(reader.readexactly(protocol.HEAD)), protocol.MAX_ANSWER)
-    answer = protocol.answer(await soon(reader.readexactly(size)))
+    size = protocol.decode_length(
+        await soon(reader.readexactly(protocol.LENGTH_BYTES)), protocol.MAX_RESPONSE_BYTES
+    )
+    answer = protocol.decode_response(await soon(reader.readexactly(size)))
     writer.close()
     return answer
 
@@ -140,7 +142,7 @@
             assert w.proxy.front.ready()
             status, words = await called("drain", "--socket", at, "--yes")
             assert status == 0
-            assert f"admin: drain, asked for by user {os.getuid()} as '" in words
+            assert f"admin: drain, requested by user {os.getuid()} as '" in words
             assert not w.proxy.front.ready()
             assert w.running is not None
             await soon(w.running)
@@ -156,17 +158,17 @@
         backend = await Backend().start()
         async with world([backend.row("b")], on(tmp_path / "s")) as w:
             (part,) = [p for p in w.proxy.components if isinstance(p, AdminPart)]
-            silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_AT_ONCE)]
-            await until(lambda: part.open == MAX_AT_ONCE)
+            silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_CONNECTIONS)]
+            await until(lambda: part.open_connections == MAX_CONNECTIONS)
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "s"))
             assert await soon(reader.read()) == b""
-            assert part.cut == 1
+            assert part.rejected == 1
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
             for _, one in [*silent, (reader, writer)]:
                 one.close()
-            await until(lambda: part.open == 0)
+            await until(lambda: part.open_connections == 0)
         await backend.stop()
 
     run(main())
@@ -179,15 +181,15 @@
             left.bind(str(path))
         backend = await Backend().start()
         async with world([backend.row("b")], on(path)) as w:
-            answer = await said(path, protocol.frame(protocol.Question("endpoints")))
+            answer = await said(path, protocol.encode_frame(protocol.Request("endpoints")))
             assert msgspec.to_builtins(answer.data)["number"] == 1
             (first,) = w.proxy.components
             assert isinstance(first, AdminPart)
-            with pytest.raises(OSError, match="in use, wanted a free path"):
+            with pytest.raises(OSError, match="expected a free path, got .*, which is in use"):
                 await AdminPart(w.proxy, path).start()
         path.unlink()
         path.write_text("somebody's")
-        with pytest.raises(OSError, match="which is no socket"):
+        with pytest.raises(OSError, match="expected a free path, got .*, which is not a socket"):
             await AdminPart(w.proxy, path).start()
         assert path.read_text() == "somebody's"
         await backend.stop()
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -132,7 +132,7 @@
             assert (status, "1 keys of 20000" in words, "acme" in words) == (0, True, True)
             assert (await called("keys", "forget", "k1", *ask))[0] == 1  # not confirmed
             status, words = await called("keys", "forget", "k1", *ask, "--yes")
-            assert (status, "admin: keys forget, asked for by user" in words) == (0, True)
+            assert (status, "admin: keys forget, requested by user" in words) == (0, True)
             words = (await called("keys", "show", "k1", *ask, "--json"))[1]
             assert orjson.loads(words) == {"state": "not known"}
             assert (await called("keys", "forget", "k1", *ask, "--yes"))[0] == 1
