--- a/honeywharf/admin/views.py
+++ b/honeywharf/admin/views.py
@@ -1,7 +1,7 @@
-"""What an operator is shown of the decision module's state: read from it, never written. Without I/O.
+"""Read-only views of the balancer's state, for operators. Without I/O.
 
-Times are ms; calls and limits are this proxy's own. A limit is in calls that a zone may hold, over all its
-usable servers.
+Times are in ms; calls and limits are those of this proxy alone. A limit is the number of calls in flight to
+all usable servers of a zone together.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from honeywharf.policy.balancer import Balancer
 from honeywharf.policy.endpoints import Server
 
-MAX_ROWS = 5000  # endpoints that are shown; how many there are is told too
+MAX_ROWS = 5000  # The limit applies to endpoints; their full number is reported beside them.
 
 
 def zones(balancer: Balancer) -> list[dict[str, Any]]:
-    """Each zone: its limit, what it holds, its servers."""
+    """Returns each zone with its limit, calls in flight and servers."""
     ejected: dict[str, int] = {}
     for server in balancer.endpoints.servers.values():
         if server.ejected_until > balancer.now:
@@ -31,7 +31,7 @@
             "ready": zone.ready,
             "ejected": ejected.get(name, 0),
             "crowded": zone.limiter.congested(),
-            # Where load reports are read and believed: what they leave open, and the calls that it may hold.
+            # Load reports give these factors and this limit; without reports they are omitted.
             **(
                 {
                     "open": zone.local_factor,
@@ -47,7 +47,7 @@
 
 
 def state_of(server: Server, now: float) -> str:
-    """One word for what the module makes of a server."""
+    """Returns the state of a server as the balancer sees it."""
     state = server.endpoint.state
     if state is not api.EndpointState.READY:
         return str(state.value)
@@ -59,7 +59,7 @@
 
 
 def endpoint(server: Server, now: float) -> dict[str, Any]:
-    """One server, and why it is out and until when, if it is."""
+    """Returns one server, with the reason and the remaining time of its ejection."""
     row: dict[str, Any] = {
         "endpoint": server.endpoint.id,
         "zone": server.endpoint.zone,
@@ -80,7 +80,7 @@
 
 
 def endpoints(balancer: Balancer) -> dict[str, Any]:
-    """All servers, those that are out first, then by zone and id."""
+    """Returns all servers: ejected ones first, then by zone and id."""
     servers = sorted(
         balancer.endpoints.servers.values(),
         key=lambda s: (s.ejected_until <= balancer.now, s.endpoint.zone, s.endpoint.id),
@@ -89,12 +89,12 @@
 
 
 def status(balancer: Balancer) -> dict[str, Any]:
-    """The whole in a few figures."""
+    """Returns a summary of the balancer's state."""
     now, servers = balancer.now, balancer.endpoints.servers.values()
     states: dict[str, int] = {}
     for server in servers:
-        word = state_of(server, now)
-        states[word] = states.get(word, 0) + 1
+        server_state = state_of(server, now)
+        states[server_state] = states.get(server_state, 0) + 1
     return {
         "zones": zones(balancer),
         "endpoints": states,
--- a/honeywharf/handover/component.py
+++ b/honeywharf/handover/component.py
@@ -1,4 +1,4 @@
-"""The handover between the processes of a proxy. It is used only if the platform owns the listening socket."""
+"""The handover between the processes of a proxy, used only if the platform owns the listening socket."""
 
 from __future__ import annotations
 
@@ -106,8 +106,8 @@
                 self.balancer, self.clock.now(), received.get("learned")
             )
             log(
-                f"handover: imported {imported} limits and servers and list {self.directory.generation} from the"
-                f" process in service; banned endpoints: {self.controller.bans.summary()}",
+                f"handover: imported {imported} limits and servers and list {self.directory.generation} from"
+                f" the process in service; banned endpoints: {self.controller.bans.summary()}",
                 "handover.taken",
                 fields={"learned": imported, "generation": self.directory.generation},
             )
--- a/honeywharf/handover/link.py
+++ b/honeywharf/handover/link.py
@@ -119,7 +119,7 @@
 
 
 class LinkManager:
-    """The links of one process; `export_state` returns the state to send, other callbacks get what arrives."""
+    """The links of one process. `export_state` returns the state to send; other callbacks take values."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, directory: str, host: str, port: int) -> None:
         self.loop, self.directory = loop, directory
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -185,11 +185,11 @@
             assert msgspec.to_builtins(answer.data)["number"] == 1
             (first,) = w.proxy.components
             assert isinstance(first, AdminPart)
-            with pytest.raises(OSError, match="expected a free path, got .*, which is in use"):
+            with pytest.raises(OSError, match=r"expected a free path, got .*, which is in use"):
                 await AdminPart(w.proxy, path).start()
         path.unlink()
         path.write_text("somebody's")
-        with pytest.raises(OSError, match="expected a free path, got .*, which is not a socket"):
+        with pytest.raises(OSError, match=r"expected a free path, got .*, which is not a socket"):
             await AdminPart(w.proxy, path).start()
         assert path.read_text() == "somebody's"
         await backend.stop()
