--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's entry: the proxy where no argument is given, else the command line."""
+"""The program's entry point: the proxy if no argument is given, else the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Exit status."""
+    """Runs the program. Returns the exit status."""
     if len(sys.argv) == 1:
         from honeywharf.proxy import run_proxy
 
--- a/honeywharf/cli/config.py
+++ b/honeywharf/cli/config.py
@@ -22,13 +22,13 @@
 def checked(files: tuple[Path, ...]) -> None:
     """Tell what is wrong with each; exit status 2 where anything is."""
     from honeywharf.config import features, node
-    from honeywharf.proxy import senseless, unfit
+    from honeywharf.proxy import feature_conflicts, feature_faults
 
     wrong, made, confs = False, [], []
     for path in files:
         found: list[str] = []
         if path.suffix == ".toml":
-            one, found = features.read(path, senseless)
+            one, found = features.read(path, feature_faults)
             made.append((path, one))
         else:
             try:
@@ -45,7 +45,7 @@
         for conf_path, conf in confs:
             from honeywharf.config.words import located, undotted
 
-            for key, words in unfit(one, conf):
+            for key, words in feature_conflicts(one, conf):
                 told = f"{key}: {words} (with {conf_path})"
                 click.echo(located(path, text, told, undotted(key)), err=True)
                 wrong = True
@@ -108,14 +108,14 @@
     import msgspec
 
     from honeywharf.config import features as of_features, node as of_node, source
-    from honeywharf.proxy import senseless
+    from honeywharf.proxy import feature_faults
 
     held = ask(path, "config")
     features_file, node_file = str(features or held["features_file"]), str(node or held["node_file"])
     try:
         wanted = source.values(
             of_node.load({"NODE_CONFIG": node_file}),
-            of_features.load(Path(features_file), senseless) if features_file else None,
+            of_features.load(Path(features_file), feature_faults) if features_file else None,
         )
     except (of_features.FeaturesError, of_node.ConfigError) as fault:
         click.echo(str(fault), err=True)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -202,7 +202,7 @@
             proxy.process.send_signal(signal.SIGHUP)
             while not (line := errors.readline()).startswith("reload: "):
                 assert line.startswith("discovery: ")
-            assert line.endswith("; the configuration held stays\n")
+            assert line.endswith("; the current configuration stays in force\n")
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         for agent in (second, first, second):  # repeated
             file.write_text(json.dumps({**good, "discovery": agent.where}))
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 
 from honeywharf.config.features import Features, FeaturesError, Traces, load
-from honeywharf.proxy import senseless
+from honeywharf.proxy import feature_faults
 from honeywharf.traces import TracesPart, store
 from honeywharf.traces.line import Line
 from honeywharf.traces.notes import BATCH_MS, MAX_IDS, MAX_WAITING, TIMES, Notes
@@ -332,7 +332,7 @@
     path = tmp_path / "f.toml"
     path.write_text('[traces]\nfile = "t"\nkeep = "durations > 5"\n')
     with pytest.raises(FeaturesError, match=r"traces\.keep: found field 'durations', wanted one of") as fault:
-        load(path, senseless)
+        load(path, feature_faults)
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
