--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -1,4 +1,4 @@
-"""A proxy that is emptied, told to leave backends out, and asked whatever comes, on loopback."""
+"""Evacuation, bans and the operators' listener of a proxy on loopback."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.loopback import Backend, Client, World, reply, row, run, soon, until, world
 
 
-async def said(port: int, data: bytes, end: bool = False) -> bytes:
-    """What one caller is told."""
+async def send_line(port: int, data: bytes, end: bool = False) -> bytes:
+    """Sends data to the operators' listener; returns the reply."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     if end:
@@ -28,8 +28,8 @@
 
 
 @asynccontextmanager
-async def operated(w: World) -> AsyncIterator[int]:
-    """The second address of a running proxy; its port."""
+async def operator_listener(w: World) -> AsyncIterator[int]:
+    """Runs an operators' listener for a proxy; yields its port."""
     made = OperatorServer(asyncio.get_running_loop(), w.proxy.controller.execute)
     _, port = await made.listen(("127.0.0.1", 0))
     w.proxy.operator_server = made
@@ -37,61 +37,66 @@
     made.close()
 
 
-def test_the_calls_and_their_answers() -> None:
+def test_the_commands_and_their_replies() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.then = reply(200, b"tile")
-        async with world([backend.row("b")], contract={"warmAfterMs": 0.0}) as w, operated(w) as port:
-            assert await said(port, b"readyz\n") == b"OK ready\n"
-            assert await said(port, b"exclude b\n") == b"OK b is out\n"
-            assert await said(port, b"exclude b\n") == b"OK b was out already\n"
-            assert await said(port, b"exclude c\n") == (
+        async with (
+            world([backend.row("b")], contract={"warmAfterMs": 0.0}) as w,
+            operator_listener(w) as port,
+        ):
+            assert await send_line(port, b"readyz\n") == b"OK ready\n"
+            assert await send_line(port, b"exclude b\n") == b"OK b is out\n"
+            assert await send_line(port, b"exclude b\n") == b"OK b was out already\n"
+            assert await send_line(port, b"exclude c\n") == (
                 b"ERR found 'c', which no list has named, wanted the id of a backend\n"
             )
             client = await Client.to(w.port)
             client.send()
-            assert await client.status() == 503  # all are out: told, not overruled
-            w.discovery.tell(2, backend.row("b", startedAtMs=99))  # whatever discovery says
+            assert await client.status() == 503  # All backends are banned.
+            w.discovery.tell(2, backend.row("b", startedAtMs=99))  # A restart does not lift the ban.
             await until(lambda: w.proxy.directory.generation == 2)
             client.send()
             assert await client.status() == 503
-            assert await said(port, b"include b\n") == b"OK b is used again\n"
+            assert await send_line(port, b"include b\n") == b"OK b is used again\n"
             client.send()
             assert await client.status() == 200
             w.discovery.tell(3, row("b", 1, lifecycle="removed"))
             await until(lambda: "b" not in w.proxy.directory.rows)
-            assert await said(port, b"exclude b\n") == b"OK b is out\n"  # it was listed once
-            assert await said(port, b"evacuate\n") == b"OK evacuating\n"
-            assert (await said(port, b"readyz\n")).startswith(b"ERR not ready: e")
-            assert await said(port, b"activate\n") == b"OK ready\n"
+            assert (
+                await send_line(port, b"exclude b\n") == b"OK b is out\n"
+            )  # An id that was listed before can be banned.
+            assert await send_line(port, b"evacuate\n") == b"OK evacuating\n"
+            assert (await send_line(port, b"readyz\n")).startswith(b"ERR not ready: e")
+            assert await send_line(port, b"activate\n") == b"OK ready\n"
             w.proxy.drain()
-            assert (await said(port, b"evacuate\n")).startswith(b"ERR found 'evacuate' while ending")
+            assert (await send_line(port, b"evacuate\n")).startswith(b"ERR found 'evacuate' while ending")
         await backend.stop()
 
     run(main())
 
 
-def test_a_ban_closes_idle_connections_and_leaves_calls_that_are_out() -> None:
+def test_a_ban_closes_idle_connections_and_completes_calls_in_flight() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
         one.then = two.then = None
-        async with world([one.row("one"), two.row("two")]) as w, operated(w) as port:
+        async with world([one.row("one"), two.row("two")]) as w, operator_listener(w) as port:
             clients = [await Client.to(w.port) for _ in range(2)]
             for client in clients:
                 client.send("pay")
             await until(lambda: len(one.requests) + len(two.requests) == 2)
             held, other = (one, two) if one.requests else (two, one)
             name = "one" if held is one else "two"
-            assert await said(port, b"exclude %b\n" % name.encode()) == b"OK %b is out\n" % name.encode()
+            assert await send_line(port, b"exclude %b\n" % name.encode()) == b"OK %b is out\n" % name.encode()
             before = len(held.requests)
             for writer in list(held.writers):
-                writer.write(reply(200, b"done"))  # what was out ends well
+                writer.write(reply(200, b"done"))  # A call that was in flight at the ban is completed.
             other.then = reply(200, b"other")
             for writer in list(other.writers):
                 writer.write(reply(200, b"other"))
             for client in clients:
                 assert await client.status() == 200
-            await until(lambda: not held.writers)  # and its connection is not kept
+            await until(lambda: not held.writers)  # The connection to a banned backend is closed.
             for _ in range(20):
                 clients[0].send()
                 assert (await clients[0].answer())[2] == b"other"
@@ -102,11 +107,11 @@
     run(main())
 
 
-def test_a_connection_that_comes_up_after_the_ban_carries_nothing() -> None:
-    """The request waits for the handshake of a backend that is taken out meanwhile."""
+def test_a_connection_established_after_the_ban_carries_no_request() -> None:
+    """The request waits for the handshake of a backend that is banned meanwhile."""
 
     async def main() -> None:
-        with socket.socket() as full:  # a listener whose queue is full: connections to it come up late
+        with socket.socket() as full:  # A listener with a full backlog delays the handshake.
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             plugs = []
@@ -115,11 +120,11 @@
                 plug.setblocking(False)
                 plug.connect_ex(full.getsockname())
                 plugs.append(plug)
-            async with world([row("slow", full.getsockname()[1])]) as w, operated(w) as port:
+            async with world([row("slow", full.getsockname()[1])]) as w, operator_listener(w) as port:
                 client = await Client.to(w.port)
                 client.send("pay")
                 await until(lambda: w.proxy.pool.count == 1)
-                assert (await said(port, b"exclude slow\n")).startswith(b"OK")
+                assert (await send_line(port, b"exclude slow\n")).startswith(b"OK")
                 full.setblocking(False)
                 accepted = []
                 for _ in range(200):
@@ -129,7 +134,7 @@
                         await asyncio.sleep(0.01)
                     if w.proxy.driver.open_requests == 0:
                         break
-                assert await client.status() == 503  # nothing has run: a repeat is harmless
+                assert await client.status() == 503  # The request was not executed, so it may be retried.
                 for one in accepted:
                     one.setblocking(False)
                     with suppress(BlockingIOError, ConnectionError):
@@ -141,7 +146,7 @@
     run(main())
 
 
-def test_an_evacuation_empties_the_proxy_and_activate_brings_it_back(
+def test_an_evacuation_moves_all_clients_away_and_activate_ends_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(lifecycle, "CLOSE_IDLE_AFTER_MS", 150.0)
@@ -149,39 +154,40 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w, operated(w) as port:
+        async with world([backend.row("b")]) as w, operator_listener(w) as port:
             backend.then = reply(200, b"tile")
-            asks, idles = await Client.to(w.port), await Client.to(w.port)
-            for client in (asks, idles):
+            active_client, idle_client = await Client.to(w.port), await Client.to(w.port)
+            for client in (active_client, idle_client):
                 client.send()
                 assert await client.status() == 200
-            half = await Client.to(w.port)
-            half.writer.write(b"POST /api HTTP/1.1\r\nHost: x\r\n")
+            partial_client = await Client.to(w.port)
+            partial_client.writer.write(b"POST /api HTTP/1.1\r\nHost: x\r\n")
             silent = await Client.to(w.port)
             await until(lambda: len(w.proxy.front.partial) == 1)
             backend.then = None
             held = await Client.to(w.port)
             held.send()
             await until(lambda: len(backend.requests) == 3)
-            assert (await said(port, b"evacuate\n")) == b"OK evacuating\n"
+            assert (await send_line(port, b"evacuate\n")) == b"OK evacuating\n"
             checks = await Client.to(w.port)
             assert await checks.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
             backend.then = reply(200, b"tile")
-            asks.send()  # it never stops asking: an answer closes its connection, not a cut
-            first, headers, _ = await asks.answer()
+            active_client.send()  # A response closes the connection of a client that keeps sending requests.
+            first, headers, _ = await active_client.answer()
             assert (first.split()[1], headers[b"connection"]) == (b"200", b"close")
-            assert await idles.closed()
-            assert await half.status() == 503  # never taken
+            assert await idle_client.closed()
+            assert await partial_client.status() == 503  # The request was not accepted.
             assert await silent.closed()
             late = await Client.to(w.port)
             late.send()
             assert await late.status() == 503
-            assert w.proxy.controller.lifecycle.state is State.EVACUATING  # what it holds is still answered
+            # A request in flight is still answered.
+            assert w.proxy.controller.lifecycle.state is State.EVACUATING
             for writer in list(backend.writers):
                 writer.write(reply(200, b"slow"))
             assert (await held.answer())[2] == b"slow"
             await until(lambda: w.proxy.controller.lifecycle.state is State.EMPTY)
-            assert (await said(port, b"activate\n")) == b"OK ready\n"
+            assert (await send_line(port, b"activate\n")) == b"OK ready\n"
             again = await Client.to(w.port)
             assert await again.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             again.send()
@@ -193,24 +199,25 @@
     run(main())
 
 
-def test_callers_that_finish_no_call_are_not_in_the_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_to_the_operators_listener_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_server, "MAX_CONNECTIONS", 4)
     monkeypatch.setattr(operator_server, "REQUEST_TIMEOUT_S", 0.2)
 
     async def main() -> None:
-        async with world([row("b", 1)]) as w, operated(w) as port:
+        async with world([row("b", 1)]) as w, operator_listener(w) as port:
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(10)]
             for _, writer in idle[:5]:
                 writer.write(b"exc")
-            assert await said(port, b"readyz\n") == b"OK ready\n"
+            assert await send_line(port, b"readyz\n") == b"OK ready\n"
             assert w.proxy.operator_server is not None
             assert len(w.proxy.operator_server.connections) <= 4
             assert w.proxy.operator_server.evicted >= 6
-            told = [await soon(reader.read()) for reader, _ in idle[-3:]]
-            assert all(answer.startswith(b"ERR found no whole line within") for answer in told)
-            assert (await said(port, b"exclude b", end=True)).startswith(b"ERR found 9 bytes and no end")
-            with suppress(ConnectionError):  # what is behind the bound is not read, so it may be reset
-                assert (await said(port, b"x" * 1_000_000)).startswith(b"ERR found 513 bytes and no end")
+            replies = [await soon(reader.read()) for reader, _ in idle[-3:]]
+            assert all(answer.startswith(b"ERR found no whole line within") for answer in replies)
+            assert (await send_line(port, b"exclude b", end=True)).startswith(b"ERR found 9 bytes and no end")
+            # Data over the limit is not read, so the connection may be reset.
+            with suppress(ConnectionError):
+                assert (await send_line(port, b"x" * 1_000_000)).startswith(b"ERR found 513 bytes and no end")
             assert not w.proxy.controller.bans.excluded_ms
             for _, writer in idle:
                 writer.close()
