--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -1,4 +1,4 @@
-"""Processes that take each other's place on loopback, with peers that hang, lie, and are killed."""
+"""Handovers between processes on loopback, with peers that hang, send invalid data or are killed."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 @asynccontextmanager
-async def place(folder: Path, **changes: Any) -> AsyncIterator[tuple[Platform, Backend, Backend]]:
-    """A proxy's place with one process in service, before two backends."""
+async def running_platform(folder: Path, **changes: Any) -> AsyncIterator[tuple[Platform, Backend, Backend]]:
+    """Runs a platform with one proxy process in service and two backends."""
     first, second = await Backend().start(), await Backend().start()
     first.then = second.then = reply(200, b"tile")
     registry = await Registry().start()
     await registry.put(first.row("first"), second.row("second"))
-    told = node.configuration(node.settings([ORDER], **changes), registry.port)
-    platform = Platform(folder, told, slack_s=30.0)
+    proxy_configuration = node.configuration(node.settings([ORDER], **changes), registry.port)
+    platform = Platform(folder, proxy_configuration, slack_s=30.0)
     try:
         await platform.start()
         yield platform, first, second
@@ -52,21 +52,21 @@
         await second.stop()
 
 
-async def idle(port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect_idle(port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert (await soon(reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 200 ")
     return reader, writer
 
 
-def test_upgrades_under_load_meet_no_client(tmp_path: Path) -> None:
-    """Connections that idle, that ask, that have only come, and one that is asked while it changes hands."""
+def test_upgrades_under_load_fail_no_request(tmp_path: Path) -> None:
+    """The connections are idle, in use, without a request, or get a request while they are handed over."""
 
     async def main() -> None:
-        async with place(tmp_path) as (platform, _, _):
+        async with running_platform(tmp_path) as (platform, _, _):
             load = Load(platform.port, 200.0, 40)
             load.begin()
-            resting = [await idle(platform.port) for _ in range(10)]
+            idle_connections = [await connect_idle(platform.port) for _ in range(10)]
             for _ in range(3):
                 silent, opened = [], asyncio.get_running_loop().time()
                 for _ in range(3):
@@ -74,36 +74,38 @@
                 await platform.replace(2.0)
                 took = asyncio.get_running_loop().time() - opened
                 if took > front.FIRST_REQUEST_TIMEOUT_MS / 2000.0:
-                    silent = []  # on a machine in heavy use: they may have been cut off for their silence
+                    silent = []  # The time-out for a first request may have closed these on a slow machine.
                 if took > front.IDLE_TIMEOUT_MS / 2000.0:
-                    resting = [await idle(platform.port) for _ in range(10)]  # and these as idle
-                for reader, writer in [*resting, *silent]:
+                    # The idle time-out may have closed these.
+                    idle_connections = [await connect_idle(platform.port) for _ in range(10)]
+                for reader, writer in [*idle_connections, *silent]:
                     writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     assert (await soon(reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 200 ")
             await load.end()
             assert set(load.met) == {"200"}, platform.words()
-            for _, writer in resting:
+            for _, writer in idle_connections:
                 writer.close()
 
     run(main())
 
 
-def test_bans_and_evacuation_hold_over_an_upgrade_and_are_heard_by_both(tmp_path: Path) -> None:
+def test_bans_and_evacuation_survive_an_upgrade_and_reach_both_processes(tmp_path: Path) -> None:
     async def main() -> None:
-        async with place(tmp_path) as (platform, first, second):
+        async with running_platform(tmp_path) as (platform, first, second):
             assert (await say(platform.operator, "exclude first")) == "OK first is out"
             old = platform.processes[0]
             await platform.start()
             assert (await say(platform.operator, "exclude first")) == "OK first was out already"
             assert (await say(platform.before, "include first")) == "OK first is used again"
             assert (await say(platform.operator, "exclude second")) == "OK second is out"
-            for port in (platform.before, platform.operator):  # each has heard what was said to the other
+            # Each process learns of the commands to the other one.
+            for port in (platform.before, platform.operator):
 
-                async def heard(port: int = port) -> None:
+                async def reports_the_ban(port: int = port) -> None:
                     while (await say(port, "exclude second")) != "OK second was out already":
                         pass
 
-                await soon(heard())
+                await soon(reports_the_ban())
             assert (await say(platform.operator, "evacuate")).startswith("OK e")
             while not (await say(platform.before, "readyz")).startswith("ERR not ready: e"):
                 await asyncio.sleep(0.01)
@@ -118,7 +120,7 @@
             await until(lambda: load.met["200"] > 20)
             assert (await say(platform.operator, "evacuate")).startswith("OK e")
             await load.end()
-            await platform.start("ERR not ready: e")  # it is out of service as the one before
+            await platform.start("ERR not ready: e")  # The evacuation also applies to the new process.
             assert (await say(platform.operator, "readyz")).startswith("ERR not ready")
             assert not second.requests
             assert first.requests
@@ -127,9 +129,9 @@
 
 
 @pytest.mark.parametrize("how", ["kill the old", "kill the new", "the old hangs", "twice at once"])
-def test_whatever_ends_in_the_middle_the_rest_goes_on(tmp_path: Path, how: str) -> None:
+def test_a_handover_that_fails_at_any_process_leaves_the_service_running(tmp_path: Path, how: str) -> None:
     async def main() -> None:
-        async with place(tmp_path) as (platform, _, second):
+        async with running_platform(tmp_path) as (platform, _, second):
             assert (await say(platform.operator, "exclude second")) == "OK second is out"
             old = platform.processes[0]
             if how == "kill the old":
@@ -140,11 +142,12 @@
                 new.kill()
                 await soon(new.wait())
                 platform.processes.remove(new)
-                assert (await say(platform.before, "readyz")) == "OK ready"  # the old one is left in service
+                # The old process stays in service.
+                assert (await say(platform.before, "readyz")) == "OK ready"
                 await platform.replace(2.0)
             elif how == "the old hangs":
                 old.send_signal(signal.SIGSTOP)
-                await platform.start()  # bounded wait, then from the file and nothing else
+                await platform.start()  # After a bounded wait, only the file is used.
                 old.kill()
             else:
                 await asyncio.gather(platform.start(), platform.start())
@@ -156,14 +159,14 @@
             await until(lambda: load.met["200"] > 20)
             await load.end()
             assert set(load.met) == {"200"}, platform.words()
-            assert not second.requests  # the ban has held whatever ended
+            assert not second.requests  # The ban survives every failure.
 
     run(main())
 
 
-def test_a_new_process_that_can_not_start_leaves_the_old_one_in_service(tmp_path: Path) -> None:
+def test_a_new_process_that_fails_to_start_leaves_the_old_one_in_service(tmp_path: Path) -> None:
     async def main() -> None:
-        async with place(tmp_path) as (platform, _, _):
+        async with running_platform(tmp_path) as (platform, _, _):
             good = platform.configuration
             platform.configuration = {**good, "settings": {}}
             with pytest.raises(RuntimeError, match="ended with 2"):
@@ -175,7 +178,7 @@
 
 
 class Peer:
-    """Somebody else at the path: answers a HELLO with what it is told to."""
+    """Another process at the socket's path, which answers a HELLO with the given data."""
 
     def __init__(self, path: Path, answers: list[bytes]) -> None:
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -186,12 +189,12 @@
 
     async def serve(self) -> None:
         loop = asyncio.get_running_loop()
-        made, _ = await loop.sock_accept(self.listener)
-        await loop.sock_recv(made, 65536)
+        connection, _ = await loop.sock_accept(self.listener)
+        await loop.sock_recv(connection, 65536)
         for answer in self.answers:
             with suppress(OSError):
-                await loop.sock_sendall(made, answer)
-        await asyncio.Event().wait()  # it hangs for good
+                await loop.sock_sendall(connection, answer)
+        await asyncio.Event().wait()  # The peer hangs.
 
 
 @pytest.mark.parametrize(
@@ -210,7 +213,7 @@
         [*frames.encode(Kind.STATE, "x" * 100_000)][:1],
     ],
 )
-def test_a_peer_that_hangs_or_lies_costs_a_bounded_wait_and_nothing_else(
+def test_a_peer_that_hangs_or_sends_invalid_data_costs_a_bounded_wait(
     tmp_path: Path,
     answers: list[bytes],
 ) -> None:
@@ -218,12 +221,11 @@
         link_manager = link.LinkManager(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
         peer = Peer(tmp_path / link_manager.socket_name, answers)
         serving = asyncio.create_task(peer.serve())
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         await soon(link_manager.request_state())
-        assert (
-            asyncio.get_running_loop().time() - begun < 50 * link.STATE_TIMEOUT_S
-        )  # on a machine in heavy use
-        link_manager.serve()  # the path is this process's now
+        # The factor allows for a slow machine.
+        assert asyncio.get_running_loop().time() - started < 50 * link.STATE_TIMEOUT_S
+        link_manager.serve()  # This process replaces the socket's path.
         assert (tmp_path / link_manager.socket_name).stat().st_mode & 0o777 == 0o600
         link_manager.close()
         assert not (tmp_path / link_manager.socket_name).exists()
@@ -233,27 +235,26 @@
     run(main())
 
 
-def test_words_are_kept_whole_and_a_spoilt_file_is_left_out(tmp_path: Path) -> None:
+def test_the_operator_state_is_saved_atomically_and_a_damaged_file_is_ignored(tmp_path: Path) -> None:
     async def main() -> None:
         link_manager = link.LinkManager(asyncio.get_running_loop(), str(tmp_path), "127.0.0.1", 80)
         assert link_manager.load_operator_state() is None
         link_manager.publish_operator_state({"evacuated": True})
         assert link_manager.load_operator_state() == {"evacuated": True}
-        whole = Path(link_manager.operator_state_path).read_bytes()
-        for end in range(len(whole)):
-            Path(link_manager.operator_state_path).write_bytes(whole[:end])
+        complete = Path(link_manager.operator_state_path).read_bytes()
+        for end in range(len(complete)):
+            Path(link_manager.operator_state_path).write_bytes(complete[:end])
             assert link_manager.load_operator_state() is None
-        assert sorted(p.name for p in tmp_path.iterdir()) == [
-            Path(link_manager.operator_state_path).name
-        ]  # nothing half written
+        # No temporary file is left behind.
+        assert sorted(p.name for p in tmp_path.iterdir()) == [Path(link_manager.operator_state_path).name]
 
     run(main())
 
 
-def test_a_line_that_nobody_reads_is_left_and_lines_are_bounded(tmp_path: Path) -> None:
+def test_a_link_that_is_not_read_is_closed_and_links_are_bounded(tmp_path: Path) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        deep = tmp_path / ("d" * 90)  # longer than a Unix socket's address may be
+        deep = tmp_path / ("d" * 90)  # The path is too long for a Unix socket's address.
         deep.mkdir()
         link_manager = link.LinkManager(loop, str(deep), "127.0.0.1", 80)
         link_manager.serve()
