--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' socket: what is shown, who may ask, what is refused, and the commands."""
+"""The admin socket: its views, its limits, invalid requests, and the commands that use it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.loopback import Backend, Client, run, soon, until, world
 
 
-def test_what_is_shown_of_each_server_says_why_it_is_out_and_until_when() -> None:
+def test_each_server_is_shown_with_the_reason_and_end_of_its_ejection() -> None:
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     drains = endpoint("b0", "b", state=api.EndpointState.DRAINING)
     driver.list([*(endpoint(f"a{i}") for i in range(6)), drains])
@@ -41,7 +41,7 @@
     shown = views.endpoints(driver.balancer)
     assert shown["number"] == 7
     rows = {e["endpoint"]: e for e in shown["endpoints"]}
-    assert [e["endpoint"] for e in shown["endpoints"]][:2] == ["a0", "a1"]  # those that are out come first
+    assert [e["endpoint"] for e in shown["endpoints"]][:2] == ["a0", "a1"]  # Ejected endpoints come first.
     assert (rows["a0"]["state"], rows["a0"]["why"]) == ("ejected", "failures in a row")
     assert (rows["a1"]["state"], rows["a1"]["why"]) == ("ejected", "turned a call away")
     assert rows["a0"]["out_for_ms"] == pytest.approx(servers["a0"].ejected_until - driver.now)
@@ -50,7 +50,7 @@
     status = views.status(driver.balancer)
     assert status["endpoints"] == {"ejected": 2, "usable": 4, "draining": 1}
     own = next(z for z in status["zones"] if z["own"])
-    assert "open" not in own  # no load reports are read
+    assert "open" not in own  # The factors are shown only with load reports.
     driver.balancer.endpoints.zones["a"].local_factor = 0.5
     assert views.status(driver.balancer)["zones"][0]["open"] == 0.5
     assert (own["ready"], own["ejected"], own["in_flight"]) == (6, 2, 0)
@@ -58,13 +58,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_what_is_no_question_is_told_and_nothing_else_happens(data: bytes) -> None:
+def test_an_invalid_request_is_reported(data: bytes) -> None:
     with pytest.raises(protocol.ProtocolError, match=r"^found "):
         protocol.decode_request(data)
 
 
 @pytest.mark.parametrize(
-    ("sent", "words"),
+    ("sent", "message"),
     [
         (b"\x00\x00\x00\x00", "found a frame of 0 bytes"),
         (b"\xff\xff\xff\xff", "found a frame of 4294967295 bytes, wanted 1 to 4096"),
@@ -79,32 +79,32 @@
         (protocol.encode_frame(protocol.Request("drain")), "drain is a change: it wants its confirmation"),
     ],
 )
-def test_what_can_not_be_done_is_answered_with_what_was_wanted(
+def test_a_request_that_cannot_be_executed_is_answered_with_what_is_expected(
     tmp_path: Path,
     sent: bytes,
-    words: str,
+    message: str,
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "s")) as w:
-            answer = await said(tmp_path / "s", sent)
-            assert words in answer.fault
+        async with world([backend.row("b")], admin_features(tmp_path / "s")) as w:
+            answer = await send_frame(tmp_path / "s", sent)
+            assert message in answer.fault
             assert w.proxy.front.ready()
         await backend.stop()
 
     run(main())
 
 
-def test_an_answer_over_its_bound_becomes_one_that_says_so() -> None:
+def test_a_response_over_the_limit_is_replaced_by_a_fault() -> None:
     data = protocol.encode_frame(protocol.Response(data="x" * protocol.MAX_RESPONSE_BYTES))
     assert "wanted 4194304 at most" in protocol.decode_response(data[protocol.LENGTH_BYTES :]).fault
 
 
-def on(path: Path) -> Features:
+def admin_features(path: Path) -> Features:
     return Features(admin=Admin(socket=str(path)))
 
 
-async def said(path: Path, sent: bytes) -> protocol.Response:
+async def send_frame(path: Path, sent: bytes) -> protocol.Response:
     reader, writer = await asyncio.open_unix_connection(str(path))
     writer.write(sent)
     size = protocol.decode_length(
@@ -115,48 +115,49 @@
     return answer
 
 
-async def called(*words: str) -> tuple[int, str]:
-    done = await asyncio.to_thread(CliRunner().invoke, command, [*words])
-    return done.exit_code, done.output
+async def run_command(*arguments: str) -> tuple[int, str]:
+    result = await asyncio.to_thread(CliRunner().invoke, command, [*arguments])
+    return result.exit_code, result.output
 
 
 def test_the_commands_show_a_running_proxy_and_drain_it(tmp_path: Path) -> None:
     async def main() -> None:
-        backend, at = await Backend().start(), str(tmp_path / "s")
-        async with world([backend.row("b1"), backend.row("b2", "y")], on(tmp_path / "s")) as w:
-            assert os.stat(at).st_mode & 0o777 == 0o600
+        backend, socket_path = await Backend().start(), str(tmp_path / "s")
+        async with world([backend.row("b1"), backend.row("b2", "y")], admin_features(tmp_path / "s")) as w:
+            assert os.stat(socket_path).st_mode & 0o777 == 0o600
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
-            status, words = await called("status", "--socket", at)
+            status, output = await run_command("status", "--socket", socket_path)
             assert status == 0
-            assert "n in z: ready, 0 requests open" in words
-            assert "2 usable" in words
-            status, words = await called("status", "--socket", at, "--json")
-            data: dict[str, Any] = orjson.loads(words)
+            assert "n in z: ready, 0 requests open" in output
+            assert "2 usable" in output
+            status, output = await run_command("status", "--socket", socket_path, "--json")
+            data: dict[str, Any] = orjson.loads(output)
             assert (data["counts"]["served"], data["ready"]) == (1, True)
-            status, words = await called("endpoints", "--socket", at, "--zone", "y", "--json")
-            assert [e["endpoint"] for e in orjson.loads(words)["endpoints"]] == ["b2"]
-            assert (await called("endpoints", "--socket", at, "--out"))[0] == 0
-            assert (await called("drain", "--socket", at))[0] == 1  # not confirmed
+            status, output = await run_command("endpoints", "--socket", socket_path, "--zone", "y", "--json")
+            assert [e["endpoint"] for e in orjson.loads(output)["endpoints"]] == ["b2"]
+            assert (await run_command("endpoints", "--socket", socket_path, "--out"))[0] == 0
+            # An unconfirmed command fails.
+            assert (await run_command("drain", "--socket", socket_path))[0] == 1
             assert w.proxy.front.ready()
-            status, words = await called("drain", "--socket", at, "--yes")
+            status, output = await run_command("drain", "--socket", socket_path, "--yes")
             assert status == 0
-            assert f"admin: drain, requested by user {os.getuid()} as '" in words
+            assert f"admin: drain, requested by user {os.getuid()} as '" in output
             assert not w.proxy.front.ready()
             assert w.running is not None
             await soon(w.running)
-            assert not os.path.exists(at)
-            assert (await called("status", "--socket", at))[0] == 3
+            assert not os.path.exists(socket_path)
+            assert (await run_command("status", "--socket", socket_path))[0] == 3
         await backend.stop()
 
     run(main())
 
 
-def test_operators_beyond_the_bound_are_cut_and_silent_ones_cost_no_request(tmp_path: Path) -> None:
+def test_connections_over_the_limit_are_closed_and_idle_ones_cost_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "s")) as w:
+        async with world([backend.row("b")], admin_features(tmp_path / "s")) as w:
             (part,) = [p for p in w.proxy.components if isinstance(p, AdminPart)]
             silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_CONNECTIONS)]
             await until(lambda: part.open_connections == MAX_CONNECTIONS)
@@ -180,8 +181,8 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(str(path))
         backend = await Backend().start()
-        async with world([backend.row("b")], on(path)) as w:
-            answer = await said(path, protocol.encode_frame(protocol.Request("endpoints")))
+        async with world([backend.row("b")], admin_features(path)) as w:
+            answer = await send_frame(path, protocol.encode_frame(protocol.Request("endpoints")))
             assert msgspec.to_builtins(answer.data)["number"] == 1
             (first,) = w.proxy.components
             assert isinstance(first, AdminPart)
@@ -197,13 +198,13 @@
     run(main())
 
 
-def test_the_terminal_shows_what_changes_and_says_when_nobody_answers(tmp_path: Path) -> None:
-    """Asked three times: two answers of a proxy, then none."""
-    asked: list[str] = []
+def test_the_terminal_shows_changes_and_a_proxy_that_does_not_answer(tmp_path: Path) -> None:
+    """The proxy answers two queries, and the third one fails."""
+    calls: list[str] = []
 
     def answers(path: Path, do: str) -> Any:
-        asked.append(do)
-        if len(asked) > 4:
+        calls.append(do)
+        if len(calls) > 4:
             raise AdminError("refused", answered=False)
         if do == "endpoints":
             return {
@@ -230,7 +231,7 @@
             "storms": "",
             "endpoints": {"usable": 2},
             "zones": [zone],
-            "counts": {"served": 10 * len(asked)},
+            "counts": {"served": 10 * len(calls)},
         }
 
     async def main() -> None:
@@ -244,10 +245,10 @@
             assert app.table("counts").get_row_at(0) == ["served", "0", "30"]
             await pilot.press("p")
             app.look()
-            assert len(asked) == 4
+            assert len(calls) == 4
             await pilot.press("p")
             app.look()
             assert "nobody answers: refused" in str(app.query_one("#line", Static).content)
-            assert app.table("zones").row_count == 1  # what was seen last stays
+            assert app.table("zones").row_count == 1  # The last known rows stay.
 
     asyncio.run(asyncio.wait_for(main(), 60.0))
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask beyond the state: configuration in force, order keys, figures, and lines in JSON."""
+"""Operators' commands on configuration, order keys and metrics, and log lines in JSON."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from honeywharf.metrics.durations import BOUNDS_S, MAX_SERIES, Answers
 from honeywharf.metrics.families import Families, exposed
 from honeywharf.orderkeys import OrderKeysComponent
-from tests.admin.test_admin import called
+from tests.admin.test_admin import run_command
 from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, until, world
 from tests.orderkeys.shared import sharing
 
 ROOT = Path(__file__).parent.parent.parent
 
 
-def on(path: Path, **more: Any) -> Features:
+def admin_features(path: Path, **more: Any) -> Features:
     return Features(admin=Admin(socket=str(path)), **more)
 
 
-def test_what_is_in_force_has_its_source_and_what_files_would_change_its_time(tmp_path: Path) -> None:
+def test_settings_in_force_have_a_source_and_changed_ones_the_time_they_apply(tmp_path: Path) -> None:
     async def main() -> None:
-        file, at = tmp_path / "f.toml", str(tmp_path / "s")
-        file.write_text(f'# mine\n[admin]\nsocket = "{at}"\n[storms]\nratio = 0.25\n')
+        file, socket_path = tmp_path / "f.toml", str(tmp_path / "s")
+        file.write_text(f'# mine\n[admin]\nsocket = "{socket_path}"\n[storms]\nratio = 0.25\n')
         node = {
             "name": "n3",
             "listen": "127.0.0.1:0",
@@ -49,98 +49,104 @@
         }
         conf = tmp_path / "node.json"
         conf.write_text(json.dumps(node))
-        made = of_features.load(file)
-        async with world([], made) as w:
+        features = of_features.load(file)
+        async with world([], features) as w:
             w.proxy.environ = {"NODE_CONFIG": str(conf), "HONEYWHARF_FEATURES": str(file)}
             w.proxy.conf = of_node.load(w.proxy.environ)
-            status, words = await called("config", "show", "--socket", at, "--json")
-            rows = {r["key"]: r for r in orjson.loads(words)}
+            status, output = await run_command("config", "show", "--socket", socket_path, "--json")
+            rows = {r["key"]: r for r in orjson.loads(output)}
             assert status == 0
             assert rows["storms.ratio"] == {"key": "storms.ratio", "value": 0.25, "source": f"{file}:5"}
             assert rows["node.name"] == {"key": "node.name", "value": "n3", "source": str(conf)}
-            assert "storms.on" not in rows  # it is as it is by default
+            assert "storms.on" not in rows  # Defaults are not shown.
             assert not any(k.startswith(("node.known", "node.seed")) for k in rows)
-            status, words = await called("config", "show", "--socket", at, "storms")
-            assert (status, "default" in words, "node.name" in words) == (0, True, False)
-            assert (await called("config", "diff", "--socket", at)) == (0, "nothing would change\n")
+            status, output = await run_command("config", "show", "--socket", socket_path, "storms")
+            assert (status, "default" in output, "node.name" in output) == (0, True, False)
+            assert (await run_command("config", "diff", "--socket", socket_path)) == (
+                0,
+                "nothing would change\n",
+            )
             conf.write_text(json.dumps({**node, "discovery": "127.0.0.1:2", "limits": {"sockets": 99}}))
-            file.write_text(f'[admin]\nsocket = "{at}"\n[storms]\nratio = 0.5\n')
-            status, words = await called("config", "diff", "--socket", at, "--json")
+            file.write_text(f'[admin]\nsocket = "{socket_path}"\n[storms]\nratio = 0.5\n')
+            status, output = await run_command("config", "diff", "--socket", socket_path, "--json")
             assert status == 1
-            assert {(d["key"], d["held"], d["wanted"], d["when"]) for d in orjson.loads(words)} == {
+            assert {(d["key"], d["held"], d["wanted"], d["when"]) for d in orjson.loads(output)} == {
                 ("node.discovery", "127.0.0.1:1", "127.0.0.1:2", "reload"),
                 ("node.sockets", 1024, 99, "start"),
                 ("storms.ratio", 0.25, 0.5, "start"),
             }
             w.proxy.reload()
-            status, words = await called("config", "diff", "--socket", at, "--json")
-            assert {d["key"] for d in orjson.loads(words)} == {"node.sockets", "storms.ratio"}
+            status, output = await run_command("config", "diff", "--socket", socket_path, "--json")
+            assert {d["key"] for d in orjson.loads(output)} == {"node.sockets", "storms.ratio"}
             file.write_text("[storms]\nratio = 7\n")
-            status, words = await called("config", "diff", "--socket", at)
-            assert (status, f"{file}:2:1: storms.ratio: found 7, wanted a number" in words) == (2, True)
+            status, output = await run_command("config", "diff", "--socket", socket_path)
+            assert (status, f"{file}:2:1: storms.ratio: found 7, wanted a number" in output) == (2, True)
 
     run(main())
 
 
-def test_credentials_are_not_among_what_is_shown() -> None:
-    made = Features(
+def test_credentials_are_not_shown() -> None:
+    features = Features(
         traces=msgspec.structs.replace(
             Traces(), otlp=msgspec.structs.replace(Traces().otlp, headers={"Authorization": "Bearer secret"})
         )
     )
-    shown = {k: v for k, v in source.flat(source.plain(made)) if "Authorization" in k}
-    assert list(shown.values()) == ["Bearer secret"]  # it is there to be hidden
-    assert "secret" not in str(source.values(make_config(1, []), made))
+    shown = {k: v for k, v in source.flat(source.plain(features)) if "Authorization" in k}
+    assert list(shown.values()) == ["Bearer secret"]  # The value must be hidden below.
+    assert "secret" not in str(source.values(make_config(1, []), features))
 
 
-def test_files_that_do_not_fit_each_other_are_told(tmp_path: Path) -> None:
+def test_files_that_contradict_each_other_are_reported(tmp_path: Path) -> None:
     conf, file = tmp_path / "node.json", tmp_path / "f.toml"
     conf.write_text(
         json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "7", "settings": SETTINGS})
     )
-    for text, told in (
+    for text, expected_message in (
         ("keep_ms = { order = 100.0 }", ":3:13: order_keys.keep_ms.order: found 100, wanted 7500 at"),
         ("alone = ['read']", ":3:1: order_keys.alone: found class 'read', wanted one of order"),
     ):
         file.write_text(f"[order_keys]\nstore = 'process'\n{text}\n")
-        status, words = run(called("config", "check", str(conf), str(file)))
-        assert (status, f"{file}{told}" in words) == (2, True), words
-        assert run(called("check-config", str(file)))[0] == 0  # by itself it is good
+        status, output = run(run_command("config", "check", str(conf), str(file)))
+        assert (status, f"{file}{expected_message}" in output) == (2, True), output
+        assert run(run_command("check-config", str(file)))[0] == 0  # The file alone is valid.
 
 
-def test_a_key_s_state_is_shown_and_a_settled_one_is_forgotten_and_logged(tmp_path: Path) -> None:
+def test_a_key_is_shown_and_a_finished_one_is_forgotten_and_logged(tmp_path: Path) -> None:
     async def main() -> None:
-        backend, at = await Backend().start(), str(tmp_path / "s")
-        features = on(tmp_path / "s", order_keys=OrderKeys(store="process"))
+        backend, socket_path = await Backend().start(), str(tmp_path / "s")
+        features = admin_features(tmp_path / "s", order_keys=OrderKeys(store="process"))
         async with world([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             backend.then = None
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             await until(lambda: bool(backend.requests))
-            ask = ("--socket", at, "--tenant", "acme")
-            status, words = await called("keys", "show", "k1", *ask, "--json")
-            assert (status, orjson.loads(words)["state"]) == (0, "running")
-            status, words = await called("keys", "forget", "k1", *ask, "--yes")
-            assert (status, "found that it runs" in words) == (1, True)
+            key_arguments = ("--socket", socket_path, "--tenant", "acme")
+            status, output = await run_command("keys", "show", "k1", *key_arguments, "--json")
+            assert (status, orjson.loads(output)["state"]) == (0, "running")
+            status, output = await run_command("keys", "forget", "k1", *key_arguments, "--yes")
+            assert (status, "found that it runs" in output) == (1, True)
             for writer in list(backend.writers):
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\none")
             assert (await client.answer())[2] == b"one"
-            status, words = await called("keys", "show", "k1", *ask, "--json")
-            found = orjson.loads(words)
+            status, output = await run_command("keys", "show", "k1", *key_arguments, "--json")
+            found = orjson.loads(output)
             assert (found["state"], found["answer_kept"], found["zone"]) == ("done", True, "z")
-            status, words = await called("keys", "show", "--socket", at)
-            assert (status, "1 keys of 20000" in words, "acme" in words) == (0, True, True)
-            assert (await called("keys", "forget", "k1", *ask))[0] == 1  # not confirmed
-            status, words = await called("keys", "forget", "k1", *ask, "--yes")
-            assert (status, "admin: keys forget, requested by user" in words) == (0, True)
-            words = (await called("keys", "show", "k1", *ask, "--json"))[1]
-            assert orjson.loads(words) == {"state": "not known"}
-            assert (await called("keys", "forget", "k1", *ask, "--yes"))[0] == 1
-            status, words = await called("keys", "show", "k1", "--socket", at, "--class", "read")
-            assert (status, "found class 'read', wanted one of order" in words) == (1, True)
+            status, output = await run_command("keys", "show", "--socket", socket_path)
+            assert (status, "1 keys of 20000" in output, "acme" in output) == (0, True, True)
+            # An unconfirmed command fails.
+            assert (await run_command("keys", "forget", "k1", *key_arguments))[0] == 1
+            status, output = await run_command("keys", "forget", "k1", *key_arguments, "--yes")
+            assert (status, "admin: keys forget, requested by user" in output) == (0, True)
+            output = (await run_command("keys", "show", "k1", *key_arguments, "--json"))[1]
+            assert orjson.loads(output) == {"state": "not known"}
+            assert (await run_command("keys", "forget", "k1", *key_arguments, "--yes"))[0] == 1
+            status, output = await run_command(
+                "keys", "show", "k1", "--socket", socket_path, "--class", "read"
+            )
+            assert (status, "found class 'read', wanted one of order" in output) == (1, True)
             backend.then = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo"
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
-            assert (await client.answer())[2] == b"two"  # it ran again, as its operator was told
+            assert (await client.answer())[2] == b"two"  # The request was executed again.
         await backend.stop()
 
     run(main())
@@ -182,10 +188,10 @@
     return {f.name: f for f in text_string_to_metric_families(text)}
 
 
-def test_figures_are_those_of_the_proxy_and_exemplars_name_traces_that_are_kept(tmp_path: Path) -> None:
+def test_metrics_match_the_proxy_and_exemplars_name_recorded_traces(tmp_path: Path) -> None:
     async def main() -> None:
-        backend, at = await Backend().start(), str(tmp_path / "s")
-        features = on(
+        backend, socket_path = await Backend().start(), str(tmp_path / "s")
+        features = admin_features(
             tmp_path / "s",
             metrics=Metrics(listen="127.0.0.1:0"),
             traces=Traces(file=str(tmp_path / "t"), rate=1e-9),
@@ -196,7 +202,7 @@
             for _ in range(6):
                 client.send("pay", b"x")
                 await client.answer()
-            status, text = await called("metrics", "--socket", at)
+            status, text = await run_command("metrics", "--socket", socket_path)
             assert status == 0
             found = families(text)
             ends = {
@@ -207,17 +213,17 @@
             assert ends == {("pay", "served"): 5.0, ("pay", "failed"): 1.0}
             named = {s.exemplar.labels["trace_id"] for f in found.values() for s in f.samples if s.exemplar}
             await until(lambda: (tmp_path / "t").exists() and (tmp_path / "t").stat().st_size > 0)
-            kept = {orjson.loads(line)["trace_id"] for line in (tmp_path / "t").read_bytes().splitlines()}
-            assert named == kept
-            assert len(kept) == 1
+            recorded = {orjson.loads(line)["trace_id"] for line in (tmp_path / "t").read_bytes().splitlines()}
+            assert named == recorded
+            assert len(recorded) == 1
             assert [s.value for s in found["honeywharf_failures"].samples] == [1.0]
             assert {s.labels["zone"] for s in found["honeywharf_zone_limit"].samples} == {"z"}
             (at_port,) = [p.at for p in w.proxy.components if isinstance(p, MetricsPart)]
             assert at_port is not None
             port = at_port[1]
-            for wants, exemplars in (("application/openmetrics-text", True), ("*/*", False)):
+            for accepted_type, exemplars in (("application/openmetrics-text", True), ("*/*", False)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(f"GET /metrics HTTP/1.1\r\nAccept: {wants}\r\n\r\n".encode())
+                writer.write(f"GET /metrics HTTP/1.1\r\nAccept: {accepted_type}\r\n\r\n".encode())
                 scraped = await asyncio.wait_for(reader.read(), 20.0)
                 assert scraped.startswith(b"HTTP/1.1 200 OK")
                 assert (b"trace_id" in scraped) is exemplars
@@ -231,7 +237,7 @@
     run(main())
 
 
-def test_figures_are_not_shown_to_the_network(tmp_path: Path) -> None:
+def test_metrics_are_not_served_to_the_network(tmp_path: Path) -> None:
     async def main() -> None:
         with pytest.raises(ValueError, match=r"metrics\.listen: found '0\.0\.0\.0:1', wanted a loopback"):
             async with world([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
@@ -241,13 +247,13 @@
 
 
 def test_series_are_bounded_and_buckets_add_up() -> None:
-    made = Answers()
+    durations = Answers()
     for i in range(MAX_SERIES + 50):
-        made.answered(f"class-{i}", "served", 10.0, 0.0, None)
-    assert (len(made.series), made.left_out) == (MAX_SERIES, 50)
-    made = Answers()
+        durations.answered(f"class-{i}", "served", 10.0, 0.0, None)
+    assert (len(durations.series), durations.left_out) == (MAX_SERIES, 50)
+    durations = Answers()
     for ms in (0.0, 5.0, 5.1, 4999.0, 10_000.0, 1e9, -3.0):
-        made.answered("read", "served", ms, 0.0, None)
+        durations.answered("read", "served", ms, 0.0, None)
     text = exposed(
         Families(
             "n",
@@ -255,7 +261,7 @@
             "1",
             dict,
             lambda: {"zones": [], "endpoints": {}, "open": 0, "retry_budget": 0.0, "ready": True},
-            made,
+            durations,
         ),
         True,
     ).decode()
@@ -265,28 +271,28 @@
     assert len(counted) == len(BOUNDS_S) + 1
 
 
-def calls_of_log() -> Iterator[tuple[str, int, list[str]]]:
+def log_calls() -> Iterator[tuple[str, int, list[str]]]:
     for path in sorted((ROOT / "honeywharf").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log":
-                words = [a.value for a in node.args[1:] if isinstance(a, ast.Constant)]
-                yield path.name, node.lineno, [str(w) for w in words]
+                arguments = [a.value for a in node.args[1:] if isinstance(a, ast.Constant)]
+                yield path.name, node.lineno, [str(w) for w in arguments]
 
 
-def test_every_line_has_an_event_of_the_vocabulary_and_the_page_lists_them_all() -> None:
+def test_every_log_line_has_a_known_event_and_the_page_lists_them_all() -> None:
     used = set()
-    for name, line, words in calls_of_log():
-        assert words, f"{name}:{line} logs without an event"
-        assert words[0] in logs.EVENTS, f"{name}:{line} logs {words[0]!r}"
-        assert all(w in logs.LEVELS for w in words[1:])
-        used.add(words[0])
-    assert used == set(logs.EVENTS)  # none that nothing logs
+    for name, line, arguments in log_calls():
+        assert arguments, f"{name}:{line} logs without an event"
+        assert arguments[0] in logs.EVENTS, f"{name}:{line} logs {arguments[0]!r}"
+        assert all(w in logs.LEVELS for w in arguments[1:])
+        used.add(arguments[0])
+    assert used == set(logs.EVENTS)  # Each event is in use.
     page = (ROOT / "docs" / "operators" / "metrics.md").read_text("utf-8")
     assert set(re.findall(r"^\| `([a-z_.]+)` \|", page, re.M)) >= used
 
 
 @pytest.mark.parametrize(("level", "lines"), [("info", 2), ("warning", 1), ("error", 1)])
-def test_lines_in_json_have_level_event_words_and_fields(
+def test_lines_in_json_have_level_event_message_and_fields(
     level: Any,
     lines: int,
     capsys: pytest.CaptureFixture[str],
@@ -297,12 +303,17 @@
         log("it broke\nin two", "loop.fault", "error")
     finally:
         set_log_sink(None)
-    told = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
-    assert len(told) == lines
-    last = told[-1]
+    messages = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
+    assert len(messages) == lines
+    last = messages[-1]
     assert (last["level"], last["event"], last["message"]) == ("error", "loop.fault", "it broke\nin two")
     if lines == 2:
-        assert (told[0]["proxy"], told[0]["port"], told[0]["event"], told[0]["field.event"]) == (
+        assert (
+            messages[0]["proxy"],
+            messages[0]["port"],
+            messages[0]["event"],
+            messages[0]["field.event"],
+        ) == (
             "n3",
             7,
             "listening",
@@ -312,8 +323,8 @@
     assert capsys.readouterr().err == "plain again\n"
 
 
-def test_none_of_it_is_imported_where_it_is_off() -> None:
-    said = subprocess.run(
+def test_disabled_features_are_not_imported() -> None:
+    result = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -326,4 +337,4 @@
         check=True,
         cwd=ROOT,
     )
-    assert said.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
