--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -40,7 +40,7 @@
     counts = Counter(key for _ in range(5000) if (key := levels.pick(0.0)) is not None)
     assert set(counts) == set(HOME)
     assert levels.depth == 0
-    assert chi_square(counts, HOME) < 18.5  # exceeded by chance once in a thousand, at 4 degrees of freedom
+    assert chi_square(counts, HOME) < 18.5  # The 99.9 % quantile at 4 degrees of freedom is about 18.5.
 
 
 def test_an_empty_own_zone_spills_evenly_to_every_zone() -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: configuration, SIGTERM, and too few descriptors."""
+"""The program as a process: its configuration, signals, and too few descriptors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def write(path: Path, **changes: Any) -> dict[str, str]:
+def write_configuration(path: Path, **changes: Any) -> dict[str, str]:
     raw = {
         "name": "n",
         "listen": "127.0.0.1:0",
@@ -38,11 +38,11 @@
 
 
 def test_the_configuration_is_typed(tmp_path: Path) -> None:
-    made = config.load(write(tmp_path, listen="127.0.0.2:3000"))
-    assert (made.listen, made.discovery, made.sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
-    assert made.seed == 0x8C1F30D27A5BE964
-    assert made.settings.report_fields == ("queue", "in_flight")
-    assert made.report_fields == ("pending", "busy_reqs")
+    loaded = config.load(write_configuration(tmp_path, listen="127.0.0.2:3000"))
+    assert (loaded.listen, loaded.discovery, loaded.sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
+    assert loaded.seed == 0x8C1F30D27A5BE964
+    assert loaded.settings.report_fields == ("queue", "in_flight")
+    assert loaded.report_fields == ("pending", "busy_reqs")
 
 
 @pytest.mark.parametrize(
@@ -63,10 +63,12 @@
         {"listen": "192.0.2.1:3000"},
     ],
 )
-def test_a_bad_configuration_is_one_plain_line_and_status_2(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line_with_status_2(
+    tmp_path: Path, changes: dict[str, Any]
+) -> None:
     result = subprocess.run(
         [sys.executable, "-m", "honeywharf"],
-        env=write(tmp_path, **changes),
+        env=write_configuration(tmp_path, **changes),
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -79,7 +81,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_no_configuration_at_all(tmp_path: Path, text: str | None) -> None:
+def test_a_missing_or_malformed_configuration_is_an_error(tmp_path: Path, text: str | None) -> None:
     file = tmp_path / "c.json"
     if text is not None:
         file.write_text(text)
@@ -89,7 +91,7 @@
 
 
 class Process:
-    """The program, listening."""
+    """A running proxy process that listens."""
 
     def __init__(self, path: Path, **changes: Any) -> None:
         descriptors = changes.pop("descriptors", 1024)
@@ -98,11 +100,11 @@
             cwd=ROOT,
             stderr=subprocess.PIPE,
             text=True,
-            env=write(path, **changes),
+            env=write_configuration(path, **changes),
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
         )
         assert self.process.stderr is not None
-        self.early: list[str] = []  # a store may be there before the listener is: its line comes first then
+        self.early: list[str] = []  # The lines of a store that connects before the listener is open.
         line = self.process.stderr.readline()
         while line.startswith("order_keys: "):
             self.early.append(line)
@@ -111,14 +113,14 @@
         self.port = int(line.rpartition(":")[2])
 
     def connect(self) -> socket.socket:
-        made = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
-        made.settimeout(WAIT_S)
-        return made
+        connection = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
+        connection.settimeout(WAIT_S)
+        return connection
 
     def get(self, path: str = "/health/ready") -> bytes:
-        with self.connect() as made:
-            made.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
-            return made.recv(4096)
+        with self.connect() as connection:
+            connection.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
+            return connection.recv(4096)
 
     def __enter__(self) -> Process:
         return self
@@ -128,32 +130,32 @@
         self.process.communicate()
 
 
-def test_after_sigterm_it_ends_with_0(tmp_path: Path) -> None:
+def test_the_process_ends_with_status_0_after_sigterm(tmp_path: Path) -> None:
     with Process(tmp_path) as proxy:
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         proxy.process.send_signal(signal.SIGTERM)
         assert proxy.process.wait(WAIT_S) == 0
 
 
-def test_running_out_of_descriptors_ends_nothing(tmp_path: Path) -> None:
-    """More callers than descriptors: the listener, and the callers that are served, go on."""
+def test_too_few_descriptors_end_no_request_and_no_listener(tmp_path: Path) -> None:
+    """With more clients than descriptors, the listener and the current clients keep working."""
     with Process(tmp_path, descriptors=64) as proxy:
-        first = proxy.connect()  # in the middle of a request: it is not closed to make room
+        first = proxy.connect()  # This connection has a request in flight, so it must stay open.
         first.sendall(b"POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         assert first.recv(4096).startswith(b"HTTP/1.1 100 ")
-        crowd = []
+        connections = []
         for _ in range(120):
-            made = socket.socket()
-            made.setblocking(False)
-            made.connect_ex(("127.0.0.1", proxy.port))
-            crowd.append(made)
+            connection = socket.socket()
+            connection.setblocking(False)
+            connection.connect_ex(("127.0.0.1", proxy.port))
+            connections.append(connection)
         first.sendall(b"ok")
         assert first.recv(4096).startswith(b"HTTP/1.1 404 ")
-        for made in crowd:
-            made.close()
+        for connection in connections:
+            connection.close()
         end = time.monotonic() + WAIT_S
         answer = b""
-        while not answer:  # the listener takes callers again once descriptors are free
+        while not answer:  # The listener accepts connections again once descriptors are free.
             assert time.monotonic() < end
             try:
                 answer = proxy.get("/nowhere")
@@ -164,50 +166,50 @@
         first.close()
 
 
-class Agent:
-    """A discovery that answers every call with nothing new, and notes it."""
+class DiscoveryServer:
+    """A discovery server that answers every request with an empty list."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(WAIT_S)
-        self.where = f"127.0.0.1:{self.listener.getsockname()[1]}"
-
-    def asked(self) -> bytes:
-        """The first line of the first call on the next connection."""
-        made, _ = self.listener.accept()
-        with made:
-            made.settimeout(WAIT_S)
-            line = made.recv(4096).split(b"\r\n")[0]
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+
+    def accept_request(self) -> bytes:
+        """Returns the request line of the first request on the next connection."""
+        connection, _ = self.listener.accept()
+        with connection:
+            connection.settimeout(WAIT_S)
+            line = connection.recv(4096).split(b"\r\n")[0]
             body = b'{"generation":1,"reset":true,"instances":[]}'
-            made.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         return line
 
 
-def test_sighup_moves_discovery_and_a_bad_file_is_one_line(tmp_path: Path) -> None:
-    first, second = Agent(), Agent()
-    with Process(tmp_path, discovery=first.where) as proxy:
-        assert first.asked().startswith(b"GET /registry/instances?after=1&")
+def test_sighup_moves_discovery_and_an_invalid_file_is_reported_in_one_line(tmp_path: Path) -> None:
+    first, second = DiscoveryServer(), DiscoveryServer()
+    with Process(tmp_path, discovery=first.address) as proxy:
+        assert first.accept_request().startswith(b"GET /registry/instances?after=1&")
         file = tmp_path / "config.json"
-        good, errors = json.loads(file.read_text()), proxy.process.stderr
+        valid, errors = json.loads(file.read_text()), proxy.process.stderr
         assert errors is not None
-        for bad in (
+        for invalid_text in (
             "{",
             "[]",
-            json.dumps({**good, "discovery": "nowhere"}),
-            json.dumps({**good, "seed": []}),
-            json.dumps({**good, "settings": {**SETTINGS, "zone": 3}}),
+            json.dumps({**valid, "discovery": "nowhere"}),
+            json.dumps({**valid, "seed": []}),
+            json.dumps({**valid, "settings": {**SETTINGS, "zone": 3}}),
             "\udcff",
         ):
-            file.write_bytes(bad.encode(errors="surrogateescape"))
+            file.write_bytes(invalid_text.encode(errors="surrogateescape"))
             proxy.process.send_signal(signal.SIGHUP)
             while not (line := errors.readline()).startswith("reload: "):
                 assert line.startswith("discovery: ")
             assert line.endswith("; the current configuration stays in force\n")
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
-        for agent in (second, first, second):  # repeated
-            file.write_text(json.dumps({**good, "discovery": agent.where}))
+        for server in (second, first, second):  # Discovery can move more than once.
+            file.write_text(json.dumps({**valid, "discovery": server.address}))
             proxy.process.send_signal(signal.SIGHUP)
-            while not agent.asked().startswith(b"GET /registry/instances HTTP"):
+            while not server.accept_request().startswith(b"GET /registry/instances HTTP"):
                 pass
         proxy.process.send_signal(signal.SIGTERM)
         proxy.process.send_signal(signal.SIGHUP)
