--- a/honeywharf/handover/component.py
+++ b/honeywharf/handover/component.py
@@ -26,7 +26,7 @@
     def ready(self) -> bool:
         """Whether the proxy accepts clients."""
 
-    def adopt(self, made: socket.socket) -> None:
+    def adopt(self, connection: socket.socket) -> None:
         """Takes over a client connection from another process."""
 
     def scale_capacity(self, share: float) -> None:
--- a/honeywharf/proxy.py
+++ b/honeywharf/proxy.py
@@ -52,12 +52,10 @@
         self.conf, self.loop, self.clock = conf, loop, Clock()
         self.name = conf.name
         sockets = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        traffic_descriptors = sockets - min(
-            max(MIN_OWN_DESCRIPTORS, int(sockets * OWN_DESCRIPTORS_SHARE)), sockets // 2
-        )
-        upstream_descriptors = min(int(sockets * UPSTREAM_DESCRIPTORS_SHARE), traffic_descriptors // 2)
+        usable = sockets - min(max(MIN_OWN_DESCRIPTORS, int(sockets * OWN_DESCRIPTORS_SHARE)), sockets // 2)
+        upstream = min(int(sockets * UPSTREAM_DESCRIPTORS_SHARE), usable // 2)
         self.buffer_budget = BufferBudget(int(conf.memory_mb * 1024 * 1024 * MEMORY_SHARE))
-        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream_descriptors, self.buffer_budget)
+        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream, self.buffer_budget)
         limiter = features.limits.limiter if features is not None else limits.DEFAULT
         self.balancer = Balancer(conf.settings, conf.seed, limiter)
         self.transport: Transport = self.pool
@@ -75,12 +73,7 @@
         self.driver.registry = self.watch
         self.pool.on_broken = self.driver.answer_broken
         self.front = Front(
-            loop,
-            self.clock,
-            self.driver,
-            traffic_descriptors - upstream_descriptors,
-            lambda: self.watch.up,
-            self.buffer_budget,
+            loop, self.clock, self.driver, usable - upstream, lambda: self.watch.up, self.buffer_budget
         )
         self.controller = ServiceController(
             loop, self.clock, self.front, self, max(c.deadline_ms for c in conf.settings.classes)
@@ -174,10 +167,10 @@
         """Applies a new configuration file completely or not at all. Requests in flight go on."""
         from honeywharf.config import retune
 
-        current = self.conf
+        old = self.conf
         try:
             conf = config.load(self.environ)
-            retune.check(current, conf)
+            retune.check(old, conf)
             faults = list(feature_conflicts(self.features, conf)) if self.features is not None else []
             if faults:
                 raise retune.RetuneError("{}: {}".format(*faults[0]))
@@ -192,17 +185,13 @@
             )
             return
         self.conf = replace(
-            conf,
-            listen=current.listen,
-            sockets=current.sockets,
-            operator=current.operator,
-            inherited=current.inherited,
+            conf, listen=old.listen, sockets=old.sockets, operator=old.operator, inherited=old.inherited
         )
-        if conf.discovery != current.discovery:
+        if conf.discovery != old.discovery:
             log(f"reload: discovery moved to {conf.discovery[0]}:{conf.discovery[1]}", "reload.done")
-        if (conf.listen, conf.sockets, conf.operator) != (current.listen, current.sockets, current.operator):
+        if (conf.listen, conf.sockets, conf.operator) != (old.listen, old.sockets, old.operator):
             log("reload: new addresses and limits apply after a restart", "reload.waits", "warning")
-        if (conf.settings, conf.report_fields) != (current.settings, current.report_fields):
+        if (conf.settings, conf.report_fields) != (old.settings, old.report_fields):
             names = ", ".join(c.name for c in conf.settings.classes)
             log(
                 f"reload: new settings for classes {names}",
