--- a/honeywharf/cli/admin.py
+++ b/honeywharf/cli/admin.py
@@ -32,7 +32,7 @@
     from honeywharf.admin import client
 
     try:
-        return client.ask(path, do, yes, of)
+        return client.send_request(path, do, yes, of)
     except client.AdminError as error:
         click.echo(f"{path}: {error}" if error.answered else f"{path}: nobody answers: {error}", err=True)
         sys.exit(1 if error.answered else 3)
--- a/honeywharf/cli/config.py
+++ b/honeywharf/cli/config.py
@@ -22,13 +22,13 @@
 def check_files(files: tuple[Path, ...]) -> None:
     """Prints the errors of each file, and exits with status 2 if there are any."""
     from honeywharf.config import features, node
-    from honeywharf.proxy import senseless, unfit
+    from honeywharf.proxy import feature_conflicts, feature_faults
 
     has_errors, features_files, node_files = False, [], []
     for path in files:
         errors: list[str] = []
         if path.suffix == ".toml":
-            features_of_file, errors = features.read(path, senseless)
+            features_of_file, errors = features.read(path, feature_faults)
             features_files.append((path, features_of_file))
         else:
             try:
@@ -45,7 +45,7 @@
         for conf_path, conf in node_files:
             from honeywharf.config.file_errors import parse_key_path, with_position
 
-            for key, message in unfit(features_of_file, conf):
+            for key, message in feature_conflicts(features_of_file, conf):
                 full_message = f"{key}: {message} (with {conf_path})"
                 click.echo(with_position(path, text, full_message, parse_key_path(key)), err=True)
                 has_errors = True
@@ -111,14 +111,14 @@
     import msgspec
 
     from honeywharf.config import features as features_module, node as node_module, source
-    from honeywharf.proxy import senseless
+    from honeywharf.proxy import feature_faults
 
     running = admin_request(path, "config")
     features_file, node_file = str(features or running["features_file"]), str(node or running["node_file"])
     try:
         new_values = source.values(
             node_module.load({"NODE_CONFIG": node_file}),
-            features_module.load(Path(features_file), senseless) if features_file else None,
+            features_module.load(Path(features_file), feature_faults) if features_file else None,
         )
     except (features_module.FeaturesError, node_module.ConfigError) as error:
         click.echo(str(error), err=True)
--- a/honeywharf/cli/screen.py
+++ b/honeywharf/cli/screen.py
@@ -11,7 +11,7 @@
 from textual.binding import BindingType
 from textual.widgets import DataTable, Footer, Header, Static
 
-from honeywharf.admin.client import AdminError, ask
+from honeywharf.admin.client import AdminError, send_request
 
 REFRESH_INTERVAL_S = 1.0
 MAX_EJECTED_ROWS = 200
@@ -28,7 +28,10 @@
     BINDINGS: ClassVar[list[BindingType]] = [("q", "quit", "Quit"), ("p", "pause", "Pause")]
 
     def __init__(
-        self, path: Path, request: Callable[[Path, str], Any] = ask, interval_s: float = REFRESH_INTERVAL_S
+        self,
+        path: Path,
+        request: Callable[[Path, str], Any] = send_request,
+        interval_s: float = REFRESH_INTERVAL_S,
     ) -> None:
         super().__init__()
         self.path, self.request, self.interval_s = path, request, interval_s
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -14,7 +14,7 @@
 import pytest
 
 from honeywharf.config.features import Features, FeaturesError, Traces, load
-from honeywharf.proxy import senseless
+from honeywharf.proxy import feature_faults
 from honeywharf.traces import TracesComponent, store
 from honeywharf.traces.notes import (
     BATCH_INTERVAL_MS,
@@ -341,7 +341,7 @@
     path = tmp_path / "f.toml"
     path.write_text('[traces]\nfile = "t"\nkeep = "durations > 5"\n')
     with pytest.raises(FeaturesError, match=r"traces\.keep: found field 'durations', wanted one of") as fault:
-        load(path, senseless)
+        load(path, feature_faults)
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
