--- a/honeywharf/lab/simulator.py
+++ b/honeywharf/lab/simulator.py
@@ -500,7 +500,7 @@
         for name, node in self.nodes.items():
             if node.alive and not node.draining and not node.fallen and name in self.endpoints:
                 cores += node.spec.cores
-                busy += min(node.spec.cores, node.held)
+                busy += min(node.spec.cores, node.in_flight)
         return busy < (1.0 - IDLE_CORES) * cores
 
     # Proxies.
--- a/honeywharf/standins/demo.py
+++ b/honeywharf/standins/demo.py
@@ -178,7 +178,7 @@
     """What each zone holds, serves and refuses, in one line."""
     cells = []
     for zone in ZONES:
-        held = sum(b.node.held for n, b in fleet.backends.items() if b.node and fleet.zone_of[n] == zone)
+        held = sum(b.node.in_flight for n, b in fleet.backends.items() if b.node and fleet.zone_of[n] == zone)
         tally = fleet.clients[zone].tally
         cells.append(f"{zone:>8}: holds {held:>3} served {tally.served:>5} refused {tally.refused:>4}")
     return f"{second:>4} s |" + " |".join(cells)
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -80,7 +80,7 @@
         backend = await Backend(node, rack, work_ms=200.0, spread=0.0).start()
         head = ("X-Correlation-Id: one", "Idempotency-Key: k")
         first = asyncio.create_task(fetch(backend.port, "/api/tile", *head))
-        await until(lambda: node.held == 1)
+        await until(lambda: node.in_flight == 1)
         assert (await fetch(backend.port, "/api/tile", "X-Correlation-Id: two"))[0] == 503
         assert await soon(first) == (200, b"tile for one")
         assert rack.charges == {"k": 1}
@@ -97,7 +97,7 @@
         backend = await Backend(node, work_ms=5000.0).start()
         port = backend.port
         call = asyncio.create_task(fetch(port, "/api/tile", "X-Correlation-Id: one"))
-        await until(lambda: node.held == 1)
+        await until(lambda: node.in_flight == 1)
         await backend.crash()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await soon(call)
@@ -106,7 +106,7 @@
         await backend.restart()
         assert backend.port == port
         assert (await fetch(port, "/health/live"))[0] == 200
-        assert node.pace(node.started_ms) == pytest.approx(0.25)
+        assert node.current_speed(node.started_ms) == pytest.approx(0.25)
         await backend.stop()
 
     run(main())
