--- a/honeywharf/lab/simulator.py
+++ b/honeywharf/lab/simulator.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from honeywharf import limits
-from honeywharf.lab import doors, habits
-from honeywharf.lab.doors import HttpServer
+from honeywharf.lab import habits, http_server
+from honeywharf.lab.http_server import HttpServer
 from honeywharf.lab.model import Node, NodeSpec, Rack
 from honeywharf.lab.population import UNCONNECTED, Population, Turn
 from honeywharf.policy import interface as api
@@ -214,7 +214,7 @@
         self.of_zone = {z: [i for i, home in enumerate(self.homes) if home == z] for z in self.zones}
         self.shape = shape
         self.proxies = [self.balancer(i) for i in range(day.proxies)]
-        self.doors = [HttpServer(day.accept_ms, day.request_ms) for _ in range(day.proxies)]
+        self.servers = [HttpServer(day.accept_ms, day.request_ms) for _ in range(day.proxies)]
         self.population: Population | None = None
         if day.clients:
             self.population = Population(
@@ -360,7 +360,7 @@
             marked = ask.tries > 1 and (self.day.marks >= 1.0 or self.random.random() < self.day.marks)
             left = self.day.deadline_ms - (self.now - ask.begun_ms if ask.habit else 0.0)
             request = api.RequestArrived(name, "read", left, is_retry=marked, name=ask.key.encode())
-            if self.population is None and self.doors[proxy].up:
+            if self.population is None and self.servers[proxy].up:
                 self.feed(proxy, request)
             elif kept:
                 self.enter(proxy, self.proxies[proxy], request)
@@ -372,55 +372,55 @@
         if self.population is not None and not copy and (held := int(self.population.proxy[ask.client])) >= 0:
             return held, True
         homes = self.of_zone[ask.zone]
-        listed = [i for i in homes if self.doors[i].listed] if self.day.troubles else homes
+        listed = [i for i in homes if self.servers[i].listed] if self.day.troubles else homes
         among = listed or homes
         return among[int(self.random.random() * len(among))], False
 
     def connect(self, proxy: int, request: api.RequestArrived) -> None:
         """A client connects: it waits in the proxy's queue, or finds nobody there."""
-        door = self.doors[proxy]
+        server = self.servers[proxy]
         if request.id not in self.asks:  # cut while it waited for a descriptor
             return
-        if not door.up:
+        if not server.up:
             self.at(self.now + REPLY_MS, self.cut, request.id)
             return
-        when = door.accept(self.now)
-        if when != doors.FULL:
-            door.queued += 1
+        when = server.accept(self.now)
+        if when != http_server.FULL:
+            server.queued += 1
             self.at(when, self.accepted, proxy, self.proxies[proxy], request)
-        elif self.now + doors.LOOK_MS < self.asks[request.id].begun_ms + self.day.deadline_ms:
-            self.at(self.now + doors.LOOK_MS, self.connect, proxy, request)
+        elif self.now + http_server.ACCEPT_RETRY_MS < self.asks[request.id].begun_ms + self.day.deadline_ms:
+            self.at(self.now + http_server.ACCEPT_RETRY_MS, self.connect, proxy, request)
         else:
             self.cut(request.id)
 
     def accepted(self, proxy: int, balancer: Balancer, request: api.RequestArrived) -> None:
         """The proxy accepts a connection, and reads what came on it meanwhile."""
-        if self.proxies[proxy] is not balancer or not self.doors[proxy].up:
+        if self.proxies[proxy] is not balancer or not self.servers[proxy].up:
             self.cut(request.id)
             return
-        door, ask = self.doors[proxy], self.asks[request.id]
-        door.queued -= 1
+        server, ask = self.servers[proxy], self.asks[request.id]
+        server.queued -= 1
         # As the paced listener does, which reads from TCP_INFO how long it waited.
         request.remaining_ms = self.day.deadline_ms - (self.now - ask.begun_ms)
         window = int(self.now // WINDOW_MS)
         self.result.connected[window] = self.result.connected.get(window, 0) + 1
         if self.population is not None and self.population.proxy[ask.client] < 0:  # a copy's is closed again
             self.population.proxy[ask.client] = proxy
-            door.open += 1
+            server.open_connections += 1
         self.feed(proxy, api.ClientsConnected(1))
         self.enter(proxy, balancer, request)
 
     def enter(self, proxy: int, balancer: Balancer, request: api.RequestArrived) -> None:
         """The proxy has read a request, and comes to it when its core is free."""
-        cost = self.doors[proxy].request_ms
+        cost = self.servers[proxy].request_ms
         if cost > 0.0:
-            self.at(self.doors[proxy].work(self.now, cost), self.read, proxy, balancer, request)
+            self.at(self.servers[proxy].work(self.now, cost), self.read, proxy, balancer, request)
         else:
             self.read(proxy, balancer, request)
 
     def read(self, proxy: int, balancer: Balancer, request: api.RequestArrived) -> None:
         """The decisions have the request, unless their proxy has died."""
-        if self.proxies[proxy] is balancer and self.doors[proxy].up:
+        if self.proxies[proxy] is balancer and self.servers[proxy].up:
             self.feed(proxy, request)
         else:
             self.cut(request.id)
@@ -492,7 +492,7 @@
         proxy = int(self.population.proxy[client])
         if proxy >= 0 and self.population.due[client] == due:
             self.population.proxy[client] = UNCONNECTED
-            self.doors[proxy].open -= 1
+            self.servers[proxy].open_connections -= 1
 
     def has_room(self) -> bool:
         """Whether so many cores of the nodes that proxies may use are idle that no one need be refused."""
@@ -513,7 +513,7 @@
             elif isinstance(action, api.SetTimer):
                 self.at(action.at_ms, self.timer, proxy, self.proxies[proxy], action.token)
             elif isinstance(action, api.PaceConnections):
-                self.doors[proxy].pace(self.now, action.per_s)
+                self.servers[proxy].set_accept_rate(self.now, action.per_s)
             elif isinstance(action, api.Refuse):
                 self.result.reasons[action.reason.value] = self.result.reasons.get(action.reason.value, 0) + 1
                 self.answered(action.request, "refused", action.retry_after_ms)
@@ -524,7 +524,7 @@
 
     def timer(self, proxy: int, balancer: Balancer, token: str) -> None:
         """A timer fires, unless the proxy that set it has died."""
-        if self.proxies[proxy] is balancer and self.doors[proxy].up:
+        if self.proxies[proxy] is balancer and self.servers[proxy].up:
             self.feed(proxy, api.TimerFired(token))
 
     def send(self, proxy: int, action: api.Send) -> None:
@@ -654,21 +654,24 @@
     def strike_proxies(self, trouble: Trouble) -> None:
         """A trouble of proxies begins."""
         among = [i for i, zone in enumerate(self.homes) if trouble.zone in ("", zone)]
-        among.sort(key=lambda i: self.doors[i].restarted_ms)
+        among.sort(key=lambda i: self.servers[i].restarted_ms)
         for i in among[: max(1, round(len(among) * trouble.part))]:
-            door = self.doors[i]
+            server = self.servers[i]
             if trouble.kind == "descriptors":
-                door.most, most = max(1, door.open), door.most
-                self.at(self.now + trouble.for_ms, setattr, door, "most", most)
+                server.max_connections, max_connections = (
+                    max(1, server.open_connections),
+                    server.max_connections,
+                )
+                self.at(self.now + trouble.for_ms, setattr, server, "max_connections", max_connections)
                 continue
-            door.die(self.now)
+            server.crash(self.now)
             for name in [name for name, flight in self.flights.items() if flight.proxy == i]:
                 del self.flights[name]  # its node finds nobody to answer to
             for name in [name for name in self.asks if self.owner[name] == i]:
                 self.at(self.now + REPLY_MS, self.cut, name)
             self.reconnect(i)
             if trouble.front_ms < trouble.for_ms:
-                self.at(self.now + trouble.front_ms, setattr, door, "listed", False)
+                self.at(self.now + trouble.front_ms, setattr, server, "listed", False)
             self.at(self.now + trouble.for_ms, self.restart, i)
 
     def reconnect(self, proxy: int) -> None:
@@ -683,8 +686,8 @@
     def restart(self, proxy: int) -> None:
         """A new process serves in a proxy's place."""
         self.proxies[proxy] = self.balancer(proxy)
-        self.doors[proxy].start(self.now)
-        self.doors[proxy].listed = True
+        self.servers[proxy].start(self.now)
+        self.servers[proxy].listed = True
         self.begin(proxy)
 
     def revive(self, name: str) -> None:
--- a/tests/lab/test_population.py
+++ b/tests/lab/test_population.py
@@ -5,9 +5,9 @@
 import numpy as np
 import pytest
 
-from honeywharf.lab import days, doors, habits
-from honeywharf.lab.doors import HttpServer
+from honeywharf.lab import days, habits, http_server
 from honeywharf.lab.habits import MIXED
+from honeywharf.lab.http_server import HttpServer
 from honeywharf.lab.population import MOST, Population
 from honeywharf.lab.simulator import Day, Result, Simulation, Trouble, play
 
@@ -83,22 +83,22 @@
     assert (third.serial, third.tries, third.told) == (2, 1, False)
 
 
-def test_a_door_accepts_at_its_pace_by_its_core_and_within_its_descriptors() -> None:
-    door = HttpServer(accept_ms=2.0, most=4)
-    assert [door.accept(0.0), door.accept(0.0)] == [2.0, 4.0]
-    door.queued = 2
-    door.pace(10.0, 100.0)
-    assert [door.accept(10.0), door.accept(10.0)] == [22.0, 32.0]
-    door.queued = 4
-    assert door.accept(10.0) == doors.FULL
-    door.most, door.queued = 10_000, doors.QUEUE - 1
-    assert door.accept(10.0) != doors.FULL
-    door.queued = doors.QUEUE
-    assert door.accept(10.0) == doors.FULL
-    door.die(50.0)
-    assert (door.up, door.open, door.queued) == (False, 0, 0)
-    door.start(60.0)
-    assert door.accept(60.0) == 62.0  # a new process has no pace
+def test_a_server_accepts_at_its_rate_as_its_core_and_descriptors_allow() -> None:
+    server = HttpServer(accept_ms=2.0, max_connections=4)
+    assert [server.accept(0.0), server.accept(0.0)] == [2.0, 4.0]
+    server.queued = 2
+    server.set_accept_rate(10.0, 100.0)
+    assert [server.accept(10.0), server.accept(10.0)] == [22.0, 32.0]
+    server.queued = 4
+    assert server.accept(10.0) == http_server.FULL
+    server.max_connections, server.queued = 10_000, http_server.ACCEPT_BACKLOG - 1
+    assert server.accept(10.0) != http_server.FULL
+    server.queued = http_server.ACCEPT_BACKLOG
+    assert server.accept(10.0) == http_server.FULL
+    server.crash(50.0)
+    assert (server.up, server.open_connections, server.queued) == (False, 0, 0)
+    server.start(60.0)
+    assert server.accept(60.0) == 62.0  # the new process has no bound
 
 
 def accounted(result: Result) -> None:
@@ -124,7 +124,7 @@
     simulation = Simulation(day(troubles=(trouble,)))
     result = simulation.play()
     accounted(result)
-    assert {door.most for door in simulation.doors} == {1000}
+    assert {server.max_connections for server in simulation.servers} == {1000}
     assert result.goodput(3000.0, 5000.0) < 0.95 < result.goodput(6000.0, 12_000.0)
 
 
@@ -157,5 +157,5 @@
     simulation.play()
     assert simulation.population is not None
     held = int((simulation.population.proxy >= 0).sum())
-    assert held == sum(door.open for door in simulation.doors)
+    assert held == sum(server.open_connections for server in simulation.servers)
     assert held < 200
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -148,7 +148,7 @@
     "coap/client.py",
     "lab/model.py",
     "lab/habits.py",
-    "lab/doors.py",
+    "lab/http_server.py",
     "lab/population.py",
     "lab/simulator.py",
     "lab/days.py",
