--- a/bench/outage.py
+++ b/bench/outage.py
@@ -30,7 +30,7 @@
 
 from bench.processes import HERE, proxy, wait_for
 from honeywharf.lab import measures
-from honeywharf.lab.habits import MIXED, pause_ms
+from honeywharf.lab.habits import MIXED, backoff_ms
 from honeywharf.lab.model import Node, NodeSpec
 from honeywharf.standins import node
 from honeywharf.standins.backend import Backend
@@ -99,7 +99,7 @@
                 self.count("refused")
                 if told:
                     self.count("told again")
-            pause, told = pause_ms(self.habit, tries, wait_ms, self.random)
+            pause, told = backoff_ms(self.habit, tries, wait_ms, self.random)
             if time.monotonic() - begun + pause / 1000.0 >= PATIENCE_S:
                 return
             await asyncio.sleep(pause / 1000.0)
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -31,7 +31,7 @@
 from honeywharf import limits
 from honeywharf.config import words
 from honeywharf.lab import days
-from honeywharf.lab.habits import MIXED, known
+from honeywharf.lab.habits import MIXED, checked_habit
 from honeywharf.lab.model import NodeSpec
 from honeywharf.lab.simulator import Day, Reporting, Trouble, capacity
 
@@ -285,10 +285,10 @@
     if clients.habits == "mixed":
         return MIXED
     if isinstance(clients.habits, str):
-        return ((known(clients.habits), 1.0),)
+        return ((checked_habit(clients.habits), 1.0),)
     if not clients.habits or min(clients.habits.values()) <= 0.0:
         raise ValueError(f"wanted weights over 0, found {clients.habits}")
-    return tuple((known(name), weight) for name, weight in clients.habits.items())
+    return tuple((checked_habit(name), weight) for name, weight in clients.habits.items())
 
 
 def reporting(load: Load) -> Reporting | None:
--- a/honeywharf/lab/habits.py
+++ b/honeywharf/lab/habits.py
@@ -1,30 +1,35 @@
-"""What clients do after a refusal or a failure: one table, for clients on loopback and in virtual time."""
+"""The retry habits of clients after a refusal or a failure, for clients on loopback and in virtual time."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Mapping, Sequence
 
-BASE_MS, MAX_MS = 100.0, 3200.0
+BACKOFF_BASE_MS, MAX_BACKOFF_MS = 100.0, 3200.0
 
-#: By name: the pause in ms before try number `tries + 1`, of the time told and a random source.
+#: Functions by habit. Each returns the backoff in ms after a number of attempts; `advised` is the backoff
+#: that the refusal advised, or 0.
 HABITS: dict[str, Callable[[int, float, random.Random], float]] = {
-    "obedient": lambda tries, told, draw: told or draw.uniform(0.0, min(MAX_MS, BASE_MS * 2**tries)),
-    "half": lambda tries, told, draw: told if told and draw.random() < 0.5 else BASE_MS,
-    "deaf": lambda tries, told, draw: BASE_MS,
-    "at once": lambda tries, told, draw: draw.uniform(0.0, 10.0),
-    "exponential": lambda tries, told, draw: min(MAX_MS, BASE_MS * 2**tries),
-    "jitter": lambda tries, told, draw: draw.uniform(0.0, min(MAX_MS, BASE_MS * 2**tries)),
-    "several": lambda tries, told, draw: BASE_MS,
+    "obedient": lambda attempts, advised, rng: (
+        advised or rng.uniform(0.0, min(MAX_BACKOFF_MS, BACKOFF_BASE_MS * 2**attempts))
+    ),
+    "half": lambda attempts, advised, rng: advised if advised and rng.random() < 0.5 else BACKOFF_BASE_MS,
+    "deaf": lambda attempts, advised, rng: BACKOFF_BASE_MS,
+    "at once": lambda attempts, advised, rng: rng.uniform(0.0, 10.0),
+    "exponential": lambda attempts, advised, rng: min(MAX_BACKOFF_MS, BACKOFF_BASE_MS * 2**attempts),
+    "jitter": lambda attempts, advised, rng: rng.uniform(
+        0.0, min(MAX_BACKOFF_MS, BACKOFF_BASE_MS * 2**attempts)
+    ),
+    "several": lambda attempts, advised, rng: BACKOFF_BASE_MS,
 }
-NAMES: tuple[str, ...] = tuple(HABITS)  # a client's habit as a number is its place here
+NAMES: tuple[str, ...] = tuple(HABITS)  # `Population` stores a habit as its index in this tuple.
 
-#: Tries that a repeat is made of, side by side, where that is more than one.
-AT_ONCE: Mapping[str, int] = {"several": 3}
-#: Those that connect again as soon as a connection is cut, whether they want something or not.
+#: Copies of a repeat that a client sends in parallel, for habits that send more than one.
+PARALLEL_COPIES: Mapping[str, int] = {"several": 3}
+#: Habits of clients that reconnect as soon as a connection is cut, even without a request to send.
 EAGER = frozenset({"at once", "several"})
 
-#: Clients of every habit, and their weights.
+#: Habits and weights of a mixed population.
 MIXED = (
     ("obedient", 0.3),
     ("half", 0.2),
@@ -35,20 +40,24 @@
 )
 
 
-def known(habit: str) -> str:
-    """The name of a habit; ValueError for another."""
+def checked_habit(habit: str) -> str:
+    """Returns the name of a habit. Raises ValueError for an unknown one."""
     if habit not in HABITS:
-        raise ValueError(f"habit: wanted one of {', '.join(HABITS)}, found {habit!r}")
+        raise ValueError(f"habit: expected one of {', '.join(HABITS)}, got {habit!r}")
     return habit
 
 
-def pause_ms(habit: str, tries: int, told_ms: float, draw: random.Random) -> tuple[float, bool]:
-    """The pause after so many tries, and whether the client comes as it was told. ValueError for no habit."""
-    pause = HABITS[known(habit)](tries, told_ms, draw)
-    return pause, told_ms > 0 and pause >= told_ms and habit in ("obedient", "half")
+def backoff_ms(habit: str, attempts: int, advised_ms: float, rng: random.Random) -> tuple[float, bool]:
+    """Returns the backoff after that many attempts, and whether the client follows the advised time.
 
+    Raises:
+        ValueError: if the habit is unknown.
+    """
+    backoff = HABITS[checked_habit(habit)](attempts, advised_ms, rng)
+    return backoff, advised_ms > 0 and backoff >= advised_ms and habit in ("obedient", "half")
 
-def draw_one(weights: Sequence[tuple[str, float]], draw: random.Random) -> str:
-    """A habit, drawn by weight."""
+
+def choose_habit(weights: Sequence[tuple[str, float]], rng: random.Random) -> str:
+    """Returns a habit drawn by weight. Raises ValueError for an unknown one."""
     names, parts = zip(*weights, strict=True)
-    return known(draw.choices(names, parts)[0])
+    return checked_habit(rng.choices(names, parts)[0])
--- a/honeywharf/lab/simulator.py
+++ b/honeywharf/lab/simulator.py
@@ -17,7 +17,7 @@
 from honeywharf.lab import habits, http_server
 from honeywharf.lab.http_server import HttpServer
 from honeywharf.lab.model import Node, NodeSpec, Rack
-from honeywharf.lab.population import UNCONNECTED, Population, Turn
+from honeywharf.lab.population import UNCONNECTED, ClientAttempt, Population
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
 
@@ -293,25 +293,25 @@
         """Those of the population whose turn comes before the next tick."""
         if self.population is None or self.now >= self.day.length_ms:
             return
-        for turn in self.population.coming(min(self.now + TICK_MS, self.day.length_ms)):
-            self.at(max(self.now, turn.when_ms), self.turn, turn)
+        for due in self.population.take_due(min(self.now + TICK_MS, self.day.length_ms)):
+            self.at(max(self.now, due.when_ms), self.population_attempt, due)
         self.at(self.now + TICK_MS, self.tick)
 
-    def turn(self, turn: Turn) -> None:
+    def population_attempt(self, due: ClientAttempt) -> None:
         """A client of the population makes a try."""
         assert self.population is not None
         work = self.day.work_ms * self.random.lognormvariate(0.0, self.day.spread)
         ask = _Ask(
-            self.zones[self.population.zone(turn.client)],
-            turn.begun_ms,
+            self.zones[self.population.zone(due.client)],
+            due.begun_ms,
             work,
-            f"{turn.client}-{turn.serial}",
-            turn.tries - 1,
-            habits.NAMES[self.population.habit[turn.client]],
-            turn.told,
-            turn.client,
+            f"{due.client}-{due.serial}",
+            due.attempts - 1,
+            habits.NAMES[self.population.habit[due.client]],
+            due.as_advised,
+            due.client,
         )
-        if turn.tries == 1:
+        if due.attempts == 1:
             ask.begun_ms = self.now
             self.window(self.now)[0] += 1
             self.result.asked += 1
@@ -343,13 +343,13 @@
         self.result.asked += 1
         ask = _Ask(zone, self.now, work, f"k{self.result.asked}")
         if self.day.habits:
-            ask.habit = habits.draw_one(self.day.habits, self.random)
+            ask.habit = habits.choose_habit(self.day.habits, self.random)
         self.try_(ask)
 
     def try_(self, ask: _Ask) -> None:
         """A client tries, or tries again; some make several tries at once of that."""
         ask.tries += 1
-        ask.out = habits.AT_ONCE.get(ask.habit, 1) if ask.tries > 1 else 1
+        ask.out = habits.PARALLEL_COPIES.get(ask.habit, 1) if ask.tries > 1 else 1
         ask.wait_ms, ask.how = 0.0, ""
         self.result.as_told += ask.told
         for copy in range(ask.out):
@@ -469,12 +469,12 @@
         ):
             pause = max(ask.wait_ms, 50.0)
             if ask.habit:
-                pause, ask.told = habits.pause_ms(ask.habit, ask.tries, ask.wait_ms, self.random)
+                pause, ask.told = habits.backoff_ms(ask.habit, ask.tries, ask.wait_ms, self.random)
                 if self.now + pause >= ask.begun_ms + self.day.deadline_ms:
                     self.rest(ask)  # it has given up by then
                     return
             if self.population is not None:
-                self.population.again(ask.client, self.now + pause, ask.told)
+                self.population.retry_at(ask.client, self.now + pause, ask.told)
             else:
                 self.at(self.now + pause, self.try_, ask)
         else:
@@ -483,7 +483,7 @@
     def rest(self, ask: _Ask) -> None:
         """A client of the population thinks of what it wants next."""
         if self.population is not None:
-            self.population.rest(ask.client, self.now)
+            self.population.think(ask.client, self.now)
             self.at(self.now + self.day.keep_ms, self.idle, ask.client, self.population.due[ask.client])
 
     def idle(self, client: int, due: float) -> None:
@@ -679,7 +679,7 @@
         if self.population is None:
             return
         eager = [habits.NAMES.index(name) for name in sorted(habits.EAGER)]
-        for client in self.population.cut(proxy).tolist():
+        for client in self.population.disconnect(proxy).tolist():
             if self.population.habit[client] in eager and self.population.due[client] < float("inf"):
                 self.population.due[client] = self.now + self.random.uniform(0.0, 100.0)
 
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -103,7 +103,7 @@
         ("day.deadline_ms", 5.0, "day.deadline_ms: wanted 2000 to 1e+06, found 5"),
         ("fleet.zones", {}, "fleet.zones: wanted a node"),
         ("fleet.proxies", 1, "fleet.proxies: wanted 2 to 2000, found 1"),
-        ("clients.habits", {"shy": 1.0}, "habit: wanted one of obedient"),
+        ("clients.habits", {"shy": 1.0}, "habit: expected one of obedient"),
         ("clients.habits", {"deaf": 0.0}, "clients.habits: wanted weights over 0"),
         ("features.limiter", "best", "features.limiter: wanted one of lateness"),
         ("troubles.0.kind", "flood", "troubles[0].kind: wanted one of crash"),
