--- a/honeywharf/standins/coapday.py
+++ b/honeywharf/standins/coapday.py
@@ -37,7 +37,7 @@
         self.serial += 1
         self.by_coap += 1
         name = f"o{self.serial}"
-        self.history.asked(name, key, now_ms(), repeat)
+        self.history.requested(name, key, now_ms(), repeat)
         status, body = await self.units[self.serial // 2 % UNITS].order(name, key, max(left_ms, 400), repeat)
         late = self.late_ms + max(left_ms, 400) if status == GAVE_UP else 0.0
         self.history.answered(name, now_ms(), status, body, late)
--- a/honeywharf/standins/keyday.py
+++ b/honeywharf/standins/keyday.py
@@ -92,7 +92,7 @@
         """One request, recorded."""
         self.serial += 1
         name = f"o{self.serial}"
-        self.history.asked(name, key, now_ms(), repeat)
+        self.history.requested(name, key, now_ms(), repeat)
         status, body = await ask(port, name, key, left_ms, repeat)
         self.history.answered(name, now_ms(), status, body)
 
@@ -136,7 +136,7 @@
 
     def key_of(self, name: str) -> str:
         """The key of a request, or the key itself."""
-        ask = self.history.asks.get(name)
+        ask = self.history.requests_by_id.get(name)
         return ask.key if ask is not None else name
 
     async def play(self) -> dict[str, Any]:
@@ -148,17 +148,17 @@
         await asyncio.gather(*(self.order(i) for i in range(self.keys)))
         self.ended.set()
         await asyncio.gather(*troubles)
-        charges, faults = self.history.charges.values(), self.history.faults(KEPT_MS)
+        charges, faults = self.history.charges.values(), self.history.violations(KEPT_MS)
         return {
             "keys charged": len(charges),
             "twice": sum(len(c) > 1 for c in charges),
-            "requests": len(self.history.asks),
-            "answers": dict(sorted(Counter(a.status for a in self.history.asks.values()).items())),
+            "requests": len(self.history.requests_by_id),
+            "answers": dict(sorted(Counter(a.status for a in self.history.requests_by_id.values()).items())),
             "killed": self.kills,
             "paused": self.pauses,
             "faults": {rule: len(found) for rule, found in faults.items()},
             "of these": {
-                rule: self.history.told(self.key_of(found[0])) for rule, found in faults.items() if found
+                rule: self.history.events_of(self.key_of(found[0])) for rule, found in faults.items() if found
             },
         }
 
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -41,12 +41,12 @@
     async def main() -> None:
         async with served() as (w, backend, front):
             h, unit = History(), await Unit.to(port_of(front))
-            h.asked("unit", "k", 0.0, False)
+            h.requested("unit", "k", 0.0, False)
             h.answered("unit", 400.0, GAVE_UP, late_ms=DELAY_S * 1000.0 + 4000.0)  # sent, but not received
             unprocessed = reply(503, b"", b"X-Unprocessed: 1")
             backend.script, backend.then = [None, unprocessed, unprocessed], reply(200, b"tile")
             client = await Client.to(w.port)
-            h.asked("http", "k", 450.0, True)
+            h.requested("http", "k", 450.0, True)
             client.send("order", b"x", "4000m", "X-Repeat: 1", key="k")
             await until(lambda: len(backend.requests) == 1)
             unit.send(request_options(id="late"), payload=b"x")
@@ -61,8 +61,8 @@
             h.charged("k", "unit", 460.0)
             assert await client.status() == 503
             h.answered("http", 470.0, 503)
-            assert not any(h.faults(KEPT_MS).values())
-            h.asks["unit"].late_until_ms = 0.0  # the checker ignores the late datagram
-            assert h.faults(KEPT_MS)["refused means no charge"] == ["http"]
+            assert not any(h.violations(KEPT_MS).values())
+            h.requests_by_id["unit"].late_until_ms = 0.0  # the checker ignores the late datagram
+            assert h.violations(KEPT_MS)["refused means no charge"] == ["http"]
 
     run(main())
