--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -31,8 +31,8 @@
     return (
         limiter,
         kind,
-        got.good / max(1, got.asked),
-        100.0 * got.refused_with_room / max(1, got.asked),
+        got.good / max(1, got.requests),
+        100.0 * got.refused_with_spare_capacity / max(1, got.requests),
         got.quantile(0.99),
         broken,
     )
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -24,7 +24,7 @@
 from bench.processes import HERE, command
 from honeywharf.lab import days, measures
 from honeywharf.lab.habits import MIXED
-from honeywharf.lab.simulator import Day, Reporting, Simulation, Trouble
+from honeywharf.lab.simulator import Day, Fault, Reporting, Simulation
 from tests.reports.model import loop
 
 WORSE = 0.03
@@ -64,7 +64,7 @@
         proxies=proxies,
         reports=on,
         load=load,
-        troubles=(Trouble(10_000.0, "crash", part=0.4, for_ms=6000.0),),
+        faults=(Fault(10_000.0, "crash", part=0.4, for_ms=6000.0),),
     )
     return days.load(made, 0.75)
 
@@ -78,9 +78,9 @@
     def look() -> None:
         waits.append(statistics.fmean(len(n.waiting) for n in simulation.nodes.values()))
         if simulation.now < 9900.0:
-            simulation.at(simulation.now + 100.0, look)
+            simulation.call_at(simulation.now + 100.0, look)
 
-    simulation.at(4000.0, look)
+    simulation.call_at(4000.0, look)
     figures = measures.of(shape, simulation.play())
     return Play(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
 
--- a/honeywharf/lab/days.py
+++ b/honeywharf/lab/days.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from honeywharf.lab.model import NodeSpec
-from honeywharf.lab.simulator import Day, Trouble, capacity
+from honeywharf.lab.simulator import Day, Fault, capacity
 
 #: As tile nodes: jam at more than 4.5 calls for each core over 2 s, and are cold for 8 s.
 TILE = NodeSpec(cores=2, queue=12, cold_share=0.25, warm_ms=8000.0, jam_at=4.5)
@@ -74,9 +74,9 @@
         {"a": 2, "b": 2, "c": 2},
         none,
         spec=STEADY,
-        troubles=(
-            Trouble(turn, "slow", part=1.0, factor=10.0),
-            Trouble(turn + 6000.0, "slow", part=1.0, factor=0.1),
+        faults=(
+            Fault(turn, "slow", part=1.0, factor=10.0),
+            Fault(turn + 6000.0, "slow", part=1.0, factor=0.1),
         ),
     )
     return load(day, 0.25)
@@ -92,7 +92,7 @@
         none,
         spec=TILE,
         retries=1,
-        troubles=(Trouble(1000.0, "crash", part=0.33, for_ms=1500.0),),
+        faults=(Fault(1000.0, "crash", part=0.33, for_ms=1500.0),),
     )
     return load(day, lambda now: 0.3 + 0.5 * min(1.0, now / 8000.0))
 
@@ -126,7 +126,7 @@
         spec=TILE,
         retries=2,
         length_ms=30000.0,
-        troubles=(Trouble(8000.0 + 1000.0 * draw.random(), "crash", part=0.15, for_ms=6000.0),),
+        faults=(Fault(8000.0 + 1000.0 * draw.random(), "crash", part=0.15, for_ms=6000.0),),
     )
     return load(day, 0.75)
 
--- a/honeywharf/lab/demo.py
+++ b/honeywharf/lab/demo.py
@@ -6,7 +6,7 @@
 
 from honeywharf.lab import days, measures
 from honeywharf.lab.habits import MIXED
-from honeywharf.lab.simulator import Day, Trouble, play
+from honeywharf.lab.simulator import Day, Fault, play
 
 DIES_MS, BACK_MS, LENGTH_MS = 6000.0, 12_000.0, 30_000.0
 BARS = " ▁▂▃▄▅▆▇█"
@@ -27,7 +27,7 @@
         storms=storms,
         marks=0.5,
         proxies=9,
-        troubles=(Trouble(DIES_MS, "crash", part=0.4, for_ms=BACK_MS - DIES_MS),),
+        faults=(Fault(DIES_MS, "crash", part=0.4, for_ms=BACK_MS - DIES_MS),),
     )
     return days.load(day, 0.75)
 
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -33,7 +33,7 @@
 from honeywharf.lab import days
 from honeywharf.lab.habits import MIXED, checked_habit
 from honeywharf.lab.model import NodeSpec
-from honeywharf.lab.simulator import Day, Reporting, Trouble, capacity
+from honeywharf.lab.simulator import Day, Fault, Reporting, capacity
 
 MAX_CELLS = 10_000
 KINDS = ("crash", "slow", "drain", "restart", "descriptors")
@@ -326,10 +326,10 @@
         days.none,
         length_ms=shape.length_ms,
         spec=spec,
-        troubles=tuple(Trouble(**msgspec.to_builtins(t)) for t in cell.setting.troubles),
+        faults=tuple(Fault(**msgspec.to_builtins(t)) for t in cell.setting.troubles),
         proxies=fleet.proxies,
         notice_ms=fleet.notice_ms,
-        aim_ms=shape.aim_ms,
+        latency_target_ms=shape.aim_ms,
         deadline_ms=shape.deadline_ms,
         spread=shape.spread,
         retries=clients.retries,
--- a/honeywharf/lab/measures.py
+++ b/honeywharf/lab/measures.py
@@ -24,9 +24,9 @@
 
 def span(day: Day) -> tuple[float, float]:
     """From the first trouble to the end of the last, ms; the whole day where there is none."""
-    if not day.troubles:
+    if not day.faults:
         return SETTLE_MS, SETTLE_MS
-    return min(t.at_ms for t in day.troubles), max(t.at_ms + t.for_ms for t in day.troubles)
+    return min(t.at_ms for t in day.faults), max(t.at_ms + t.for_ms for t in day.faults)
 
 
 def recovery_ms(level: Level, former: float, since_ms: float, end_ms: float) -> float | None:
@@ -53,7 +53,7 @@
     """The figures by name."""
     level = result.goodput
     dies, back = span(day)
-    end = day.length_ms - day.aim_ms  # what is asked later has not had its time
+    end = day.length_ms - day.latency_target_ms  # what is asked later has not had its time
     former = level(SETTLE_MS, dies) if dies > SETTLE_MS else level(0.0, end)
     took = recovery_ms(level, former, back, end)
     figures = {
@@ -61,12 +61,12 @@
         "former": former,
         "dead": level(dies, back),
         "after": level(back, end),
-        "asked": float(result.asked),
+        "asked": float(result.requests),
         "refused": float(result.refused),
         "failed": float(result.failed),
         "fell": float(result.fell),
-        "cut": float(result.cut),
-        "for_gone": float(result.for_gone),
+        "cut": float(result.disconnected),
+        "for_gone": float(result.sent_past_deadline),
         "double_charges": float(result.double_charges),
         "late_drains": float(result.late_drains),
         "p50_s": result.quantile(0.5) / 1000.0,
@@ -81,22 +81,26 @@
     ratios = [_repeats(result, k, k + 4) for k in range(begin, last - 3)]
     if ratios:
         figures["repeats"], figures["repeats_most"] = _repeats(result, begin, last), max(ratios)
-    if result.as_told:
-        figures["wrong_advice"] = result.told_and_refused / result.as_told
-    if result.connected:
-        figures["connections_per_s_most"] = max(result.connected.values()) * 1000.0 / WINDOW_MS
+    if result.advised_attempts:
+        figures["wrong_advice"] = result.advised_attempts_refused / result.advised_attempts
+    if result.connections_accepted:
+        figures["connections_per_s_most"] = max(result.connections_accepted.values()) * 1000.0 / WINDOW_MS
     return figures
 
 
 def _repeats(result: Result, begin: int, end: int) -> float:
     first = sum(result.windows.get(k, [0])[0] for k in range(begin, end))
-    return sum(result.begun.get(k, [0, 0])[1] for k in range(begin, end)) / max(1, first)
+    return sum(result.forwarded.get(k, [0, 0])[1] for k in range(begin, end)) / max(1, first)
 
 
 def lines(day: Day, result: Result) -> list[list[int]]:
     """By window: first tries asked, those in time, refusals, first tries and repeats begun, connections."""
     return [
-        [*result.windows.get(k, [0, 0, 0]), *result.begun.get(k, [0, 0]), result.connected.get(k, 0)]
+        [
+            *result.windows.get(k, [0, 0, 0]),
+            *result.forwarded.get(k, [0, 0]),
+            result.connections_accepted.get(k, 0),
+        ]
         for k in range(int(day.length_ms // WINDOW_MS))
     ]
 
--- a/tests/lab/test_population.py
+++ b/tests/lab/test_population.py
@@ -9,10 +9,10 @@
 from honeywharf.lab.habits import MIXED
 from honeywharf.lab.http_server import HttpServer
 from honeywharf.lab.population import MAX_CLIENTS, Population
-from honeywharf.lab.simulator import Day, Result, Simulation, Trouble, play
+from honeywharf.lab.simulator import Day, Fault, Result, Simulation, play
 
 RESTARTS = tuple(
-    Trouble(3000.0 + 2000.0 * i, "restart", part=part, for_ms=1500.0, front_ms=1000.0)
+    Fault(3000.0 + 2000.0 * i, "restart", part=part, for_ms=1500.0, front_ms=1000.0)
     for i, part in enumerate((0.3, 0.3, 0.3, 0.1))
 )
 
@@ -108,25 +108,25 @@
 
 def accounted(result: Result) -> None:
     """Asserts that each request is counted once, and that no key is charged twice and no drain broken."""
-    assert result.good <= result.served <= result.asked
-    assert sum(w[0] for w in result.windows.values()) == result.asked
+    assert result.good <= result.served <= result.requests
+    assert sum(w[0] for w in result.windows.values()) == result.requests
     assert result.double_charges == 0
     assert result.late_drains == 0
 
 
 @pytest.mark.parametrize("storms", [False, True])
 def test_all_proxies_restart_while_the_front_sends_to_dead_ones(storms: bool) -> None:
-    result = play(day(troubles=RESTARTS, storms=storms))
+    result = play(day(faults=RESTARTS, storms=storms))
     accounted(result)
-    assert result.cut > 50  # attempts met dead proxies, or died with them
+    assert result.disconnected > 50  # attempts met dead proxies, or died with them
     assert result.goodput(10_500.0, 12_000.0) > 0.9
     assert result.goodput(3000.0, 10_500.0) < result.goodput(10_500.0, 12_000.0)
-    assert play(day(storms=storms)).cut == 0
+    assert play(day(storms=storms)).disconnected == 0
 
 
 def test_connections_wait_while_descriptors_are_short_and_are_accepted_later() -> None:
-    trouble = Trouble(3000.0, "descriptors", part=1.0, for_ms=2000.0)
-    simulation = Simulation(day(troubles=(trouble,)))
+    fault = Fault(3000.0, "descriptors", part=1.0, for_ms=2000.0)
+    simulation = Simulation(day(faults=(fault,)))
     result = simulation.play()
     accounted(result)
     assert {server.max_connections for server in simulation.servers} == {1000}
@@ -135,24 +135,24 @@
 
 def test_a_restart_while_descriptors_are_short_cuts_only_waiting_connections() -> None:
     """Guards against a proxy that restarts before connections waiting for a descriptor are tried again."""
-    troubles = (
-        Trouble(3000.0, "descriptors", part=1.0, for_ms=2000.0),
-        *(Trouble(3500.0 + 200.0 * i, "restart", part=1.0, for_ms=10.0) for i in range(5)),
+    faults = (
+        Fault(3000.0, "descriptors", part=1.0, for_ms=2000.0),
+        *(Fault(3500.0 + 200.0 * i, "restart", part=1.0, for_ms=10.0) for i in range(5)),
     )
-    accounted(play(day(troubles=troubles)))
+    accounted(play(day(faults=faults)))
 
 
 def test_no_attempt_is_sent_for_a_client_whose_deadline_passed_in_the_accept_queue() -> None:
     made = play(day(accept_ms=60.0))  # a core accepts 16 connections per second, and more arrive
     accounted(made)
     assert made.quantile(0.9) > 1000.0
-    assert made.for_gone == 0
+    assert made.sent_past_deadline == 0
 
 
 def test_clients_with_parallel_copies_are_answered_and_counted_once() -> None:
-    trouble = Trouble(3000.0, "crash", part=0.4, for_ms=3000.0)
-    one = play(day(troubles=(trouble,)))
-    several = play(Day(**{**vars(day(troubles=(trouble,))), "habits": (("several", 1.0),)}))
+    fault = Fault(3000.0, "crash", part=0.4, for_ms=3000.0)
+    one = play(day(faults=(fault,)))
+    several = play(Day(**{**vars(day(faults=(fault,))), "habits": (("several", 1.0),)}))
     accounted(several)
     assert several.refused > one.refused
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -8,7 +8,7 @@
 
 from honeywharf.lab import days
 from honeywharf.lab.habits import MIXED
-from honeywharf.lab.simulator import Day, Trouble, play
+from honeywharf.lab.simulator import Day, Fault, play
 from honeywharf.limits import zone
 from honeywharf.policy import choice
 
@@ -29,7 +29,7 @@
         habits=MIXED,
         marks=0.5,
         proxies=proxies,
-        troubles=(Trouble(8000.0, "crash", part=0.4, for_ms=6000.0),),
+        faults=(Fault(8000.0, "crash", part=0.4, for_ms=6000.0),),
     )
     return days.load(day, 0.75)
 
--- a/tests/limits/test_days.py
+++ b/tests/limits/test_days.py
@@ -9,7 +9,7 @@
 
 from honeywharf.lab import days
 from honeywharf.lab.model import NodeSpec
-from honeywharf.lab.simulator import Day, Result, Simulation, Trouble, capacity, play
+from honeywharf.lab.simulator import Day, Fault, Result, Simulation, capacity, play
 from honeywharf.policy import interface as api
 from honeywharf.policy.requests import Request
 
@@ -48,14 +48,14 @@
 def test_with_spare_capacity_nothing_is_refused(work_ms: float, connections: int) -> None:
     """Fast servers answer before a limit matters; slow ones with many cores need the open start."""
     result = closed_loop(work_ms, connections, "lateness" if work_ms <= 20.0 else "open")
-    assert result.asked > connections
+    assert result.requests > connections
     assert result.refused == 0
 
 
 def test_a_limiter_by_base_time_alone_refuses_most_requests() -> None:
     """Shows that the test above can fail."""
     result = closed_loop(0.2, 64, "formerly")
-    assert result.refused > 0.5 * result.asked
+    assert result.refused > 0.5 * result.requests
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
     result = checked(play(day))
     assert result.goodput(4000.0) > 0.9 * 0.5  # the limits adapt in the first seconds
     assert result.good > 0.8 * capacity(day) * length_ms / 1000.0
-    assert result.quantile(0.99) < day.aim_ms
+    assert result.quantile(0.99) < day.latency_target_ms
 
 
 def test_at_twice_the_capacity_servers_of_1000_ms_answer_in_time_once_the_start_is_over() -> None:
@@ -110,9 +110,9 @@
             length_ms=20000.0,
             spec=spec,
             proxies=2,
-            troubles=(
-                Trouble(6000.0, "slow", part=1.0, factor=10.0),
-                Trouble(12000.0, "slow", part=1.0, factor=0.1),
+            faults=(
+                Fault(6000.0, "slow", part=1.0, factor=10.0),
+                Fault(12000.0, "slow", part=1.0, factor=0.1),
             ),
         ),
         0.05,
@@ -137,7 +137,7 @@
     )
     result = checked(play(days.load(day, 0.6, {"a": 0.5, "b": 0.3, "c": 0.2})))
     assert result.goodput(4000.0) > 0.97
-    assert result.refused_with_room < 0.01 * result.asked
+    assert result.refused_with_spare_capacity < 0.01 * result.requests
 
 
 def test_a_limit_at_its_minimum_recovers_after_an_overload() -> None:
@@ -153,7 +153,7 @@
     day = days.outage(seed)
     result = checked(play(day))
     before = result.goodput(2000.0, 8000.0)
-    back = day.troubles[0].at_ms + day.troubles[0].for_ms + day.notice_ms
+    back = day.faults[0].at_ms + day.faults[0].for_ms + day.notice_ms
     assert result.goodput(back + 5000.0, 30000.0) >= 0.95 * before
 
 
@@ -162,7 +162,7 @@
     day = days.KINDS[kind](1)
     now, before = checked(play(day)), play(replace(day, limiter="formerly"))
     assert now.good >= 0.97 * before.good
-    assert now.refused_with_room <= before.refused_with_room + 0.01 * now.asked
+    assert now.refused_with_spare_capacity <= before.refused_with_spare_capacity + 0.01 * now.requests
 
 
 def keyed(seed: int) -> Day:
@@ -177,9 +177,9 @@
         spec=days.TILE,
         retries=2,
         effect=api.Effect.KEYED,
-        troubles=(
-            Trouble(3000.0, "crash", part=0.3, for_ms=2000.0),
-            Trouble(5000.0, "drain", part=0.2, for_ms=3000.0),
+        faults=(
+            Fault(3000.0, "crash", part=0.3, for_ms=2000.0),
+            Fault(5000.0, "drain", part=0.2, for_ms=3000.0),
         ),
     )
     return days.load(day, 0.7)
--- a/tests/reports/test_rules.py
+++ b/tests/reports/test_rules.py
@@ -259,8 +259,8 @@
         length_ms=24_000.0,
         nodes={"a": 7, "b": 7, "c": 7},
     )
-    crash = replace(day.troubles[0], at_ms=6000.0, part=0.4, for_ms=4000.0)
-    return days.load(replace(day, troubles=(crash,), retries=4), 0.75)
+    crash = replace(day.faults[0], at_ms=6000.0, part=0.4, for_ms=4000.0)
+    return days.load(replace(day, faults=(crash,), retries=4), 0.75)
 
 
 def test_nodes_behind_many_proxies_recover_better_with_reports() -> None:
