--- a/bench/reports.py
+++ b/bench/reports.py
@@ -55,7 +55,7 @@
         seed,
         100.0,
         NODES,
-        days.none,
+        days.no_arrivals,
         spec=days.TILE,
         retries=6,
         length_ms=40_000.0,
@@ -81,13 +81,15 @@
             simulation.call_at(simulation.now + 100.0, look)
 
     simulation.call_at(4000.0, look)
-    figures = measures.of(shape, simulation.play())
+    figures = measures.figures_of(shape, simulation.play())
     return Play(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
 
 
 def row(name: str, plays: list[Play]) -> str:
     """One line: means, and each recovery."""
-    back = ", ".join("never" if p.recovery_s >= measures.LATER else f"{p.recovery_s:.1f}" for p in plays)
+    back = ", ".join(
+        "never" if p.recovery_s >= measures.NOT_RECOVERED_S else f"{p.recovery_s:.1f}" for p in plays
+    )
     return (
         f"{name:<34}{statistics.fmean(p.dead for p in plays):>7.3f}"
         f"{statistics.fmean(p.after for p in plays):>7.3f}"
--- a/honeywharf/lab/experiments.py
+++ b/honeywharf/lab/experiments.py
@@ -323,7 +323,7 @@
         cell.seed,
         shape.work_ms,
         fleet.zones,
-        days.none,
+        days.no_arrivals,
         length_ms=shape.length_ms,
         spec=spec,
         faults=tuple(Fault(**msgspec.to_builtins(t)) for t in cell.setting.troubles),
--- a/honeywharf/lab/reports.py
+++ b/honeywharf/lab/reports.py
@@ -11,7 +11,7 @@
 import jinja2
 import numpy as np
 
-from honeywharf.lab.measures import LATER, QUANTILES
+from honeywharf.lab.measures import NOT_RECOVERED_S, QUANTILES
 from honeywharf.lab.simulator import WINDOW_MS
 
 Row = tuple[str, dict[str, str], int, dict[str, Any]]
@@ -48,18 +48,18 @@
 
 
 def mean(results: Sequence[dict[str, Any]], name: str) -> float | None:
-    """A figure's mean over the seeds that have it; LATER where one has not recovered."""
+    """A figure's mean over the seeds that have it; NOT_RECOVERED_S where one has not recovered."""
     values = [r["figures"][name] for r in results if name in r["figures"]]
     if not values:
         return None
-    return LATER if max(values) >= LATER else float(np.mean(values))
+    return NOT_RECOVERED_S if max(values) >= NOT_RECOVERED_S else float(np.mean(values))
 
 
 def words(value: float | None) -> str:
     """A figure as it is shown."""
     if value is None:
         return ""
-    if value >= LATER:
+    if value >= NOT_RECOVERED_S:
         return "never"
     return f"{value:.3f}" if abs(value) < 100 else f"{value:,.0f}"
 
@@ -180,7 +180,7 @@
     figure = Figure(figsize=(11, 4), layout="constrained")
     axes = figure.subplots()
     for rest, by in list(points.items())[:LINES_MOST]:
-        known = [c for c in order if c in by and max(by[c]) < LATER]
+        known = [c for c in order if c in by and max(by[c]) < NOT_RECOVERED_S]
         axes.plot([order.index(c) for c in known], [np.mean(by[c]) for c in known], marker="o", label=rest)
     axes.set_xticks(range(len(order)), order)
     axes.set_xlabel(axis)
--- a/honeywharf/lab/runs.py
+++ b/honeywharf/lab/runs.py
@@ -16,7 +16,7 @@
 
 def play(cell: Cell) -> tuple[str, dict[str, Any]]:
     """One cell, in whatever process: its key and what came of it."""
-    return cell.key, measures.played(day_of(cell))
+    return cell.key, measures.play_and_measure(day_of(cell))
 
 
 def run(
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -281,7 +281,7 @@
 
 
 def test_never_is_said_as_that() -> None:
-    found = [{"figures": {"recovery_s": 1.0}}, {"figures": {"recovery_s": measures.LATER}}]
+    found = [{"figures": {"recovery_s": 1.0}}, {"figures": {"recovery_s": measures.NOT_RECOVERED_S}}]
     assert reports.words(reports.mean(found, "recovery_s")) == "never"
     assert reports.words(reports.mean(found, "swing")) == ""
 
--- a/tests/lab/test_population.py
+++ b/tests/lab/test_population.py
@@ -23,7 +23,7 @@
         1,
         100.0,
         {"a": 4, "b": 4},
-        days.none,
+        days.no_arrivals,
         spec=days.TILE,
         retries=6,
         length_ms=14_000.0,
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,7 +22,7 @@
         seed,
         100.0,
         {"a": 14, "b": 14, "c": 14},
-        days.none,
+        days.no_arrivals,
         spec=days.TILE,
         retries=6,
         length_ms=34_000.0,
--- a/tests/limits/test_days.py
+++ b/tests/limits/test_days.py
@@ -31,7 +31,7 @@
                 1,
                 work_ms,
                 {"z": 4},
-                days.none,
+                days.no_arrivals,
                 length_ms=length,
                 spec=spec,
                 connections=connections,
@@ -106,7 +106,7 @@
             3,
             20.0,
             {"a": 2, "b": 2},
-            days.none,
+            days.no_arrivals,
             length_ms=20000.0,
             spec=spec,
             proxies=2,
@@ -129,7 +129,7 @@
         5,
         50.0,
         {"a": 4, "b": 4, "c": 1},
-        days.none,
+        days.no_arrivals,
         length_ms=12000.0,
         spec=days.STEADY,
         slow_zone="b",
@@ -141,7 +141,7 @@
 
 
 def test_a_limit_at_its_minimum_recovers_after_an_overload() -> None:
-    day = Day("crowd gone", 2, 100.0, days.THREE, days.none, length_ms=20000.0, spec=days.STEADY)
+    day = Day("crowd gone", 2, 100.0, days.THREE_ZONES, days.no_arrivals, length_ms=20000.0, spec=days.STEADY)
     day = days.load(day, lambda now: 4.0 if now < 6000.0 else 0.6)
     result = checked(play(day))
     assert result.goodput(0.0, 6000.0) < 0.4
@@ -171,8 +171,8 @@
         "keyed",
         seed,
         100.0,
-        days.THREE,
-        days.none,
+        days.THREE_ZONES,
+        days.no_arrivals,
         length_ms=12000.0,
         spec=days.TILE,
         retries=2,
--- a/tests/storms/test_days.py
+++ b/tests/storms/test_days.py
@@ -55,7 +55,7 @@
 def test_a_storm_that_begins_before_nodes_return_is_reported_and_ends() -> None:
     off, on = cells_of("storms", 1, dead="0.4", clients="mixed")
     day = day_of(on)
-    result, (dies, back) = play(day), measures.span(day)
+    result, (dies, back) = play(day), measures.fault_span(day)
     begun = [at for at, _, words in result.states if words.startswith("storm: storm")]
     ended = [at for at, _, words in result.states if words.startswith("storm: calm (quiet)")]
     assert dies < min(begun) < back
