--- a/honeywharf/lab/results.py
+++ b/honeywharf/lab/results.py
@@ -1,7 +1,7 @@
-"""What has been played: one SQLite file, a row a cell, each written whole or not at all.
+"""Stores the results of an experiment in one SQLite file, with a row for each cell.
 
-A run that is killed leaves what was done before; the next one goes on from there. The file is bounded: a
-cell that does not fit is an error, and what is in it stays.
+A killed run leaves the cells that it had written, and the next run continues with the others. The file is
+bounded: adding a cell that does not fit raises an error, and the stored cells stay.
 """
 
 from __future__ import annotations
@@ -14,61 +14,63 @@
 from pathlib import Path
 from typing import Any
 
-VERSION = 1
+SCHEMA_VERSION = 1
 MAX_BYTES = 256 * 1024 * 1024
-PAGE = 4096
+PAGE_BYTES = 4096
 
 
 def fingerprint() -> str:
-    """Of all sources whose change may change a day's figures."""
-    root, told = Path(__file__).parents[1], hashlib.blake2b(digest_size=6)
+    """Returns a digest of all sources that affect the figures of a day."""
+    root, digest = Path(__file__).parents[1], hashlib.blake2b(digest_size=6)
     for package in ("lab", "limits", "policy", "storms"):
         for path in sorted((root / package).glob("*.py")):
-            told.update(path.name.encode() + path.read_bytes())
-    return told.hexdigest()
+            digest.update(path.name.encode() + path.read_bytes())
+    return digest.hexdigest()
 
 
-WAIT_S = 30.0  # for another process that has the file
+LOCK_TIMEOUT_S = 30.0  # Another process may hold the file's lock.
 
 
 class ResultsError(ValueError):
-    """A file that holds no results, or no more of them."""
+    """A file of results is invalid, full, or written by other code."""
 
 
 class Results:
-    """A file of results, created where there is none. `most_bytes` bounds it.
+    """A file of results of up to `max_bytes`, which is created if it does not exist.
 
-    `code`: the fingerprint of what plays; a file of another one's is refused, as its days would be taken for
-    this one's. Empty for who only reads.
+    `code`: the fingerprint of the code that writes, or an empty string to read only. A file of other code is
+    refused, as its results differ.
+
+    Raises:
+        ResultsError: if the file cannot be opened, or holds no results of this version and code.
     """
 
-    def __init__(self, path: Path, most_bytes: int = MAX_BYTES, code: str = "") -> None:
-        self.path, self.most_bytes = path, most_bytes
-        fresh = not path.exists()
+    def __init__(self, path: Path, max_bytes: int = MAX_BYTES, code: str = "") -> None:
+        self.path, self.max_bytes = path, max_bytes
+        is_new = not path.exists()
         try:
-            self.file = sqlite3.connect(path, timeout=WAIT_S)
-            self.file.execute(f"pragma max_page_count = {max(8, most_bytes // PAGE)}")
-            if fresh:
-                self.file.execute("begin immediate")  # whole or not at all, for who opens it meanwhile
-                self.file.execute(f"pragma user_version = {VERSION}")
-                self.file.execute(
+            self.database = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S)
+            self.database.execute(f"pragma max_page_count = {max(8, max_bytes // PAGE_BYTES)}")
+            if is_new:
+                self.database.execute("begin immediate")  # Other processes see all tables or none.
+                self.database.execute(f"pragma user_version = {SCHEMA_VERSION}")
+                self.database.execute(
                     "create table cells (key text primary key, experiment text, labels text, seed integer,"
                     " result text) without rowid"
                 )
-                self.file.execute("create table code (fingerprint text)")
-                self.file.execute("insert into code values (?)", (code,))
-                self.file.commit()
-            found = self.file.execute("pragma user_version").fetchone()[0]
-            self.file.execute("select key from cells limit 1")
-            (self.code,) = self.file.execute("select fingerprint from code").fetchone()
+                self.database.execute("create table code (fingerprint text)")
+                self.database.execute("insert into code values (?)", (code,))
+                self.database.commit()
+            version = self.database.execute("pragma user_version").fetchone()[0]
+            self.database.execute("select key from cells limit 1")
+            (self.code,) = self.database.execute("select fingerprint from code").fetchone()
         except sqlite3.Error as fault:
-            raise ResultsError(f"{path}: wanted a file of results, found {fault}") from None
-        if found != VERSION:
-            raise ResultsError(f"{path}: wanted results of version {VERSION}, found {found}")
+            raise ResultsError(f"{path}: expected a file of results, got {fault}") from None
+        if version != SCHEMA_VERSION:
+            raise ResultsError(f"{path}: expected results of version {SCHEMA_VERSION}, got {version}")
         if code and code != self.code:
             raise ResultsError(
-                f"{path}: wanted days that this code ({code}) has played, found {self.code}'s:"
-                " name another file"
+                f"{path}: expected results of this code ({code}), got those of {self.code}: name another file"
             )
 
     def add(
@@ -79,27 +81,27 @@
         seed: int,
         result: dict[str, Any],
     ) -> None:
-        """Keep a cell; one that is there already is replaced."""
+        """Stores a cell, and replaces an earlier result of it. Raises ResultsError if the file is full."""
         row = (key, experiment, json.dumps(labels), seed, json.dumps(result, sort_keys=True))
         try:
-            with self.file:
-                self.file.execute("insert or replace into cells values (?, ?, ?, ?, ?)", row)
+            with self.database:
+                self.database.execute("insert or replace into cells values (?, ?, ?, ?, ?)", row)
         except sqlite3.Error as fault:
             raise ResultsError(
-                f"{self.path}: wanted room for a cell in {self.most_bytes} bytes, found {fault}"
+                f"{self.path}: expected space for a cell within {self.max_bytes} bytes, got {fault}"
             ) from None
 
     def keys(self) -> set[str]:
-        """The cells that are done."""
+        """Returns the keys of the stored cells."""
         try:
-            return {row[0] for row in self.file.execute("select key from cells")}
-        except sqlite3.Error as fault:  # who writes has it for longer than is waited
-            raise ResultsError(f"{self.path}: wanted its cells, found {fault}") from None
+            return {row[0] for row in self.database.execute("select key from cells")}
+        except sqlite3.Error as fault:  # A writer may hold the lock beyond the time-out.
+            raise ResultsError(f"{self.path}: expected a table of cells, got {fault}") from None
 
     def rows(self, experiment: str = "") -> Iterator[tuple[str, dict[str, str], int, dict[str, Any]]]:
-        """Experiment, labels, seed and result of each cell, in a fixed order."""
+        """Yields the experiment, labels, seed and result of each cell, in a fixed order."""
         with closing(
-            self.file.execute(
+            self.database.execute(
                 "select experiment, labels, seed, result from cells order by experiment, labels, seed"
             )
         ) as rows:
@@ -108,5 +110,5 @@
                     yield name, json.loads(labels), seed, json.loads(result)
 
     def close(self) -> None:
-        """Nothing more is kept."""
-        self.file.close()
+        """Closes the file."""
+        self.database.close()
--- a/honeywharf/lab/runs.py
+++ b/honeywharf/lab/runs.py
@@ -1,4 +1,4 @@
-"""Cells over all cores, with a progress bar; what is done already is not played again."""
+"""Runs the cells of an experiment on all cores with a progress bar, and skips cells that have a result."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def play(cell: Cell) -> tuple[str, dict[str, Any]]:
-    """One cell, in whatever process: its key and what came of it."""
+    """Simulates a cell. Returns its key and its result."""
     return cell.key, measures.play_and_measure(day_of(cell))
 
 
@@ -26,10 +26,13 @@
     jobs: int = 0,
     quiet: bool = False,
 ) -> tuple[int, int]:
-    """Play what is not done yet, on so many cores (0: all); how many were played and how many were there."""
-    wanted = {cell.key: cell for cell in cells}
+    """Simulates the cells without a result in `jobs` processes (0: one for each core).
+
+    Returns the number of cells simulated, and the number that had a result.
+    """
+    cells_by_key = {cell.key: cell for cell in cells}
     done = results.keys()
-    left = [cell for key, cell in wanted.items() if key not in done]
+    remaining = [cell for key, cell in cells_by_key.items() if key not in done]
     bar = Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -38,16 +41,16 @@
         disable=quiet,
     )
     with bar, ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
-        task = bar.add_task(name, total=len(wanted), completed=len(wanted) - len(left))
-        waiting = [pool.submit(play, cell) for cell in left]
+        task = bar.add_task(name, total=len(cells_by_key), completed=len(cells_by_key) - len(remaining))
+        futures = [pool.submit(play, cell) for cell in remaining]
         try:
-            for one in as_completed(waiting):
-                key, result = one.result()
-                cell = wanted[key]
+            for future in as_completed(futures):
+                key, result = future.result()
+                cell = cells_by_key[key]
                 results.add(key, name, cell.labels, cell.seed, result)
                 bar.advance(task)
         except BaseException:
-            for one in waiting:
-                one.cancel()
+            for future in futures:
+                future.cancel()
             raise
-    return len(left), len(wanted) - len(left)
+    return len(remaining), len(cells_by_key) - len(remaining)
--- a/tests/compatibility/test_golden.py
+++ b/tests/compatibility/test_golden.py
@@ -124,10 +124,10 @@
         results = Results(path, code=LABORATORY_CODE)
         assert results.keys() == {row[0] for row in LABORATORY_ROWS}
         assert [(*row,) for row in results.rows()] == [row[1:] for row in LABORATORY_ROWS]
-        results.file.close()
+        results.database.close()
     dumps = []
     for path in (old, new):
         results = Results(path)
-        dumps.append(list(results.file.iterdump()))
-        results.file.close()
+        dumps.append(list(results.database.iterdump()))
+        results.database.close()
     assert dumps[0] == dumps[1]
--- a/tests/compatibility/write_golden.py
+++ b/tests/compatibility/write_golden.py
@@ -27,7 +27,7 @@
     results = Results(path, code=LABORATORY_CODE)
     for row in LABORATORY_ROWS:
         results.add(*row)
-    results.file.close()
+    results.database.close()
 
 
 def main() -> None:
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -186,14 +186,14 @@
 
 
 def test_a_file_of_results_is_bounded_and_keeps_what_it_holds(tmp_path: Path) -> None:
-    results = Results(tmp_path / "r", most_bytes=64 * 1024)
+    results = Results(tmp_path / "r", max_bytes=64 * 1024)
     result = {"figures": {"level": 1.0}, "lines": [[1] * 6] * 200, "latencies": [0.1]}
 
     def fill() -> None:
         for i in range(1000):
             results.add(f"k{i}", "e", {}, i, result)
 
-    with pytest.raises(ResultsError, match="wanted room for a cell in 65536 bytes"):
+    with pytest.raises(ResultsError, match="expected space for a cell within 65536 bytes"):
         fill()
     kept = len(results.keys())
     assert 5 < kept < 100
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("data", [b"not a database at all, but long enough to be read as one" * 40, b""])
 def test_another_file_is_no_file_of_results(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "r").write_bytes(data)
-    with pytest.raises(ResultsError, match="wanted"):
+    with pytest.raises(ResultsError, match="expected"):
         Results(tmp_path / "r")
 
 
@@ -213,7 +213,7 @@
     results = Results(tmp_path / "r", code="one")
     results.add("k", "e", {}, 1, {})
     results.close()
-    with pytest.raises(ResultsError, match=r"wanted days that this code \(two\) has played, found one's"):
+    with pytest.raises(ResultsError, match=r"expected results of this code \(two\), got those of one"):
         Results(tmp_path / "r", code="two")
     assert Results(tmp_path / "r").keys() == {"k"}
     assert len(fingerprint()) == 12
