--- a/honeywharf/cli/lab.py
+++ b/honeywharf/cli/lab.py
@@ -32,16 +32,16 @@
         name, cells = experiments.load(experiment)
         results = Results(out or experiment.with_suffix(".results"), code=fingerprint())
         played, known = runs.run(name, cells, results, jobs, quiet)
-        found = reports.groups(results.rows(name))
+        found = reports.results_by_setting(results.rows(name))
     except (experiments.ExperimentError, ResultsError) as fault:
         raise click.ClickException(str(fault)) from None
     click.echo(f"{name}: {played} days played, {known} were there")
     table(
         [
-            (setting, *(reports.words(reports.mean(some, one)) for one in reports.SHOWN))
+            (setting, *(reports.format_figure(reports.mean(some, one)) for one in reports.DEFAULT_FIGURES))
             for setting, some in found.items()
         ],
-        ("setting", *reports.SHOWN),
+        ("setting", *reports.DEFAULT_FIGURES),
     )
 
 
@@ -77,8 +77,8 @@
             (
                 d.setting,
                 d.figure,
-                reports.words(d.first),
-                reports.words(d.second),
+                reports.format_figure(d.first),
+                reports.format_figure(d.second),
                 f"{d.second - d.first:+.3f}",
                 f"{d.low:+.3f} to {d.high:+.3f}",
                 str(d.pairs),
--- a/honeywharf/lab/reports.py
+++ b/honeywharf/lab/reports.py
@@ -1,4 +1,4 @@
-"""Results read: tables of means over seeds, two settings beside each other, and one HTML page."""
+"""Reports on results: tables of means over seeds, comparisons of two settings, and an HTML page."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from honeywharf.lab.simulator import WINDOW_MS
 
 Row = tuple[str, dict[str, str], int, dict[str, Any]]
-SHOWN = (
+DEFAULT_FIGURES = (
     "former",
     "dead",
     "after",
@@ -26,37 +26,37 @@
     "wrong_advice",
     "refused",
 )
-DRAWS = 2000  # of a bootstrap
-LINES_MOST = 12  # of one plot: more cannot be told apart
+BOOTSTRAP_SAMPLES = 2000
+MAX_PLOT_LINES = 12  # More lines cannot be distinguished.
 
 
 class ReportError(ValueError):
-    """What cannot be told from results."""
+    """A report asks for results that do not exist."""
 
 
 def label(labels: dict[str, str]) -> str:
-    """A setting in words."""
+    """Returns the text that names a setting."""
     return ", ".join(f"{axis} {value}" for axis, value in labels.items()) or "all"
 
 
-def groups(rows: Iterable[Row]) -> dict[str, list[dict[str, Any]]]:
-    """Results by setting, of all its seeds."""
-    found: dict[str, list[dict[str, Any]]] = defaultdict(list)
+def results_by_setting(rows: Iterable[Row]) -> dict[str, list[dict[str, Any]]]:
+    """Returns the results of all seeds by setting."""
+    by_setting: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for _, labels, _, result in rows:
-        found[label(labels)].append(result)
-    return dict(found)
+        by_setting[label(labels)].append(result)
+    return dict(by_setting)
 
 
 def mean(results: Sequence[dict[str, Any]], name: str) -> float | None:
-    """A figure's mean over the seeds that have it; NOT_RECOVERED_S where one has not recovered."""
+    """Returns a figure's mean over the seeds that have it, or NOT_RECOVERED_S if one did not recover."""
     values = [r["figures"][name] for r in results if name in r["figures"]]
     if not values:
         return None
     return NOT_RECOVERED_S if max(values) >= NOT_RECOVERED_S else float(np.mean(values))
 
 
-def words(value: float | None) -> str:
-    """A figure as it is shown."""
+def format_figure(value: float | None) -> str:
+    """Returns the text of a figure."""
     if value is None:
         return ""
     if value >= NOT_RECOVERED_S:
@@ -82,12 +82,15 @@
     axis: str,
     first: str,
     second: str,
-    figures: Sequence[str] = SHOWN,
+    figures: Sequence[str] = DEFAULT_FIGURES,
 ) -> list[Difference]:
-    """Two cases of an axis, pair by pair: all else and the seed equal. ReportError where there is no pair.
+    """Compares two cases of an axis, over pairs with equal seeds and otherwise equal labels.
 
-    The interval is a percentile bootstrap over pairs (Efron, 1979), from a fixed seed; of one pair it is that
-    pair's difference.
+    The interval is a percentile bootstrap over pairs (Efron, 1979) with a fixed seed. For one pair it is
+    the difference of that pair.
+
+    Raises:
+        ReportError: if there is no pair.
     """
     cases: dict[tuple[str, int], dict[str, dict[str, Any]]] = defaultdict(dict)
     known: set[str] = set()
@@ -97,18 +100,17 @@
             rest = {k: v for k, v in labels.items() if k != axis}
             cases[label(rest), seed][labels[axis]] = result
     if first not in known or second not in known:
-        found = ", ".join(sorted(known)) or "none"
-        raise ReportError(f"{axis}: wanted the cases {first!r} and {second!r}, found {found}")
+        cases_found = ", ".join(sorted(known)) or "none"
+        raise ReportError(f"{axis}: expected the cases {first!r} and {second!r}, got {cases_found}")
     pairs: dict[str, list[tuple[dict[str, Any], dict[str, Any]]]] = defaultdict(list)
     for (setting, _), by_case in sorted(cases.items()):
         if first in by_case and second in by_case:
             pairs[setting].append((by_case[first]["figures"], by_case[second]["figures"]))
     if not pairs:
         raise ReportError(
-            f"{axis}: wanted settings and seeds that both {first!r} and {second!r} were played"
-            " with, found none"
+            f"{axis}: expected settings and seeds with results of both {first!r} and {second!r}, got none"
         )
-    told = []
+    differences = []
     for setting, both in pairs.items():
         for name in figures:
             values = np.array([(a[name], b[name]) for a, b in both if name in a and name in b])
@@ -116,15 +118,17 @@
                 continue
             gap = values[:, 1] - values[:, 0]
             draw = np.random.Generator(np.random.PCG64(len(gap)))
-            means = gap[draw.integers(0, len(gap), (DRAWS, len(gap)))].mean(axis=1)
+            means = gap[draw.integers(0, len(gap), (BOOTSTRAP_SAMPLES, len(gap)))].mean(axis=1)
             low, high = np.quantile(means, (0.025, 0.975))
             one, two = values.mean(axis=0)
-            told.append(Difference(setting, name, float(one), float(two), float(low), float(high), len(gap)))
-    return told
+            differences.append(
+                Difference(setting, name, float(one), float(two), float(low), float(high), len(gap))
+            )
+    return differences
 
 
 def _svg(figure: Any) -> str:
-    """A plot as SVG, the same bytes each time."""
+    """Returns a plot as reproducible SVG."""
     import matplotlib as mpl
 
     buffer = io.StringIO()
@@ -134,13 +138,13 @@
     return text[text.index("<svg") :]
 
 
-def time_lines(found: dict[str, list[dict[str, Any]]]) -> str:
-    """The level and the repeats of each setting over the day, means over seeds."""
+def time_lines(by_setting: dict[str, list[dict[str, Any]]]) -> str:
+    """Returns a plot of the level and the repeats of each setting over the day, as means over seeds."""
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(11, 6.5), layout="constrained")
     upper, lower = figure.subplots(2, 1, sharex=True)
-    for name, results in list(found.items())[:LINES_MOST]:
+    for name, results in list(by_setting.items())[:MAX_PLOT_LINES]:
         table = np.mean([np.array(r["lines"], float) for r in results], axis=0)
         at = (np.arange(len(table)) + 0.5) * WINDOW_MS / 1000.0
         upper.plot(at, table[:, 1] / np.maximum(1.0, table[:, 0]), label=name, linewidth=1.2)
@@ -153,13 +157,13 @@
     return _svg(figure)
 
 
-def distributions(found: dict[str, list[dict[str, Any]]]) -> str:
-    """How long served answers took, by setting."""
+def distributions(by_setting: dict[str, list[dict[str, Any]]]) -> str:
+    """Returns a plot of the latencies of served requests by setting."""
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(11, 4), layout="constrained")
     axes = figure.subplots()
-    for name, results in list(found.items())[:LINES_MOST]:
+    for name, results in list(by_setting.items())[:MAX_PLOT_LINES]:
         axes.plot(np.mean([r["latencies"] for r in results], axis=0), QUANTILES, label=name, linewidth=1.2)
     axes.set_xlabel("s from the first try to the answer")
     axes.set_ylabel("share of served")
@@ -168,7 +172,7 @@
 
 
 def sweep(rows: Sequence[Row], axis: str, figure_name: str) -> str:
-    """One figure over the cases of an axis, in their order; a line for each other setting."""
+    """Returns a plot of a figure over the ordered cases of an axis, with a line for each other setting."""
     from matplotlib.figure import Figure
 
     points: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
@@ -176,10 +180,10 @@
         if axis in labels and figure_name in result["figures"]:
             rest = label({k: v for k, v in labels.items() if k != axis})
             points[rest][labels[axis]].append(result["figures"][figure_name])
-    order = sorted({c for by in points.values() for c in by}, key=_in_order)
+    order = sorted({c for by in points.values() for c in by}, key=_case_order)
     figure = Figure(figsize=(11, 4), layout="constrained")
     axes = figure.subplots()
-    for rest, by in list(points.items())[:LINES_MOST]:
+    for rest, by in list(points.items())[:MAX_PLOT_LINES]:
         known = [c for c in order if c in by and max(by[c]) < NOT_RECOVERED_S]
         axes.plot([order.index(c) for c in known], [np.mean(by[c]) for c in known], marker="o", label=rest)
     axes.set_xticks(range(len(order)), order)
@@ -190,7 +194,7 @@
     return _svg(figure)
 
 
-def _in_order(case: str) -> tuple[int, float, str]:
+def _case_order(case: str) -> tuple[int, float, str]:
     try:
         return 0, float(case.replace(",", "")), case
     except ValueError:
@@ -217,16 +221,18 @@
 """
 
 
-def page(rows: Sequence[Row], figures: Sequence[str] = SHOWN, over: Sequence[str] = ("recovery_s",)) -> str:
-    """The whole report, one HTML page without anything from outside. ReportError where nothing was played."""
+def page(
+    rows: Sequence[Row], figures: Sequence[str] = DEFAULT_FIGURES, over: Sequence[str] = ("recovery_s",)
+) -> str:
+    """Returns the report as one HTML page without external files. Raises ReportError without results."""
     if not rows:
-        raise ReportError("report: wanted a day that was played, found none")
-    found = groups(rows)
+        raise ReportError("report: expected the results of a day, got none")
+    by_setting = results_by_setting(rows)
     table = [
-        (setting, len(results), [words(mean(results, name)) for name in figures])
-        for setting, results in found.items()
+        (setting, len(results), [format_figure(mean(results, name)) for name in figures])
+        for setting, results in by_setting.items()
     ]
-    plots = [("The day", time_lines(found)), ("How long answers took", distributions(found))]
+    plots = [("The day", time_lines(by_setting)), ("How long answers took", distributions(by_setting))]
     for axis in rows[0][1]:
         if len({labels.get(axis) for _, labels, _, _ in rows}) > 2:
             plots += [(f"{name} over {axis}", sweep(rows, axis, name)) for name in over]
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -242,11 +242,11 @@
     assert told.high == pytest.approx(0.2)
     (back,) = reports.compare(rows, "on", "yes", "no")
     assert back.second - back.first == pytest.approx(-0.2)
-    with pytest.raises(reports.ReportError, match="wanted the cases 'no' and 'maybe', found no, yes"):
+    with pytest.raises(reports.ReportError, match="expected the cases 'no' and 'maybe', got no, yes"):
         reports.compare(rows, "on", "no", "maybe")
-    with pytest.raises(reports.ReportError, match="found none"):
+    with pytest.raises(reports.ReportError, match="got none"):
         reports.compare(rows, "else", "no", "yes")
-    with pytest.raises(reports.ReportError, match="seeds that both"):
+    with pytest.raises(reports.ReportError, match="seeds with results of both"):
         reports.compare([rows[0], rows[4]], "on", "no", "yes")
 
 
@@ -276,14 +276,14 @@
     assert "clients 10, on &lt;b&gt;" in page
     assert page.count("<svg") == 3  # the day, distributions, and recovery over the axis of three cases
     assert not re.search(r'(src|href)="http', page)
-    with pytest.raises(reports.ReportError, match="found none"):
+    with pytest.raises(reports.ReportError, match="got none"):
         reports.page([])
 
 
 def test_never_is_said_as_that() -> None:
     found = [{"figures": {"recovery_s": 1.0}}, {"figures": {"recovery_s": measures.NOT_RECOVERED_S}}]
-    assert reports.words(reports.mean(found, "recovery_s")) == "never"
-    assert reports.words(reports.mean(found, "swing")) == ""
+    assert reports.format_figure(reports.mean(found, "recovery_s")) == "never"
+    assert reports.format_figure(reports.mean(found, "swing")) == ""
 
 
 def test_the_commands_play_compare_and_report(tmp_path: Path) -> None:
@@ -303,4 +303,4 @@
     told = CliRunner().invoke(main, ["lab", "run", str(file)])
     assert (told.exit_code, "name: wanted a word, found 3" in told.output) == (1, True)
     told = CliRunner().invoke(main, ["lab", "compare", str(out), "features.storms", "false", "maybe"])
-    assert (told.exit_code, "found false, true" in told.output) == (1, True)
+    assert (told.exit_code, "got false, true" in told.output) == (1, True)
