--- a/honeywharf/lab/model.py
+++ b/honeywharf/lab/model.py
@@ -52,14 +52,14 @@
 
     def __init__(self, spec: NodeSpec, started_ms: float = -INFINITY) -> None:
         self.spec, self.started_ms = spec, started_ms
-        self.alive, self.draining, self.fallen, self.silent = True, False, False, False
+        self.alive, self.draining, self.fallen, self.unresponsive = True, False, False, False
         self.running: list[tuple[float, str]] = []  # A heap by end time.
         self.waiting: deque[tuple[str, float]] = deque()
         self.jammed_at_ms = -INFINITY  # -INFINITY while the node is not jammed.
         self.in_flight_mean, self.busy_mean, self.observed_ms = 0.0, 0.0, 0.0
         self.idle_ms = 0.0  # Time for which it has been mostly idle.
-        self.warm_up_work: deque[tuple[float, float]] = deque()  # Time and ms of work.
-        self.warm_up_work_ms = 0.0
+        self.slow_start_work: deque[tuple[float, float]] = deque()  # Time and ms of work.
+        self.slow_start_work_ms = 0.0
 
     @property
     def in_flight(self) -> int:
@@ -81,7 +81,7 @@
     def offer(self, now: float, call: str, work_ms: float) -> bool:
         """Starts or queues a call. Returns False if the node rejects it."""
         self._observe(now)
-        self._track_warm_up_work(now, work_ms)
+        self._track_slow_start_work(now, work_ms)
         if not self.alive or self.draining or self.fallen:
             return False
         if len(self.running) < self.spec.cores:
@@ -136,17 +136,17 @@
         elif self.idle_ms >= spec.jam_rest_ms or now - self.jammed_at_ms >= spec.jam_most_ms:
             self.jammed_at_ms, self.in_flight_mean = -INFINITY, float(self.in_flight)
 
-    def _track_warm_up_work(self, now: float, work_ms: float) -> None:
+    def _track_slow_start_work(self, now: float, work_ms: float) -> None:
         """Sums the work that a cold node is sent. Too much of it makes the node fall over."""
         if self.speed_share(now) >= 1.0:
             return
-        self.warm_up_work.append((now, work_ms))
-        self.warm_up_work_ms += work_ms
-        while self.warm_up_work[0][0] <= now - self.spec.fall_ms:
-            self.warm_up_work_ms -= self.warm_up_work.popleft()[1]
+        self.slow_start_work.append((now, work_ms))
+        self.slow_start_work_ms += work_ms
+        while self.slow_start_work[0][0] <= now - self.spec.fall_ms:
+            self.slow_start_work_ms -= self.slow_start_work.popleft()[1]
         possible_ms = self.spec.cores * self.spec.speed * self.speed_share(now) * self.spec.fall_ms
         slack = 3.0 * work_ms * self.spec.cores  # Tolerance for a few long calls.
-        if self.warm_up_work_ms > self.spec.fall_multiple * possible_ms + slack:
+        if self.slow_start_work_ms > self.spec.fall_multiple * possible_ms + slack:
             self.fallen = True
 
 
--- a/honeywharf/lab/simulator.py
+++ b/honeywharf/lab/simulator.py
@@ -128,9 +128,9 @@
     connections_accepted: dict[int, int] = field(default_factory=dict)  # Counts by window.
     disconnected: int = 0  # Attempts whose proxy stopped or accepted no connection.
     sent_past_deadline: int = 0  # Attempts sent to a node after the client's deadline.
-    fell: int = 0
-    double_charges: int = 0
-    late_drains: int = 0
+    fell: int = 0  # Nodes that fell over while cold.
+    double_charges: int = 0  # Keys that were charged more than once.
+    late_drains: int = 0  # Attempts sent to a draining node after the grace period.
     #: Time of the first attempt, and time until the answer.
     latencies: list[tuple[float, float]] = field(default_factory=list)
     #: Counts of requests, good and refused, by window.
@@ -198,7 +198,7 @@
         self.attempt_counts: dict[str, int] = {}
         self.attempts_in_flight: dict[str, _Attempt] = {}
         self.next_finish_ms: dict[str, float] = {}
-        self.drained: dict[str, float] = {}  # Time at which the proxies were notified.
+        self.drained: dict[str, float] = {}  # Time at which the proxies were notified, by node.
         #: The time of each node's next snapshot, and its snapshots from the reported one on.
         self.snapshots: dict[str, tuple[float, deque[tuple[float, float]]]] = {}
         for number, zone in enumerate(self.zones):
@@ -263,7 +263,7 @@
         return balancer
 
     def call_at(self, when: float, call: Callable[..., None], *args: object) -> None:
-        """Schedules a call."""
+        """Schedules a call at a virtual time in ms."""
         self.serial += 1
         heapq.heappush(self.events, (when, self.serial, call, args))
 
@@ -634,7 +634,7 @@
         return self.zones.index(zone) * 100 + int(name[len(zone) :]) // 4
 
     def finish_calls(self, endpoint: str, due: float) -> None:
-        """Returns the answers of the calls that a node has finished."""
+        """Schedules the answers of the calls that a node has finished."""
         node = self.nodes[endpoint]
         if self.next_finish_ms.get(endpoint) == due:
             del self.next_finish_ms[endpoint]
@@ -779,7 +779,7 @@
 
 
 def play(day: Day) -> Result:
-    """Simulates a day."""
+    """Simulates a day, and counts the nodes that fell over."""
     simulation = Simulation(day)
     result = simulation.play()
     result.fell = sum(node.fallen for node in simulation.nodes.values())
--- a/honeywharf/standins/backend.py
+++ b/honeywharf/standins/backend.py
@@ -141,7 +141,7 @@
         done = self.ended[call] = asyncio.get_running_loop().create_future()
         self._arm(node)
         await done
-        while node.silent:  # a machine that is cut off says nothing
+        while node.unresponsive:  # a machine that is cut off says nothing
             await asyncio.sleep(0.05)
         fate = self.random.random()
         if fate < self.spoilt:
--- a/honeywharf/standins/keyday.py
+++ b/honeywharf/standins/keyday.py
@@ -102,9 +102,9 @@
         while not self.ended.is_set():
             hit = draw.choice(self.site.fleet)
             if draw.random() < 0.5 and hit.node is not None:
-                hit.node.silent = True
+                hit.node.unresponsive = True
                 await asyncio.sleep(0.3)
-                hit.node.silent = False
+                hit.node.unresponsive = False
             else:
                 await hit.crash()
                 await asyncio.sleep(0.3)
