--- a/bench/reports.py
+++ b/bench/reports.py
@@ -24,7 +24,7 @@
 from bench.processes import HERE, command
 from honeywharf.lab import days, measures
 from honeywharf.lab.habits import MIXED
-from honeywharf.lab.simulator import Day, Reporting, Simulation, Trouble
+from honeywharf.lab.simulator import Day, Fault, Reporting, Simulation
 from tests.reports.model import loop
 
 WORSE = 0.03
@@ -55,7 +55,7 @@
         seed,
         100.0,
         NODES,
-        days.none,
+        days.no_arrivals,
         spec=days.TILE,
         retries=6,
         length_ms=40_000.0,
@@ -64,7 +64,7 @@
         proxies=proxies,
         reports=on,
         load=load,
-        troubles=(Trouble(10_000.0, "crash", part=0.4, for_ms=6000.0),),
+        faults=(Fault(10_000.0, "crash", part=0.4, for_ms=6000.0),),
     )
     return days.load(made, 0.75)
 
@@ -78,16 +78,18 @@
     def look() -> None:
         waits.append(statistics.fmean(len(n.waiting) for n in simulation.nodes.values()))
         if simulation.now < 9900.0:
-            simulation.at(simulation.now + 100.0, look)
+            simulation.call_at(simulation.now + 100.0, look)
 
-    simulation.at(4000.0, look)
-    figures = measures.of(shape, simulation.play())
+    simulation.call_at(4000.0, look)
+    figures = measures.figures_of(shape, simulation.play())
     return Play(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
 
 
 def row(name: str, plays: list[Play]) -> str:
     """One line: means, and each recovery."""
-    back = ", ".join("never" if p.recovery_s >= measures.LATER else f"{p.recovery_s:.1f}" for p in plays)
+    back = ", ".join(
+        "never" if p.recovery_s >= measures.NOT_RECOVERED_S else f"{p.recovery_s:.1f}" for p in plays
+    )
     return (
         f"{name:<34}{statistics.fmean(p.dead for p in plays):>7.3f}"
         f"{statistics.fmean(p.after for p in plays):>7.3f}"
--- a/honeywharf/cli/lab.py
+++ b/honeywharf/cli/lab.py
@@ -34,16 +34,22 @@
         name, cells = experiments.load(experiment)
         results = Results(out or experiment.with_suffix(".results"), code=fingerprint())
         played_days, known_days = runs.run(name, cells, results, jobs, quiet)
-        groups_by_setting = reports.groups(results.rows(name))
+        groups_by_setting = reports.results_by_setting(results.rows(name))
     except (experiments.ExperimentError, ResultsError) as error:
         raise click.ClickException(str(error)) from None
     click.echo(f"{name}: {played_days} days played, {known_days} were there")
     print_table(
         [
-            (setting, *(reports.words(reports.mean(rows_of_case, metric)) for metric in reports.SHOWN))
+            (
+                setting,
+                *(
+                    reports.format_figure(reports.mean(rows_of_case, metric))
+                    for metric in reports.DEFAULT_FIGURES
+                ),
+            )
             for setting, rows_of_case in groups_by_setting.items()
         ],
-        ("setting", *reports.SHOWN),
+        ("setting", *reports.DEFAULT_FIGURES),
     )
 
 
@@ -78,8 +84,8 @@
             (
                 difference.setting,
                 difference.figure,
-                reports.words(difference.first),
-                reports.words(difference.second),
+                reports.format_figure(difference.first),
+                reports.format_figure(difference.second),
                 f"{difference.second - difference.first:+.3f}",
                 f"{difference.low:+.3f} to {difference.high:+.3f}",
                 str(difference.pairs),
