--- a/bench/operations.py
+++ b/bench/operations.py
@@ -52,15 +52,15 @@
     """Notes when it was asked, while it is out."""
 
     def __init__(self) -> None:
-        super().__init__(most_noted=0)
-        self.then = reply(200, b"tile")
+        super().__init__(max_recorded=0)
+        self.default_reply = reply(200, b"tile")
         self.out_ms = float("inf")  # since the yes
         self.late = self.seen = 0
 
-    async def _scripted(self, message: Any) -> bytes | str | None:
+    async def _scripted_reply(self, message: Any) -> bytes | str | None:
         self.seen += 1
         self.late += now_ms() > self.out_ms + GRACE_MS
-        return await super()._scripted(message)
+        return await super()._scripted_reply(message)
 
 
 @asynccontextmanager
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -194,7 +194,7 @@
         for i, one in enumerate(made[:DEAD]):
             await one.restart()
             await registry.put(one.row(f"n{i}", cell=i, startedAtMs=int(time.time() * 1000)))
-        taken = sum(one.taken for one in made)
+        taken = sum(one.accepted for one in made)
         said = await asyncio.gather(*(asyncio.to_thread(way.communicate) for way in ways))
     total: dict[int, Counter[str]] = {}
     for out, _ in said:
--- a/bench/upgrades.py
+++ b/bench/upgrades.py
@@ -42,7 +42,7 @@
     """What clients met, and how long each old process took to end, s."""
     backends = [await Backend().start() for _ in range(4)]
     for one in backends:
-        one.then = reply(200, b"tile")
+        one.default_reply = reply(200, b"tile")
     registry = await Registry().start()
     await registry.put(*(one.row(f"n{i}") for i, one in enumerate(backends)))
     with tempfile.TemporaryDirectory() as folder:
--- a/honeywharf/standins/backend.py
+++ b/honeywharf/standins/backend.py
@@ -1,4 +1,4 @@
-"""A backend on a loopback socket: a model node with a rack, or one that answers by a script."""
+"""A backend on a loopback socket that serves as a modelled node with a rack, or replies by a script."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 def now_ms() -> float:
-    """Milliseconds of the monotonic clock, which all stand-ins of a process share."""
+    """Returns the milliseconds of the monotonic clock, which all stand-ins of a process share."""
     return time.monotonic() * 1000.0
 
 
-SPOILT = (  # of a request that has run: noise, an answer said to have 3 GB, one cut short, a head without end
+# Replies after a request has run: noise, a declared length of 3 GB, a truncated body, an endless head.
+MALFORMED_REPLIES = (
     b"\x00\xff\x17 not http\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + b"x" * 512,
     b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nhalf",
@@ -29,15 +30,15 @@
 
 
 class Backend:
-    """Answers each request with what `script` says, then with `then`, or as its `node` does the work.
+    """Replies to each request from `script`, then with `default_reply`, or after the work of its `node`.
 
-    What the script holds beyond bytes to write: None says nothing, "close" ends the connection unanswered.
-    Before each: `pause_s`. `spoilt` and `errors` are the parts of a node's answers that are noise, or 500;
-    its load reports are `report_late_ms` old. `work_ms` is the mean of a node's works, which `seed` draws;
-    each key that runs is charged to `rack`.
+    A scripted reply is bytes to write, None to send nothing, or "close" to close the connection without a
+    reply; `reply_delay_s` precedes each. `malformed` and `errors` are the shares of a node's replies that are
+    malformed, or have status 500. Load reports are `report_delay_ms` old. `work_ms` is the mean work of a
+    request, which is drawn by `seed`. Each key that runs is charged to `rack`.
     """
 
-    pause_s = 0.0
+    reply_delay_s = 0.0
 
     def __init__(
         self,
@@ -46,35 +47,37 @@
         *,
         work_ms: float = 10.0,
         spread: float = 0.3,
-        spoilt: float = 0.0,
+        malformed: float = 0.0,
         errors: float = 0.0,
-        report_late_ms: float = 0.0,
+        report_delay_ms: float = 0.0,
         seed: int = 0,
-        most_noted: int = 100_000,
+        max_recorded: int = 100_000,
     ) -> None:
         self.node, self.rack, self.work_ms, self.spread = node, rack, work_ms, spread
-        self.spoilt, self.errors, self.report_late_ms = spoilt, errors, report_late_ms
-        self.reports: deque[tuple[float, int]] = deque([(-INFINITY, 0)], maxlen=4096)  # when, calls waiting
+        self.malformed, self.errors, self.report_delay_ms = malformed, errors, report_delay_ms
+        self.reports: deque[tuple[float, int]] = deque(
+            [(-INFINITY, 0)], maxlen=4096
+        )  # Time in ms and calls in the queue.
         self.random = random.Random(seed)
-        self.most_noted = most_noted
-        self.requests: list[Message] = []  # without a node; the first `most_noted`
+        self.max_recorded = max_recorded
+        self.requests: list[Message] = []  # Recorded without a node only.
         self.script: list[bytes | str | None] = []
-        self.then: bytes | str | None = reply()
-        self.ended: dict[str, asyncio.Future[None]] = {}
+        self.default_reply: bytes | str | None = reply()
+        self.pending: dict[str, asyncio.Future[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.serial = self.taken = self.turned_away = self.connections = self.closed = 0
-        self.last_taken_ms = -INFINITY
-        self.told_drain_ms = INFINITY  # when the registry has told that it drains
-        self.after_drain = 0  # requests that came later than the grace after that
-        self.grace_ms = 550.0
+        self.serial = self.accepted = self.rejected = self.connections = self.closed = 0
+        self.last_accepted_ms = -INFINITY
+        self.drain_announced_ms = INFINITY  # When the registry lists it as draining.
+        self.requests_after_drain = 0  # Received after `drain_grace_ms` has passed.
+        self.drain_grace_ms = 550.0
         self.writers: set[asyncio.StreamWriter] = set()
-        self.came = asyncio.Event()
-        self.history: History | None = None  # told of each charge
+        self.request_received = asyncio.Event()
+        self.history: History | None = None
         self.port = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        """Listen on 127.0.0.1, on the same port again after a crash."""
+        """Listens on 127.0.0.1, on the same port again after a crash."""
         if not self.port:
             (self.port,) = free_ports(1)
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
@@ -86,11 +89,11 @@
         try:
             while True:
                 message = await read_message(reader)
-                self.came.set()
+                self.request_received.set()
                 if self.node is None:
-                    answer = await self._scripted(message)
+                    answer = await self._scripted_reply(message)
                 else:
-                    answer = await self._worked(self.node, message)
+                    answer = await self._node_reply(self.node, message)
                 if answer == "close":
                     break
                 if isinstance(answer, bytes):
@@ -102,34 +105,34 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def _scripted(self, message: Message) -> bytes | str | None:
-        if len(self.requests) < self.most_noted:
+    async def _scripted_reply(self, message: Message) -> bytes | str | None:
+        if len(self.requests) < self.max_recorded:
             self.requests.append(message)
-        step = self.script.pop(0) if self.script else self.then
-        if self.pause_s:
-            await asyncio.sleep(self.pause_s)
-        return step
-
-    async def _worked(self, node: Node, message: Message) -> bytes | None:
-        first, headers, _ = message
-        path = first.split()[1].partition(b"?")[0]
+        scripted_reply = self.script.pop(0) if self.script else self.default_reply
+        if self.reply_delay_s:
+            await asyncio.sleep(self.reply_delay_s)
+        return scripted_reply
+
+    async def _node_reply(self, node: Node, message: Message) -> bytes | None:
+        request_line, headers, _ = message
+        path = request_line.split()[1].partition(b"?")[0]
         report = b"X-Backend-Load: queue=%d" % self._report(node)
         if path == b"/health/live":
             return reply(503 if node.draining else 200, b"")
         if path == b"/stats":
             return reply(200, report.partition(b" ")[2])
-        name = headers.get(b"x-correlation-id")
-        if name is None:
+        correlation_id = headers.get(b"x-correlation-id")
+        if correlation_id is None:
             return reply(404, b"")
         now = now_ms()
-        self.after_drain += now > self.told_drain_ms + self.grace_ms
+        self.requests_after_drain += now > self.drain_announced_ms + self.drain_grace_ms
         self.serial += 1
         call, work = f"c{self.serial}", self.work_ms * self.random.lognormvariate(0.0, self.spread)
         if not node.offer(now, call, work):
-            self.turned_away += 1
+            self.rejected += 1
             return reply(503, b"", b"X-Unprocessed: 1", report)
-        self.taken += 1
-        self.last_taken_ms = now
+        self.accepted += 1
+        self.last_accepted_ms = now
         key = headers.get(b"idempotency-key")
         if (
             key is not None
@@ -137,28 +140,28 @@
             and self.rack.charge(key.decode("latin-1"), now)
             and self.history is not None
         ):
-            self.history.charged(key.decode("latin-1"), name.decode("latin-1"), now)
-        done = self.ended[call] = asyncio.get_running_loop().create_future()
-        self._arm(node)
-        await done
-        while node.silent:  # a machine that is cut off says nothing
+            self.history.charged(key.decode("latin-1"), correlation_id.decode("latin-1"), now)
+        completed = self.pending[call] = asyncio.get_running_loop().create_future()
+        self._schedule_finish(node)
+        await completed
+        while node.silent:  # A partitioned machine sends no reply.
             await asyncio.sleep(0.05)
-        fate = self.random.random()
-        if fate < self.spoilt:
-            return self.random.choice(SPOILT)
-        if fate < self.spoilt + self.errors:
+        draw = self.random.random()
+        if draw < self.malformed:
+            return self.random.choice(MALFORMED_REPLIES)
+        if draw < self.malformed + self.errors:
             return reply(500, b"")
-        return reply(200, b"tile for " + name, b"X-Backend-Load: queue=%d" % self._report(node))
+        return reply(200, b"tile for " + correlation_id, b"X-Backend-Load: queue=%d" % self._report(node))
 
     def _report(self, node: Node) -> int:
-        """The calls that waited so long ago."""
+        """Returns the queue length as it was `report_delay_ms` ago."""
         now = now_ms()
         self.reports.append((now, len(node.waiting)))
-        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_late_ms:
+        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay_ms:
             self.reports.popleft()
         return self.reports[0][1]
 
-    def _arm(self, node: Node) -> None:
+    def _schedule_finish(self, node: Node) -> None:
         if self.timer is not None:
             self.timer.cancel()
         if node.due() < INFINITY:
@@ -168,30 +171,30 @@
     def _finish(self, node: Node) -> None:
         self.timer = None
         for call in node.finish(now_ms()):
-            done = self.ended.pop(call, None)
-            if done is not None and not done.done():
-                done.set_result(None)
-        self._arm(node)
+            completed = self.pending.pop(call, None)
+            if completed is not None and not completed.done():
+                completed.set_result(None)
+        self._schedule_finish(node)
 
     def row(self, name: str, zone: str = "z", lifecycle: str = "up", **more: Any) -> dict[str, Any]:
-        """How the registry lists it."""
+        """Returns the entry of this backend in the registry."""
         return row(name, self.port, zone, lifecycle, **more)
 
     async def crash(self) -> None:
-        """Die: connections are reset, new ones refused, and what it held is lost."""
+        """Resets connections, refuses new ones and loses the requests in flight."""
         if self.node is not None:
             for call in self.node.crash():
-                self.ended.pop(call, asyncio.get_running_loop().create_future()).cancel()
+                self.pending.pop(call, asyncio.get_running_loop().create_future()).cancel()
         await self.stop()
 
     async def restart(self) -> None:
-        """Come back at the same address, cold."""
+        """Listens at the same address again, as a cold node."""
         if self.node is not None:
             self.node.restart(now_ms())
         await self.start()
 
     async def stop(self) -> None:
-        """Listen no more and reset what is open."""
+        """Stops listening and resets open connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
--- a/honeywharf/standins/coapday.py
+++ b/honeywharf/standins/coapday.py
@@ -68,5 +68,5 @@
     text = "".join(path.read_text("utf-8", "replace") for path in folder.glob("*.log"))
     for name in ("duplicate", "late_duplicate", "not_acknowledged"):
         found[name] = sum(int(n) for n in re.findall(rf"coap:{name}=(\d+)", text))
-    found["by CoAP nodes"] = sum(b.taken for b in site.fleet if isinstance(b, CoapBackend))
+    found["by CoAP nodes"] = sum(b.accepted for b in site.fleet if isinstance(b, CoapBackend))
     return found
--- a/honeywharf/standins/coapnode.py
+++ b/honeywharf/standins/coapnode.py
@@ -71,9 +71,9 @@
             headers[b"idempotency-key"] = request.idempotency_key
         asked: Message = (b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
         if self.node is None:
-            answer = await self._scripted(asked)
+            answer = await self._scripted_reply(asked)
         else:
-            answer = await self._worked(self.node, asked)
+            answer = await self._node_reply(self.node, asked)
         if not isinstance(answer, bytes):
             return
         head, _, body = answer.partition(b"\r\n\r\n")
--- a/honeywharf/standins/demo.py
+++ b/honeywharf/standins/demo.py
@@ -150,7 +150,7 @@
         await self.backends[crashed].restart()
         self.started_ms[crashed] = int(time.time() * 1000.0)
         await self.registry.put(self.row(crashed), self.row(drained, "draining"))
-        self.backends[drained].told_drain_ms = now_ms()
+        self.backends[drained].drain_announced_ms = now_ms()
 
     async def stop(self) -> None:
         """End the proxies by SIGTERM, then all else."""
@@ -195,7 +195,7 @@
         "no request lost": not any(t.lost or t.wrong for t in tallies)
         and all(t.asked == t.served + t.refused + t.failed for t in tallies),
         "no effect twice": all(n == 1 for n in charges.values()) and served <= set(charges),
-        "drains kept": not any(b.after_drain for b in fleet.backends.values()),
+        "drains kept": not any(b.requests_after_drain for b in fleet.backends.values()),
         "no cold node pushed over": not any(b.node.fallen for b in fleet.backends.values() if b.node),
     }
 
--- a/honeywharf/standins/operation.py
+++ b/honeywharf/standins/operation.py
@@ -49,11 +49,11 @@
                 echo(f"upgrade {number + 1}: the old process ended {took * 1000.0:.0f} ms after SIGTERM")
             echo("exclude n0: " + await say(platform.operator, "exclude n0"))
             await asyncio.sleep(GRACE_S)
-            before = nodes[0].taken
+            before = nodes[0].accepted
             took = await platform.replace(2.0)
             echo(f"an upgrade meanwhile: {took * 1000.0:.0f} ms")
             await asyncio.sleep(1.0)
-            late = nodes[0].taken - before
+            late = nodes[0].accepted - before
             echo(f"new requests to n0 while it was out: {late}")
             echo("include n0: " + await say(platform.operator, "include n0"))
             await asyncio.sleep(0.5)
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -114,7 +114,7 @@
         features = on(tmp_path / "s", order_keys=OrderKeys(store="process"))
         async with world([backend.row("b")], features) as w:
             client = await Client.to(w.port)
-            backend.then = None
+            backend.default_reply = None
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             await until(lambda: bool(backend.requests))
             ask = ("--socket", at, "--tenant", "acme")
@@ -138,7 +138,7 @@
             assert (await called("keys", "forget", "k1", *ask, "--yes"))[0] == 1
             status, words = await called("keys", "show", "k1", "--socket", at, "--class", "read")
             assert (status, "found class 'read', wanted one of order" in words) == (1, True)
-            backend.then = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo"
+            backend.default_reply = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo"
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             assert (await client.answer())[2] == b"two"  # it ran again, as its operator was told
         await backend.stop()
--- a/tests/coap/test_contentformat.py
+++ b/tests/coap/test_contentformat.py
@@ -55,7 +55,7 @@
 def test_media_types_pass_between_a_coap_client_and_an_http_node() -> None:
     async def main() -> None:
         async with served() as (_, backend, front):
-            backend.then = reply(200, b"x" * 3000, b"Content-Type: image/png")
+            backend.default_reply = reply(200, b"x" * 3000, b"Content-Type: image/png")
             unit = await Unit.to(port_of(front))
             answer = await unit.ask([*request_options(), (coap.CONTENT_FORMAT, b"\x3c")])
             assert backend.requests[0][1][b"content-type"] == b"application/cbor"
@@ -92,7 +92,7 @@
 def test_aiocoap_decodes_the_content_format() -> None:
     async def main() -> None:
         async with served() as (_, backend, front):
-            backend.then = reply(200, b"{}", b"Content-Type: application/json")
+            backend.default_reply = reply(200, b"{}", b"Content-Type: application/json")
             unit = await Unit.to(port_of(front))
             unit.send(request_options("read"), coap.GET)
             aiocoap_format = aiocoap.Message.decode(coap.encode(await unit.next()))
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -125,7 +125,7 @@
 def test_a_coap_client_is_served_by_an_http_node() -> None:
     async def main() -> None:
         async with served() as (w, backend, front):
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             unit = await Unit.to(port_of(front))
             answer = await unit.ask(request_options(account="acme", id="my-id"))
             assert (answer.mtype, answer.code, answer.payload) == (coap.ACK, coap.CHANGED, b"tile")
@@ -146,7 +146,7 @@
 def test_the_same_key_by_http_and_by_coap_runs_once() -> None:
     async def main() -> None:
         async with served() as (w, backend, front):
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             client, unit = await Client.to(w.port), await Unit.to(port_of(front))
             client.send("order", b"x", key="k")
             assert await client.status() == 200
@@ -162,7 +162,7 @@
 def test_a_duplicate_of_a_forwarded_request_does_not_run_even_without_order_keys() -> None:
     async def main() -> None:
         async with served(Features(coap=Coap(listen="127.0.0.1:0"))) as (_, backend, front):
-            backend.then = None
+            backend.default_reply = None
             unit = await Unit.to(port_of(front))
             mid = unit.send(request_options("pay"), payload=b"x")
             await until(lambda: len(backend.requests) == 1)
@@ -297,12 +297,12 @@
     async def main() -> None:
         async with served() as (_, backend, front):
             unit = await Unit.to(port_of(front))
-            backend.then = reply(503, b"", b"X-Unprocessed: 1")
+            backend.default_reply = reply(503, b"", b"X-Unprocessed: 1")
             refused = await unit.ask(request_options(key=b"a"))
             assert refused.code == coap.SERVICE_UNAVAILABLE
             # Rounded up: 0 would mean at once, and 200 to 600 ms are meant.
             assert refused.option(coap.MAX_AGE) == b"\x01"
-            backend.then = None
+            backend.default_reply = None
             failed = await unit.ask(request_options(key=b"b", left_ms=150))
             assert failed.code == coap.BAD_GATEWAY
             assert failed.option(coap.MAX_AGE) is None
@@ -327,7 +327,7 @@
             uri = f"coap://127.0.0.1:{port_of(front)}/api?q=1"
             echo = b""
             for pause, expected in ((0.0, "4.01"), (0.0, "2.04"), (0.9, "2.04")):
-                backend.pause_s = pause
+                backend.reply_delay_s = pause
                 request = aiocoap.Message(code=aiocoap.POST, uri=uri, payload=b"x")
                 for number, value in request_options(key=b"%f" % pause):
                     if number > 60000:
@@ -452,7 +452,7 @@
     async def main() -> None:
         async with served() as (_, backend, front):
             answer, body = bytes(range(256)) * 4096, bytes(reversed(range(256))) * 256
-            backend.then = reply(200, answer)
+            backend.default_reply = reply(200, answer)
             context = await aiocoap.Context.create_client_context()
             uri = f"coap://127.0.0.1:{port_of(front)}/api?q=1"
             echo = b""
@@ -475,7 +475,7 @@
 def test_after_a_restart_a_transfer_restarts_and_the_key_yields_the_same_response() -> None:
     async def main() -> None:
         async with served() as (_, backend, front):
-            backend.then = reply(200, b"x" * 3000)
+            backend.default_reply = reply(200, b"x" * 3000)
             unit = await Unit.to(port_of(front))
             first = await unit.ask(request_options())
             assert (len(first.payload), first.option(coap.SIZE2)) == (1024, coap.uint_bytes(3000))
@@ -510,7 +510,7 @@
 def test_draining_rejects_new_requests_and_answers_open_ones() -> None:
     async def main() -> None:
         async with served() as (w, backend, front):
-            backend.then = None
+            backend.default_reply = None
             first, second = await Unit.to(port_of(front)), await Unit.to(port_of(front))
             first.send(request_options(), payload=b"x")
             await until(lambda: len(backend.requests) == 1)
@@ -534,7 +534,7 @@
 
     async def main() -> None:
         async with served() as (_, backend, front):
-            backend.then = reply(200, b"t" * 3000)
+            backend.default_reply = reply(200, b"t" * 3000)
             context = await aiocoap.Context.create_client_context()
             try:
 
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -44,7 +44,7 @@
             h.asked("unit", "k", 0.0, False)
             h.answered("unit", 400.0, GAVE_UP, late_ms=DELAY_S * 1000.0 + 4000.0)  # sent, but not received
             unprocessed = reply(503, b"", b"X-Unprocessed: 1")
-            backend.script, backend.then = [None, unprocessed, unprocessed], reply(200, b"tile")
+            backend.script, backend.default_reply = [None, unprocessed, unprocessed], reply(200, b"tile")
             client = await Client.to(w.port)
             h.asked("http", "k", 450.0, True)
             client.send("order", b"x", "4000m", "X-Repeat: 1", key="k")
--- a/tests/config/test_retune.py
+++ b/tests/config/test_retune.py
@@ -166,7 +166,7 @@
 def test_a_reload_by_a_running_proxy(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
@@ -179,7 +179,7 @@
 
             client, other = await Client.to(w.port), await Client.to(w.port)
             client.send("read")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             read, order, pay = SETTINGS["profiles"]
             reload(profiles=[{**read, "deadlineMs": 0}, order, pay])
             assert w.proxy.driver.validator.classes["read"].deadline_ms == 5000.0  # refused whole
@@ -196,7 +196,7 @@
                 writer.write(reply(200, b"tile"))
             assert (await client.answer())[2] == b"tile"  # under way: it keeps its class
             reload(profiles=[{**read, "idempotency": "once"}, order, pay])
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             client.send("read")  # written before: its method is the former class's
             assert await client.status() == 200
             reload(
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -153,7 +153,7 @@
             body,
         )
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             for at in range(1, len(answer)):
@@ -169,7 +169,7 @@
                 b"X-Time-Left: 4000m\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"3;e\r\nabc\r\n0\r\nT: t\r\n\r\n"
             )
-            backend.then = reply(200, b"ok")
+            backend.default_reply = reply(200, b"ok")
             for at in range(1, len(request) - 1):
                 whole = request % at
                 client.writer.write(whole[:at])
@@ -186,11 +186,11 @@
     async def main() -> None:
         for form in ("length", "chunked"):
             backend = await Backend().start()
-            backend.then = None
+            backend.default_reply = None
             async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
                 client = await Client.to(w.port)
                 client.send("read")
-                await soon(backend.came.wait())
+                await soon(backend.request_received.wait())
                 (writer,) = backend.writers
                 more, body = FORMS[form]
                 writer.write(b"HTTP/1.1 200 OK\r\n" + more + body[:200_000])
@@ -362,7 +362,7 @@
             second.writer.write(upload % b"p2" + b"x" * 90_000)
             assert await second.status() == 503
             reading_client = await Client.to(w.port)
-            backend.then = reply(200, LONG)
+            backend.default_reply = reply(200, LONG)
             reading_client.send()
             response_head = await head(
                 reading_client.reader
@@ -383,11 +383,11 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             (writer,) = backend.writers
             writer.write(reply(200, LONG)[:100_000])
             await head(client.reader)
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -35,7 +35,7 @@
 async def place(folder: Path, **changes: Any) -> AsyncIterator[tuple[Platform, Backend, Backend]]:
     """A proxy's place with one process in service, before two backends."""
     first, second = await Backend().start(), await Backend().start()
-    first.then = second.then = reply(200, b"tile")
+    first.default_reply = second.default_reply = reply(200, b"tile")
     registry = await Registry().start()
     await registry.put(first.row("first"), second.row("second"))
     told = node.configuration(node.settings([ORDER], **changes), registry.port)
--- a/tests/http/test_offers.py
+++ b/tests/http/test_offers.py
@@ -128,7 +128,7 @@
             client = await Client.to(w.port)
             second = pay(b"two", b"hello", b"Expect: 100-continue\r\n")
             client.writer.write(get(b"one") + second[:-5])
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             for writer in list(backend.writers):
                 writer.write(reply(200, b"1"))
             assert (await client.answer())[2] == b"1"
@@ -178,12 +178,12 @@
 def test_a_half_closed_client_gets_its_response(version: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(get(b"one", version=version))
             client.writer.write_eof()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             await until(lambda: any(c.half_closed for c in w.proxy.front.connections))
             await asyncio.sleep(0.1)  # several checks for a reset happen meanwhile
             for writer in list(backend.writers):
@@ -201,11 +201,11 @@
 def test_a_closed_client_is_detected_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(get(b"one"))
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             client.writer.close()
             await until(lambda: w.proxy.driver.counts.get("gone") == 1)
             assert not w.proxy.front.connections
--- a/tests/orderkeys/test_deduplicator.py
+++ b/tests/orderkeys/test_deduplicator.py
@@ -53,10 +53,10 @@
 
 async def running_and_joined(w: World, backend: Backend) -> tuple[Client, Client]:
     """A client whose order runs at a silent backend, and a client that waits for the same key."""
-    backend.then = None
+    backend.default_reply = None
     first, repeat = await clients(w, 2)
     first.send("order", b"x", key="k")
-    await until(lambda: backend.came.is_set())
+    await until(lambda: backend.request_received.is_set())
     repeat.send("order", b"x", key="k")
     await until(lambda: len(deduplicator_of(w).waiting) == 1)
     return first, repeat
@@ -64,7 +64,7 @@
 
 async def answer_all(backend: Backend, body: bytes = b"tile") -> None:
     """Answer on every connection once a request has come; earlier bytes would answer no request."""
-    await soon(backend.came.wait())
+    await soon(backend.request_received.wait())
     for writer in list(backend.writers):
         writer.write(reply(200, body))
 
@@ -72,7 +72,7 @@
 def test_five_copies_of_a_key_at_once_run_once_and_have_one_answer() -> None:
     async def main() -> None:
         async with proxy_with_backends() as (w, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             copies = await clients(w, 5)
             for client in copies:
                 client.send("order", b"x", key="k")
@@ -130,10 +130,10 @@
 def test_a_repeat_with_less_time_times_out_alone_and_the_first_request_goes_on() -> None:
     async def main() -> None:
         async with proxy_with_backends() as (w, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             first, repeat = await clients(w, 2)
             first.send("order", b"x", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             repeat.send("order", b"x", "150m", key="k")
             assert await repeat.status() == 502  # not refused, because the first may have run
             await answer_all(backend)
@@ -151,7 +151,7 @@
                 backend.script = [None, None]  # a last attempt may be sent just before the deadline
             first, repeat = await clients(w, 2)
             first.send("order", b"x", "300m", key="k")
-            await until(lambda: any(b.came.is_set() for b in backends))
+            await until(lambda: any(b.request_received.is_set() for b in backends))
             if waits:
                 repeat.send("order", b"x", key="k")
             assert await first.status() == 502
@@ -217,7 +217,7 @@
 def test_a_key_that_the_backend_rejected_is_free() -> None:
     async def main() -> None:
         async with proxy_with_backends() as (w, (backend,)):
-            backend.then = reply(503, b"", b"X-Unprocessed: 1")
+            backend.default_reply = reply(503, b"", b"X-Unprocessed: 1")
             (client,) = await clients(w, 1)
             client.send("order", b"x", key="k")
             assert await client.status() == 503
@@ -279,7 +279,7 @@
 def test_repeats_beyond_the_limit_get_status_409() -> None:
     async def main() -> None:
         async with proxy_with_backends() as (w, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             copies = await clients(w, MAX_JOINED_PER_KEY + 2)
             for client in copies[:-1]:
                 client.send("order", b"x", key="k")
@@ -296,10 +296,10 @@
     async def main() -> None:
         two = Features(order_keys=OrderKeys(store="process", entries=2))
         async with proxy_with_backends(features=two) as (w, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             first, second = await clients(w, 2)
             first.send("order", b"x", "4000m", "X-Account: a", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             # A tenant gets half of the entries at most.
             second.send("order", b"x", "4000m", "X-Account: a", key="other")
             status, headers, _ = await second.answer()
@@ -322,7 +322,7 @@
                 assert await client.status() == status
                 await until(lambda: not w.proxy.driver.requests)
             for backend in backends:
-                backend.then = reply(200, b"not the same")
+                backend.default_reply = reply(200, b"not the same")
             client.send("order", b"x", key="k")
             assert await client.status() == 502
             assert sorted(len(b.requests) for b in backends) == [0, 0, 3]
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -183,10 +183,10 @@
 def test_an_answer_after_the_lease_still_settles_a_key_that_nobody_else_has_claimed() -> None:
     async def main() -> None:
         async with sharing(1, 1, {"wait_ms": 100.0}) as (redis, (w,), (backend,)):
-            backend.then = None
+            backend.default_reply = None
             client = await Client.to(w.port)
             client.send("order", b"x", "600m", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             redis.pause()
             try:
                 for writer in list(backend.writers):
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -25,7 +25,7 @@
     async def main() -> None:
         async with sharing(5, 4) as (_, worlds, backends):
             for backend in backends:
-                backend.then = None
+                backend.default_reply = None
             copies = await clients(*worlds)
             for client in copies:
                 client.send("order", b"x", key="k")
@@ -118,10 +118,10 @@
 def test_a_repeat_with_less_time_times_out_alone_while_the_first_runs_through_another_proxy() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (_, worlds, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             first, repeat = await clients(*worlds)
             first.send("order", b"x", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             repeat.send("order", b"x", "150m", key="k")
             assert await repeat.status() == 502
             for writer in list(backend.writers):
@@ -199,10 +199,10 @@
 def test_an_answer_while_the_store_is_unavailable_is_reported_later() -> None:
     async def main() -> None:
         async with sharing(2, 1) as (redis, worlds, (backend,)):
-            backend.then = None
+            backend.default_reply = None
             (first,) = await clients(worlds[0])
             first.send("order", b"x", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             redis.kill()
             await until(lambda: not any(store_available(w) for w in worlds))
             for writer in list(backend.writers):
@@ -283,10 +283,10 @@
 def test_a_store_out_of_memory_accepts_ends_but_no_new_keys() -> None:
     async def main() -> None:
         async with sharing(1, 1) as (redis, (w,), (backend,)):
-            backend.then = None
+            backend.default_reply = None
             first, second = [await Client.to(w.port) for _ in range(2)]
             first.send("order", b"x", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             await redis.ask("CONFIG", "SET", "maxmemory", "1")
             second.send("order", b"x", key="other")
             assert await second.status() == 503
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -40,7 +40,7 @@
 def test_the_calls_and_their_answers() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = reply(200, b"tile")
+        backend.default_reply = reply(200, b"tile")
         async with world([backend.row("b")], contract={"warmAfterMs": 0.0}) as w, operated(w) as port:
             assert await said(port, b"readyz\n") == b"OK ready\n"
             assert await said(port, b"exclude b\n") == b"OK b is out\n"
@@ -74,7 +74,7 @@
 def test_a_ban_closes_idle_connections_and_leaves_calls_that_are_out() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
-        one.then = two.then = None
+        one.default_reply = two.default_reply = None
         async with world([one.row("one"), two.row("two")]) as w, operated(w) as port:
             clients = [await Client.to(w.port) for _ in range(2)]
             for client in clients:
@@ -86,7 +86,7 @@
             before = len(held.requests)
             for writer in list(held.writers):
                 writer.write(reply(200, b"done"))  # what was out ends well
-            other.then = reply(200, b"other")
+            other.default_reply = reply(200, b"other")
             for writer in list(other.writers):
                 writer.write(reply(200, b"other"))
             for client in clients:
@@ -150,7 +150,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with world([backend.row("b")]) as w, operated(w) as port:
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             asks, idles = await Client.to(w.port), await Client.to(w.port)
             for client in (asks, idles):
                 client.send()
@@ -159,14 +159,14 @@
             half.writer.write(b"POST /api HTTP/1.1\r\nHost: x\r\n")
             silent = await Client.to(w.port)
             await until(lambda: len(w.proxy.front.partial) == 1)
-            backend.then = None
+            backend.default_reply = None
             held = await Client.to(w.port)
             held.send()
             await until(lambda: len(backend.requests) == 3)
             assert (await said(port, b"evacuate\n")) == b"OK evacuating\n"
             checks = await Client.to(w.port)
             assert await checks.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             asks.send()  # it never stops asking: an answer closes its connection, not a cut
             first, headers, _ = await asks.answer()
             assert (first.split()[1], headers[b"connection"]) == (b"200", b"close")
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -117,7 +117,7 @@
         backend = await Backend().start()
         refusal = reply(503, b"", b"Retry-After: 0.010")
         backend.script = [refusal, refusal, refusal]
-        backend.then = reply(502, b"")
+        backend.default_reply = reply(502, b"")
         clients = Clients(Front([backend.port]), "z", 200.0, seed=3)
         await clients.run(0.05)
         tally = clients.tally
@@ -135,7 +135,7 @@
     async def main() -> None:
         node = Node(NodeSpec(cores=64, warm_ms=0.0))
         backend = await Backend(
-            node, work_ms=0.1, spoilt=0.3, errors=0.3, report_late_ms=60000.0, seed=5
+            node, work_ms=0.1, malformed=0.3, errors=0.3, report_delay_ms=60000.0, seed=5
         ).start()
         came = {"spoilt": 0, 200: 0, 500: 0}
         for i in range(60):
@@ -150,7 +150,7 @@
         assert all(8 <= n <= 34 for n in came.values()), came
         node.waiting.extend([("x", 1.0)] * 5)
         assert await fetch(backend.port, "/stats") == (200, b"queue=0")  # it was so a minute ago
-        backend.report_late_ms = 0.0
+        backend.report_delay_ms = 0.0
         assert await fetch(backend.port, "/stats") == (200, b"queue=5")
         await backend.stop()
 
@@ -197,7 +197,7 @@
     assert all(demo.verdicts(fleet).values())
     fleet.racks[0].charge("k", 0.0)
     fleet.racks[0].charge("k", 1.0)
-    fleet.backends["a"].after_drain = 1
+    fleet.backends["a"].requests_after_drain = 1
     node = fleet.backends["a"].node
     assert node is not None
     node.fallen = True
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -128,11 +128,11 @@
 def test_a_connection_busy_while_its_backend_moves_is_not_kept_for_the_new_address() -> None:
     async def main() -> None:
         old, new = await Backend().start(), await Backend().start()
-        old.then = None
+        old.default_reply = None
         async with world([old.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
-            await soon(old.came.wait())
+            await soon(old.request_received.wait())
             w.discovery.tell(2, new.row("b"))
             await nth_list(w, 2)
             for writer in list(old.writers):
@@ -270,12 +270,12 @@
 def test_a_moved_watch_asks_for_the_full_list_and_keeps_the_one_held() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
             client = await Client.to(w.port)
             client.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             record = w.proxy.balancer.endpoints.servers["b"]
             w.proxy.watch.move(("127.0.0.1", other.port))
             assert w.proxy.watch.up  # it stays in service
@@ -347,11 +347,11 @@
 def test_a_watch_moves_while_the_proxy_drains() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             w.proxy.drain()
             w.proxy.watch.move(("127.0.0.1", other.port))
             other.tell(1, backend.row("b"))
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -89,7 +89,7 @@
 def test_a_client_that_pipelines_too_many_requests_is_answered_once_and_closed(number: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client, other = await Client.to(w.port), await Client.to(w.port)
             for k in range(number):
@@ -97,7 +97,7 @@
             assert await client.status() == 400
             assert await client.closed()
             assert len(backend.requests) <= 1
-            backend.then = reply()
+            backend.default_reply = reply()
             other.send()
             assert await other.status() == 200
             for writer in list(backend.writers):
@@ -221,11 +221,11 @@
 def test_over_the_limit_on_open_requests_a_request_is_rejected_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")], bounds={"openCap": 1}) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             second.send()
             assert await second.status() == 503
             assert len(backend.requests) == 1
@@ -237,11 +237,11 @@
 def test_the_id_of_an_open_request_is_rejected() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             assert await second.ask(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
             for writer in list(backend.writers):
                 writer.write(reply())
@@ -263,10 +263,10 @@
             idle, busy = await Client.to(w.port), await Client.to(w.port)
             idle.send()
             assert await idle.status() == 200
-            backend.then = None
-            backend.came.clear()
+            backend.default_reply = None
+            backend.request_received.clear()
             busy.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             silent = await Client.to(w.port)
             await until(lambda: len(w.proxy.front.silent) == 1)
             third = await Client.to(w.port)
@@ -276,9 +276,9 @@
             fourth = await Client.to(w.port)
             assert await third.closed()
             for client in (idle, fourth):
-                backend.came.clear()
+                backend.request_received.clear()
                 client.send()
-                await soon(backend.came.wait())
+                await soon(backend.request_received.wait())
             fifth = await Client.to(w.port)  # all have a request in flight
             assert await fifth.status() == 503
             assert await fifth.closed()
@@ -314,12 +314,12 @@
 def test_draining_completes_accepted_requests_and_closes_the_rest() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             busy, idle = await Client.to(w.port), await Client.to(w.port)
             assert await idle.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             busy.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             w.proxy.drain()
             assert await idle.closed()
             late = await Client.to(w.port)  # clients still connect for a moment
@@ -346,11 +346,11 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             w.proxy.drain()
             assert await client.status() == 502
             assert w.running is not None
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -13,7 +13,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
+        backend.reply_delay_s = 0.02
         async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
@@ -21,9 +21,9 @@
                 client.send("order", b"x")
                 assert await client.status() == 200
             backend.script = [None]
-            backend.came.clear()
+            backend.request_received.clear()
             name = other.send("order", b"hangs")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             while not any(a.hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
                 assert await client.status() == 200
@@ -42,7 +42,7 @@
 def test_a_hung_call_of_an_unsafe_class_is_not_hedged() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
+        backend.reply_delay_s = 0.02
         async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
@@ -50,9 +50,9 @@
                 client.send("pay", b"x")
                 assert await client.status() == 200
             backend.script = [None]
-            backend.came.clear()
+            backend.request_received.clear()
             other.send("pay", b"hangs", "1500m")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             while not any(a.hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("pay", b"x")
                 assert await client.status() == 200
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -21,13 +21,13 @@
             balancer = w.proxy.balancer
             client = await Client.to(w.port)
             for backend in backends:
-                backend.pause_s = ANSWER_S
+                backend.reply_delay_s = ANSWER_S
             for _ in range(4):
                 client.send()
                 assert await client.status() == 200
             for backend in backends:
-                backend.pause_s = 0.01 if fails else ANSWER_S
-                backend.then = reply(500)
+                backend.reply_delay_s = 0.01 if fails else ANSWER_S
+                backend.default_reply = reply(500)
             before = {name: zone.limiter.limit for name, zone in balancer.endpoints.zones.items()}
             for _ in range(12):
                 client.send("read", b"", SHORT_DEADLINE)
@@ -48,7 +48,7 @@
 def test_servers_that_fail_callers_with_enough_time_are_ejected() -> None:
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
-        backends[0].then = reply(500)
+        backends[0].default_reply = reply(500)
         async with world([b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}) as w:
             client = await Client.to(w.port)
             for _ in range(60):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -54,7 +54,7 @@
         async with world([backend.row("b")], bounds={"mostTries": 1}) as w:
             client = await Client.to(w.port)
             client.send("pay")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             if cut:  # the response is truncated: close the connection after it
                 for writer in list(backend.writers):
                     await writer.drain()
@@ -154,7 +154,7 @@
 def test_a_silent_backend_times_out_and_its_connection_is_closed() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay", left="300m")
@@ -170,7 +170,7 @@
 def test_the_forwarded_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = reply(200, bytes(range(256)) * 256)
+        backend.default_reply = reply(200, bytes(range(256)) * 256)
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             body = bytes(reversed(range(256))) * 256
@@ -200,7 +200,7 @@
                 client.send()
                 assert await client.status() == 200
             assert backend.connections == 1
-            backend.then = None
+            backend.default_reply = None
             other = await Client.to(w.port)
             client.send()
             other.send()
@@ -267,11 +267,11 @@
 def test_a_client_that_disconnects_does_not_abort_its_attempt() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             client.writer.close()
             await until(lambda: any(isinstance(e, api.RequestExpired) for e in w.events))
             assert backend.closed == 0
@@ -294,11 +294,11 @@
         pool.start(one)
         await soon(one.outcome.wait())
         pool.name("c", ("127.0.0.1", second.port), None, open_for_work=True)
-        second.then = None
+        second.default_reply = None
         two, three = RecordedCall(b""), RecordedCall(b"")
         two.endpoint = three.endpoint = "c"
         pool.start(two)  # closes the idle connection to the other backend
-        await soon(second.came.wait())
+        await soon(second.request_received.wait())
         await until(lambda: first.closed == 1)
         pool.start(three)  # no idle connection is left to close
         assert three.outcomes == []
@@ -438,13 +438,13 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         body = os.urandom(400_000)
         whole = reply(200, body)
         async with world([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             (writer,) = backend.writers
             for start in range(0, len(whole), 50_000):
                 writer.write(whole[start : start + 50_000])
@@ -464,11 +464,11 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")], bounds={"mostTries": 1}) as w:
             client = await Client.to(w.port)
             client.send("pay")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             (writer,) = backend.writers
             writer.write(reply(500, b"x" * 400_000)[:-1])
             assert await client.status() == 502
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -229,7 +229,7 @@
         await collector.stop()
         async with world([backend.row("b")], on(collector, queued=2)) as w:
             made = exporter(w)
-            backend.then = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+            backend.default_reply = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
             client = await Client.to(w.port)
             for _ in range(5):
                 client.send("pay", b"x")
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -45,7 +45,7 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         features = on(tmp_path / "t", order_keys=OrderKeys(store="process"))
         async with world([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
@@ -205,7 +205,7 @@
 def test_a_request_that_is_refused_before_the_module_has_a_trace(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         async with world([backend.row("b")], on(tmp_path / "t"), bounds={"openCap": 1}) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send("read", b"", "500m")
