--- a/honeywharf/standins/node.py
+++ b/honeywharf/standins/node.py
@@ -1,4 +1,4 @@
-"""What the platform would tell a proxy that is played here: settings, and the configuration round them."""
+"""Settings and configuration files of a proxy under test, and ports that stay reserved for this process."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-LOCAL = "127.0.0.1"
-PORTS = (16384, 32768)  # under those that Linux gives to sockets that ask for no port
-MAX_HELD = 512  # descriptors; the port held longest is let go
-MAX_TRIED = 1000
-_held: deque[socket.socket] = deque()
-_draw = random.Random()  # not the shared one, which tests seed
+LOOPBACK = "127.0.0.1"
+PORT_RANGE = (16384, 32768)  # Below the ephemeral ports of Linux.
+MAX_RESERVED_PORTS = 512  # Each takes a descriptor; the oldest is released first.
+MAX_PORT_ATTEMPTS = 1000
+_reserved: deque[socket.socket] = deque()
+_random = random.Random()  # Apart from the shared generator, which tests seed.
 
-_GROUPS: dict[str, Any] = {
+_DEFAULTS: dict[str, Any] = {
     "bounds": {
         "mostTries": 3,
         "cancel": True,
@@ -41,13 +41,13 @@
 
 
 def settings(profiles: Iterable[Mapping[str, Any]], **changes: Any) -> dict[str, Any]:
-    """Settings for these classes; `changes` replaces values, within a group key by key."""
-    merged = {k: {**v, **changes.pop(k, {})} if isinstance(v, dict) else v for k, v in _GROUPS.items()}
+    """Returns settings for these request classes. `changes` replaces values, within a group key by key."""
+    merged = {k: {**v, **changes.pop(k, {})} if isinstance(v, dict) else v for k, v in _DEFAULTS.items()}
     return {**merged, "profiles": list(profiles), **changes}
 
 
 def configuration(
-    told: Mapping[str, Any],
+    proxy_settings: Mapping[str, Any],
     discovery: int,
     rows: Iterable[Mapping[str, Any]] = (),
     *,
@@ -55,9 +55,9 @@
     name: str = "n",
     seed: str = "7",
 ) -> dict[str, Any]:
-    """`NODE_CONFIG` of a proxy on 127.0.0.1 that is told these settings and knows these backends.
+    """Returns the `NODE_CONFIG` of a proxy on 127.0.0.1 with these settings and these known backends.
 
-    Without any it knows no generation either, and asks discovery for all.
+    Without known backends it starts at generation 0 and requests the full list from discovery.
     """
     known = list(rows)
     return {
@@ -67,34 +67,37 @@
         "seed": seed,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"generation": int(bool(known)), "reset": True, "instances": known},
-        "settings": dict(told),
+        "settings": dict(proxy_settings),
     }
 
 
 def free_ports(number: int) -> list[int]:
-    """Ports of 127.0.0.1, for TCP and UDP, that stay this process's: the last `MAX_HELD` until it ends.
+    """Reserves ports of 127.0.0.1 for TCP and UDP; the last `MAX_RESERVED_PORTS` stay reserved until exit.
 
-    Each is held by a socket that is bound and does not listen, and lies under those that the system gives to
-    who asks for none: guards against another process's listener, or a connection's own end, taking it while
-    who is to listen there has not begun, or is away. A connection to it is refused meanwhile. Listeners have
-    to set SO_REUSEADDR, as asyncio's do. OSError where none is found.
+    A bound socket that does not listen reserves each port, which lies below the ephemeral range. This guards
+    against another listener or an outgoing connection that takes the port while its server is not running.
+    Connections to it are refused meanwhile. Listeners must set SO_REUSEADDR, as those of asyncio do. OSError
+    if no port is free.
     """
-    return [_held_port() for _ in range(number)]
+    return [_reserve_port() for _ in range(number)]
 
 
-def _held_port() -> int:
-    for _ in range(MAX_TRIED):
-        made, port = socket.socket(), _draw.randrange(*PORTS)
+def _reserve_port() -> int:
+    for _ in range(MAX_PORT_ATTEMPTS):
+        stream, port = socket.socket(), _random.randrange(*PORT_RANGE)
         try:
-            made.bind((LOCAL, port))  # not to be shared with another that looks: that is allowed afterwards
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            with socket.socket(type=socket.SOCK_DGRAM) as datagrams:
-                datagrams.bind((LOCAL, port))
+            stream.bind((LOOPBACK, port))  # SO_REUSEADDR only follows, so that no other search shares it.
+            stream.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            with socket.socket(type=socket.SOCK_DGRAM) as datagram:
+                datagram.bind((LOOPBACK, port))
         except OSError:
-            made.close()
+            stream.close()
             continue
-        _held.append(made)
-        if len(_held) > MAX_HELD:
-            _held.popleft().close()
+        _reserved.append(stream)
+        if len(_reserved) > MAX_RESERVED_PORTS:
+            _reserved.popleft().close()
         return port
-    raise OSError(f"found no free port of {MAX_TRIED} in {PORTS[0]}-{PORTS[1] - 1}, wanted one")
+    raise OSError(
+        f"expected a free port in {PORT_RANGE[0]}-{PORT_RANGE[1] - 1},"
+        f" got none in {MAX_PORT_ATTEMPTS} attempts"
+    )
