--- a/honeywharf/standins/registry.py
+++ b/honeywharf/standins/registry.py
@@ -1,4 +1,4 @@
-"""The registry (discovery): the whole list, and watches that wait for what is newer."""
+"""The registry (discovery): serves the full list of nodes, and watches that wait for newer changes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from honeywharf.standins.messages import read_message, reply
 from honeywharf.standins.node import free_ports
 
-MAX_CHANGES = 4096  # kept for watches; one that asks for older ones gets the whole list
-LONGEST_WAIT_MS = 60000.0
+MAX_CHANGES = 4096  # A watch from before the oldest one gets the full list.
+MAX_WAIT_MS = 60000.0
 
 
 class Registry:
     """Lists nodes at `GET /registry/instances`.
 
-    With `scripted`, it holds each call until `tell` or `answers` gives it something, whatever was asked: that
-    is for tests of odd answers. `silent` holds everything, as an agent does while discovery is down.
+    With `scripted`, each call gets the next answer from `script_answer` or `answers`, whatever its query.
+    `silent` withholds all answers, as an agent does while discovery is down.
     """
 
     def __init__(self, *, scripted: bool = False, delay_s: float = 0.0) -> None:
@@ -28,7 +28,7 @@
         self.rows: dict[str, dict[str, Any]] = {}
         self.generation = 1
         self.changes: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MAX_CHANGES)
-        self.forgotten = 1  # generations up to here can't be told as changes
+        self.oldest_generation = 1  # Changes since an older generation are not available.
         self.calls: list[bytes] = []
         self.called = asyncio.Event()
         self.changed = asyncio.Condition()
@@ -38,24 +38,24 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> Registry:
-        """Listen on 127.0.0.1; port 0 takes a free one, which stays free for a later start."""
+        """Listens on 127.0.0.1. Port 0 reserves a free port, which a later start can use again."""
         self.port = port or free_ports(1)[0]
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         return self
 
-    def tell(self, generation: int, *rows: dict[str, Any], reset: bool = False) -> None:
-        """Script the answer to one call."""
+    def script_answer(self, generation: int, *rows: dict[str, Any], reset: bool = False) -> None:
+        """Queues the answer to one call."""
         self.answers.put_nowait(self._body(generation, rows, reset=reset))
 
     async def put(self, *rows: dict[str, Any]) -> None:
-        """List nodes, or list them otherwise than before; `lifecycle` `removed` takes one out."""
+        """Adds or updates nodes. An entry with `lifecycle` `removed` deletes its node."""
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         async with self.changed:
             for entry in rows:
                 self.generation += 1
                 if len(self.changes) == MAX_CHANGES:
-                    self.forgotten = self.changes[0][0]
+                    self.oldest_generation = self.changes[0][0]
                 self.changes.append((self.generation, entry))
                 if entry["lifecycle"] == "removed":
                     self.rows.pop(entry["instanceId"], None)
@@ -68,9 +68,9 @@
         return reply(200, body, b"Content-Type: application/json")
 
     def _newer(self, after: int) -> bytes:
-        if after < self.forgotten or after > self.generation:
+        if after < self.oldest_generation or after > self.generation:
             return self._body(self.generation, self.rows.values(), reset=True)
-        latest = {entry["instanceId"]: entry for at, entry in self.changes if at > after}
+        latest = {entry["instanceId"]: entry for changed, entry in self.changes if changed > after}
         return self._body(self.generation, latest.values(), reset=False)
 
     async def _answer(self, target: str) -> bytes:
@@ -85,7 +85,7 @@
         if "after" not in query:
             return self._body(self.generation, self.rows.values(), reset=True)
         after = int(query["after"][0])
-        wait_s = min(LONGEST_WAIT_MS, float(query.get("wait_ms", ["0"])[0])) / 1000.0
+        wait_s = min(MAX_WAIT_MS, float(query.get("wait_ms", ["0"])[0])) / 1000.0
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s), self.changed:
                 await self.changed.wait_for(lambda: self.generation != after and not self.silent)
@@ -101,13 +101,13 @@
                 self.called.set()
                 answer = await self._answer(first.split()[1].decode())
                 if writer.transport.is_closing():
-                    break  # who watched has gone
+                    break  # The caller has closed the connection.
                 writer.write(answer)
         self.connections.discard(writer)
         writer.close()
 
     async def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stops listening and resets open connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.connections):
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -206,7 +206,9 @@
             for _ in range(12):
                 assert (await pay(w))[0] == 200
             assert all(n.bodies for n in coap_nodes)
-            w.discovery.tell(2, row("c0", coap_nodes[0].port, "z", "draining", cell=0, scheme="coap"))
+            w.discovery.script_answer(
+                2, row("c0", coap_nodes[0].port, "z", "draining", cell=0, scheme="coap")
+            )
             servers = w.proxy.balancer.endpoints.servers
             await until(lambda: servers["c0"].endpoint.state is api.EndpointState.DRAINING)
             before = len(coap_nodes[0].got)
@@ -414,7 +416,7 @@
         cold = {"coldShare": 0.2, "warmAfterMs": 60_000.0}
         async with nodes(5, contract=cold, profiles=quick) as (w, coap_nodes):
             fresh = row("c0", coap_nodes[0].port, cell=0, scheme="coap", startedAtMs=int(w.proxy.clock.now()))
-            w.discovery.tell(2, fresh)
+            w.discovery.script_answer(2, fresh)
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             await until(lambda: part.counts()["coap:node starts"] == 1)
             before = [len(n.got) for n in coap_nodes]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -128,7 +128,7 @@
 ) -> AsyncIterator[World]:
     """A running proxy that knows these backends and whose first watch has been answered with nothing new."""
     discovery = await scripted_registry()
-    discovery.tell(1)
+    discovery.script_answer(1)
     made = World(make_config(discovery.port, rows, **changes), discovery, features)
     await made.start()
     await until(lambda: made.proxy.watch.up)
--- a/tests/orderkeys/test_deduplicator.py
+++ b/tests/orderkeys/test_deduplicator.py
@@ -201,7 +201,7 @@
             await until(lambda: not w.proxy.driver.requests)
             sent = sum(len(b.requests) for b in backends)
             used = next(i for i, b in enumerate(backends) if b.requests)
-            w.discovery.tell(2, backends[used].row(f"b{used}", lifecycle="removed", cell=used))
+            w.discovery.script_answer(2, backends[used].row(f"b{used}", lifecycle="removed", cell=used))
             await until(lambda: f"b{used}" not in w.proxy.balancer.endpoints.servers)
             client.send("order", b"x", key="k")
             assert await client.status() == 502
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -51,14 +51,14 @@
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 503  # all are out: told, not overruled
-            w.discovery.tell(2, backend.row("b", startedAtMs=99))  # whatever discovery says
+            w.discovery.script_answer(2, backend.row("b", startedAtMs=99))  # whatever discovery says
             await until(lambda: w.proxy.directory.generation == 2)
             client.send()
             assert await client.status() == 503
             assert await said(port, b"include b\n") == b"OK b is used again\n"
             client.send()
             assert await client.status() == 200
-            w.discovery.tell(3, row("b", 1, lifecycle="removed"))
+            w.discovery.script_answer(3, row("b", 1, lifecycle="removed"))
             await until(lambda: "b" not in w.proxy.directory.rows)
             assert await said(port, b"exclude b\n") == b"OK b is out\n"  # it was listed once
             assert await said(port, b"evacuate\n") == b"OK evacuating\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -73,7 +73,7 @@
             await until(lambda: len(w.discovery.calls) == 2)
             assert w.discovery.calls[0].startswith(b"GET /registry/instances?after=1&wait_ms=0 ")
             assert w.discovery.calls[1].startswith(b"GET /registry/instances?after=1&wait_ms=5000 ")
-            w.discovery.tell(7, row("c", 2))
+            w.discovery.script_answer(7, row("c", 2))
             event = await nth_list(w, 2)
             assert (event.kind, event.serial) == (api.ListKind.CHANGES, 7)
             await until(lambda: len(w.discovery.calls) == 3)
@@ -88,13 +88,13 @@
         one, two = await Backend().start(), await Backend().start()
         async with world([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
-            w.discovery.tell(2, one.row("one", lifecycle="draining"))
+            w.discovery.script_answer(2, one.row("one", lifecycle="draining"))
             await nth_list(w, 2)
             for _ in range(12):
                 client.send()
                 assert await client.status() == 200
             assert one.requests == []
-            w.discovery.tell(3, one.row("one"), reset=True)
+            w.discovery.script_answer(3, one.row("one"), reset=True)
             event = await nth_list(w, 3)
             assert event.kind is api.ListKind.FULL
             assert not w.proxy.pool.known("two")
@@ -116,7 +116,7 @@
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
-            w.discovery.tell(2, {**backend.row("b"), **change})
+            w.discovery.script_answer(2, {**backend.row("b"), **change})
             await nth_list(w, 2)
             await until(lambda: backend.closed == 1)
             assert w.proxy.pool.known("b") == (change.get("lifecycle") != "removed")
@@ -133,7 +133,7 @@
             client = await Client.to(w.port)
             client.send()
             await soon(old.request_received.wait())
-            w.discovery.tell(2, new.row("b"))
+            w.discovery.script_answer(2, new.row("b"))
             await nth_list(w, 2)
             for writer in list(old.writers):
                 writer.write(reply())
@@ -171,7 +171,7 @@
                     await writer.drain()
                     writer.close()
             await until(lambda: len(w.discovery.calls) >= 3)
-            w.discovery.tell(4, {"odd": 1}, row("c", 2))  # the valid entry counts
+            w.discovery.script_answer(4, {"odd": 1}, row("c", 2))  # the valid entry counts
             event = await nth_list(w, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert w.proxy.pool.known("b")
@@ -189,7 +189,7 @@
         client = await Client.to(w.port)
         assert await client.ask(ready) == 503
         assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED]
-        discovery.tell(1)
+        discovery.script_answer(1)
         await until(lambda: w.proxy.watch.up)
         assert await client.ask(ready) == 200
         assert w.running is not None
@@ -249,7 +249,7 @@
         w.proxy.driver._perform(api.FetchEndpoints())
         await until(lambda: len(discovery.calls) > calls)
         assert discovery.calls[-1].startswith(b"GET /registry/instances ")
-        discovery.tell(9, row("c", 2))
+        discovery.script_answer(9, row("c", 2))
         await until(lambda: lists_of(w)[-1].kind is api.ListKind.FULL)
         assert not w.proxy.pool.known("b")
         assert w.running is not None
@@ -280,8 +280,8 @@
             w.proxy.watch.move(("127.0.0.1", other.port))
             assert w.proxy.watch.up  # it stays in service
             await until(lambda: len(other.calls) == 1)
-            w.discovery.tell(50, row("late", 9))  # a late answer on the old connection
-            other.tell(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
+            w.discovery.script_answer(50, row("late", 9))  # a late answer on the old connection
+            other.script_answer(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
             await wait_for_move(w, other)
             assert b"after=3&" in other.calls[1]
             assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED, api.ListKind.FULL]
@@ -293,7 +293,7 @@
             assert backend.connections == 1
             for writer in list(w.discovery.connections):  # the late loss of the old connection has no effect
                 writer.transport.abort()
-            other.tell(4, row("d", 3))
+            other.script_answer(4, row("d", 3))
             await until(lambda: w.proxy.pool.known("d"))
             assert len(other.connections) == 1
         await other.stop()
@@ -312,7 +312,7 @@
                 w.proxy.watch.move(("127.0.0.1", last.port))
                 await asyncio.sleep(0)
             await until(lambda: len(last.calls) >= 1)
-            last.tell(1, row("e", 5))
+            last.script_answer(1, row("e", 5))
             await wait_for_move(w, last)
             assert len(last.connections) == 1
             assert w.proxy.pool.known("e")
@@ -336,7 +336,7 @@
             assert w.proxy.pool.known("b")
             await other.start(port)
             other.answers.put_nowait(reply(503))
-            other.tell(2, row("f", 6))
+            other.script_answer(2, row("f", 6))
             await until(lambda: w.proxy.pool.known("f"))
             assert other.calls[:2] == [b"GET /registry/instances HTTP/1.1"] * 2
         await other.stop()
@@ -354,7 +354,7 @@
             await soon(backend.request_received.wait())
             w.proxy.drain()
             w.proxy.watch.move(("127.0.0.1", other.port))
-            other.tell(1, backend.row("b"))
+            other.script_answer(1, backend.row("b"))
             await wait_for_move(w, other)
             for writer in list(backend.writers):
                 writer.write(reply())
@@ -392,7 +392,7 @@
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
-            w.discovery.tell(3, row("c", 1, lifecycle="draining"))
+            w.discovery.script_answer(3, row("c", 1, lifecycle="draining"))
             await until(lambda: w.proxy.directory.generation == 3)
             assert set(w.proxy.directory.rows) == {"b", "c"}
         await backend.stop()
