--- a/honeywharf/standins/__init__.py
+++ b/honeywharf/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of what the proxy meets outside itself: registry, nodes, racks, front, clients, on loopback.
+"""Stand-ins for what a proxy meets outside itself: registry, nodes, racks, front and clients, on loopback.
 
-Nothing of it is imported by the proxy. `model` and `plan` do no I/O and are shared by the sockets here and by
-the simulator in virtual time, so that both play the same fleet; everything random comes from a seed.
+The proxy imports none of this. `honeywharf.lab.model` does no I/O and is shared with the simulator in virtual
+time, so that both run the same fleet. All random draws come from a seed.
 """
--- a/honeywharf/standins/messages.py
+++ b/honeywharf/standins/messages.py
@@ -1,15 +1,15 @@
-"""HTTP/1.1 as the stand-ins speak it: whole messages on asyncio streams, and rows of the registry."""
+"""HTTP/1.1 messages of the stand-ins on asyncio streams, and entries of the registry."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any
 
-Message = tuple[bytes, dict[bytes, bytes], bytes]  # first line, headers in lower case, body
+Message = tuple[bytes, dict[bytes, bytes], bytes]  # First line, headers with names in lower case, body.
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """One message with Content-Length; `IncompleteReadError` where the peer ends before it is whole."""
+    """Reads one message with Content-Length. `IncompleteReadError` if the peer closes before its end."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head[:-4].split(b"\r\n")
     headers = {}
@@ -20,13 +20,13 @@
 
 
 def reply(status: int = 200, body: bytes = b"ok", *headers: bytes) -> bytes:
-    """A whole answer, with so many header lines of its own."""
+    """Returns a complete response with these additional header lines."""
     lines = [b"HTTP/1.1 %d X" % status, b"Content-Length: %d" % len(body), *headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 def row(name: str, port: int, zone: str = "z", lifecycle: str = "up", **more: Any) -> dict[str, Any]:
-    """A node of 127.0.0.1 as the registry lists it."""
+    """Returns the registry entry of a node on 127.0.0.1."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
