--- a/honeywharf/standins/demo.py
+++ b/honeywharf/standins/demo.py
@@ -192,8 +192,8 @@
     tallies = [c.tally for c in fleet.clients.values()]
     served = set().union(*(t.keys for t in tallies))
     return {
-        "no request lost": not any(t.lost or t.wrong for t in tallies)
-        and all(t.asked == t.served + t.refused + t.failed for t in tallies),
+        "no request lost": not any(t.lost or t.mismatched for t in tallies)
+        and all(t.orders == t.served + t.refused + t.failed for t in tallies),
         "no effect twice": all(n == 1 for n in charges.values()) and served <= set(charges),
         "drains kept": not any(b.requests_after_drain for b in fleet.backends.values()),
         "no cold node pushed over": not any(b.node.fallen for b in fleet.backends.values() if b.node),
@@ -219,7 +219,7 @@
     for rack in fleet.racks.values():
         charges.update(rack.charges.values())
     say(
-        f"asked {sum(t.asked for t in tallies)}, served {sum(t.served for t in tallies)}, refused "
+        f"asked {sum(t.orders for t in tallies)}, served {sum(t.served for t in tallies)}, refused "
         f"{sum(t.refused for t in tallies)}, failed {sum(t.failed for t in tallies)}, clients' repeats "
         f"{sum(t.repeats for t in tallies)}"
     )
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -121,8 +121,8 @@
         clients = Clients(Front([backend.port]), "z", 200.0, seed=3)
         await clients.run(0.05)
         tally = clients.tally
-        assert tally.asked == tally.refused + tally.failed > 0
-        assert tally.repeats >= 2 or tally.asked == 1
+        assert tally.orders == tally.refused + tally.failed > 0
+        assert tally.repeats >= 2 or tally.orders == 1
         keys = [headers[b"idempotency-key"] for _, headers, _ in backend.requests]
         marked = [headers.get(b"x-repeat") for _, headers, _ in backend.requests]
         assert all((marked[i] == b"1") == (key in keys[:i]) for i, key in enumerate(keys))
@@ -162,7 +162,7 @@
         live = await Backend().start()
         dead = await Backend().start()
         await dead.stop()
-        front = Front([dead.port, live.port], seed=1, notice_s=60.0)
+        front = Front([dead.port, live.port], seed=1, dead_interval_s=60.0)
         for _ in range(20):
             with suppress(OSError):
                 _, writer = await front.connect()
