--- a/bench/tiers.py
+++ b/bench/tiers.py
@@ -178,7 +178,7 @@
         await house.stop()
     assert house.network is not None
     network = house.network
-    print(f"notes: {network.carried} datagrams carried, {network.lost} lost")
+    print(f"notes: {network.delivered} datagrams carried, {network.lost} lost")
     return checked(house.asked, house.seen(), house.files(), house.killed, network, args.seed)
 
 
--- a/honeywharf/standins/coapday.py
+++ b/honeywharf/standins/coapday.py
@@ -11,8 +11,8 @@
 from honeywharf.standins.backend import Backend, now_ms
 from honeywharf.standins.coapnode import CoapBackend
 from honeywharf.standins.keyday import Day, Site
-from honeywharf.standins.lossy import Lossy
-from honeywharf.standins.units import GAVE_UP, Unit
+from honeywharf.standins.lossy import LossyNetwork
+from honeywharf.standins.units import GIVEN_UP, Unit
 
 UNITS = 32
 DELAY_S = 0.2  # the longest time that a datagram is on its way
@@ -39,7 +39,7 @@
         name = f"o{self.serial}"
         self.history.asked(name, key, now_ms(), repeat)
         status, body = await self.units[self.serial // 2 % UNITS].order(name, key, max(left_ms, 400), repeat)
-        late = self.late_ms + max(left_ms, 400) if status == GAVE_UP else 0.0
+        late = self.late_ms + max(left_ms, 400) if status == GIVEN_UP else 0.0
         self.history.answered(name, now_ms(), status, body, late)
 
 
@@ -53,13 +53,13 @@
     """One day at a site of its own."""
     (port,) = node.free_ports(1)
     site = Site(features + COAP.format(port), seed, folder, 1, None, program, (Backend, CoapBackend))
-    network = await Lossy(("127.0.0.1", port), seed, loss=0.3, double=0.1, delay_s=DELAY_S).start()
+    network = await LossyNetwork(("127.0.0.1", port), seed, loss=0.3, duplicate=0.1, delay_s=DELAY_S).start()
     units = [await Unit(seed * 1000 + i).to(network.port) for i in range(UNITS)]
     try:
         played = BothDay(await site.start(), keys, seed, units)
         found = await played.play()
         found["by CoAP"] = played.by_coap
-        found["datagrams"], found["lost"] = network.carried + network.lost, network.lost
+        found["datagrams"], found["lost"] = network.delivered + network.lost, network.lost
     finally:
         for unit in units:
             unit.close()
--- a/honeywharf/standins/tiers.py
+++ b/honeywharf/standins/tiers.py
@@ -205,7 +205,7 @@
         self.ports, self.loss, self.random = ports, loss, random.Random(seed)
         self.names = {port: name for name, port in ports.items()}
         self.sockets: dict[str, asyncio.DatagramTransport] = {}
-        self.carried = self.lost = 0
+        self.delivered = self.lost = 0
         self.told: Counter[tuple[str, str]] = Counter()  # by hearer and trace-id: how often it arrived
         self.missed: Counter[tuple[str, str]] = Counter()  # and how often it did not
 
@@ -232,7 +232,7 @@
         if lost:
             self.lost += 1
             return
-        self.carried += 1
+        self.delivered += 1
         self.sockets[sender].sendto(data, ("127.0.0.1", self.ports[to]))
 
     def stop(self) -> None:
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -20,7 +20,7 @@
 from honeywharf.config.features import Coap, Features, OrderKeys
 from honeywharf.policy import interface as api
 from honeywharf.service.life import Step
-from honeywharf.standins.lossy import Lossy
+from honeywharf.standins.lossy import LossyNetwork
 from tests.loopback import Backend, Client, World, reply, run, soon, until, world
 
 COAP_ON = Features(coap=Coap(listen="127.0.0.1:0"), order_keys=OrderKeys(store="process"))
@@ -346,8 +346,8 @@
 def test_over_a_lossy_network_each_order_runs_at_most_once() -> None:
     async def main() -> None:
         async with served(Features(coap=Coap(listen="127.0.0.1:0"))) as (_, backend, front):
-            network = await Lossy(
-                ("127.0.0.1", port_of(front)), 1, loss=0.3, double=0.1, delay_s=0.05
+            network = await LossyNetwork(
+                ("127.0.0.1", port_of(front)), 1, loss=0.3, duplicate=0.1, delay_s=0.05
             ).start()
             unit = await Unit.to(network.port, validated=False)
             while not unit.echo:
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -9,7 +9,7 @@
 from honeywharf.lab.histories import History
 from honeywharf.standins.coapday import DELAY_S, day
 from honeywharf.standins.keyday import KEPT_MS, PROCESS
-from honeywharf.standins.units import GAVE_UP
+from honeywharf.standins.units import GIVEN_UP
 from tests.coap.test_front import Unit, port_of, request_options, served
 from tests.loopback import Client, reply, run, until
 from tests.orderkeys.shared import deduplicator_of
@@ -42,7 +42,7 @@
         async with served() as (w, backend, front):
             h, unit = History(), await Unit.to(port_of(front))
             h.asked("unit", "k", 0.0, False)
-            h.answered("unit", 400.0, GAVE_UP, late_ms=DELAY_S * 1000.0 + 4000.0)  # sent, but not received
+            h.answered("unit", 400.0, GIVEN_UP, late_ms=DELAY_S * 1000.0 + 4000.0)  # sent, but not received
             unprocessed = reply(503, b"", b"X-Unprocessed: 1")
             backend.script, backend.default_reply = [None, unprocessed, unprocessed], reply(200, b"tile")
             client = await Client.to(w.port)
--- a/tests/lab/test_histories.py
+++ b/tests/lab/test_histories.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.lab.histories import LOST, History
-from honeywharf.standins.units import GAVE_UP
+from honeywharf.standins.units import GIVEN_UP
 
 KEPT = 1000.0
 
@@ -125,7 +125,7 @@
 ) -> None:
     h = good()
     h.asked("d", "two", 7.0, False)
-    h.answered("d", 100.0, GAVE_UP, late_ms=late_ms)
+    h.answered("d", 100.0, GIVEN_UP, late_ms=late_ms)
     h.asked("e", "two", 150.0, True)
     h.charged("two", "d", 160.0)
     h.answered("e", 170.0, 503)
