--- a/honeywharf/standins/redis.py
+++ b/honeywharf/standins/redis.py
@@ -1,6 +1,6 @@
-"""A process that speaks the Redis protocol on loopback: started, paused, killed, started again.
+"""Starts, pauses, kills and restarts a process of `redis_server` on loopback.
 
-The server is `redis_server`, our own; requirements-demo.txt names what it needs beside the proxy's own.
+requirements-demo.txt lists the packages that the server needs in addition to those of the proxy.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from honeywharf.standins.node import free_ports
 
 MODULE = "honeywharf.standins.redis_server"
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 
 
 class Redis:
-    """One server process. With `data`, a file, a start finds what was there before; else it is empty."""
+    """One server process. With the file `data` it keeps its data over restarts, else it starts empty."""
 
     def __init__(self, data: Path | None = None) -> None:
         self.data = data
@@ -27,11 +27,11 @@
 
     @property
     def url(self) -> str:
-        """Where it is, for the file of features."""
+        """The URL of the server, for the features file."""
         return f"redis://127.0.0.1:{self.port}"
 
     async def start(self) -> Redis:
-        """Listen on a free port, on the same one again after an end. RuntimeError where it does not start."""
+        """Starts on a free port, or again on the same port. RuntimeError if the server does not start."""
         if not self.port:
             (self.port,) = free_ports(1)
         command = [sys.executable, "-m", MODULE, "--port", str(self.port)]
@@ -41,20 +41,20 @@
         pipe = process.stdout
         assert pipe is not None
         try:
-            told = await asyncio.wait_for(asyncio.to_thread(pipe.readline), START_S)
+            port_line = await asyncio.wait_for(asyncio.to_thread(pipe.readline), START_TIMEOUT_S)
         except TimeoutError:
-            told = b""
-        if not told.strip().isdigit():
+            port_line = b""
+        if not port_line.strip().isdigit():
             self.kill()
-            raise RuntimeError(f"{MODULE} does not start")
+            raise RuntimeError(f"{MODULE}: expected its port within {START_TIMEOUT_S} s, got {port_line!r}")
         return self
 
-    async def ask(self, *words: str | bytes) -> object:
-        """The reply to one command."""
+    async def execute(self, *arguments: str | bytes) -> object:
+        """Runs one command on a new connection and returns the reply. ConnectionError if it is closed."""
         import hiredis
 
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub names a single one
+        writer.write(hiredis.pack_command(arguments))  # type: ignore[arg-type]  # Its stub has one argument.
         parser = hiredis.Reader()
         while (reply := parser.gets()) is False:
             data = await reader.read(65536)
@@ -65,17 +65,17 @@
         return reply
 
     def pause(self) -> None:
-        """Stop it from running: connections stand, nothing is answered."""
+        """Stops the process by SIGSTOP: connections stay open without replies."""
         assert self.process is not None
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it run again."""
+        """Resumes the process."""
         assert self.process is not None
         self.process.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End it at once; what it knew is lost, or is in its file."""
+        """Kills the process. Data without a file is lost."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -47,9 +47,9 @@
 
     async def states(self) -> list[object]:
         """The state and the noted cell of all keys in Redis."""
-        names = await self.redis.ask("ZRANGE", "honeywharf:x", "0", "-1")
+        names = await self.redis.execute("ZRANGE", "honeywharf:x", "0", "-1")
         assert isinstance(names, list)
-        return [await self.redis.ask("HMGET", b"honeywharf:k:" + name, "s", "c") for name in names]
+        return [await self.redis.execute("HMGET", b"honeywharf:k:" + name, "s", "c") for name in names]
 
     def kill_first(self) -> None:
         self.first.process.kill()
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -108,7 +108,7 @@
             first.send("order", b"x", key="k")
             assert await first.status() == 503
             await until(lambda: not store_of(worlds[0]).shared.unconfirmed_ends)
-            assert await redis.ask("ZCARD", "honeywharf:x") == 0
+            assert await redis.execute("ZCARD", "honeywharf:x") == 0
             second.send("order", b"x", key="k")
             assert await second.status() == 200
 
@@ -152,8 +152,8 @@
             assert notes[0] is False  # the first attempt is sent at once
             assert True in notes[1:]
             sent = [e for e in w.actions if isinstance(e, api.Send)]
-            name = (await redis.ask("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
-            kept = await redis.ask("HGET", b"honeywharf:k:" + name, "c")
+            name = (await redis.execute("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
+            kept = await redis.execute("HGET", b"honeywharf:k:" + name, "c")
             assert kept == b"%d" % sent[-1].cell
 
     run(main())
@@ -254,7 +254,7 @@
             assert await repeat.status() == 502
             repeat.send("order", b"x", "400m", key="new")
             assert await repeat.status() == 503
-            await redis.ask("FLUSHALL")  # the same when data is lost while the connection is open
+            await redis.execute("FLUSHALL")  # the same when data is lost while the connection is open
             await asyncio.sleep(1.72)
             repeat.send("order", b"x", "400m", key="new")
             assert await repeat.status() == 503
@@ -266,15 +266,15 @@
 def test_a_store_that_may_evict_keys_is_not_used() -> None:
     async def main() -> None:
         async with sharing(1, 1) as (redis, (w,), _):
-            await redis.ask("CONFIG", "SET", "maxmemory", "100mb")
-            await redis.ask("CONFIG", "SET", "maxmemory-policy", "allkeys-lru")
+            await redis.execute("CONFIG", "SET", "maxmemory", "100mb")
+            await redis.execute("CONFIG", "SET", "maxmemory-policy", "allkeys-lru")
             store = store_of(w)
             store.reset()
             await until(
                 lambda: store.last_fault.startswith("maxmemory-policy: expected noeviction, got allkeys-lru")
             )
             assert not store_available(w)
-            await redis.ask("CONFIG", "SET", "maxmemory-policy", "noeviction")
+            await redis.execute("CONFIG", "SET", "maxmemory-policy", "noeviction")
             await until(lambda: store_available(w))
 
     run(main())
@@ -287,15 +287,15 @@
             first, second = [await Client.to(w.port) for _ in range(2)]
             first.send("order", b"x", key="k")
             await until(lambda: backend.request_received.is_set())
-            await redis.ask("CONFIG", "SET", "maxmemory", "1")
+            await redis.execute("CONFIG", "SET", "maxmemory", "1")
             second.send("order", b"x", key="other")
             assert await second.status() == 503
             for writer in list(backend.writers):
                 writer.write(reply(200, b"tile"))
             assert await first.status() == 200
             await until(lambda: not store_of(w).shared.unconfirmed_ends)
-            name = (await redis.ask("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
-            assert await redis.ask("HGET", b"honeywharf:k:" + name, "s") == b"D"
+            name = (await redis.execute("ZRANGE", "honeywharf:x", "0", "0"))[0]  # type: ignore[index]
+            assert await redis.execute("HGET", b"honeywharf:k:" + name, "s") == b"D"
             assert store_available(w)
             assert len(backend.requests) == 1
 
@@ -332,7 +332,7 @@
         secret = tmp_path / "password"
         secret.write_text("wrong\n")
         async with sharing(1, 1, {"password_file": str(secret)}) as (redis, (w,), _):
-            await redis.ask("CONFIG", "SET", "requirepass", "right")
+            await redis.execute("CONFIG", "SET", "requirepass", "right")
             store = store_of(w)
             store.reset()
             await until(lambda: store.last_fault.startswith("WRONGPASS"))
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in through a client that nobody here wrote, and what can be done to it."""
+"""The Redis stand-in, tested through the redis-py client."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     made.kill()
 
 
-def client(server: Redis, protocol: int = 3, **told: Any) -> Any:
-    return redis.Redis(port=server.port, protocol=protocol, socket_timeout=10.0, **told)
+def client(server: Redis, protocol: int = 3, **options: Any) -> Any:
+    return redis.Redis(port=server.port, protocol=protocol, socket_timeout=10.0, **options)
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_a_foreign_client_finds_what_the_command_pages_say(server: Redis, protocol: int) -> None:
+def test_commands_reply_as_their_pages_say(server: Redis, protocol: int) -> None:
     c = client(server, protocol)
     assert c.ping() is True
     assert c.set("s", "1")
@@ -63,19 +63,19 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_messages_reach_those_that_subscribed(server: Redis, protocol: int) -> None:
-    heard: Any = client(server, protocol).pubsub()
-    heard.subscribe("there", "elsewhere")
-    told = [heard.get_message(timeout=10.0) for _ in range(2)]
-    assert [t["type"] for t in told] == ["subscribe", "subscribe"]
+def test_messages_reach_subscribers(server: Redis, protocol: int) -> None:
+    subscriber: Any = client(server, protocol).pubsub()
+    subscriber.subscribe("there", "elsewhere")
+    confirmations = [subscriber.get_message(timeout=10.0) for _ in range(2)]
+    assert [t["type"] for t in confirmations] == ["subscribe", "subscribe"]
     assert client(server, protocol).publish("there", "word") == 1
-    assert heard.get_message(timeout=10.0)["data"] == b"word"
-    heard.unsubscribe("there")
-    heard.get_message(timeout=10.0)
+    assert subscriber.get_message(timeout=10.0)["data"] == b"word"
+    subscriber.unsubscribe("there")
+    subscriber.get_message(timeout=10.0)
     assert client(server, protocol).publish("there", "word") == 0
 
 
-def test_values_pass_between_scripts_and_commands_as_the_page_on_lua_says(server: Redis) -> None:
+def test_values_are_converted_between_scripts_and_commands(server: Redis) -> None:
     c = client(server)
     for text, wanted in (
         ("return 3.9", 3),
@@ -101,7 +101,7 @@
         c.eval("redis.call('HSET', 'h', 'a', '1') return redis.call('GET', 'h')", 0)
 
 
-def test_scripts_are_forgotten_with_a_flush_and_with_a_restart(server: Redis) -> None:
+def test_a_flush_and_a_restart_remove_all_scripts(server: Redis) -> None:
     c = client(server)
     digest = c.script_load("return 7")
     assert c.script_exists(digest, "0" * 40) == [1, 0]
@@ -118,27 +118,27 @@
     assert c.info("server")["run_id"] != run
 
 
-def test_users_need_their_passwords(server: Redis) -> None:
-    open_one = client(server)
-    open_one.execute_command("ACL", "SETUSER", "wharf", "on", ">secret", "~*", "+@all")
-    open_one.config_set("requirepass", "right")
+def test_users_are_authenticated(server: Redis) -> None:
+    unauthenticated = client(server)
+    unauthenticated.execute_command("ACL", "SETUSER", "wharf", "on", ">secret", "~*", "+@all")
+    unauthenticated.config_set("requirepass", "right")
     wrong: list[dict[str, Any]] = [
         {"password": "wrong"},
         {"username": "wharf", "password": "right"},
         {"username": "nobody", "password": "right"},
     ]
-    for told in wrong:
+    for options in wrong:
         with pytest.raises(redis.exceptions.AuthenticationError):
-            client(server, **told).ping()
+            client(server, **options).ping()
     with pytest.raises(redis.exceptions.AuthenticationError):
         client(server, protocol=2).get("k")
     assert client(server, password="right").ping()
     assert client(server, username="wharf", password="secret").ping()
 
 
-def test_full_memory_refuses_what_grows_or_forgets_the_oldest(server: Redis) -> None:
+def test_full_memory_rejects_growing_commands_or_evicts_keys(server: Redis) -> None:
     c, value = client(server), "x" * 10_000
-    grows = c.register_script("return redis.call('SET', KEYS[1], ARGV[1])")
+    writes = c.register_script("return redis.call('SET', KEYS[1], ARGV[1])")
     allowed = c.register_script("#!lua flags=allow-oom\nreturn redis.call('SET', KEYS[1], ARGV[1])")
     empty = c.info("memory")["used_memory"]
     c.config_set("maxmemory", str(empty + 25_000))
@@ -147,11 +147,11 @@
     with pytest.raises(redis.exceptions.OutOfMemoryError):
         c.set("k3", value)
     with pytest.raises(redis.exceptions.OutOfMemoryError):
-        grows(keys=["k3"], args=[value])
+        writes(keys=["k3"], args=[value])
     assert c.get("k3") is None
     assert allowed(keys=["k3"], args=["y"]) == b"OK"
     c.delete("k0", "k1", "k2", "k3")
-    assert c.info("memory")["used_memory"] == empty  # what is counted goes with the keys
+    assert c.info("memory")["used_memory"] == empty  # Deleted keys count no longer.
     c.config_set("maxmemory-policy", "allkeys-lru")
     for i in range(3):
         c.set(f"k{i}", value)
@@ -160,7 +160,7 @@
     assert [c.get(f"k{i}") is not None for i in range(4)] == [True, False, True, True]
 
 
-def test_the_clock_is_set_and_stepped_and_time_ends_keys(server: Redis) -> None:
+def test_the_clock_can_be_set_and_keys_expire(server: Redis) -> None:
     c = client(server)
     c.execute_command("STANDIN", "CLOCK", "SET", "5000")
     c.set("k", "v")
@@ -174,28 +174,28 @@
     assert 7190 < time.time() - c.time()[0] < 7260
 
 
-def test_replies_come_late_or_are_cut_where_told(server: Redis) -> None:
+def test_replies_can_be_delayed_or_truncated(server: Redis) -> None:
     c = client(server)
     c.execute_command("STANDIN", "SLOW", "60")
-    begun = time.monotonic()
+    started = time.monotonic()
     assert c.ping()
-    assert time.monotonic() - begun >= 0.055
+    assert time.monotonic() - started >= 0.055
     c.execute_command("STANDIN", "SLOW", "0")
     c.set("k", "a long value")
-    once = client(server, retry=None)
-    once.ping()
+    no_retry = client(server, retry=None)
+    no_retry.ping()
     c.execute_command("STANDIN", "CUT", "7")
     with pytest.raises(redis.exceptions.ConnectionError):
-        once.get("k")
-    assert c.get("k") == b"a long value"  # by a connection made anew
+        no_retry.get("k")
+    assert c.get("k") == b"a long value"  # The client has reconnected.
 
 
-def test_with_its_data_a_killed_server_knows_all_that_it_answered(tmp_path: Path) -> None:
+def test_a_server_with_a_file_keeps_its_data_over_a_kill(tmp_path: Path) -> None:
     server = asyncio.run(Redis(tmp_path / "data").start())
     try:
         c = client(server)
-        grows = c.register_script("return redis.call('HINCRBY', KEYS[1], 'n', redis.call('TIME')[1])")
-        sums = [grows(keys=["h"]) for _ in range(50)][-1]
+        writes = c.register_script("return redis.call('HINCRBY', KEYS[1], 'n', redis.call('TIME')[1])")
+        sums = [writes(keys=["h"]) for _ in range(50)][-1]
         c.set("gone", "x")
         c.pexpire("gone", 1)
         c.set("stays", "x")
@@ -206,7 +206,7 @@
         server.kill()
 
 
-def test_the_scripts_of_order_keys_are_taken_as_they_are(server: Redis) -> None:
+def test_the_scripts_of_order_keys_are_accepted(server: Redis) -> None:
     c = client(server)
     opened = c.eval(scripts.OPEN, 1, "p", "wait", "")
     assert opened[::2] == [b"open", b"noeviction"]
