--- a/bench/control_by_hand.py
+++ b/bench/control_by_hand.py
@@ -116,7 +116,7 @@
 
     def __init__(self, folder: Path, rounds: int, changes: int) -> None:
         self.rounds, self.changes = rounds, changes
-        subnet, shift = meshdemo.place()
+        subnet, shift = meshdemo.find_free_subnet()
         seeds = [f"{subnet}.{number}" for number in (1, 2, 3)]
         self.nodes = [ControlNode(folder, ip, shift, seeds, True) for ip in seeds]
         self.standby = ControlNode(folder, f"{subnet}.4", shift, seeds, False)
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from honeywharf.simulation import deployment
-from honeywharf.standins.meshdemo import place
+from honeywharf.standins.meshdemo import find_free_subnet
 
 #: Zone and region; two regions of three and two zones.
 ZONES = (
@@ -62,7 +62,7 @@
     @staticmethod
     def on_free_ports(nodes: int, controls: int, services: int) -> Plan:
         """A plan whose ports nobody uses. OSError where there is none."""
-        subnet, shift = place()
+        subnet, shift = find_free_subnet()
         octet = min(HIGHEST_OCTET, int(subnet.split(".")[1]))
         return Plan(nodes, controls, services, octet, shift)
 
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -22,7 +22,7 @@
 from honeywharf.simulation import deployment
 from honeywharf.simulation.actors import Flow, Message
 from honeywharf.simulation.slips import DriftKinds
-from honeywharf.standins.meshdemo import LOOK_S, ROUTES, Day, Mesh, Program, place
+from honeywharf.standins.meshdemo import READINESS_WAIT_S, ROUTES, Mesh, MeshDemo, Program, find_free_subnet
 
 KINDS = ("kind", "weights", "lost", "evacuation", "timeout")
 KIND_FILE_SUFFIX = ".slip"  # Of the file that names the kind of drift to inject.
@@ -51,7 +51,7 @@
 class _Run:
     """Injects drift and polls a control node until it is detected."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: MeshDemo) -> None:
         self.day, self.mesh = day, day.mesh
         self.drifts: list[_InjectedDrift] = []
         self.before: dict[str, int] = {}
@@ -60,13 +60,13 @@
         """Runs the traffic and injects the kinds of drift one after the other."""
         mesh = self.mesh
         span = INTERVAL_S * len(KINDS) + 1.0
-        flows = [Flow(*row[:3], self.day.rate * row[4] / len(mesh.sides), *row[5:]) for row in ROUTES]
-        for side in mesh.sides:
-            side.drive(flows, mesh.world.now + LOOK_S + span)
-        mesh.wait(LOOK_S + 0.5)
+        flows = [Flow(*row[:3], self.day.rate * row[4] / len(mesh.sidecars), *row[5:]) for row in ROUTES]
+        for side in mesh.sidecars:
+            side.start_clients(flows, mesh.world.now + READINESS_WAIT_S + span)
+        mesh.wait(READINESS_WAIT_S + 0.5)
         for n, kind in enumerate(KINDS):
             mesh.loop.after(
-                INTERVAL_S * n, partial(self._inject, kind, mesh.sides[n % len(mesh.sides)].proxy)
+                INTERVAL_S * n, partial(self._inject, kind, mesh.sidecars[n % len(mesh.sidecars)].proxy)
             )
         mesh.wait(span + 2.5)
 
@@ -79,8 +79,8 @@
         self._poll(drift)
 
     def _poll(self, drift: _InjectedDrift) -> None:
-        core = self.mesh.cores[0]
-        self.mesh.ask(
+        core = self.mesh.control_nodes[0]
+        self.mesh.fetch(
             (core.ip, self.mesh.port(deployment.CONTROL)), "/api/drift", partial(self._on_views, drift)
         )
 
@@ -138,18 +138,21 @@
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
     """Runs the demo and returns its exit status. `seconds` is not used: each kind has a fixed time."""
-    subnet, shift = place()
+    subnet, shift = find_free_subnet()
     with tempfile.TemporaryDirectory() as name:
         mesh = _MeshWithDrift(Path(name), subnet, shift, seed)
-        day = Day(mesh, seconds, rate, say)
-        say(f"{len(mesh.sides)} sidecars at {subnet}.x, {rate:g} requests/s, {len(KINDS)} slips, seed {seed}")
+        day = MeshDemo(mesh, seconds, rate, say)
+        say(
+            f"{len(mesh.sidecars)} sidecars at {subnet}.x, {rate:g} requests/s, {len(KINDS)} slips, "
+            f"seed {seed}"
+        )
         try:
-            if not day.up():
+            if not day.bring_up():
                 say("not all proxies became ready")
                 return 1
             demo_run = _Run(day)
             demo_run.run()
-            day.end()
+            day.shut_down()
             return demo_run.print_summary()
         finally:
             mesh.stop()
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -237,7 +237,7 @@
 
     def __init__(self, folder: Path, seed: int, rate: float, sessions: bool) -> None:
         self.folder, self.rate, self.rng = folder, rate, random.Random(seed)
-        self.subnet, shift = meshdemo.place()
+        self.subnet, shift = meshdemo.find_free_subnet()
         self.gateway_port, self.operator_port = deployment.INTERNAL + shift, deployment.CONTROL + shift
         self.loop = EventLoop(None)
         self.locations = [
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -1,9 +1,9 @@
-"""`honeywharf demo --mesh`: a small mesh on loopback, with a change, a drain and a kill; the rules counted.
+"""`honeywharf demo --mesh`: a small mesh on loopback with a configuration change, a drain and a kill.
 
-Theory of operation. Each program is a process of its own on an address of its own (127.x.y.n, all with the
-same ports, as the platform has it). Clients, backends and the operator are the simulation's stand-ins
-(`simulation.standins`) on one loop of this process, and what they see goes into the simulation's book
-(`simulation.rules`), so the rules are judged by the same code on sockets and in virtual time.
+Theory of operation. Each program is a process with an address of its own (127.x.y.n) and the same ports, as
+on the platform. Clients, backends and the operator are those of `simulation.actors` on one event loop in
+this process. They report to the `InvariantChecker` of `simulation.invariants`, so that the same code checks
+the rules on sockets and in virtual time.
 """
 
 from __future__ import annotations
@@ -38,44 +38,45 @@
 from honeywharf.transport.host import Address, Connection, Handler
 
 ZONES = ("tartu-saal", "voru-saal")
-CORES, SIDES = 3, 5
-TILES, ORDERS = "tile-vault", "order-desk"
-#: host, prefix, kind, service, share of the requests, habit of the clients, bytes of a body
+CONTROL_NODES, SIDECARS = 3, 5
+TILE_SERVICE, ORDER_SERVICE = "tile-vault", "order-desk"
+#: Host, prefix, kind, service, share of the requests, connection habit of the clients, bytes of a body.
 ROUTES = (
-    ("maps.example", "/tiles/", "read_only", TILES, 0.5, "fresh", 0),
-    ("maps.example", "/parcels/", "read_only", TILES, 0.15, "pipeline", 0),
-    ("shop.example", "/orders/", "mutating", ORDERS, 0.3, "fresh", 2000),
-    ("shop.example", "/uploads/", "upload", ORDERS, 0.05, "pool", 60_000),
+    ("maps.example", "/tiles/", "read_only", TILE_SERVICE, 0.5, "fresh", 0),
+    ("maps.example", "/parcels/", "read_only", TILE_SERVICE, 0.15, "pipeline", 0),
+    ("shop.example", "/orders/", "mutating", ORDER_SERVICE, 0.3, "fresh", 2000),
+    ("shop.example", "/uploads/", "upload", ORDER_SERVICE, 0.05, "pool", 60_000),
 )
-MOVED = "/parcels/"  # the route that the change gives to the other service
-COLD_PER_S = 9.0
-UP_S, END_S = 15.0, 10.0  # bounds of the start, and of the end of the programs
-LOOK_S = 1.05  # clients ask whether their proxy is ready, and send a second later
-MIN_SERVED = 0.9
-PORTS = range(8300, 30000, 100)  # below those that the kernel gives to connections
-USED = (0, 1, 2, 4, 6, *range(-680, -664))  # beside the first of them: as `simulation.field` numbers them
+MOVED_PREFIX = "/parcels/"  # The change moves this route to the other service.
+COLD_REQUESTS_PER_S = 9.0
+START_TIMEOUT_S, STOP_TIMEOUT_S = 15.0, 10.0
+READINESS_WAIT_S = 1.05  # Clients poll readiness every second before they send.
+MIN_SERVED_SHARE = 0.9
+BASE_PORTS = range(8300, 30000, 100)  # Below the ephemeral ports of Linux.
+# Ports that `simulation.deployment` uses, relative to the first one.
+PORT_OFFSETS = (0, 1, 2, 4, 6, *range(-680, -664))
 
 
 class World:
-    """What the stand-ins and the book want of the simulation's world, by the steady clock."""
+    """Replaces `simulation.world.World` for the actors and the invariants, with the monotonic clock."""
 
     def __init__(self, loop: EventLoop, seed: int) -> None:
         self.loop, self.random, self.halted = loop, random.Random(seed), False
-        self.begun = loop.now()
+        self.started_at = loop.now()
 
     @property
     def now(self) -> float:
-        """Seconds since the begin."""
-        return self.loop.now() - self.begun
+        """The seconds since the start."""
+        return self.loop.now() - self.started_at
 
     def record(self, *what: object) -> None:
-        """Nothing is kept: what was broken is in the book."""
+        """Discards a trace line: violations are in the invariant checker."""
 
-    record_event = record  # the day's story, which nobody reads here
+    record_event = record
 
 
-class Quay:
-    """A stand-in's place on a machine: the loop, with the machine's address and what belongs to it."""
+class LoopbackHost:
+    """Replaces `simulation.machine.Process` for an actor: the event loop with the address of a machine."""
 
     def __init__(self, world: World, ip: str, zone: str) -> None:
         self.world, self.loop = world, world.loop
@@ -87,39 +88,39 @@
         )
 
     def random(self, size: int) -> bytes:
-        """Random bytes, by the world's seed."""
+        """Returns random bytes, drawn by the seed of the world."""
         return self.world.random.randbytes(size)
 
-    def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections; what comes from loopback's first address comes from this machine."""
+    def listen(self, address: Address, accept: Callable[[Connection], Handler]) -> None:
+        """Accepts connections. Their peer address becomes that of this machine."""
 
-        def taken(connection: Connection) -> Handler:
-            connection.peer = (at[0], connection.peer[1])
+        def accept_from_loopback(connection: Connection) -> Handler:
+            connection.peer = (address[0], connection.peer[1])
             return accept(connection)
 
-        self.loop.listen(at, taken)
+        self.loop.listen(address, accept_from_loopback)
 
 
-class Heard(Invariant):
-    """No rule: hears beside the rules when a leave was acknowledged, and what was read back."""
+class EventRecorder(Invariant):
+    """Records acknowledged leaves and the configuration that is read back. Checks no rule."""
 
     def reset(self) -> None:
-        """Nothing yet."""
-        self.left: dict[str, float] = {}
+        """Clears the records."""
+        self.left_at: dict[str, float] = {}
         self.text: bytes | None = None
 
     def heartbeat_acked(self, backend: Backend, state: str) -> None:
-        """A call of a backend was acknowledged."""
+        """A heartbeat of a backend was acknowledged."""
         if state != "ready":
-            self.left.setdefault(backend.id, self.now)
+            self.left_at.setdefault(backend.id, self.now)
 
     def read_back(self, text: bytes) -> None:
-        """The configuration at the end; empty where it did not come."""
+        """The configuration was read back. It is empty if there was no answer."""
         self.text = text
 
 
 class Program:
-    """A program of the mesh: its settings file, its log, its process. `incarnation` counts the starts."""
+    """A program of the mesh with its settings file, log and process. `incarnation` counts the starts."""
 
     def __init__(self, folder: Path, name: str, ip: str, settings: dict[str, Any]) -> None:
         self.name, self.ip, self.incarnation = name, ip, 0
@@ -129,7 +130,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Begin a life."""
+        """Starts the process."""
         self.incarnation += 1
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
@@ -141,17 +142,17 @@
             )
 
     def send(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Sends a signal if the process runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     @property
     def status(self) -> int | None:
-        """The exit status; None while it runs, and before its start."""
+        """The exit status, None before the start and while the process runs."""
         return None if self.process is None else self.process.poll()
 
     def peak_mb(self) -> float:
-        """Its largest resident memory in megabytes; 0.0 where the kernel does not tell."""
+        """Returns the peak resident memory in megabytes, 0.0 if the kernel does not report it."""
         with suppress(OSError, StopIteration):
             if self.process is not None:
                 lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
@@ -159,8 +160,8 @@
         return 0.0
 
 
-class Side:
-    """A sidecar machine: its proxy, its clients and the backend that lives there now."""
+class SidecarMachine:
+    """A machine with a sidecar, its clients and its current backend."""
 
     def __init__(self, mesh: Mesh, number: int, service: str) -> None:
         self.mesh, self.service = mesh, service
@@ -169,26 +170,26 @@
         self.ready = False
         self.backend: Backend | None = None
 
-    def live(self, cold: float = 0.0) -> None:
-        """Begin a life of the backend, in place of the last."""
+    def start_backend(self, cold_start_s: float = 0.0) -> None:
+        """Starts a backend in place of the last one."""
         application, control = self.mesh.port(deployment.APPLICATION), self.mesh.port(deployment.CONTROL)
         if self.backend is not None:
             self.mesh.loop.stop_listening((self.ip, application))
             for served in list(self.backend.connections):
                 served.connection.abort()
         self.backend = Backend(
-            cast(Any, Quay(self.mesh.world, self.ip, self.zone)),
+            cast(Any, LoopbackHost(self.mesh.world, self.ip, self.zone)),
             self.mesh.invariant_checker,
             self.service,
             application,
             control,
-            cold=cold,
+            cold=cold_start_s,
         )
 
-    def drive(self, flows: list[Flow], until: float) -> None:
-        """Have the machine's clients ask until a time of the world."""
+    def start_clients(self, flows: list[Flow], until: float) -> None:
+        """Starts the clients of the machine, which send until `until` in seconds of the world."""
         clients = Clients(
-            cast(Any, Quay(self.mesh.world, self.ip, self.zone)),
+            cast(Any, LoopbackHost(self.mesh.world, self.ip, self.zone)),
             self.mesh.invariant_checker,
             flows,
             lambda: self.service,
@@ -200,91 +201,103 @@
 
 
 class Mesh:
-    """All that runs. At `subnet`, such as "127.9.4", the ports of `simulation.field` plus `shift` are
-    free.
+    """All programs and actors.
+
+    On `subnet`, such as "127.9.4", the ports of `simulation.deployment` plus `port_offset` must be free.
     """
 
-    def __init__(self, folder: Path, subnet: str, shift: int, seed: int) -> None:
-        self.folder, self.subnet, self.shift = folder, subnet, shift
+    def __init__(self, folder: Path, subnet: str, port_offset: int, seed: int) -> None:
+        self.folder, self.subnet, self.port_offset = folder, subnet, port_offset
         self.loop = EventLoop(None)
         self.world = World(self.loop, seed)
         self.invariant_checker = InvariantChecker(
             cast(Any, self.world),
             {**deployment.BOUNDS, **deployment.NUMERIC_BOUNDS, **deployment.WINDOW_BOUNDS},
         )
-        self.heard = Heard(self.invariant_checker)
-        self.invariant_checker.invariants.append(self.heard)
-        self.seeds = [self.address(10 + n) for n in range(CORES)]
-        self.cores = [self.program("control", ip, ZONES[n % len(ZONES)]) for n, ip in enumerate(self.seeds)]
-        self.sides = [Side(self, n, (TILES, ORDERS, ORDERS, TILES, TILES)[n]) for n in range(SIDES)]
+        self.event_recorder = EventRecorder(self.invariant_checker)
+        self.invariant_checker.invariants.append(self.event_recorder)
+        self.seeds = [self.address(10 + n) for n in range(CONTROL_NODES)]
+        self.control_nodes = [
+            self.program("control", ip, ZONES[n % len(ZONES)]) for n, ip in enumerate(self.seeds)
+        ]
+        self.sidecars = [
+            SidecarMachine(
+                self, n, (TILE_SERVICE, ORDER_SERVICE, ORDER_SERVICE, TILE_SERVICE, TILE_SERVICE)[n]
+            )
+            for n in range(SIDECARS)
+        ]
         self.operator = Operator(
-            cast(Any, Quay(self.world, self.address(5), "outside")),
+            cast(Any, LoopbackHost(self.world, self.address(5), "outside")),
             self.invariant_checker,
-            lambda: [(core.ip, self.port(deployment.CONTROL)) for core in self.cores],
+            lambda: [(control_node.ip, self.port(deployment.CONTROL)) for control_node in self.control_nodes],
         )
 
     def address(self, number: int) -> str:
-        """A machine's address."""
+        """Returns the address of a machine."""
         return f"{self.subnet}.{number}"
 
     def port(self, number: int) -> int:
-        """The port that stands for one of `simulation.field`."""
-        return number + self.shift
+        """Returns the port for one of `simulation.deployment`."""
+        return number + self.port_offset
 
     @property
     def programs(self) -> list[Program]:
-        """Control nodes, then sidecars."""
-        return [*self.cores, *(side.proxy for side in self.sides)]
+        """All control nodes, then all sidecars."""
+        return [*self.control_nodes, *(sidecar.proxy for sidecar in self.sidecars)]
 
     def program(self, name: str, ip: str, zone: str, service: str = "") -> Program:
-        """A program with its settings, as the platform would write them."""
-        told = json.loads(deployment.settings(ip, zone, self.seeds, True, service))
-        told["zones"] = dict.fromkeys(ZONES, told["region"])
-        for key, at in told["listen-addresses"].items():
-            told["listen-addresses"][key] = self._moved(at)
-        told["seed-nodes"] = [self._moved(at) for at in told["seed-nodes"]]
-        told["internal-port-range"] = [self.port(number) for number in told["internal-port-range"]]
+        """Returns a program with the settings that the platform would write."""
+        program_settings = json.loads(deployment.settings(ip, zone, self.seeds, True, service))
+        program_settings["zones"] = dict.fromkeys(ZONES, program_settings["region"])
+        for key, address in program_settings["listen-addresses"].items():
+            program_settings["listen-addresses"][key] = self._offset_port(address)
+        program_settings["seed-nodes"] = [
+            self._offset_port(address) for address in program_settings["seed-nodes"]
+        ]
+        program_settings["internal-port-range"] = [
+            self.port(number) for number in program_settings["internal-port-range"]
+        ]
         if service:
-            told["application"] = self._moved(told["application"])
+            program_settings["application"] = self._offset_port(program_settings["application"])
         else:
-            told["data-directory"] = str(self.folder / ip)
+            program_settings["data-directory"] = str(self.folder / ip)
             (self.folder / ip).mkdir()
-        return Program(self.folder, name, ip, told)
+        return Program(self.folder, name, ip, program_settings)
 
-    def _moved(self, at: str) -> str:
-        ip, _, number = at.rpartition(":")
+    def _offset_port(self, address: str) -> str:
+        ip, _, number = address.rpartition(":")
         return f"{ip}:{self.port(int(number))}"
 
     def wait(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let the loop run for so long, or until something has come true; whether it has."""
+        """Runs the event loop for `seconds` or until the condition holds. Returns whether it holds."""
         self.loop.status = None
-        end = self.loop.after(seconds, partial(self.loop.exit, 1))
+        expiry = self.loop.after(seconds, partial(self.loop.exit, 1))
         timer: list[EventLoopTimer] = []
 
-        def look() -> None:
+        def poll() -> None:
             if until():
                 self.loop.exit(0)
             else:
-                timer[:] = [self.loop.after(0.02, look)]
+                timer[:] = [self.loop.after(0.02, poll)]
 
-        look()
-        came = self.loop.run() == 0
-        for each in (end, *timer):
+        poll()
+        is_met = self.loop.run() == 0
+        for each in (expiry, *timer):
             each.cancel()
-        return came
+        return is_met
 
-    def ask(self, to: Address, path: str, told: Callable[[Message | None], None]) -> None:
-        """A GET of the platform's."""
+    def fetch(self, to: Address, path: str, on_response: Callable[[Message | None], None]) -> None:
+        """Sends a GET and passes the answer on, None if there is none."""
 
-        def answered(tag: object, message: Message | None) -> None:
-            told(message)
+        def answer_received(tag: object, message: Message | None) -> None:
+            on_response(message)
             caller.close()
 
-        caller = Caller(cast(Any, self.operator.host), to, answered)
+        caller = Caller(cast(Any, self.operator.host), to, answer_received)
         caller.send_request(None, text(f"GET {path} HTTP/1.1", {"Host": "mesh"}))
 
     def stop(self) -> None:
-        """End whatever still runs."""
+        """Kills all programs that still run."""
         for program in self.programs:
             program.send(signal.SIGKILL)
             if program.process is not None:
@@ -292,11 +305,11 @@
 
 
 def configuration(version: int, moved: bool) -> Order:
-    """An order with all routes; `moved`: one of them goes to the other service."""
+    """Returns an order with all routes. `moved` sends one of them to the other service."""
     order = Order("config", version)
     routes = []
     for host, prefix, kind, service, *_ in ROUTES:
-        to = ORDERS if moved and prefix == MOVED else service
+        to = ORDER_SERVICE if moved and prefix == MOVED_PREFIX else service
         order.routes[host, prefix] = frozenset((to,))
         routes.append(
             {
@@ -319,9 +332,9 @@
             "protocol": "h1",
             "tls-enabled": False,
             "cold-start": "3s",
-            "cold-per-s": COLD_PER_S,
+            "cold-per-s": COLD_REQUESTS_PER_S,
         }
-        for name in (TILES, ORDERS)
+        for name in (TILE_SERVICE, ORDER_SERVICE)
     ]
     order.text = json.dumps(
         {
@@ -339,15 +352,15 @@
     return order
 
 
-def place() -> tuple[str, int]:
-    """A subnet of loopback and a shift of ports where nobody listens. OSError where there is none."""
-    chance = random.SystemRandom()
+def find_free_subnet() -> tuple[str, int]:
+    """Returns a subnet of loopback and a port offset without listeners. OSError if none is found."""
+    rng = random.SystemRandom()
     for _ in range(20):
-        subnet = f"127.{chance.randint(1, 254)}.{chance.randint(0, 254)}"
-        base = chance.choice(PORTS)
-        if all(_free(f"{subnet}.1", base + more) for more in USED):
-            return subnet, base - PORTS.start
-    raise OSError("found no free ports on loopback")
+        subnet = f"127.{rng.randint(1, 254)}.{rng.randint(0, 254)}"
+        base = rng.choice(BASE_PORTS)
+        if all(_free(f"{subnet}.1", base + offset) for offset in PORT_OFFSETS):
+            return subnet, base - BASE_PORTS.start
+    raise OSError("expected free ports on loopback, got none in 20 attempts")
 
 
 def _free(ip: str, port: int) -> bool:
@@ -360,119 +373,126 @@
     return True
 
 
-class Day:
-    """What happens to a mesh, and what it is judged by. `seconds` of traffic, `rate` requests a second."""
+class MeshDemo:
+    """The events of the demo and its verdict. Runs `seconds` of traffic with `rate` requests a second."""
 
     def __init__(self, mesh: Mesh, seconds: float, rate: float, say: Callable[[str], None]) -> None:
         self.mesh, self.seconds, self.rate, self.say = mesh, seconds, rate, say
         self.first, self.change = configuration(10, moved=False), configuration(13, moved=True)
-        self.leaver, self.victim = mesh.sides[0], mesh.sides[3]
-        self.left: Backend | None = None
-        self.ends: list[int | None] = []
-        self.memory: dict[str, float] = {}
+        self.draining_sidecar, self.killed_sidecar = mesh.sidecars[0], mesh.sidecars[3]
+        self.drained_backend: Backend | None = None
+        self.exit_statuses: list[int | None] = []
+        self.peak_memory_mb: dict[str, float] = {}
 
-    def up(self) -> bool:
-        """Start everything; whether all proxies became ready in time, by the first configuration."""
+    def bring_up(self) -> bool:
+        """Starts everything. Returns whether all sidecars became ready by the first configuration in time."""
         mesh = self.mesh
         for program in mesh.programs:
             program.start()
-        for side in mesh.sides:
-            side.live()
-            mesh.loop.after(0.2, partial(self._look, side))
+        for sidecar in mesh.sidecars:
+            sidecar.start_backend()
+            mesh.loop.after(0.2, partial(self._poll_readiness, sidecar))
         mesh.loop.after(0.3, partial(mesh.operator.order, self.first))
-        mesh.wait(UP_S, lambda: all(side.ready for side in mesh.sides) or mesh.loop.errors > 0)
-        return mesh.loop.errors == 0 and all(side.ready for side in mesh.sides)
-
-    def _look(self, side: Side) -> None:
-        """Ask whether a proxy is ready, until it is."""
-
-        def told(message: Message | None) -> None:
-            side.ready = message is not None and message.status == 200
-            if not side.ready:
-                self.mesh.loop.after(0.1, partial(self._look, side))
-
-        self.mesh.ask((side.ip, self.mesh.port(deployment.READINESS)), "/api/readiness", told)
-
-    def play(self) -> None:
-        """Traffic, and what happens meanwhile."""
-        mesh, span = self.mesh, self.seconds
-        flows = [Flow(*row[:3], self.rate * row[4] / len(mesh.sides), *row[5:]) for row in ROUTES]
-        for side in mesh.sides:
-            side.drive(flows, mesh.world.now + LOOK_S + span)
-        mesh.wait(LOOK_S)
-        for at, do in ((0.1, self._configure), (0.2, self._drain), (0.5, self._kill)):
-            mesh.loop.after(at * span, do)
-        for second in range(1, int(span) + 1):
-            mesh.loop.after(second, partial(self._line, second))
-        mesh.wait(span + 2.5)  # the last requests have 2 s
-
-    def _configure(self) -> None:
+        mesh.wait(
+            START_TIMEOUT_S, lambda: all(sidecar.ready for sidecar in mesh.sidecars) or mesh.loop.errors > 0
+        )
+        return mesh.loop.errors == 0 and all(sidecar.ready for sidecar in mesh.sidecars)
+
+    def _poll_readiness(self, sidecar: SidecarMachine) -> None:
+        """Polls the readiness of a sidecar until it is ready."""
+
+        def on_response(message: Message | None) -> None:
+            sidecar.ready = message is not None and message.status == 200
+            if not sidecar.ready:
+                self.mesh.loop.after(0.1, partial(self._poll_readiness, sidecar))
+
+        self.mesh.fetch((sidecar.ip, self.mesh.port(deployment.READINESS)), "/api/readiness", on_response)
+
+    def run(self) -> None:
+        """Runs the traffic and, meanwhile, the change, the drain and the kill."""
+        mesh, duration_s = self.mesh, self.seconds
+        flows = [Flow(*row[:3], self.rate * row[4] / len(mesh.sidecars), *row[5:]) for row in ROUTES]
+        for sidecar in mesh.sidecars:
+            sidecar.start_clients(flows, mesh.world.now + READINESS_WAIT_S + duration_s)
+        mesh.wait(READINESS_WAIT_S)
+        for at, do in ((0.1, self._change_configuration), (0.2, self._drain), (0.5, self._kill)):
+            mesh.loop.after(at * duration_s, do)
+        for second in range(1, int(duration_s) + 1):
+            mesh.loop.after(second, partial(self._print_progress, second))
+        mesh.wait(duration_s + 2.5)  # The last requests have a deadline of 2 s.
+
+    def _change_configuration(self) -> None:
         self.mesh.operator.on_ack = lambda order, ip: self.say(
             f"  r{order.version} is acknowledged after {(order.acked - order.sent) * 1000.0:.0f} ms"
         )
-        self.say(f"  the operator gives {MOVED} to {ORDERS} (r{self.change.version})")
+        self.say(f"  the operator gives {MOVED_PREFIX} to {ORDER_SERVICE} (r{self.change.version})")
         self.mesh.operator.order(self.change)
 
     def _drain(self) -> None:
-        self.left = self.leaver.backend
-        self.say(f"  the backend at {self.leaver.ip} drains, and one that is cold takes its place")
-        if self.left is not None:
-            self.left.leave(partial(self.leaver.live, deployment.COLD_START_S))
+        self.drained_backend = self.draining_sidecar.backend
+        self.say(f"  the backend at {self.draining_sidecar.ip} drains, and one that is cold takes its place")
+        if self.drained_backend is not None:
+            self.drained_backend.leave(partial(self.draining_sidecar.start_backend, deployment.COLD_START_S))
 
     def _kill(self) -> None:
-        self.say(f"  the sidecar at {self.victim.ip} is killed by SIGKILL, and starts again")
-        self.mesh.invariant_checker.mark_fault(self.victim.ip, 1)
-        self.victim.proxy.send(signal.SIGKILL)
-        self.mesh.loop.after(0.3, self._again)
+        self.say(f"  the sidecar at {self.killed_sidecar.ip} is killed by SIGKILL, and starts again")
+        self.mesh.invariant_checker.mark_fault(self.killed_sidecar.ip, 1)
+        self.killed_sidecar.proxy.send(signal.SIGKILL)
+        self.mesh.loop.after(0.3, self._restart)
 
-    def _again(self) -> None:
-        self.victim.proxy.start()
-        self.mesh.invariant_checker.mark_fault(self.victim.ip, -1)
+    def _restart(self) -> None:
+        self.killed_sidecar.proxy.start()
+        self.mesh.invariant_checker.mark_fault(self.killed_sidecar.ip, -1)
 
-    def _line(self, second: int) -> None:
+    def _print_progress(self, second: int) -> None:
         cells = []
         for zone in ZONES:
-            here = {side.ip for side in self.mesh.sides if side.zone == zone}
-            attempts = [ask for ask in self.mesh.invariant_checker.attempts.values() if ask.machine in here]
-            served = sum(200 <= ask.status < 300 for ask in attempts)
+            here = {sidecar.ip for sidecar in self.mesh.sidecars if sidecar.zone == zone}
+            attempts = [
+                attempt
+                for attempt in self.mesh.invariant_checker.attempts.values()
+                if attempt.machine in here
+            ]
+            served = sum(200 <= attempt.status < 300 for attempt in attempts)
             cells.append(f"{zone:>10}: sent {len(attempts):>5} served {served:>5}")
         self.say(f"{second:>4} s |" + " |".join(cells))
 
-    def end(self) -> None:
-        """Read the configuration back, then end the programs by SIGTERM, the proxies first."""
+    def shut_down(self) -> None:
+        """Reads the configuration back, then stops the programs by SIGTERM, the sidecars first."""
         mesh = self.mesh
         mesh.operator.read_back()
-        mesh.wait(END_S, lambda: mesh.heard.text is not None)
+        mesh.wait(STOP_TIMEOUT_S, lambda: mesh.event_recorder.text is not None)
         for name in ("sidecar", "control"):
             group = [program for program in mesh.programs if program.name == name]
-            self.memory[name] = max(program.peak_mb() for program in group)
+            self.peak_memory_mb[name] = max(program.peak_mb() for program in group)
             for program in group:
                 program.send(signal.SIGTERM)
-            mesh.wait(END_S, partial(self._ended, group))
-            self.ends += [program.status for program in group]
+            mesh.wait(STOP_TIMEOUT_S, partial(self._ended, group))
+            self.exit_statuses += [program.status for program in group]
 
     @staticmethod
     def _ended(group: list[Program]) -> bool:
         return all(program.status is not None for program in group)
 
-    # The figures.
-
-    def figures(self) -> dict[str, int]:
-        """What must be 0, counted from what clients and backends saw."""
+    def violation_counts(self) -> dict[str, int]:
+        """Returns the counts that must be 0, from the records of clients and backends."""
         attempts = list(self.mesh.invariant_checker.attempts.values())
         return {
             "requests run twice that may not be": sum(
-                not ask.repeatable and len(ask.runs) > 1 for ask in attempts
+                not attempt.repeatable and len(attempt.runs) > 1 for attempt in attempts
             ),
             "requests run after a promise that they had not": sum(
-                ask.status in (408, 421, 429, 503) and bool(ask.runs) and not ask.repeatable
-                for ask in attempts
+                attempt.status in (408, 421, 429, 503) and bool(attempt.runs) and not attempt.repeatable
+                for attempt in attempts
             ),
             "requests that reached the backend after its drain": sum(
-                when > self._drained() for ask in attempts for when, at in ask.arrivals if at is self.left
+                when > self._drain_deadline()
+                for attempt in attempts
+                for when, at in attempt.arrivals
+                if at is self.drained_backend
             ),
             "requests by the old route after its change applied": sum(map(self._outdated, attempts)),
-            "programs that did not end with status 0": sum(status != 0 for status in self.ends),
+            "programs that did not end with status 0": sum(status != 0 for status in self.exit_statuses),
             "faults told in the programs' logs, or met by the clients, backends and operator": sum(
                 line.startswith(("fault ", "calls: "))
                 for program in self.mesh.programs
@@ -481,45 +501,56 @@
             + self.mesh.loop.errors,
         }
 
-    def _drained(self) -> float:
-        """From when on no request may reach the backend that left; seconds of the world."""
-        since = self.mesh.heard.left.get(self.left.id, 1e9) if self.left is not None else 1e9
+    def _drain_deadline(self) -> float:
+        """The time after which no request may reach the drained backend, in seconds of the world."""
+        since = (
+            self.mesh.event_recorder.left_at.get(self.drained_backend.id, 1e9)
+            if self.drained_backend is not None
+            else 1e9
+        )
         return since + deployment.BOUNDS["drain-timeout"] + TRANSIT_S
 
-    def _outdated(self, ask: Attempt) -> bool:
-        late = ask.sent > self.change.acked + deployment.BOUNDS["config-apply"]
-        return late and ask.path.startswith(MOVED) and any(at.service != ORDERS for _, at in ask.runs)
-
-    def judge(self) -> int:
-        """Say the figures; the exit status."""
-        invariant_checker, figures = self.mesh.invariant_checker, self.figures()
-        here, others = self._statuses(at_victim=True), self._statuses(at_victim=False)
-        self._say_statuses("where no proxy was killed", others)
-        self._say_statuses("where the proxy was killed", here)
-        self.say("largest memory: " + ", ".join(f"a {name} {mb:.1f} MB" for name, mb in self.memory.items()))
-        for what, number in figures.items():
+    def _outdated(self, attempt: Attempt) -> bool:
+        late = attempt.sent > self.change.acked + deployment.BOUNDS["config-apply"]
+        return (
+            late
+            and attempt.path.startswith(MOVED_PREFIX)
+            and any(at.service != ORDER_SERVICE for _, at in attempt.runs)
+        )
+
+    def print_verdict(self) -> int:
+        """Prints the counts and rules. Returns the exit status."""
+        invariant_checker, counts = self.mesh.invariant_checker, self.violation_counts()
+        here, others = self._statuses(at_killed_sidecar=True), self._statuses(at_killed_sidecar=False)
+        self._print_statuses("where no proxy was killed", others)
+        self._print_statuses("where the proxy was killed", here)
+        self.say(
+            "largest memory: "
+            + ", ".join(f"a {name} {mb:.1f} MB" for name, mb in self.peak_memory_mb.items())
+        )
+        for what, number in counts.items():
             self.say(f"{number:>8}  {what}")
         rules = {rule.__name__.upper() for rule in INVARIANTS}
         checks = {
             ", ".join(sorted(rules - {rule for rule, _, _ in invariant_checker.violations})): True,
             **{f"{rule} at {when:.1f} s: {what}": False for rule, when, what in invariant_checker.violations},
-            f"at least {MIN_SERVED:.0%} served where no proxy was killed": others["200"]
-            >= MIN_SERVED * max(1, others.total()),
+            f"at least {MIN_SERVED_SHARE:.0%} served where no proxy was killed": others["200"]
+            >= MIN_SERVED_SHARE * max(1, others.total()),
             "the change was acknowledged, and was read back at the end": self.change.acked < 1e9
-            and self.mesh.heard.text == self.change.text,
+            and self.mesh.event_recorder.text == self.change.text,
         }
-        for what, kept in checks.items():
-            self.say(f"{'held' if kept else 'BROKEN':>8}: {what}")
-        return 0 if all(checks.values()) and not any(figures.values()) else 1
+        for what, is_kept in checks.items():
+            self.say(f"{'held' if is_kept else 'BROKEN':>8}: {what}")
+        return 0 if all(checks.values()) and not any(counts.values()) else 1
 
-    def _statuses(self, at_victim: bool) -> Counter[str]:
+    def _statuses(self, at_killed_sidecar: bool) -> Counter[str]:
         return Counter(
-            "no answer" if ask.status < 100 else str(ask.status)
-            for ask in self.mesh.invariant_checker.attempts.values()
-            if (ask.machine == self.victim.ip) == at_victim
+            "no answer" if attempt.status < 100 else str(attempt.status)
+            for attempt in self.mesh.invariant_checker.attempts.values()
+            if (attempt.machine == self.killed_sidecar.ip) == at_killed_sidecar
         )
 
-    def _say_statuses(self, where: str, statuses: Counter[str]) -> None:
+    def _print_statuses(self, where: str, statuses: Counter[str]) -> None:
         self.say(
             f"{statuses.total()} requests {where}: "
             + ", ".join(f"{status} {number} times" for status, number in sorted(statuses.items()))
@@ -527,17 +558,18 @@
 
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
-    """Play the demo; the exit status is 0 only where every rule held and nearly all was served."""
-    subnet, shift = place()
+    """Runs the demo. Returns 0 only if every rule was kept and nearly all requests were served."""
+    subnet, port_offset = find_free_subnet()
     with tempfile.TemporaryDirectory() as name:
-        mesh = Mesh(Path(name), subnet, shift, seed)
-        day = Day(mesh, seconds, rate, say)
+        mesh = Mesh(Path(name), subnet, port_offset, seed)
+        demo = MeshDemo(mesh, seconds, rate, say)
         say(
-            f"{len(ZONES)} zones, {CORES} control nodes, {SIDES} sidecars with a backend each at {subnet}.x, "
+            f"{len(ZONES)} zones, {CONTROL_NODES} control nodes, {SIDECARS} sidecars with a backend each at "
+            f"{subnet}.x, "
             f"{rate:g} requests/s for {seconds:g} s, seed {seed}"
         )
         try:
-            if not day.up():
+            if not demo.bring_up():
                 say(
                     "not all proxies became ready: "
                     + "; ".join(
@@ -547,8 +579,8 @@
                 )
                 return 1
             say(f"all are ready after {mesh.world.now:.1f} s")
-            day.play()
-            day.end()
-            return day.judge()
+            demo.run()
+            demo.shut_down()
+            return demo.print_verdict()
         finally:
             mesh.stop()
