--- a/bench/tiers.py
+++ b/bench/tiers.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from bench.processes import HERE
-from honeywharf.standins.tiers import TIERS, Asked, House, NotesNetwork, Seen
+from honeywharf.standins.tiers import TIERS, ClientRequest, NotesNetwork, ServedRequest, TieredFleet
 from honeywharf.traces import store
 
 
@@ -38,7 +38,7 @@
     id: str
     proxy: str
     status: int
-    attempts: list[Seen]
+    attempts: list[ServedRequest]
     split: bool  # a node above dropped the header
 
 
@@ -60,7 +60,7 @@
     head: int = 0  # bad ones that head sampling keeps whole, at as many spans
 
 
-def parts(asked: Asked, by_id: dict[tuple[int, str], list[Seen]]) -> Iterator[Part]:
+def parts(asked: ClientRequest, by_id: dict[tuple[int, str], list[ServedRequest]]) -> Iterator[Part]:
     """All parts of a client's request."""
     waiting = [(0, asked.id, asked.proxy, asked.status, False)]
     while waiting:
@@ -74,8 +74,8 @@
 
 
 def checked(
-    all_asked: list[Asked],
-    all_seen: list[Seen],
+    all_asked: list[ClientRequest],
+    all_seen: list[ServedRequest],
     files: list[Path],
     killed: dict[str, float],
     network: NotesNetwork,
@@ -84,7 +84,7 @@
     """Hold what was kept against what was seen."""
     all_asked = [a for a in all_asked if a.status >= 0]  # what no proxy took has no trace
     made = Verdict(requests=len(all_asked))
-    by_id: dict[tuple[int, str], list[Seen]] = defaultdict(list)
+    by_id: dict[tuple[int, str], list[ServedRequest]] = defaultdict(list)
     for seen in all_seen:
         by_id[seen.tier, seen.id].append(seen)
     kept: dict[tuple[str, str], set[str]] = defaultdict(set)
@@ -140,7 +140,7 @@
     cut: bool,
     seen_above: bool,
     traces: set[str],
-    asked: Asked,
+    asked: ClientRequest,
     killed: dict[str, float],
     network: NotesNetwork,
 ) -> str | None:
@@ -149,7 +149,7 @@
         return "the killed proxy"
     if part.split or not seen_above:  # two traces: neither knows of the other
         return "the dropped header"
-    if any(network.missed[part.proxy, t] and not network.told[part.proxy, t] for t in traces):
+    if any(network.missed[part.proxy, t] and not network.received[part.proxy, t] for t in traces):
         return "notes lost twice"
     return None
 
@@ -157,7 +157,7 @@
 async def play(args: argparse.Namespace, folder: Path) -> Verdict:
     """A day, checked."""
     compiled = HERE / ".venv" / "bin" / "python"
-    house = House(
+    house = TieredFleet(
         folder,
         seed=args.seed,
         errors=args.errors,
@@ -168,7 +168,7 @@
     )
     try:
         await house.start()
-        work = asyncio.create_task(house.ask(args.requests, args.rate))
+        work = asyncio.create_task(house.send_requests(args.requests, args.rate))
         if not args.no_trouble:
             await asyncio.sleep(0.5 * args.requests / args.rate)
             await house.kill("entry-0", 2.0)
@@ -179,7 +179,9 @@
     assert house.network is not None
     network = house.network
     print(f"notes: {network.delivered} datagrams carried, {network.lost} lost")
-    return checked(house.asked, house.seen(), house.files(), house.killed, network, args.seed)
+    return checked(
+        house.client_requests, house.served_requests(), house.trace_files(), house.killed, network, args.seed
+    )
 
 
 def main() -> int:
--- a/honeywharf/standins/tiers.py
+++ b/honeywharf/standins/tiers.py
@@ -1,11 +1,13 @@
-"""Three tiers on loopback: `tile-front` nodes call `tile-render` nodes call `tile-store` nodes, each through
-a proxy of its own; clients come through two entry proxies. All note what they saw, for a check afterwards.
+"""Three tiers of nodes on loopback, which call each other through proxies and record all requests.
+
+Nodes of `tile-front` call nodes of `tile-render`, which call nodes of `tile-store`. Each node has a proxy for
+its calls; clients use two entry proxies.
 
     clients -> entry-0, entry-1 -> front nodes -> a proxy each -> render nodes -> a proxy each -> store nodes
 
-Nodes of a tier run in a process of their own (`python -m honeywharf.standins.tiers FILE`), which writes its
-record when it is ended. A node makes one or two calls to the next tier, one after the other, passes the trace
-context on (but for one that drops it, where asked for), and fails where a call fails.
+The nodes of a tier share a process (`python -m honeywharf.standins.tiers FILE`), which writes its record at
+SIGTERM. A node makes one or two consecutive calls to the next tier, propagates the trace context (unless it
+`drops` it) and fails if a call fails.
 """
 
 from __future__ import annotations
@@ -30,7 +32,7 @@
 ZONES = ("tallinn", "tartu", "parnu")
 CLASS = "tile-order"
 DEADLINE_MS = 3000.0
-CALLS_TWICE = 0.3  # part of the requests of a node for which it calls the next tier twice
+SECOND_CALL_SHARE = 0.3  # Share of requests with two calls to the next tier.
 SETTINGS = node.settings(
     [
         {
@@ -47,14 +49,14 @@
     tiers=list(TIERS),
     report={"fields": [], "how": "silent"},
 )
-PROXY = (
+PROXY_PROGRAM = (
     "import sys, time; real = time.time; off = float(sys.argv.pop(1)); time.time = lambda: real() + off;"
     " from honeywharf.__main__ import main; sys.exit(main())"
-)  # one whose wall clock is off
+)  # Runs the proxy with an offset of its wall clock.
 
 
-class Seen(msgspec.Struct, array_like=True):
-    """One request at one node: who asked by which span, what it answered, and the calls that it made."""
+class ServedRequest(msgspec.Struct, array_like=True):
+    """One request at one node: the span of the caller, the status, and the calls to the next tier."""
 
     id: str
     tier: int
@@ -63,11 +65,11 @@
     span_id: str
     status: int
     calls: list[tuple[str, int]] = []
-    dropped: bool = False  # it passed no context on
+    dropped: bool = False  # Whether the trace context was not propagated.
 
 
-class Asked(msgspec.Struct, array_like=True):
-    """One request of a client; `status` 0 where its connection broke, -1 where no proxy took it."""
+class ClientRequest(msgspec.Struct, array_like=True):
+    """One request of a client. `status` is 0 if the connection broke, -1 if it was refused."""
 
     id: str
     proxy: str
@@ -76,7 +78,7 @@
 
 
 class NodeShape(msgspec.Struct):
-    """One node: its port, that of its own proxy (0 in the last tier), and what is wrong with it."""
+    """One node: its port, the port of its proxy (0 in the last tier) and its faults."""
 
     name: str
     port: int
@@ -87,7 +89,7 @@
 
 
 class TierShape(msgspec.Struct):
-    """The nodes of one process, and where their record goes."""
+    """The nodes of one process, and the file for their record."""
 
     tier: int
     nodes: list[NodeShape]
@@ -96,16 +98,16 @@
 
 
 class TierNode:
-    """One node at work."""
+    """A running node."""
 
-    def __init__(self, shape: NodeShape, tier: int, seed: int, record: list[Seen]) -> None:
+    def __init__(self, shape: NodeShape, tier: int, seed: int, record: list[ServedRequest]) -> None:
         self.shape, self.tier, self.record = shape, tier, record
         self.random = random.Random(seed)
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.serial = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Listens on its port of 127.0.0.1."""
         await asyncio.start_server(self._serve, "127.0.0.1", self.shape.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -118,51 +120,51 @@
     async def _answer(self, headers: dict[bytes, bytes]) -> bytes:
         name = headers.get(b"x-correlation-id", b"").decode()
         parent = headers.get(b"traceparent", b"").decode()
-        seen = Seen(
+        served = ServedRequest(
             name, self.tier, self.shape.name, parent[3:35], parent[36:52], 200, dropped=self.shape.drops
         )
-        self.record.append(seen)
-        begun, below = time.monotonic(), b""
+        self.record.append(served)
+        started, traceresponse = time.monotonic(), b""
         if self.shape.work_ms:
             await asyncio.sleep(self.shape.work_ms * self.random.uniform(0.5, 1.5) / 1000.0)
         if self.random.random() < self.shape.errors:
-            seen.status = 500
+            served.status = 500
         elif self.shape.proxy:
-            left = float(headers.get(b"x-time-left", b"0m")[:-1])
+            left_ms = float(headers.get(b"x-time-left", b"0m")[:-1])
             if headers.get(b"x-time-left", b"0m")[-1:] == b"u":
-                left /= 1000.0
-            for number in range(2 if self.random.random() < CALLS_TWICE else 1):
-                if seen.status == 200:
+                left_ms /= 1000.0
+            for number in range(2 if self.random.random() < SECOND_CALL_SHARE else 1):
+                if served.status == 200:
                     self.serial += 1
                     call = f"{self.shape.name}.{self.serial}"
                     key = headers.get(b"idempotency-key", b"").decode() + f"/{number}"
-                    spent = (time.monotonic() - begun) * 1000.0
-                    status, told = await self._call(call, key, left - spent, headers)
-                    if told and not self.shape.drops and not below.endswith(b"-01"):
-                        below = told  # one that says that its hop keeps the trace stays
-                    seen.calls.append((call, status))
-                    seen.status = 200 if status == 200 else 500
-        more = (b"traceresponse: " + below,) if below else ()
-        return reply(seen.status, b"tile" if seen.status == 200 else b"", *more)
+                    elapsed_ms = (time.monotonic() - started) * 1000.0
+                    status, response_trace = await self._call(call, key, left_ms - elapsed_ms, headers)
+                    if response_trace and not self.shape.drops and not traceresponse.endswith(b"-01"):
+                        traceresponse = response_trace  # A traceresponse with the sampled flag is kept.
+                    served.calls.append((call, status))
+                    served.status = 200 if status == 200 else 500
+        extra_headers = (b"traceresponse: " + traceresponse,) if traceresponse else ()
+        return reply(served.status, b"tile" if served.status == 200 else b"", *extra_headers)
 
     async def _call(
         self,
         name: str,
         key: str,
         left_ms: float,
-        above: dict[bytes, bytes],
+        request_headers: dict[bytes, bytes],
     ) -> tuple[int, bytes]:
-        """One call to the next tier: as `exchange`."""
+        """Sends one call to the next tier. Returns as `exchange` does."""
         lines = [
             f"POST /api/tile HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {name}\r\n"
-            f"X-Service-Class: {CLASS}\r\nX-Account: {above.get(b'x-account', b'').decode()}\r\n"
+            f"X-Service-Class: {CLASS}\r\nX-Account: {request_headers.get(b'x-account', b'').decode()}\r\n"
             f"X-Time-Left: {max(1.0, left_ms):.0f}m\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n"
         ]
         if not self.shape.drops:
             lines += [
-                f"{k.decode()}: {above[k].decode()}\r\n"
+                f"{k.decode()}: {request_headers[k].decode()}\r\n"
                 for k in (b"traceparent", b"tracestate")
-                if k in above
+                if k in request_headers
             ]
         return await exchange(self.idle, self.shape.proxy, "".join(lines).encode() + b"\r\n")
 
@@ -172,33 +174,34 @@
     port: int,
     data: bytes,
 ) -> tuple[int, bytes]:
-    """One request on an idle connection or a new one: its status and what it says of its trace.
+    """Sends one request on an idle or new connection. Returns its status and its `traceresponse`.
 
-    Status 0 where the connection broke, -1 where nobody was there.
+    The status is 0 if the connection broke, -1 if it was refused.
     """
-    while True:  # the proxy may close those that are idle just as a request comes
-        fresh = not idle
+    while True:  # The proxy may close an idle connection at any time.
+        is_new = not idle
         try:
-            pair = await asyncio.open_connection("127.0.0.1", port) if fresh else idle.pop()
+            connection = await asyncio.open_connection("127.0.0.1", port) if is_new else idle.pop()
         except OSError:
             return -1, b""
         try:
-            pair[1].write(data)
-            first, headers, _ = await read_message(pair[0])
+            connection[1].write(data)
+            first, headers, _ = await read_message(connection[0])
         except (asyncio.IncompleteReadError, ConnectionError):
-            if fresh:
+            if is_new:
                 return 0, b""
             continue
         if headers.get(b"connection") == b"close":
-            pair[1].close()
+            connection[1].close()
         else:
-            idle.append(pair)
+            idle.append(connection)
         return int(first.split()[1]), headers.get(b"traceresponse", b"")
 
 
 class NotesNetwork:
-    """UDP between proxies, by way of one socket for each: of the datagrams a part is lost, and it is noted
-    which trace-ids that cost whom.
+    """Relays UDP datagrams between proxies by a socket for each, and loses a share of them.
+
+    Counts the trace notes that each proxy received and missed.
     """
 
     def __init__(self, ports: dict[str, int], loss: float, seed: int) -> None:
@@ -206,29 +209,29 @@
         self.names = {port: name for name, port in ports.items()}
         self.sockets: dict[str, asyncio.DatagramTransport] = {}
         self.delivered = self.lost = 0
-        self.told: Counter[tuple[str, str]] = Counter()  # by hearer and trace-id: how often it arrived
-        self.missed: Counter[tuple[str, str]] = Counter()  # and how often it did not
+        self.received: Counter[tuple[str, str]] = Counter()  # Keys are receiving proxy and trace id.
+        self.missed: Counter[tuple[str, str]] = Counter()  # Keys are receiving proxy and trace id.
 
     async def start(self) -> dict[str, int]:
-        """Open; by proxy, the port at which the others find it."""
+        """Opens the sockets. Returns for each proxy the port at which the others reach it."""
         loop, found = asyncio.get_running_loop(), {}
         for name in self.ports:
-            made, _ = await loop.create_datagram_endpoint(
-                lambda name=name: _Hub(self, name),  # type: ignore[misc]
+            transport, _ = await loop.create_datagram_endpoint(
+                lambda name=name: _RelaySocket(self, name),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self.sockets[name] = made
-            found[name] = made.get_extra_info("sockname")[1]
+            self.sockets[name] = transport
+            found[name] = transport.get_extra_info("sockname")[1]
         return found
 
-    def came(self, to: str, data: bytes, port: int) -> None:
-        """A datagram from the proxy at `port` for `to`."""
+    def forward(self, to: str, data: bytes, port: int) -> None:
+        """Forwards a datagram from the proxy at `port` to the proxy `to`."""
         sender = self.names.get(port)
         if sender is None:
             return
         lost = self.random.random() < self.loss
         for i in range(4, len(data), 16):
-            (self.missed if lost else self.told)[to, data[i : i + 16].hex()] += 1
+            (self.missed if lost else self.received)[to, data[i : i + 16].hex()] += 1
         if lost:
             self.lost += 1
             return
@@ -236,21 +239,21 @@
         self.sockets[sender].sendto(data, ("127.0.0.1", self.ports[to]))
 
     def stop(self) -> None:
-        """Carry nothing more."""
-        for made in self.sockets.values():
-            made.close()
+        """Closes all sockets."""
+        for transport in self.sockets.values():
+            transport.close()
 
 
-class _Hub(asyncio.DatagramProtocol):
+class _RelaySocket(asyncio.DatagramProtocol):
     def __init__(self, network: NotesNetwork, name: str) -> None:
         self.network, self.name = network, name
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.network.came(self.name, data, addr[1])
+        self.network.forward(self.name, data, addr[1])
 
 
-class House:
-    """All of it: registries, nodes, proxies, clients' requests, and their record."""
+class TieredFleet:
+    """Registries, nodes, proxies, clients and their records."""
 
     def __init__(
         self,
@@ -261,20 +264,20 @@
         renders: int = 3,
         stores: int = 6,
         errors: float = 0.001,
-        sick: str = "",
-        sick_errors: float = 0.3,
+        faulty_node: str = "",
+        faulty_errors: float = 0.3,
         drops: bool = False,
         clock_s: float = 0.0,
         notes_loss: float = 0.0,
         rate: float = 0.01,
         work_ms: float = 0.0,
         rack: int = 2,
-        tries: tuple[int, int, int] = (4, 4, 4),
+        max_attempts: tuple[int, int, int] = (4, 4, 4),
         command: list[str] | None = None,
     ) -> None:
-        self.rack = rack  # nodes of one cell, in which a keyed request that may have run is sent again
+        self.rack = rack  # Nodes of a cell; keyed requests are retried in their cell.
         self.folder, self.seed, self.rate, self.clock_s = folder, seed, rate, clock_s
-        self.notes_loss, self.tries = notes_loss, tries  # tries: attempts of a request, by tier
+        self.notes_loss, self.max_attempts = notes_loss, max_attempts
         self.command = command or [sys.executable]
         ports = node.free_ports(2 * fronts + 2 * renders + stores + 2)
         self.nodes: list[list[NodeShape]] = []
@@ -284,7 +287,7 @@
                 name = f"{TIERS[tier].removeprefix('tile-')}-{i}"
                 shape = NodeShape(name, ports.pop(), ports.pop() if tier < 2 else 0, work_ms=work_ms)
                 if tier == 2:
-                    shape.errors = sick_errors if name == sick else errors
+                    shape.errors = faulty_errors if name == faulty_node else errors
                 made.append(shape)
             self.nodes.append(made)
         self.nodes[0][-1].drops = drops
@@ -293,12 +296,12 @@
         self.registries: list[Registry] = []
         self.network: NotesNetwork | None = None
         self.notes: dict[str, int] = {}
-        self.hubs: dict[str, int] = {}
-        self.asked: list[Asked] = []
+        self.relay_ports: dict[str, int] = {}
+        self.client_requests: list[ClientRequest] = []
         self.killed: dict[str, float] = {}
 
     def proxies(self) -> dict[str, tuple[int, int, str]]:
-        """By name: its port, its tier, its zone."""
+        """Returns port, tier and zone of each proxy by name."""
         found = {name: (port, 0, ZONES[i]) for i, (name, port) in enumerate(self.entries.items())}
         for tier in (0, 1):
             for i, shape in enumerate(self.nodes[tier]):
@@ -306,7 +309,7 @@
         return found
 
     async def start(self) -> None:
-        """Start everything, and wait until the proxies are ready."""
+        """Starts everything and waits until the proxies are ready."""
         for tier, shapes in enumerate(self.nodes):
             registry = await Registry().start()
             self.registries.append(registry)
@@ -328,40 +331,42 @@
         names = list(self.proxies())
         self.notes = dict(zip(names, node.free_ports(len(names)), strict=True))
         self.network = NotesNetwork(self.notes, self.notes_loss, self.seed)
-        self.hubs = await self.network.start()
+        self.relay_ports = await self.network.start()
         for name in names:
             self.start_proxy(name)
         await asyncio.gather(*(self.ready(port) for port, _, _ in self.proxies().values()))
 
     def start_proxy(self, name: str) -> None:
-        """Start one proxy, or start it again."""
+        """Starts or restarts a proxy."""
         port, tier, zone = self.proxies()[name]
-        peers = [f"127.0.0.1:{hub}" for other, hub in self.hubs.items() if other != name]
+        peers = [f"127.0.0.1:{relay_port}" for other, relay_port in self.relay_ports.items() if other != name]
         (self.folder / f"{name}.toml").write_text(
             f'[traces]\nfile = "{self.folder}/{name}.jsonl"\nrate = {self.rate}\n'
             f'notes = "127.0.0.1:{self.notes[name]}"\npeers = {peers!r}\n'
         )
         conf = self.folder / f"{name}.json"
-        told = {
+        settings = {
             **SETTINGS,
             "tier": tier,
             "zone": zone,
-            "bounds": {**SETTINGS["bounds"], "mostTries": self.tries[tier]},
+            "bounds": {**SETTINGS["bounds"], "mostTries": self.max_attempts[tier]},
         }
         conf.write_bytes(
-            msgspec.json.encode(node.configuration(told, self.registries[tier].port, port=port, name=name))
+            msgspec.json.encode(
+                node.configuration(settings, self.registries[tier].port, port=port, name=name)
+            )
         )
-        own = ["-c", PROXY, str(self.clock_s if name == "entry-1" else 0.0)]
+        arguments = ["-c", PROXY_PROGRAM, str(self.clock_s if name == "entry-1" else 0.0)]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                [*self.command, *own],
+                [*self.command, *arguments],
                 stdout=log,
                 stderr=log,
                 env={"NODE_CONFIG": str(conf), "HONEYWHARF_FEATURES": str(self.folder / f"{name}.toml")},
             )
 
     async def ready(self, port: int) -> None:
-        """Wait until the proxy there takes requests."""
+        """Waits until the proxy at a port is ready. TimeoutError after 30 s."""
         async with asyncio.timeout(30.0):
             while True:
                 if await exchange(
@@ -370,17 +375,17 @@
                     return
                 await asyncio.sleep(0.05)
 
-    async def ask(self, requests: int, per_s: float, connections: int = 24) -> None:
-        """So many orders through the entry proxies, at most so many a second."""
-        begun, taken = time.monotonic(), 0
+    async def send_requests(self, requests: int, per_s: float, connections: int = 24) -> None:
+        """Sends `requests` orders through the entry proxies, at most `per_s` a second."""
+        started, sent = time.monotonic(), 0
         rng = random.Random(self.seed)
 
         async def client(number: int) -> None:
-            nonlocal taken
+            nonlocal sent
             idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
-            while taken < requests:
-                i, taken = taken, taken + 1
-                wait = begun + i / per_s - time.monotonic()
+            while sent < requests:
+                i, sent = sent, sent + 1
+                wait = started + i / per_s - time.monotonic()
                 if wait > 0.0:
                     await asyncio.sleep(wait)
                 proxy = list(self.entries)[(i + number) % 2]
@@ -395,17 +400,17 @@
                         f"Idempotency-Key: {name}\r\nContent-Length: 0\r\n\r\n"
                     ).encode(),
                 )
-                self.asked.append(Asked(name, proxy, status, now))
+                self.client_requests.append(ClientRequest(name, proxy, status, now))
                 if status <= 0:
                     await asyncio.sleep(0.1)
-            for pairs in idle.values():
-                for _, writer in pairs:
+            for connections_of_proxy in idle.values():
+                for _, writer in connections_of_proxy:
                     writer.close()
 
         await asyncio.gather(*(client(i) for i in range(connections)))
 
     async def kill(self, name: str, back_s: float) -> None:
-        """Kill a proxy outright, and start it again after a while."""
+        """Kills a proxy by SIGKILL and restarts it after `back_s`."""
         self.killed[name] = time.monotonic()
         self.processes[name].kill()
         await asyncio.to_thread(self.processes[name].wait)
@@ -414,7 +419,7 @@
         await self.ready(self.proxies()[name][0])
 
     async def stop(self) -> None:
-        """End the proxies, then the nodes, so that both write what they hold."""
+        """Stops the proxies, then the nodes, by SIGTERM, so that both write their records."""
         proxies = [p for name, p in self.processes.items() if name not in TIERS]
         for group in (proxies, [self.processes[t] for t in TIERS if t in self.processes]):
             for process in group:
@@ -429,23 +434,25 @@
         for registry in self.registries:
             await registry.stop()
 
-    def files(self) -> list[Path]:
-        """The proxies' traces."""
+    def trace_files(self) -> list[Path]:
+        """Returns the trace files of the proxies."""
         return sorted([*self.folder.glob("*.jsonl"), *self.folder.glob("*.jsonl.1")])
 
-    def seen(self) -> list[Seen]:
-        """What all nodes have seen."""
+    def served_requests(self) -> list[ServedRequest]:
+        """Returns the records of all nodes."""
         return [
-            seen
+            served
             for tier in range(3)
-            for seen in msgspec.json.decode((self.folder / f"seen-{tier}.json").read_bytes(), type=list[Seen])
+            for served in msgspec.json.decode(
+                (self.folder / f"seen-{tier}.json").read_bytes(), type=list[ServedRequest]
+            )
         ]
 
 
-async def nodes(file: Path) -> None:
-    """The nodes of one tier until SIGTERM; then their record."""
+async def serve_nodes(file: Path) -> None:
+    """Runs the nodes of one tier until SIGTERM, then writes their record."""
     shape = msgspec.json.decode(file.read_bytes(), type=TierShape)
-    record: list[Seen] = []
+    record: list[ServedRequest] = []
     for i, one in enumerate(shape.nodes):
         await TierNode(one, shape.tier, shape.seed * 100 + i, record).start()
     ended = asyncio.Event()
@@ -455,10 +462,10 @@
 
 
 def main() -> None:
-    """The process of one tier's nodes."""
+    """Runs the nodes that the file in the first argument describes."""
     import uvloop
 
-    uvloop.run(nodes(Path(sys.argv[1])))
+    uvloop.run(serve_nodes(Path(sys.argv[1])))
 
 
 if __name__ == "__main__":
--- a/honeywharf/standins/tracedemo.py
+++ b/honeywharf/standins/tracedemo.py
@@ -11,28 +11,28 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from honeywharf.standins.tiers import House
+from honeywharf.standins.tiers import TieredFleet
 
 SICK = "store-3"
 REQUESTS, PER_S = 4000, 400.0
 
 
-async def play(seed: int, folder: Path) -> House:
+async def play(seed: int, folder: Path) -> TieredFleet:
     """A short day on which one store node fails one order in seven, and one tier alone tries again."""
-    house = House(
+    house = TieredFleet(
         folder,
         seed=seed,
-        sick=SICK,
-        sick_errors=0.15,
+        faulty_node=SICK,
+        faulty_errors=0.15,
         errors=0.0,
         rate=0.05,
         work_ms=4.0,
         rack=1,
-        tries=(2, 1, 1),
+        max_attempts=(2, 1, 1),
     )
     try:
         await house.start()
-        await house.ask(REQUESTS, PER_S)
+        await house.send_requests(REQUESTS, PER_S)
         await asyncio.sleep(0.5)
     finally:
         await house.stop()
@@ -58,11 +58,13 @@
         folder = Path(name)
         say(f"three tiers, 8 proxies, {REQUESTS} orders; something is wrong somewhere, seed {seed}")
         house = asyncio.run(play(seed, folder))
-        missing = next((a.id for a in house.asked if a.status not in (200, 429, 503) and a.status > 0), None)
+        missing = next(
+            (a.id for a in house.client_requests if a.status not in (200, 429, 503) and a.status > 0), None
+        )
         if missing is None:
             say("no tile went missing: nothing to explain")
             return 1
-        files = tuple(map(str, house.files()))
+        files = tuple(map(str, house.trace_files()))
         say(f"a customer misses a tile: request {missing} was answered with an error. Where, and why?")
         say("")
         explained = command(say, files, "explain", missing)
--- a/tests/traces/test_tiers.py
+++ b/tests/traces/test_tiers.py
@@ -8,21 +8,21 @@
 import pytest
 
 from bench.tiers import checked
-from honeywharf.standins.tiers import TIERS, Asked, House, NotesNetwork, Seen
+from honeywharf.standins.tiers import TIERS, ClientRequest, NotesNetwork, ServedRequest, TieredFleet
 from tests.loopback import run
 
 
 def test_every_bad_request_is_kept_with_all_its_hops_and_attempts(tmp_path: Path) -> None:
     async def main() -> None:
-        house = House(tmp_path, errors=0.03, fronts=2, renders=2, stores=4, rate=0.001)
+        house = TieredFleet(tmp_path, errors=0.03, fronts=2, renders=2, stores=4, rate=0.001)
         try:
             await house.start()
-            await house.ask(600, 300.0)
+            await house.send_requests(600, 300.0)
             await asyncio.sleep(0.5)  # a note is sent a second time after 0.1 s
         finally:
             await house.stop()
         assert house.network is not None
-        made = checked(house.asked, house.seen(), house.files(), {}, house.network)
+        made = checked(house.client_requests, house.served_requests(), house.trace_files(), {}, house.network)
         assert made.bad > 10
         assert made.unexplained == []
         assert (made.whole, made.kept_parts, made.kept_attempts) == (made.bad, made.parts, made.attempts)
@@ -31,8 +31,8 @@
     run(main(), 120.0)
 
 
-def seen(name: str, tier: int, node: str, status: int = 200, calls: tuple[str, ...] = ()) -> Seen:
-    return Seen(name, tier, node, "ab" * 16, f"{tier}{name:0>15}", status, [(c, 200) for c in calls])
+def seen(name: str, tier: int, node: str, status: int = 200, calls: tuple[str, ...] = ()) -> ServedRequest:
+    return ServedRequest(name, tier, node, "ab" * 16, f"{tier}{name:0>15}", status, [(c, 200) for c in calls])
 
 
 @pytest.mark.parametrize(("lost", "explained"), [(False, "unexplained"), (True, "notes lost twice")])
@@ -52,7 +52,7 @@
         .replace("%s", "ab" * 16, 1)
         .replace("%s", TIERS[0], 1)
     )
-    made = checked([Asked("c", "entry-0", 200, 0.0)], record, [file], {}, network)
+    made = checked([ClientRequest("c", "entry-0", 200, 0.0)], record, [file], {}, network)
     assert (made.bad, made.whole, made.parts, made.kept_parts) == (1, 0, 2, 1)
     assert dict(made.missing) == {explained: 1}
     assert len(made.unexplained) == (not lost)
