--- a/honeywharf/standins/tracedemo.py
+++ b/honeywharf/standins/tracedemo.py
@@ -1,4 +1,4 @@
-"""`honeywharf demo --traces`: a customer misses a tile; from the complaint to its cause in a few commands."""
+"""`honeywharf demo --traces`: finds the cause of a failed request with a few commands on the traces."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 from honeywharf.standins.tiers import TieredFleet
 
-SICK = "store-3"
-REQUESTS, PER_S = 4000, 400.0
+FAULTY_NODE = "store-3"
+REQUESTS, REQUESTS_PER_S = 4000, 400.0
 
 
 async def play(seed: int, folder: Path) -> TieredFleet:
-    """A short day on which one store node fails one order in seven, and one tier alone tries again."""
-    house = TieredFleet(
+    """Runs a fleet in which a store node fails 15 % of its requests and only the entry proxies retry."""
+    fleet = TieredFleet(
         folder,
         seed=seed,
-        faulty_node=SICK,
+        faulty_node=FAULTY_NODE,
         faulty_errors=0.15,
         errors=0.0,
         rate=0.05,
@@ -31,55 +31,55 @@
         max_attempts=(2, 1, 1),
     )
     try:
-        await house.start()
-        await house.send_requests(REQUESTS, PER_S)
+        await fleet.start()
+        await fleet.send_requests(REQUESTS, REQUESTS_PER_S)
         await asyncio.sleep(0.5)
     finally:
-        await house.stop()
-    return house
+        await fleet.stop()
+    return fleet
 
 
-def command(say: Callable[[str], None], files: tuple[str, ...], *words: str) -> int:
-    """One of the operators' commands on the proxies' files, as an operator would type it; its exit status."""
-    say(f"$ honeywharf {shlex.join(words)} *.jsonl")
-    done = subprocess.run(
-        [sys.executable, "-m", "honeywharf", *words, *files], capture_output=True, text=True, check=False
+def command(say: Callable[[str], None], files: tuple[str, ...], *arguments: str) -> int:
+    """Runs one command on the trace files and prints its output. Returns its exit status."""
+    say(f"$ honeywharf {shlex.join(arguments)} *.jsonl")
+    completed = subprocess.run(
+        [sys.executable, "-m", "honeywharf", *arguments, *files], capture_output=True, text=True, check=False
     )
-    for line in (done.stdout + done.stderr).splitlines()[:18]:
+    for line in (completed.stdout + completed.stderr).splitlines()[:18]:
         say(f"    {line}")
     say("")
-    return done.returncode
+    return completed.returncode
 
 
 def show(seed: int, say: Callable[[str], None]) -> int:
-    """Play and walk; 0 only where the walk ends at what is really the matter."""
-    begun = time.monotonic()
+    """Runs the demo. Returns 0 only if the commands find the faulty node."""
+    started = time.monotonic()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         say(f"three tiers, 8 proxies, {REQUESTS} orders; something is wrong somewhere, seed {seed}")
-        house = asyncio.run(play(seed, folder))
+        fleet = asyncio.run(play(seed, folder))
         missing = next(
-            (a.id for a in house.client_requests if a.status not in (200, 429, 503) and a.status > 0), None
+            (a.id for a in fleet.client_requests if a.status not in (200, 429, 503) and a.status > 0), None
         )
         if missing is None:
             say("no tile went missing: nothing to explain")
             return 1
-        files = tuple(map(str, house.trace_files()))
+        files = tuple(map(str, fleet.trace_files()))
         say(f"a customer misses a tile: request {missing} was answered with an error. Where, and why?")
         say("")
         explained = command(say, files, "explain", missing)
         counted = command(say, files, "traces", "errors > 0", "--by", "server", "--most", "4")
         caused = command(say, files, "causes", "--bad", "errors > 0")
-        told = subprocess.run(
+        causes_as_json = subprocess.run(
             [sys.executable, "-m", "honeywharf", "causes", "--json", "--bad", "errors > 0", *files],
             capture_output=True,
             text=True,
             check=False,
         )
-        found = f'"text": "{SICK}"' in told.stdout
-    took = time.monotonic() - begun
+        found = f'"text": "{FAULTY_NODE}"' in causes_as_json.stdout
+    duration_s = time.monotonic() - started
     say(
-        f"the cause: server {SICK}, {'as it was planted' if found else 'which was NOT found'};"
-        f" {took:.0f} s from the first order to here"
+        f"the cause: server {FAULTY_NODE}, {'as it was planted' if found else 'which was NOT found'};"
+        f" {duration_s:.0f} s from the first order to here"
     )
     return 0 if found and not (explained or counted or caused) else 1
