--- a/honeywharf/standins/collector.py
+++ b/honeywharf/standins/collector.py
@@ -1,4 +1,4 @@
-"""A collector of traces: OTLP over HTTP, binary. It keeps the spans it took, and answers by a script."""
+"""A trace collector for OTLP over HTTP with protobuf. Keeps the spans and answers by a script."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 MAX_SPANS = 1_000_000
 
 
-def bound(port: int) -> socket.socket:
-    """A socket bound to a port of 127.0.0.1 (0: a free one) that others of this function's may share."""
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind(("127.0.0.1", port))
-    return made
+def bind_shared(port: int) -> socket.socket:
+    """Returns a socket bound to a port of 127.0.0.1 (0 for a free one), which later calls can share."""
+    bound_socket = socket.socket()
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    bound_socket.bind(("127.0.0.1", port))
+    return bound_socket
 
 
 class Collector:
-    """`script` holds what the next batches get: a status, one with `Retry-After`, or spans rejected of 200.
+    """Accepts batches of spans, or answers as `script` says for the next ones.
 
-    `silent` takes batches and says nothing. Without a script all is taken. From `start` to `close` its
-    port is its own, away or not: a socket that only holds it guards against another process taking it.
+    A scripted answer is a status, a status with `Retry-After` in seconds, or the message and the number of
+    rejected spans of a partial success. `silent` sends no answers. From `start` to `close` a bound socket
+    reserves the port, so that no other process takes it after `stop`.
     """
 
     def __init__(self) -> None:
@@ -37,71 +38,71 @@
         self.resources: list[ResourceSpans] = []
         self.batches = self.refused = 0
         self.silent = False
-        self.headers: dict[bytes, bytes] = {}  # of the last batch
+        self.headers: dict[bytes, bytes] = {}  # Headers of the last batch.
         self.port = 0
         self.server: asyncio.Server | None = None
-        self.holder: socket.socket | None = None
-        self.open: set[asyncio.StreamWriter] = set()
+        self.reserving_socket: socket.socket | None = None
+        self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Collector:
-        """Listen on 127.0.0.1, on the same port again after `stop`; OSError where there is none."""
-        if self.holder is None:
-            self.holder = bound(0)
-            self.port = self.holder.getsockname()[1]
-        self.server = await asyncio.start_server(self._serve, sock=bound(self.port), limit=2**20)
+        """Listens on 127.0.0.1, on the same port again after `stop`. OSError if no port is free."""
+        if self.reserving_socket is None:
+            self.reserving_socket = bind_shared(0)
+            self.port = self.reserving_socket.getsockname()[1]
+        self.server = await asyncio.start_server(self._serve, sock=bind_shared(self.port), limit=2**20)
         return self
 
     @property
     def endpoint(self) -> str:
-        """Where it is, for `[traces.otlp]`."""
+        """The URL for `[traces.otlp]`."""
         return f"http://127.0.0.1:{self.port}/v1/traces"
 
     @property
     def spans(self) -> list[Span]:
-        """All spans that it has taken."""
+        """All accepted spans."""
         return [span for r in self.resources for scope in r.scope_spans for span in scope.spans]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open.add(writer)
+        self.writers.add(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 first, self.headers, body = await read_message(reader)
                 if not self.silent:
                     writer.write(self._answer(first, body))
-        self.open.discard(writer)
+        self.writers.discard(writer)
         writer.close()
 
     def _answer(self, first: bytes, body: bytes) -> bytes:
-        step = self.script.pop(0) if self.script else 200
+        scripted = self.script.pop(0) if self.script else 200
         if first != b"POST /v1/traces HTTP/1.1":
             return reply(404, b"")
-        if isinstance(step, tuple) and isinstance(step[0], int):
+        if isinstance(scripted, tuple) and isinstance(scripted[0], int):
             self.refused += 1
-            return reply(step[0], b"", b"Retry-After: %d" % step[1])
-        if isinstance(step, int) and step != 200:
+            return reply(scripted[0], b"", b"Retry-After: %d" % scripted[1])
+        if isinstance(scripted, int) and scripted != 200:
             self.refused += 1
-            return reply(step, b"")
-        told = ExportTraceServiceRequest.FromString(body)
+            return reply(scripted, b"")
+        request = ExportTraceServiceRequest.FromString(body)
         self.batches += 1
         if len(self.resources) < MAX_SPANS:
-            self.resources.extend(told.resource_spans)
+            self.resources.extend(request.resource_spans)
         answer = ExportTraceServiceResponse()
-        if isinstance(step, tuple):
-            answer.partial_success.rejected_spans = int(step[1])
-            answer.partial_success.error_message = str(step[0])
+        if isinstance(scripted, tuple):
+            answer.partial_success.rejected_spans = int(scripted[1])
+            answer.partial_success.error_message = str(scripted[0])
         return reply(200, answer.SerializeToString(), b"Content-Type: application/x-protobuf")
 
     async def stop(self) -> None:
-        """Go away: connections are cut, new ones refused."""
+        """Stops listening and resets connections."""
         if self.server is not None:
             self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.writers):
             with suppress(OSError):
                 writer.transport.abort()
 
     async def close(self) -> None:
-        """Go away for good: the port is free."""
+        """Stops and releases the port."""
         await self.stop()
-        if self.holder is not None:
-            self.holder.close()
-            self.holder = None
+        if self.reserving_socket is not None:
+            self.reserving_socket.close()
+            self.reserving_socket = None
--- a/honeywharf/standins/relay.py
+++ b/honeywharf/standins/relay.py
@@ -1,89 +1,92 @@
-"""A network between two sides on loopback that can be held up, or cut in the middle of what it carries."""
+"""A TCP relay on loopback that can hold data back, or cut connections within the data."""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import suppress
 
-MAX_HELD = 16 * 1024 * 1024  # bytes that one connection holds up; beyond it the sender waits
+MAX_HELD_BYTES = 16 * 1024 * 1024  # Per connection and direction; beyond it the sender waits.
 
 
 class Relay:
-    """Carries each connection to `port`; `hold_there` and `hold_back` hold bytes up in one direction."""
+    """Relays connections to `port`. `hold_requests` and `hold_replies` hold back data of one direction."""
 
     def __init__(self, port: int) -> None:
         self.target, self.port = port, 0
-        self.hold_there = self.hold_back = False
-        self.cut_back_after: int | None = None  # bytes of replies from now on; then all connections are cut
-        self.held_there = self.held_back = 0  # bytes held up now
+        self.hold_requests = self.hold_replies = False
+        # After this many bytes of replies all connections are cut.
+        self.cut_after_reply_bytes: int | None = None
+        self.held_request_bytes = self.held_reply_bytes = 0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Relay:
-        """Listen."""
+        """Listens on a free port of 127.0.0.1."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self.target)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, far_writer}
-        for work in (self._carry(reader, far_writer, True), self._carry(far_reader, writer, False)):
-            task = asyncio.create_task(work)
+        self.writers |= {writer, target_writer}
+        for copy in (self._copy(reader, target_writer, True), self._copy(target_reader, writer, False)):
+            task = asyncio.create_task(copy)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, there: bool) -> None:
+    async def _copy(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_request: bool
+    ) -> None:
         held = bytearray()
         with suppress(OSError):
             while True:
                 data = b""
                 with suppress(TimeoutError):
-                    if len(held) < MAX_HELD:
+                    if len(held) < MAX_HELD_BYTES:
                         data = await asyncio.wait_for(reader.read(65536), 0.01 if held else None)
                         if not data:
-                            break  # what is held up is lost with the connection
+                            break  # Held data is lost with the connection.
                     else:
                         await asyncio.sleep(0.01)
                 held += data
-                if self.hold_there if there else self.hold_back:
-                    self._note(there, len(data))
+                if self.hold_requests if is_request else self.hold_replies:
+                    self._add_held(is_request, len(data))
                     continue
-                self._note(there, len(data) - len(held))
-                if not there and self.cut_back_after is not None:
-                    part = held[: self.cut_back_after]
-                    self.cut_back_after -= len(part)
-                    if len(part) < len(held):
-                        writer.write(bytes(part))
+                self._add_held(is_request, len(data) - len(held))
+                if not is_request and self.cut_after_reply_bytes is not None:
+                    partial = held[: self.cut_after_reply_bytes]
+                    self.cut_after_reply_bytes -= len(partial)
+                    if len(partial) < len(held):
+                        writer.write(bytes(partial))
                         await writer.drain()
-                        self.cut_back_after = None
+                        self.cut_after_reply_bytes = None
                         self.cut()
                         return
                 writer.write(bytes(held))
                 held.clear()
-        self._note(there, -len(held))
+        self._add_held(is_request, -len(held))
         self.writers.discard(writer)
         writer.close()
 
-    def _note(self, there: bool, more: int) -> None:
-        if there:
-            self.held_there += more
+    def _add_held(self, is_request: bool, size: int) -> None:
+        if is_request:
+            self.held_request_bytes += size
         else:
-            self.held_back += more
+            self.held_reply_bytes += size
 
     def cut(self) -> None:
-        """Cut all connections."""
+        """Resets all connections."""
         for writer in list(self.writers):
             writer.transport.abort()
         self.writers.clear()
 
     async def stop(self) -> None:
-        """Listen no more, and cut all."""
+        """Stops listening and resets all connections."""
         if self.server is not None:
             self.server.close()
         self.cut()
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -103,9 +103,10 @@
 ) -> None:
     async def main() -> None:
         async with kill_scenario(tmp_path, monkeypatch) as s:
-            s.relay.hold_back = True
+            s.relay.hold_replies = True
             client = await s.order()
-            await until(lambda: s.relay.held_back > 0)  # the claim is granted, but the proxy has no reply yet
+            # The claim is granted, but the proxy has no reply yet.
+            await until(lambda: s.relay.held_reply_bytes > 0)
             s.kill_first()
             assert await client.closed()
             assert await s.states() == [[b"R", None]]
@@ -141,11 +142,11 @@
     async def main() -> None:
         async with kill_scenario(tmp_path, monkeypatch) as s:
             client, used = await s.unanswered_order()
-            s.relay.hold_there = True
+            s.relay.hold_requests = True
             for writer in list(s.backends[used].writers):
                 writer.write(reply(200, b"tile"))
             assert await client.status() == 200
-            await until(lambda: s.relay.held_there > 0)
+            await until(lambda: s.relay.held_request_bytes > 0)
             s.kill_first()
             s.backends[used].script = []
             s.relay.cut()  # the report of the key's end is lost
@@ -167,7 +168,7 @@
             async with world(rows, features_on(relay)) as w:
                 await until(lambda: store_available(w))
                 client = await Client.to(w.port)
-                relay.cut_back_after = after
+                relay.cut_after_reply_bytes = after
                 client.send("order", b"x", key="k")
                 status = await client.status()
                 assert status in ((503,) if after < 20 else (200, 503))
