--- a/bench/coap_orders.py
+++ b/bench/coap_orders.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 
 from bench.processes import HERE, command
-from honeywharf.standins import coapday
-from honeywharf.standins.keyday import PROCESS
+from honeywharf.standins import coap_scenario
+from honeywharf.standins.order_key_scenario import PROCESS_STORE
 
 
 def main() -> int:
@@ -32,9 +32,11 @@
     parser.add_argument("--histories", action="store_true", help="tell of the first key that broke each rule")
     args = parser.parse_args()
     program, broken = tuple(command(HERE)), False
-    for name, features in (("off", ""), ("on", PROCESS))[args.on :]:
+    for name, features in (("off", ""), ("on", PROCESS_STORE))[args.on :]:
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(coapday.day(features, args.keys, args.seed, Path(folder), program))
+            found = asyncio.run(
+                coap_scenario.run_scenario(features, args.keys, args.seed, Path(folder), program)
+            )
         histories = found.pop("of these")
         print(f"{name:>4}", *(f"{k}: {v}" for k, v in found.items()), sep="  ", flush=True)
         broken = any(found["faults"].values())
--- a/bench/orderkeys.py
+++ b/bench/orderkeys.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from bench.processes import HERE, command
-from honeywharf.standins import keyday
+from honeywharf.standins import order_key_scenario
 from honeywharf.standins.redis import Redis
 
 
@@ -34,12 +34,18 @@
     parser.add_argument("--store", choices=("redis", "process"), default="redis")
     args = parser.parse_args()
     program = tuple(command(HERE))
-    feature = (keyday.SHARED, Redis()) if args.store == "redis" else (keyday.PROCESS, None)
+    feature = (
+        (order_key_scenario.REDIS_STORE, Redis())
+        if args.store == "redis"
+        else (order_key_scenario.PROCESS_STORE, None)
+    )
     broken = False
     for name, (features, redis) in {"off": ("", None), args.store: feature}.items():
         with tempfile.TemporaryDirectory() as folder:
             found = asyncio.run(
-                keyday.day(features, redis, args.keys, args.seed, Path(folder), args.proxies, program)
+                order_key_scenario.run_scenario(
+                    features, redis, args.keys, args.seed, Path(folder), args.proxies, program
+                )
             )
         histories = found.pop("of these")
         print(f"{name:>7}", *(f"{k}: {v}" for k, v in found.items()), sep="  ", flush=True)
--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -41,8 +41,14 @@
 from honeywharf.policy import interface as api
 from honeywharf.policy.balancer import Balancer
 from honeywharf.standins import node
-from honeywharf.standins.keyday import KEPT_MS, ORDER, PROCESS, REQUEST, SHARED
 from honeywharf.standins.messages import row
+from honeywharf.standins.order_key_scenario import (
+    KEY_RETENTION_MS,
+    ORDER_CLASS,
+    PROCESS_STORE,
+    REDIS_STORE,
+    REQUEST_FORMAT,
+)
 from honeywharf.standins.redis import Redis
 
 
@@ -51,9 +57,13 @@
     proxies = node.free_ports(3)
     servers = stack.enter_context(backends(cores[3:5]))
     discovery = stack.enter_context(registry([row(f"n{i}", p, cell=i) for i, p in enumerate(servers)]))
-    for port, core, features in zip(proxies, cores, ("", PROCESS, SHARED % store.url), strict=False):
+    for port, core, features in zip(
+        proxies, cores, ("", PROCESS_STORE, REDIS_STORE % store.url), strict=False
+    ):
         stack.enter_context(
-            proxy(HERE, core, port, discovery, servers, folder, features=features, classes=(ORDER, READ))
+            proxy(
+                HERE, core, port, discovery, servers, folder, features=features, classes=(ORDER_CLASS, READ)
+            )
         )
     for port in proxies:
         wait_for(port)
@@ -62,7 +72,7 @@
 
 def ask(connection: socket.socket, name: str) -> float:
     """Ask for a new key; what it took in ms. RuntimeError where it was not served."""
-    request = REQUEST % (name.encode(), 1400, name.encode(), b"")
+    request = REQUEST_FORMAT % (name.encode(), 1400, name.encode(), b"")
     begun = time.perf_counter()
     connection.sendall(request)
     answer = connection.recv(65536)
@@ -163,11 +173,11 @@
 async def stages(keys: bool, number: int = 20_000) -> list[float]:
     """us (p50) for a new key's arrival, the decision on it and its answer, here and without sockets."""
     loop, clock, near = asyncio.get_running_loop(), Clock(), Neighbour()
-    settings = wire.settings(node.settings([ORDER]))
+    settings = wire.settings(node.settings([ORDER_CLASS]))
     driver = Driver(settings, Balancer(settings, 1), near, loop, clock)
     if keys:
         driver.hooks.request_deduplicator = KeyDeduplicator(
-            driver, Table(number, 32 * 1024 * 1024, 16384), {"order": KEPT_MS}
+            driver, Table(number, 32 * 1024 * 1024, 16384), {"order": KEY_RETENTION_MS}
         )
     driver.start(
         api.EndpointsListed(
@@ -229,7 +239,7 @@
         while self.left and self.out < self.most:
             self.left, self.out, self.serial = self.left - 1, self.out + 1, self.serial + 1
             one = Claiming(self, b"%016d" % self.serial)
-            if not self.store.shared.claim(one.name, "tenant", b"p" * 16, 1000.0, KEPT_MS, 0.0, one):
+            if not self.store.shared.claim(one.name, "tenant", b"p" * 16, 1000.0, KEY_RETENTION_MS, 0.0, one):
                 one.claimed(Claim(Verdict.STORE_UNAVAILABLE))
         if not self.left and not self.out and not self.done.done():
             self.done.set_result(None)
@@ -248,7 +258,7 @@
         if claim.verdict is Verdict.RUN:
             owner.store.shared.note(self.name, claim.fence, place)
             owner.store.shared.end(
-                self.name, claim.fence, "tenant", b"p" * 16, Answer(b"tile for one"), place, KEPT_MS
+                self.name, claim.fence, "tenant", b"p" * 16, Answer(b"tile for one"), place, KEY_RETENTION_MS
             )
         else:
             owner.refused[claim.verdict.value] += 1
--- a/honeywharf/standins/demo.py
+++ b/honeywharf/standins/demo.py
@@ -1,7 +1,7 @@
-"""A small fleet on loopback: registry, three zones of nodes, three proxies, clients; and what became of it.
+"""`honeywharf demo`: a fleet of three zones on loopback with a crash and a drain, checked by four rules.
 
-A node crashes on the way and comes back cold, another drains. The four rules are checked at the end from what
-the nodes, the racks and the clients have seen, not from what the proxies say.
+A node crashes and restarts cold, another drains. The rules are checked by the records of nodes, racks and
+clients, not by the counters of the proxies.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from honeywharf.standins.registry import Registry
 
 ZONES = ("tallinn", "tartu", "parnu")
-NODES = 4  # in each zone, in two racks
+NODES = 4  # Per zone, in two racks.
 SPEC = NodeSpec(cores=2, queue=12, cold_share=0.25, warm_ms=4000.0, jam_at=8.0)
 WORK_MS = 40.0
 SETTINGS = node.settings(
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """All that runs, by name."""
+    """Registry, backends, proxies and clients by name."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed, self.folder = seed, folder
@@ -68,7 +68,7 @@
         self.fallen: set[str] = set()
 
     def row(self, name: str, lifecycle: str = "up") -> dict[str, Any]:
-        """How the registry lists a node."""
+        """Returns the entry of a node in the registry."""
         return row(
             name,
             self.backends[name].port,
@@ -83,7 +83,7 @@
         return 10 * ZONES.index(zone) + int(number) // 2
 
     async def start(self, rate: float) -> None:
-        """Start registry, nodes, proxies; wait until the proxies are ready."""
+        """Starts registry, nodes and proxies, and waits until the proxies are ready."""
         await self.registry.start()
         for zone in ZONES:
             for i in range(NODES):
@@ -95,13 +95,13 @@
                 ).start()
         await self.registry.put(*(self.row(name) for name in self.backends))
         for i, zone in enumerate(ZONES):
-            await self._proxy(i, zone)
+            await self._start_proxy(i, zone)
         for i, zone in enumerate(ZONES):
             front = Front([self.ports[zone]], self.seed + i)
             share = (0.5, 0.3, 0.2)[i]
             self.clients[zone] = Clients(front, zone, rate * share, seed=self.seed + i, deadline_ms=3000.0)
 
-    async def _proxy(self, number: int, zone: str) -> None:
+    async def _start_proxy(self, number: int, zone: str) -> None:
         conf = self.folder / f"{zone}.json"
         conf.write_text(
             json.dumps(
@@ -124,7 +124,9 @@
         async with asyncio.timeout(20.0):
             while (match := re.search(r"listens on 127\.0\.0\.1:(\d+)", log.read_text())) is None:
                 if self.proxies[zone].poll() is not None:
-                    raise RuntimeError(f"the proxy of {zone} ended at its start: {log.read_text().strip()}")
+                    raise RuntimeError(
+                        f"proxy of {zone}: expected it to listen, but it ended: {log.read_text().strip()}"
+                    )
                 await asyncio.sleep(0.05)
             self.ports[zone] = int(match[1])
             while not await self._ready(self.ports[zone]):
@@ -139,8 +141,8 @@
             return first.split()[1] == b"200"
         return False
 
-    async def troubles(self, seconds: float, say: Callable[[str], None]) -> None:
-        """A crash at a quarter of the time, back cold at a half; a drain from then on."""
+    async def inject_faults(self, seconds: float, say: Callable[[str], None]) -> None:
+        """Crashes a node at a quarter of the time; restarts it and drains another at a half."""
         await asyncio.sleep(seconds / 4.0)
         crashed, drained = f"{ZONES[0]}-1", f"{ZONES[1]}-0"
         say(f"  {crashed} dies")
@@ -153,7 +155,7 @@
         self.backends[drained].drain_announced_ms = now_ms()
 
     async def stop(self) -> None:
-        """End the proxies by SIGTERM, then all else."""
+        """Stops the proxies by SIGTERM, then everything else."""
         for process in self.proxies.values():
             process.send_signal(signal.SIGTERM)
         for process in self.proxies.values():
@@ -166,7 +168,7 @@
         await self.registry.stop()
 
     def refusals(self) -> Counter[str]:
-        """Refusals by reason, as the proxies' last lines tell."""
+        """Returns the rejections by reason, from the last log lines of the proxies."""
         total: Counter[str] = Counter()
         for zone in ZONES:
             for name, number in re.findall(r"refused:(\w+)=(\d+)", (self.folder / f"{zone}.log").read_text()):
@@ -174,18 +176,18 @@
         return total
 
 
-def table(fleet: Fleet, second: int) -> str:
-    """What each zone holds, serves and refuses, in one line."""
+def progress_line(fleet: Fleet, second: int) -> str:
+    """Returns one line with the requests in flight, served and rejected by zone."""
     cells = []
     for zone in ZONES:
-        held = sum(b.node.held for n, b in fleet.backends.items() if b.node and fleet.zone_of[n] == zone)
+        in_flight = sum(b.node.held for n, b in fleet.backends.items() if b.node and fleet.zone_of[n] == zone)
         tally = fleet.clients[zone].tally
-        cells.append(f"{zone:>8}: holds {held:>3} served {tally.served:>5} refused {tally.refused:>4}")
+        cells.append(f"{zone:>8}: holds {in_flight:>3} served {tally.served:>5} refused {tally.refused:>4}")
     return f"{second:>4} s |" + " |".join(cells)
 
 
 def verdicts(fleet: Fleet) -> dict[str, bool]:
-    """The four rules, from what stand-ins saw."""
+    """Returns whether each of the four rules was kept, from the records of the stand-ins."""
     charges: Counter[str] = Counter()
     for rack in fleet.racks.values():
         charges.update(rack.charges)
@@ -201,17 +203,17 @@
 
 
 async def run(seconds: float, rate: float, seed: int, folder: Path, say: Callable[[str], None]) -> int:
-    """Play; the exit status."""
+    """Runs the demo. Returns the exit status."""
     fleet = Fleet(seed, folder)
     try:
         await fleet.start(rate)
         say(f"3 zones of {NODES} nodes, 3 proxies, {rate:g} orders/s for {seconds:g} s, seed {seed}")
-        work = [asyncio.create_task(c.run(seconds)) for c in fleet.clients.values()]
-        work.append(asyncio.create_task(fleet.troubles(seconds, say)))
+        tasks = [asyncio.create_task(c.run(seconds)) for c in fleet.clients.values()]
+        tasks.append(asyncio.create_task(fleet.inject_faults(seconds, say)))
         for second in range(1, int(seconds) + 1):
             await asyncio.sleep(1.0)
-            say(table(fleet, second))
-        await asyncio.gather(*work)
+            say(progress_line(fleet, second))
+        await asyncio.gather(*tasks)
     finally:
         await fleet.stop()
     tallies = [c.tally for c in fleet.clients.values()]
@@ -231,64 +233,69 @@
     for zone, client in fleet.clients.items():
         tally = client.tally
         say(f"{zone:>8}: p50 {tally.quantile(0.5):.0f} ms, p99 {tally.quantile(0.99):.0f} ms")
-    held = verdicts(fleet)
-    for rule, kept in held.items():
-        say(f"{'held' if kept else 'BROKEN':>8}: {rule}")
-    return 0 if all(held.values()) else 1
+    rules = verdicts(fleet)
+    for rule, is_kept in rules.items():
+        say(f"{'held' if is_kept else 'BROKEN':>8}: {rule}")
+    return 0 if all(rules.values()) else 1
 
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
-    """Play the demo; the exit status is 0 only where all four rules held."""
+    """Runs the demo in a temporary folder. Returns 0 only if all four rules were kept."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(run(seconds, rate, seed, Path(folder), say))
 
 
-def tell_day(words: str, found: dict[str, Any], say: Callable[[str], None]) -> bool:
-    """Say what a day of order keys came to; whether a rule was broken."""
-    faults = {rule: number for rule, number in found["faults"].items() if number}
-    more = ", ".join(
+def print_summary(label: str, found: dict[str, Any], say: Callable[[str], None]) -> bool:
+    """Prints the figures of an order key scenario. Returns whether a rule was violated."""
+    violations = {rule: number for rule, number in found["faults"].items() if number}
+    extra_counts = ", ".join(
         f"{name} {found[name]}"
         for name in ("killed", "paused", "by CoAP", "datagrams", "lost", "duplicate")
         if found.get(name)
     )
-    say(f"{words}: {found['requests']} requests ({more}), answers {found['answers']}")
-    told = ", ".join(f"{rule} {number} times" for rule, number in faults.items()) or "none"
+    say(f"{label}: {found['requests']} requests ({extra_counts}), answers {found['answers']}")
+    violated_rules = ", ".join(f"{rule} {number} times" for rule, number in violations.items()) or "none"
     say(
         f"    {found['keys charged']} keys charged, {found['twice']} of them twice or more;"
-        f" rules broken: {told}"
+        f" rules broken: {violated_rules}"
     )
-    return bool(faults)
+    return bool(violations)
 
 
 def play_keys(seconds: float, seed: int, say: Callable[[str], None]) -> int:
-    """A day of order keys without the feature and with it; status 0 where it kept what it promises."""
-    from honeywharf.standins import keyday
+    """Runs the order key scenario without and with the feature. Returns 0 if it keeps its rules."""
+    from honeywharf.standins import order_key_scenario
     from honeywharf.standins.redis import Redis
 
-    keys = int(seconds / keyday.SPACING_S)
+    keys = int(seconds / order_key_scenario.KEY_INTERVAL_S)
     say(f"{keys} order keys, each sent up to five times over 3 proxies and 4 racks; nodes and proxies die")
     broken = False
-    for words, features, redis in (
+    for label, features, redis in (
         ("without order keys", "", None),
-        ("with keys shared in Redis", keyday.SHARED, Redis()),
+        ("with keys shared in Redis", order_key_scenario.REDIS_STORE, Redis()),
     ):
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(keyday.day(features, redis, keys, seed, Path(folder), 3))
-        broken = tell_day(words, found, say)
+            found = asyncio.run(order_key_scenario.run_scenario(features, redis, keys, seed, Path(folder), 3))
+        broken = print_summary(label, found, say)
     return 1 if broken else 0
 
 
 def play_coap(seconds: float, seed: int, say: Callable[[str], None]) -> int:
-    """The same by CoAP and HTTP clients over a bad network; status 0 where keys kept what they promise."""
-    from honeywharf.standins import coapday, keyday
+    """Runs the order key scenario with CoAP and HTTP clients. Returns 0 if order keys keep their rules."""
+    from honeywharf.standins import coap_scenario, order_key_scenario
 
-    keys = int(seconds / keyday.SPACING_S)
+    keys = int(seconds / order_key_scenario.KEY_INTERVAL_S)
     say(
-        f"{keys} order keys, each sent up to five times by HTTP clients and {coapday.UNITS} CoAP units, whose"
-        " datagrams are lost, doubled and delayed; nodes die"
+        f"{keys} order keys, each sent up to five times by HTTP clients and {coap_scenario.UNITS} CoAP units,"
+        " whose datagrams are lost, doubled and delayed; nodes die"
     )
     broken = False
-    for words, features in (("without order keys", ""), ("with order keys", keyday.PROCESS)):
+    for label, features in (
+        ("without order keys", ""),
+        ("with order keys", order_key_scenario.PROCESS_STORE),
+    ):
         with tempfile.TemporaryDirectory() as folder:
-            broken = tell_day(words, asyncio.run(coapday.day(features, keys, seed, Path(folder))), say)
+            broken = print_summary(
+                label, asyncio.run(coap_scenario.run_scenario(features, keys, seed, Path(folder))), say
+            )
     return 1 if broken else 0
--- a/tests/coap/test_orders.py
+++ b/tests/coap/test_orders.py
@@ -7,8 +7,8 @@
 
 from honeywharf.codecs import coap
 from honeywharf.lab.histories import History
-from honeywharf.standins.coapday import DELAY_S, day
-from honeywharf.standins.keyday import KEPT_MS, PROCESS
+from honeywharf.standins.coap_scenario import MAX_DELAY_S, run_scenario
+from honeywharf.standins.order_key_scenario import KEY_RETENTION_MS, PROCESS_STORE
 from honeywharf.standins.units import GIVEN_UP
 from tests.coap.test_front import Unit, port_of, request_options, served
 from tests.loopback import Client, reply, run, until
@@ -17,10 +17,10 @@
 
 def test_a_key_used_by_coap_and_http_clients_is_charged_once(tmp_path: Path) -> None:
     results = {}
-    for name, features in (("off", ""), ("on", PROCESS)):
+    for name, features in (("off", ""), ("on", PROCESS_STORE)):
         folder = tmp_path / name
         folder.mkdir()
-        results[name] = asyncio.run(day(features, 150, 1, folder))
+        results[name] = asyncio.run(run_scenario(features, 150, 1, folder))
     assert results["off"]["twice"] > 0
     assert results["on"]["twice"] == 0
     assert not any(results["on"]["faults"].values())
@@ -42,7 +42,9 @@
         async with served() as (w, backend, front):
             h, unit = History(), await Unit.to(port_of(front))
             h.asked("unit", "k", 0.0, False)
-            h.answered("unit", 400.0, GIVEN_UP, late_ms=DELAY_S * 1000.0 + 4000.0)  # sent, but not received
+            h.answered(
+                "unit", 400.0, GIVEN_UP, late_ms=MAX_DELAY_S * 1000.0 + 4000.0
+            )  # sent, but not received
             unprocessed = reply(503, b"", b"X-Unprocessed: 1")
             backend.script, backend.default_reply = [None, unprocessed, unprocessed], reply(200, b"tile")
             client = await Client.to(w.port)
@@ -61,8 +63,8 @@
             h.charged("k", "unit", 460.0)
             assert await client.status() == 503
             h.answered("http", 470.0, 503)
-            assert not any(h.faults(KEPT_MS).values())
+            assert not any(h.faults(KEY_RETENTION_MS).values())
             h.asks["unit"].late_until_ms = 0.0  # the checker ignores the late datagram
-            assert h.faults(KEPT_MS)["refused means no charge"] == ["http"]
+            assert h.faults(KEY_RETENTION_MS)["refused means no charge"] == ["http"]
 
     run(main())
