--- a/honeywharf/standins/coap_scenario.py
+++ b/honeywharf/standins/coap_scenario.py
@@ -58,7 +58,7 @@
     network = await LossyNetwork(
         ("127.0.0.1", port), seed, loss=0.3, duplicate=0.1, delay_s=MAX_DELAY_S
     ).start()
-    units = [await Unit(seed * 1000 + i).to(network.port) for i in range(UNITS)]
+    units = [await Unit(seed * 1000 + i).connect(network.port) for i in range(UNITS)]
     try:
         scenario = TwoProtocolScenario(await fleet.start(), keys, seed, units)
         found = await scenario.run()
--- a/honeywharf/standins/lossy.py
+++ b/honeywharf/standins/lossy.py
@@ -10,7 +10,7 @@
 
 
 class LossyNetwork:
-    """Forwards datagrams between `target` and the clients, each of which gets a socket of its own.
+    """Forwards datagrams between `target` and the clients. Each client gets a socket of its own.
 
     `loss` and `duplicate` are shares of all datagrams, `delay_s` is the maximum delay. `seed` makes the draws
     reproducible.
@@ -28,7 +28,7 @@
         self.target, self.loss, self.duplicate, self.delay_s = target, loss, duplicate, delay_s
         self.random = random.Random(seed)
         self.clients: dict[Peer, asyncio.DatagramTransport] = {}
-        self.pending: dict[Peer, list[bytes]] = {}  # Until the socket of the client is open.
+        self.pending: dict[Peer, list[bytes]] = {}  # Datagrams of clients whose socket is not open yet.
         self.tasks: set[asyncio.Task[None]] = set()
         self.listener: asyncio.DatagramTransport | None = None
         self.in_flight = self.delivered = self.lost = 0
--- a/honeywharf/standins/redis_server.py
+++ b/honeywharf/standins/redis_server.py
@@ -1,9 +1,9 @@
 # ruff: noqa: D102  (The command pages of Redis describe the methods.)
-"""A small server for the Redis protocol (RESP 2 and 3), with the commands that order keys need.
+"""A small server for the Redis protocol (RESP 2 and 3) with the commands that order keys need.
 
     python -m honeywharf.standins.redis_server [--port 0] [--data FILE]
 
-Follows the published protocol and command pages. A single thread makes each command and script atomic. It
+Follows the protocol and command pages. A single thread makes each command and script atomic. It
 has strings, hashes, sets, sorted sets, expiry, publish and subscribe, Lua 5.1 scripts (lupa), users with
 passwords, and `maxmemory` with `noeviction` or `allkeys-lru`. With --data each write is in the file before
 its reply and is replayed at the next start.
--- a/honeywharf/standins/relay.py
+++ b/honeywharf/standins/relay.py
@@ -5,7 +5,7 @@
 import asyncio
 from contextlib import suppress
 
-MAX_HELD_BYTES = 16 * 1024 * 1024  # Per connection and direction; beyond it the sender waits.
+MAX_PENDING_BYTES = 16 * 1024 * 1024  # Per connection and direction; beyond it the sender waits.
 
 
 class Relay:
@@ -16,7 +16,7 @@
         self.hold_requests = self.hold_replies = False
         # After this many bytes of replies all connections are cut.
         self.cut_after_reply_bytes: int | None = None
-        self.held_request_bytes = self.held_reply_bytes = 0
+        self.pending_request_bytes = self.pending_reply_bytes = 0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -42,42 +42,42 @@
     async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_request: bool
     ) -> None:
-        held = bytearray()
+        pending = bytearray()
         with suppress(OSError):
             while True:
                 data = b""
                 with suppress(TimeoutError):
-                    if len(held) < MAX_HELD_BYTES:
-                        data = await asyncio.wait_for(reader.read(65536), 0.01 if held else None)
+                    if len(pending) < MAX_PENDING_BYTES:
+                        data = await asyncio.wait_for(reader.read(65536), 0.01 if pending else None)
                         if not data:
                             break  # Held data is lost with the connection.
                     else:
                         await asyncio.sleep(0.01)
-                held += data
+                pending += data
                 if self.hold_requests if is_request else self.hold_replies:
-                    self._add_held(is_request, len(data))
+                    self._add_pending(is_request, len(data))
                     continue
-                self._add_held(is_request, len(data) - len(held))
+                self._add_pending(is_request, len(data) - len(pending))
                 if not is_request and self.cut_after_reply_bytes is not None:
-                    partial = held[: self.cut_after_reply_bytes]
+                    partial = pending[: self.cut_after_reply_bytes]
                     self.cut_after_reply_bytes -= len(partial)
-                    if len(partial) < len(held):
+                    if len(partial) < len(pending):
                         writer.write(bytes(partial))
                         await writer.drain()
                         self.cut_after_reply_bytes = None
                         self.cut()
                         return
-                writer.write(bytes(held))
-                held.clear()
-        self._add_held(is_request, -len(held))
+                writer.write(bytes(pending))
+                pending.clear()
+        self._add_pending(is_request, -len(pending))
         self.writers.discard(writer)
         writer.close()
 
-    def _add_held(self, is_request: bool, size: int) -> None:
+    def _add_pending(self, is_request: bool, size: int) -> None:
         if is_request:
-            self.held_request_bytes += size
+            self.pending_request_bytes += size
         else:
-            self.held_reply_bytes += size
+            self.pending_reply_bytes += size
 
     def cut(self) -> None:
         """Resets all connections."""
--- a/honeywharf/standins/units.py
+++ b/honeywharf/standins/units.py
@@ -30,14 +30,14 @@
             max_transmissions,
         )
         self.mid, self.echo, self.serial = self.random.randrange(65536), b"", 0
-        self.answers: dict[bytes, asyncio.Future[coap.Message]] = {}  # By token.
-        self.acknowledged: dict[bytes, asyncio.Event] = {}  # By token. Also set by an answer.
-        self.tokens: dict[int, bytes] = {}  # By message id.
+        self.answers: dict[bytes, asyncio.Future[coap.Message]] = {}  # Keys are tokens.
+        self.acknowledged: dict[bytes, asyncio.Event] = {}  # Keys are tokens. An answer sets the event, too.
+        self.tokens: dict[int, bytes] = {}  # Keys are message ids.
         self.in_flight_slots = asyncio.Semaphore(MAX_IN_FLIGHT)
         self.transport: asyncio.DatagramTransport | None = None
         self.sent = 0
 
-    async def to(self, port: int) -> Unit:
+    async def connect(self, port: int) -> Unit:
         """Opens the socket towards a port of 127.0.0.1."""
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, remote_addr=("127.0.0.1", port)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders and a driver that the tests share."""
+"""Builders and a driver of the balancer that tests share."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_settings(**changes: Any) -> api.Settings:
-    """Settings of two zones and three classes, with any field replaced."""
+    """Returns settings with two zones and three classes. `changes` replaces fields."""
     fields: dict[str, Any] = {
         "zone": "a",
         "zones": 2,
@@ -40,7 +40,7 @@
 
 
 class Driver:
-    """Feeds one balancer and keeps what it did."""
+    """Drives one balancer with events and a manual clock."""
 
     def __init__(self, settings: api.Settings | None = None, seed: int = 7) -> None:
         self.balancer = Balancer(settings or make_settings(), seed)
@@ -55,7 +55,7 @@
         return self.feed(api.EndpointsListed(kind, tuple(endpoints)))
 
     def settle(self) -> None:
-        """Limits as they are once an answer has come: before, nothing is known and they are open."""
+        """Sets the limits of all zones to the first limit, as a first answer does."""
         for zone in self.balancer.endpoints.zones.values():
             zone.limiter.limit = zone.limiter.first_limit
 
@@ -71,13 +71,13 @@
         after_ms: float = 50.0,
         **changes: Any,
     ) -> Actions:
-        """End an attempt of the last request (or of the one named) after some time."""
+        """Ends an attempt of the last or the given request after `after_ms`."""
         self.now += after_ms
         changes.setdefault("request_over", outcome is api.Outcome.OK)
         return self.feed(api.AttemptEnded(request or f"r{self.count}", attempt, outcome, after_ms, **changes))
 
     def fill(self, calls: int, outcome: api.Outcome = api.Outcome.OK) -> dict[str, int]:
-        """Make calls that all end alike; the number sent to each endpoint."""
+        """Makes calls that all end with `outcome`. Returns the number sent to each endpoint."""
         sent: dict[str, int] = {}
         for _ in range(calls):
             for action in self.request():
@@ -88,14 +88,14 @@
 
 
 def only_send(actions: list[api.Action]) -> api.Send:
-    """The one Send among the actions."""
+    """Returns the single Send among the actions."""
     sends = [a for a in actions if isinstance(a, api.Send)]
     assert len(sends) == 1, actions
     return sends[0]
 
 
 def only_refusal(actions: list[api.Action]) -> api.Refuse:
-    """The one action, a refusal that tells when to come back."""
+    """Returns the single action, which must be a refusal with a `retry_after_ms`."""
     (action,) = actions
     assert isinstance(action, api.Refuse), actions
     assert 200.0 <= action.retry_after_ms <= 600.0
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted neighbours on loopback sockets, and a proxy between them, for the tests of honeywharf.net."""
+"""A proxy between scripted peers on loopback sockets, for tests."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from honeywharf.standins.messages import Message, read_message, reply, row
 from honeywharf.standins.registry import Registry
 
-__all__ = ["Backend", "Message", "reply", "row"]  # stand-ins' own, which the tests take from here
+__all__ = ["Backend", "Message", "reply", "row"]  # Re-exported for the tests.
 
 T = TypeVar("T")
-WAIT_S = 60.0  # for what must happen; a test that waits so long has failed, also on a machine in heavy use
+TIMEOUT_S = 60.0  # A test that waits longer fails, also on a machine under heavy load.
 SETTINGS = node.settings(
     [
         {"name": "read", "aimMs": 2000.0, "deadlineMs": 5000.0, "idempotency": "repeatable"},
@@ -42,30 +42,30 @@
 )
 
 
-def run(main: Coroutine[Any, Any, T], most_s: float = 3 * WAIT_S) -> T:
-    """Run a test's coroutine in a loop of the real proxy's kind, for a bounded time."""
-    return uvloop.run(asyncio.wait_for(main, most_s))
+def run(main: Coroutine[Any, Any, T], timeout_s: float = 3 * TIMEOUT_S) -> T:
+    """Runs the coroutine of a test on uvloop, as the proxy does. TimeoutError after `timeout_s`."""
+    return uvloop.run(asyncio.wait_for(main, timeout_s))
 
 
-async def soon(what: Awaitable[T]) -> T:
-    """Wait for what must come."""
-    return await asyncio.wait_for(what, WAIT_S)
+async def soon(awaitable: Awaitable[T]) -> T:
+    """Awaits with a time-out of TIMEOUT_S."""
+    return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    """Wait for a state that must come."""
-    async with asyncio.timeout(WAIT_S):
-        while not holds():
+async def until(condition: Callable[[], bool]) -> None:
+    """Polls until the condition holds. TimeoutError after TIMEOUT_S."""
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 async def scripted_registry(port: int = 0) -> Registry:
-    """A registry that answers what it is told to, whatever was asked."""
+    """Starts a registry with scripted answers."""
     return await Registry(scripted=True).start(port)
 
 
 def make_config(port: int, rows: list[dict[str, Any]], **changes: Any) -> config.Config:
-    """A configuration, with whole groups of the settings replaced key by key."""
+    """Returns a configuration. `changes` replaces settings, within a group key by key."""
     sockets = changes.pop("sockets", 1024)
     settings = {
         k: {**v, **changes.get(k, {})} if isinstance(v, dict) else changes.get(k, v)
@@ -85,7 +85,7 @@
 
 
 class World:
-    """A proxy, its discovery, and what the decision module was told and asked for."""
+    """A proxy and its discovery, with the recorded events and actions of the decision module."""
 
     def __init__(self, conf: config.Config, discovery: Registry, features: Features | None = None) -> None:
         self.proxy = Proxy(conf, asyncio.get_running_loop(), features)
@@ -115,7 +115,7 @@
         return [e for e in self.events if isinstance(e, api.AttemptEnded)]
 
     async def outcome(self, number: int = 1) -> api.AttemptEnded:
-        """The last of so many ended attempts, once they have ended."""
+        """Waits until `number` attempts have ended and returns the last of them."""
         await until(lambda: len(self.ended()) >= number)
         return self.ended()[number - 1]
 
@@ -126,7 +126,7 @@
     features: Features | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
-    """A running proxy that knows these backends and whose first watch has been answered with nothing new."""
+    """Runs a proxy that knows these backends and whose first watch has got an answer without changes."""
     discovery = await scripted_registry()
     discovery.script_answer(1)
     made = World(make_config(discovery.port, rows, **changes), discovery, features)
@@ -146,7 +146,7 @@
 
 
 class Client:
-    """A caller on one connection."""
+    """A client with one connection to the proxy."""
 
     count = 0
 
@@ -165,7 +165,7 @@
         *headers: str,
         key: str = "",
     ) -> str:
-        """Write one request; its id. `key`: of an order, its own where none is given."""
+        """Writes one request and returns its id. An order without `key` gets a key of its own."""
         Client.count += 1
         name = f"id{Client.count:08x}"
         method = "GET" if class_name == "read" else "POST"
@@ -195,5 +195,5 @@
         return await self.status()
 
     async def closed(self) -> bool:
-        """Whether the proxy closes the connection, with nothing more on it."""
+        """Whether the proxy closes the connection without further data."""
         return await soon(self.reader.read()) == b""
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -106,7 +106,7 @@
             s.relay.hold_replies = True
             client = await s.order()
             # The claim is granted, but the proxy has no reply yet.
-            await until(lambda: s.relay.held_reply_bytes > 0)
+            await until(lambda: s.relay.pending_reply_bytes > 0)
             s.kill_first()
             assert await client.closed()
             assert await s.states() == [[b"R", None]]
@@ -146,7 +146,7 @@
             for writer in list(s.backends[used].writers):
                 writer.write(reply(200, b"tile"))
             assert await client.status() == 200
-            await until(lambda: s.relay.held_request_bytes > 0)
+            await until(lambda: s.relay.pending_request_bytes > 0)
             s.kill_first()
             s.backends[used].script = []
             s.relay.cut()  # the report of the key's end is lost
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -151,7 +151,7 @@
     assert c.get("k3") is None
     assert allowed(keys=["k3"], args=["y"]) == b"OK"
     c.delete("k0", "k1", "k2", "k3")
-    assert c.info("memory")["used_memory"] == empty  # Deleted keys count no longer.
+    assert c.info("memory")["used_memory"] == empty  # Deleted keys free their memory.
     c.config_set("maxmemory-policy", "allkeys-lru")
     for i in range(3):
         c.set(f"k{i}", value)
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -1,4 +1,4 @@
-"""Stand-ins on sockets: registry, backend with a node, clients, front; and the demo as a whole."""
+"""Registry, backend, clients and front on sockets, and the demo."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def fetch(port: int, target: str, *headers: str) -> tuple[int, bytes]:
-    """One request on a connection of its own."""
+    """Sends one request on a new connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write("\r\n".join([f"GET {target} HTTP/1.1", "Host: x", *headers]).encode() + b"\r\n\r\n")
     first, _, body = await soon(read_message(reader))
@@ -40,28 +40,28 @@
     return got
 
 
-def test_a_watch_waits_for_what_is_newer_and_tells_only_that() -> None:
+def test_a_watch_waits_for_changes_and_returns_only_those() -> None:
     async def main() -> None:
         registry = await Registry().start()
         await registry.put(row("a", 1), row("b", 2))
-        whole = await listed(registry.port)
-        assert whole["reset"]
-        assert [r["instanceId"] for r in whole["instances"]] == ["a", "b"]
-        watch = asyncio.create_task(listed(registry.port, f"?after={whole['generation']}&wait_ms=20000"))
+        full = await listed(registry.port)
+        assert full["reset"]
+        assert [r["instanceId"] for r in full["instances"]] == ["a", "b"]
+        watch = asyncio.create_task(listed(registry.port, f"?after={full['generation']}&wait_ms=20000"))
         await until(lambda: len(registry.connections) > 0)
         await registry.put(row("b", 2, lifecycle="removed"))
-        told = await soon(watch)
-        assert not told["reset"]
-        assert [(r["instanceId"], r["lifecycle"]) for r in told["instances"]] == [("b", "removed")]
-        assert told["generation"] > whole["generation"]
-        empty = await listed(registry.port, f"?after={told['generation']}&wait_ms=1")
+        change = await soon(watch)
+        assert not change["reset"]
+        assert [(r["instanceId"], r["lifecycle"]) for r in change["instances"]] == [("b", "removed")]
+        assert change["generation"] > full["generation"]
+        empty = await listed(registry.port, f"?after={change['generation']}&wait_ms=1")
         assert empty["instances"] == []
         await registry.stop()
 
     run(main())
 
 
-def test_a_watch_from_before_what_the_registry_remembers_gets_the_whole_list() -> None:
+def test_a_watch_from_before_the_oldest_change_gets_the_full_list() -> None:
     async def main() -> None:
         registry = await Registry().start()
         for i in range(MAX_CHANGES + 5):
@@ -73,7 +73,7 @@
     run(main())
 
 
-def test_a_backend_with_a_node_works_charges_reports_and_turns_away() -> None:
+def test_a_backend_with_a_node_works_charges_reports_and_rejects() -> None:
     async def main() -> None:
         rack = Rack()
         node = Node(NodeSpec(cores=1, queue=0, warm_ms=0.0))
@@ -91,7 +91,7 @@
     run(main())
 
 
-def test_a_crashed_backend_resets_what_it_held_and_comes_back_cold_at_its_address() -> None:
+def test_a_crashed_backend_resets_requests_and_restarts_cold_at_its_address() -> None:
     async def main() -> None:
         node = Node(NodeSpec(cores=1, warm_ms=60000.0))
         backend = await Backend(node, work_ms=5000.0).start()
@@ -112,7 +112,7 @@
     run(main())
 
 
-def test_clients_try_again_after_a_refusal_with_the_same_key_and_never_after_a_failure() -> None:
+def test_clients_retry_rejections_with_the_same_key_and_never_failures() -> None:
     async def main() -> None:
         backend = await Backend().start()
         refusal = reply(503, b"", b"Retry-After: 0.010")
@@ -131,25 +131,27 @@
     run(main())
 
 
-def test_spoilt_answers_and_errors_come_in_their_parts_and_reports_come_late() -> None:
+def test_malformed_replies_and_errors_have_their_shares_and_reports_are_delayed() -> None:
     async def main() -> None:
         node = Node(NodeSpec(cores=64, warm_ms=0.0))
         backend = await Backend(
             node, work_ms=0.1, malformed=0.3, errors=0.3, report_delay_ms=60000.0, seed=5
         ).start()
-        came = {"spoilt": 0, 200: 0, 500: 0}
+        counts = {"spoilt": 0, 200: 0, 500: 0}
         for i in range(60):
             reader, writer = await asyncio.open_connection("127.0.0.1", backend.port)
             writer.write(f"GET /api/tile HTTP/1.1\r\nX-Correlation-Id: r{i}\r\n\r\n".encode())
             writer.write_eof()
             raw = await soon(reader.read())
             head, _, body = raw.partition(b"\r\n\r\n")
-            sound = head.startswith(b"HTTP/1.1 ") and b"Content-Length: %d\r\n" % len(body) in head + b"\r\n"
-            came[int(head.split()[1]) if sound else "spoilt"] += 1
+            is_valid = (
+                head.startswith(b"HTTP/1.1 ") and b"Content-Length: %d\r\n" % len(body) in head + b"\r\n"
+            )
+            counts[int(head.split()[1]) if is_valid else "spoilt"] += 1
             writer.close()
-        assert all(8 <= n <= 34 for n in came.values()), came
+        assert all(8 <= n <= 34 for n in counts.values()), counts
         node.waiting.extend([("x", 1.0)] * 5)
-        assert await fetch(backend.port, "/stats") == (200, b"queue=0")  # it was so a minute ago
+        assert await fetch(backend.port, "/stats") == (200, b"queue=0")  # The state of a minute ago.
         backend.report_delay_ms = 0.0
         assert await fetch(backend.port, "/stats") == (200, b"queue=5")
         await backend.stop()
@@ -157,7 +159,7 @@
     run(main())
 
 
-def test_a_front_passes_over_a_dead_proxy_until_it_looks_again() -> None:
+def test_a_front_skips_a_dead_proxy() -> None:
     async def main() -> None:
         live = await Backend().start()
         dead = await Backend().start()
@@ -173,7 +175,7 @@
     run(main())
 
 
-def test_the_demo_shows_each_rule_and_ends_with_0() -> None:
+def test_the_demo_prints_each_rule_and_exits_with_0() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "honeywharf", "demo", "--seconds", "4", "--rate", "60"],
         cwd=ROOT,
@@ -188,8 +190,8 @@
     assert "keys 1 times" in done.stdout
 
 
-def test_the_demos_verdicts_can_go_the_other_way(tmp_path: Path) -> None:
-    """Guards against a check that cannot fail: each rule is broken by hand and told."""
+def test_the_demo_detects_each_violated_rule(tmp_path: Path) -> None:
+    """Guards against a check that cannot fail: every rule is violated here."""
     fleet = demo.Fleet(1, tmp_path)
     fleet.racks[0] = Rack(window_ms=0.0)
     fleet.backends["a"] = Backend(Node(NodeSpec()))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 import pytest
 
 from honeywharf.config import node as config
-from tests.loopback import SETTINGS, WAIT_S, row
+from tests.loopback import SETTINGS, TIMEOUT_S, row
 
 ROOT = Path(__file__).parent.parent
 
@@ -70,7 +70,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=WAIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
     assert result.returncode == 2
@@ -111,8 +111,8 @@
         self.port = int(line.rpartition(":")[2])
 
     def connect(self) -> socket.socket:
-        made = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
-        made.settimeout(WAIT_S)
+        made = socket.create_connection(("127.0.0.1", self.port), TIMEOUT_S)
+        made.settimeout(TIMEOUT_S)
         return made
 
     def get(self, path: str = "/health/ready") -> bytes:
@@ -132,7 +132,7 @@
     with Process(tmp_path) as proxy:
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         proxy.process.send_signal(signal.SIGTERM)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(TIMEOUT_S) == 0
 
 
 def test_running_out_of_descriptors_ends_nothing(tmp_path: Path) -> None:
@@ -151,7 +151,7 @@
         assert first.recv(4096).startswith(b"HTTP/1.1 404 ")
         for made in crowd:
             made.close()
-        end = time.monotonic() + WAIT_S
+        end = time.monotonic() + TIMEOUT_S
         answer = b""
         while not answer:  # the listener takes callers again once descriptors are free
             assert time.monotonic() < end
@@ -169,14 +169,14 @@
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.settimeout(WAIT_S)
+        self.listener.settimeout(TIMEOUT_S)
         self.where = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def asked(self) -> bytes:
         """The first line of the first call on the next connection."""
         made, _ = self.listener.accept()
         with made:
-            made.settimeout(WAIT_S)
+            made.settimeout(TIMEOUT_S)
             line = made.recv(4096).split(b"\r\n")[0]
             body = b'{"generation":1,"reset":true,"instances":[]}'
             made.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -211,6 +211,6 @@
                 pass
         proxy.process.send_signal(signal.SIGTERM)
         proxy.process.send_signal(signal.SIGHUP)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(TIMEOUT_S) == 0
     first.listener.close()
     second.listener.close()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Nothing of others is installed, started or looked for: what is met outside is in honeywharf/standins."""
+"""No third-party program is installed, started or searched for: honeywharf/standins replaces them."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-#: In two halves, so that this file does not find itself.
-NAMES = [
+#: Split, so that the search does not match this file.
+PROGRAM_NAMES = [
     a + b
     for a, b in (
         ("redis", "-server"),
@@ -31,22 +31,24 @@
         ("apt", "-get"),
     )
 ]
-WHERE = (".ci", "bench", "tests", "honeywharf", "deploy", "README.md", "docs/operators", "setup.py")
+SEARCHED_PATHS = (".ci", "bench", "tests", "honeywharf", "deploy", "README.md", "docs/operators", "setup.py")
 
 
-def test_no_program_of_others_is_named_where_something_could_start_it() -> None:
+def test_no_third_party_program_is_named_where_it_could_be_started() -> None:
     listed = subprocess.run(
-        ["git", "ls-files", *WHERE], cwd=ROOT, capture_output=True, text=True, check=False
+        ["git", "ls-files", *SEARCHED_PATHS], cwd=ROOT, capture_output=True, text=True, check=False
     ).stdout.split()
-    files = [ROOT / name for name in listed] or [  # a copy without its history
+    files = [ROOT / name for name in listed] or [  # A copy without git history.
         path
-        for where in WHERE
-        for path in ([ROOT / where] if (ROOT / where).is_file() else sorted((ROOT / where).rglob("*.*")))
+        for searched in SEARCHED_PATHS
+        for path in (
+            [ROOT / searched] if (ROOT / searched).is_file() else sorted((ROOT / searched).rglob("*.*"))
+        )
         if path.suffix in (".py", ".sh", ".toml", ".md")
     ]
     assert len(files) > 50
-    pattern = re.compile(rf"\b({'|'.join(map(re.escape, NAMES))})\b", re.I)
-    assert pattern.search("starts " + NAMES[0])
+    pattern = re.compile(rf"\b({'|'.join(map(re.escape, PROGRAM_NAMES))})\b", re.I)
+    assert pattern.search("starts " + PROGRAM_NAMES[0])
     found = [
         (str(path), match[0])
         for path in files
