--- a/honeywharf/standins/clients.py
+++ b/honeywharf/standins/clients.py
@@ -134,7 +134,7 @@
                     connection = await self.front.connect() if is_new else self.idle_connections.pop()
                     try:
                         connection[1].write(head.encode() + b"\r\ntile")
-                        first, headers, body = await read_message(connection[0])
+                        status_line, headers, body = await read_message(connection[0])
                         break
                     except (asyncio.IncompleteReadError, ConnectionError):
                         connection[1].close()
@@ -147,7 +147,7 @@
             return 0, 0.0
         except OSError:
             return 503, 0.1  # No proxy was reached, so nothing has run.
-        status = int(first.split()[1])
+        status = int(status_line.split()[1])
         if status == 200:
             if len(self.tally.latencies_ms) < MAX_LATENCIES:
                 self.tally.latencies_ms.append((time.monotonic() - started) * 1000.0)
--- a/honeywharf/standins/coap_scenario.py
+++ b/honeywharf/standins/coap_scenario.py
@@ -61,9 +61,9 @@
     units = [await Unit(seed * 1000 + i).connect(network.port) for i in range(UNITS)]
     try:
         scenario = TwoProtocolScenario(await fleet.start(), keys, seed, units)
-        found = await scenario.run()
-        found["by CoAP"] = scenario.by_coap
-        found["datagrams"], found["lost"] = network.delivered + network.lost, network.lost
+        figures = await scenario.run()
+        figures["by CoAP"] = scenario.by_coap
+        figures["datagrams"], figures["lost"] = network.delivered + network.lost, network.lost
     finally:
         for unit in units:
             unit.close()
@@ -71,6 +71,6 @@
         await fleet.stop()
     text = "".join(path.read_text("utf-8", "replace") for path in folder.glob("*.log"))
     for name in ("duplicate", "late_duplicate", "not_acknowledged"):
-        found[name] = sum(int(n) for n in re.findall(rf"coap:{name}=(\d+)", text))
-    found["by CoAP nodes"] = sum(b.accepted for b in fleet.backends if isinstance(b, CoapBackend))
-    return found
+        figures[name] = sum(int(n) for n in re.findall(rf"coap:{name}=(\d+)", text))
+    figures["by CoAP nodes"] = sum(b.accepted for b in fleet.backends if isinstance(b, CoapBackend))
+    return figures
--- a/honeywharf/standins/collector.py
+++ b/honeywharf/standins/collector.py
@@ -66,15 +66,15 @@
         self.writers.add(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
-                first, self.headers, body = await read_message(reader)
+                request_line, self.headers, body = await read_message(reader)
                 if not self.silent:
-                    writer.write(self._answer(first, body))
+                    writer.write(self._answer(request_line, body))
         self.writers.discard(writer)
         writer.close()
 
-    def _answer(self, first: bytes, body: bytes) -> bytes:
+    def _answer(self, request_line: bytes, body: bytes) -> bytes:
         scripted = self.script.pop(0) if self.script else 200
-        if first != b"POST /v1/traces HTTP/1.1":
+        if request_line != b"POST /v1/traces HTTP/1.1":
             return reply(404, b"")
         if isinstance(scripted, tuple) and isinstance(scripted[0], int):
             self.refused += 1
--- a/honeywharf/standins/demo.py
+++ b/honeywharf/standins/demo.py
@@ -136,9 +136,9 @@
         with suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n")
-            first, _, _ = await read_message(reader)
+            status_line, _, _ = await read_message(reader)
             writer.close()
-            return first.split()[1] == b"200"
+            return status_line.split()[1] == b"200"
         return False
 
     async def inject_faults(self, seconds: float, say: Callable[[str], None]) -> None:
@@ -245,18 +245,18 @@
         return asyncio.run(run(seconds, rate, seed, Path(folder), say))
 
 
-def print_summary(label: str, found: dict[str, Any], say: Callable[[str], None]) -> bool:
+def print_summary(label: str, figures: dict[str, Any], say: Callable[[str], None]) -> bool:
     """Prints the figures of an order key scenario. Returns whether a rule was violated."""
-    violations = {rule: number for rule, number in found["faults"].items() if number}
+    violations = {rule: number for rule, number in figures["faults"].items() if number}
     extra_counts = ", ".join(
-        f"{name} {found[name]}"
+        f"{name} {figures[name]}"
         for name in ("killed", "paused", "by CoAP", "datagrams", "lost", "duplicate")
-        if found.get(name)
+        if figures.get(name)
     )
-    say(f"{label}: {found['requests']} requests ({extra_counts}), answers {found['answers']}")
+    say(f"{label}: {figures['requests']} requests ({extra_counts}), answers {figures['answers']}")
     violated_rules = ", ".join(f"{rule} {number} times" for rule, number in violations.items()) or "none"
     say(
-        f"    {found['keys charged']} keys charged, {found['twice']} of them twice or more;"
+        f"    {figures['keys charged']} keys charged, {figures['twice']} of them twice or more;"
         f" rules broken: {violated_rules}"
     )
     return bool(violations)
@@ -275,8 +275,10 @@
         ("with keys shared in Redis", order_key_scenario.REDIS_STORE, Redis()),
     ):
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(order_key_scenario.run_scenario(features, redis, keys, seed, Path(folder), 3))
-        broken = print_summary(label, found, say)
+            figures = asyncio.run(
+                order_key_scenario.run_scenario(features, redis, keys, seed, Path(folder), 3)
+            )
+        broken = print_summary(label, figures, say)
     return 1 if broken else 0
 
 
--- a/honeywharf/standins/meshdemo.py
+++ b/honeywharf/standins/meshdemo.py
@@ -282,8 +282,8 @@
 
         poll()
         is_met = self.loop.run() == 0
-        for each in (expiry, *timer):
-            each.cancel()
+        for scheduled in (expiry, *timer):
+            scheduled.cancel()
         return is_met
 
     def fetch(self, to: Address, path: str, on_response: Callable[[Message | None], None]) -> None:
@@ -415,8 +415,8 @@
         for sidecar in mesh.sidecars:
             sidecar.start_clients(flows, mesh.world.now + READINESS_WAIT_S + duration_s)
         mesh.wait(READINESS_WAIT_S)
-        for at, do in ((0.1, self._change_configuration), (0.2, self._drain), (0.5, self._kill)):
-            mesh.loop.after(at * duration_s, do)
+        for share, action in ((0.1, self._change_configuration), (0.2, self._drain), (0.5, self._kill)):
+            mesh.loop.after(share * duration_s, action)
         for second in range(1, int(duration_s) + 1):
             mesh.loop.after(second, partial(self._print_progress, second))
         mesh.wait(duration_s + 2.5)  # The last requests have a deadline of 2 s.
@@ -488,8 +488,8 @@
             "requests that reached the backend after its drain": sum(
                 when > self._drain_deadline()
                 for attempt in attempts
-                for when, at in attempt.arrivals
-                if at is self.drained_backend
+                for when, backend in attempt.arrivals
+                if backend is self.drained_backend
             ),
             "requests by the old route after its change applied": sum(map(self._outdated, attempts)),
             "programs that did not end with status 0": sum(status != 0 for status in self.exit_statuses),
@@ -511,11 +511,11 @@
         return since + deployment.BOUNDS["drain-timeout"] + TRANSIT_S
 
     def _outdated(self, attempt: Attempt) -> bool:
-        late = attempt.sent > self.change.acked + deployment.BOUNDS["config-apply"]
+        is_late = attempt.sent > self.change.acked + deployment.BOUNDS["config-apply"]
         return (
-            late
+            is_late
             and attempt.path.startswith(MOVED_PREFIX)
-            and any(at.service != ORDER_SERVICE for _, at in attempt.runs)
+            and any(backend.service != ORDER_SERVICE for _, backend in attempt.runs)
         )
 
     def print_verdict(self) -> int:
@@ -528,8 +528,8 @@
             "largest memory: "
             + ", ".join(f"a {name} {mb:.1f} MB" for name, mb in self.peak_memory_mb.items())
         )
-        for what, number in counts.items():
-            self.say(f"{number:>8}  {what}")
+        for title, number in counts.items():
+            self.say(f"{number:>8}  {title}")
         rules = {rule.__name__.upper() for rule in INVARIANTS}
         checks = {
             ", ".join(sorted(rules - {rule for rule, _, _ in invariant_checker.violations})): True,
@@ -539,8 +539,8 @@
             "the change was acknowledged, and was read back at the end": self.change.acked < 1e9
             and self.mesh.event_recorder.text == self.change.text,
         }
-        for what, is_kept in checks.items():
-            self.say(f"{'held' if is_kept else 'BROKEN':>8}: {what}")
+        for title, is_kept in checks.items():
+            self.say(f"{'held' if is_kept else 'BROKEN':>8}: {title}")
         return 0 if all(checks.values()) and not any(counts.values()) else 1
 
     def _statuses(self, at_killed_sidecar: bool) -> Counter[str]:
--- a/honeywharf/standins/registry.py
+++ b/honeywharf/standins/registry.py
@@ -95,11 +95,11 @@
         self.connections.add(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
-                first, _, _ = await read_message(reader)
+                request_line, _, _ = await read_message(reader)
                 if self.scripted:
-                    self.calls.append(first)
+                    self.calls.append(request_line)
                 self.called.set()
-                answer = await self._answer(first.split()[1].decode())
+                answer = await self._answer(request_line.split()[1].decode())
                 if writer.transport.is_closing():
                     break  # The caller has closed the connection.
                 writer.write(answer)
--- a/honeywharf/standins/tiers.py
+++ b/honeywharf/standins/tiers.py
@@ -186,7 +186,7 @@
             return -1, b""
         try:
             connection[1].write(data)
-            first, headers, _ = await read_message(connection[0])
+            status_line, headers, _ = await read_message(connection[0])
         except (asyncio.IncompleteReadError, ConnectionError):
             if is_new:
                 return 0, b""
@@ -195,7 +195,7 @@
             connection[1].close()
         else:
             idle.append(connection)
-        return int(first.split()[1]), headers.get(b"traceresponse", b"")
+        return int(status_line.split()[1]), headers.get(b"traceresponse", b"")
 
 
 class NotesNetwork:
@@ -214,15 +214,15 @@
 
     async def start(self) -> dict[str, int]:
         """Opens the sockets. Returns for each proxy the port at which the others reach it."""
-        loop, found = asyncio.get_running_loop(), {}
+        loop, ports = asyncio.get_running_loop(), {}
         for name in self.ports:
             transport, _ = await loop.create_datagram_endpoint(
                 lambda name=name: _RelaySocket(self, name),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
             self.sockets[name] = transport
-            found[name] = transport.get_extra_info("sockname")[1]
-        return found
+            ports[name] = transport.get_extra_info("sockname")[1]
+        return ports
 
     def forward(self, to: str, data: bytes, port: int) -> None:
         """Forwards a datagram from the proxy at `port` to the proxy `to`."""
@@ -282,14 +282,14 @@
         ports = node.free_ports(2 * fronts + 2 * renders + stores + 2)
         self.nodes: list[list[NodeShape]] = []
         for tier, number in enumerate((fronts, renders, stores)):
-            made = []
+            shapes = []
             for i in range(number):
                 name = f"{TIERS[tier].removeprefix('tile-')}-{i}"
                 shape = NodeShape(name, ports.pop(), ports.pop() if tier < 2 else 0, work_ms=work_ms)
                 if tier == 2:
                     shape.errors = faulty_errors if name == faulty_node else errors
-                made.append(shape)
-            self.nodes.append(made)
+                shapes.append(shape)
+            self.nodes.append(shapes)
         self.nodes[0][-1].drops = drops
         self.entries = {f"entry-{i}": ports.pop() for i in range(2)}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -302,11 +302,11 @@
 
     def proxies(self) -> dict[str, tuple[int, int, str]]:
         """Returns port, tier and zone of each proxy by name."""
-        found = {name: (port, 0, ZONES[i]) for i, (name, port) in enumerate(self.entries.items())}
+        proxies = {name: (port, 0, ZONES[i]) for i, (name, port) in enumerate(self.entries.items())}
         for tier in (0, 1):
             for i, shape in enumerate(self.nodes[tier]):
-                found[f"p-{shape.name}"] = (shape.proxy, tier + 1, ZONES[i % len(ZONES)])
-        return found
+                proxies[f"p-{shape.name}"] = (shape.proxy, tier + 1, ZONES[i % len(ZONES)])
+        return proxies
 
     async def start(self) -> None:
         """Starts everything and waits until the proxies are ready."""
@@ -453,8 +453,8 @@
     """Runs the nodes of one tier until SIGTERM, then writes their record."""
     shape = msgspec.json.decode(file.read_bytes(), type=TierShape)
     record: list[ServedRequest] = []
-    for i, one in enumerate(shape.nodes):
-        await TierNode(one, shape.tier, shape.seed * 100 + i, record).start()
+    for i, node_shape in enumerate(shape.nodes):
+        await TierNode(node_shape, shape.tier, shape.seed * 100 + i, record).start()
     ended = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
     await ended.wait()
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -36,8 +36,8 @@
 async def listed(port: int, query: str = "") -> dict[str, Any]:
     status, body = await fetch(port, f"/registry/instances{query}")
     assert status == 200
-    got: dict[str, Any] = json.loads(body)
-    return got
+    listing: dict[str, Any] = json.loads(body)
+    return listing
 
 
 def test_a_watch_waits_for_changes_and_returns_only_those() -> None:
