--- a/honeywharf/standins/tiers.py
+++ b/honeywharf/standins/tiers.py
@@ -214,15 +214,15 @@
 
     async def start(self) -> dict[str, int]:
         """Opens the sockets. Returns for each proxy the port at which the others reach it."""
-        loop, ports = asyncio.get_running_loop(), {}
+        loop, ports_by_name = asyncio.get_running_loop(), {}
         for name in self.ports:
             transport, _ = await loop.create_datagram_endpoint(
                 lambda name=name: _RelaySocket(self, name),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
             self.sockets[name] = transport
-            ports[name] = transport.get_extra_info("sockname")[1]
-        return ports
+            ports_by_name[name] = transport.get_extra_info("sockname")[1]
+        return ports_by_name
 
     def forward(self, to: str, data: bytes, port: int) -> None:
         """Forwards a datagram from the proxy at `port` to the proxy `to`."""
@@ -302,11 +302,11 @@
 
     def proxies(self) -> dict[str, tuple[int, int, str]]:
         """Returns port, tier and zone of each proxy by name."""
-        proxies = {name: (port, 0, ZONES[i]) for i, (name, port) in enumerate(self.entries.items())}
+        by_name = {name: (port, 0, ZONES[i]) for i, (name, port) in enumerate(self.entries.items())}
         for tier in (0, 1):
             for i, shape in enumerate(self.nodes[tier]):
-                proxies[f"p-{shape.name}"] = (shape.proxy, tier + 1, ZONES[i % len(ZONES)])
-        return proxies
+                by_name[f"p-{shape.name}"] = (shape.proxy, tier + 1, ZONES[i % len(ZONES)])
+        return by_name
 
     async def start(self) -> None:
         """Starts everything and waits until the proxies are ready."""
