--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -22,7 +22,7 @@
 from honeywharf.config.features import Admin, Features
 from honeywharf.policy import interface as api
 from tests.helpers import Driver, endpoint, make_settings
-from tests.loopback import Backend, Client, run, soon, until, world
+from tests.loopback import Backend, Client, run, running_proxy, soon, until
 
 
 def test_what_is_shown_of_each_server_says_why_it_is_out_and_until_when() -> None:
@@ -86,7 +86,7 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "s")) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "s")) as w:
             answer = await said(tmp_path / "s", sent)
             assert words in answer.fault
             assert w.proxy.front.ready()
@@ -121,7 +121,7 @@
 def test_the_commands_show_a_running_proxy_and_drain_it(tmp_path: Path) -> None:
     async def main() -> None:
         backend, at = await Backend().start(), str(tmp_path / "s")
-        async with world([backend.row("b1"), backend.row("b2", "y")], on(tmp_path / "s")) as w:
+        async with running_proxy([backend.row("b1"), backend.row("b2", "y")], on(tmp_path / "s")) as w:
             assert os.stat(at).st_mode & 0o777 == 0o600
             client = await Client.to(w.port)
             client.send()
@@ -154,7 +154,7 @@
 def test_operators_beyond_the_bound_are_cut_and_silent_ones_cost_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "s")) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "s")) as w:
             (part,) = [p for p in w.proxy.components if isinstance(p, AdminPart)]
             silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_AT_ONCE)]
             await until(lambda: part.open == MAX_AT_ONCE)
@@ -178,7 +178,7 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(str(path))
         backend = await Backend().start()
-        async with world([backend.row("b")], on(path)) as w:
+        async with running_proxy([backend.row("b")], on(path)) as w:
             answer = await said(path, protocol.frame(protocol.Question("endpoints")))
             assert msgspec.to_builtins(answer.data)["number"] == 1
             (first,) = w.proxy.components
--- a/tests/admin/test_asking.py
+++ b/tests/admin/test_asking.py
@@ -26,7 +26,7 @@
 from honeywharf.metrics.families import Families, exposed
 from honeywharf.orderkeys import OrderKeysComponent
 from tests.admin.test_admin import called
-from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, until, world
+from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, running_proxy, until
 from tests.orderkeys.shared import sharing
 
 ROOT = Path(__file__).parent.parent.parent
@@ -50,7 +50,7 @@
         conf = tmp_path / "node.json"
         conf.write_text(json.dumps(node))
         made = of_features.load(file)
-        async with world([], made) as w:
+        async with running_proxy([], made) as w:
             w.proxy.environ = {"NODE_CONFIG": str(conf), "HONEYWHARF_FEATURES": str(file)}
             w.proxy.conf = of_node.load(w.proxy.environ)
             status, words = await called("config", "show", "--socket", at, "--json")
@@ -112,7 +112,7 @@
     async def main() -> None:
         backend, at = await Backend().start(), str(tmp_path / "s")
         features = on(tmp_path / "s", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             backend.default_reply = None
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
@@ -190,7 +190,7 @@
             metrics=Metrics(listen="127.0.0.1:0"),
             traces=Traces(file=str(tmp_path / "t"), rate=1e-9),
         )
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             backend.script += [reply()] * 5 + [reply(500)]
             for _ in range(6):
@@ -234,7 +234,7 @@
 def test_figures_are_not_shown_to_the_network(tmp_path: Path) -> None:
     async def main() -> None:
         with pytest.raises(ValueError, match=r"metrics\.listen: found '0\.0\.0\.0:1', wanted a loopback"):
-            async with world([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
+            async with running_proxy([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
                 pass
 
     run(main())
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -17,7 +17,7 @@
 from honeywharf.core.transport_router import TransportRouter
 from honeywharf.policy import interface as api
 from honeywharf.standins.messages import row
-from tests.loopback import Backend, Client as HttpClient, World, run, until, world
+from tests.loopback import Backend, Client as HttpClient, RunningProxy, run, running_proxy, until
 
 O = api.Outcome  # noqa: E741
 COAP_ON = Features(coap=Coap(nodes=True, nstart=16))
@@ -113,17 +113,19 @@
     number: int = 1,
     features: Features = COAP_ON,
     **changes: object,
-) -> AsyncIterator[tuple[World, list[Node]]]:
+) -> AsyncIterator[tuple[RunningProxy, list[Node]]]:
     coap_nodes = [await Node().start() for _ in range(number)]
     rows = [row(f"c{i}", n.port, cell=i, scheme="coap") for i, n in enumerate(coap_nodes)]
-    async with world(rows, features, **changes) as w:
+    async with running_proxy(rows, features, **changes) as w:
         yield w, coap_nodes
         await until(lambda: not w.proxy.driver.requests)
     for node in coap_nodes:
         node.stop()
 
 
-async def pay(w: World, left: str = "4000m", body: bytes = b"x", kind: str = "pay") -> tuple[int, bytes]:
+async def pay(
+    w: RunningProxy, left: str = "4000m", body: bytes = b"x", kind: str = "pay"
+) -> tuple[int, bytes]:
     caller = await HttpClient.to(w.port)
     caller.send(kind, body, left, "X-Account: acme", key="k" if kind == "order" else "")
     first, _, answer = await caller.answer()
@@ -233,10 +235,10 @@
     async def main() -> None:
         http, node = await Backend().start(), await Node().start()
         rows = [http.row("h", cell=1), row("c", node.port, cell=2, scheme="coap")]
-        async with world(rows, Features()) as w:
+        async with running_proxy(rows, Features()) as w:
             assert list(w.proxy.balancer.endpoints.servers) == ["h"]
             assert (await pay(w))[0] == 200
-        async with world(rows, COAP_ON) as w:
+        async with running_proxy(rows, COAP_ON) as w:
             for _ in range(12):
                 assert (await pay(w))[0] == 200
             assert http.requests
--- a/tests/coap/test_front.py
+++ b/tests/coap/test_front.py
@@ -21,7 +21,7 @@
 from honeywharf.policy import interface as api
 from honeywharf.service.life import Step
 from honeywharf.standins.lossy import LossyNetwork
-from tests.loopback import Backend, Client, World, reply, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, run, running_proxy, soon, until
 
 COAP_ON = Features(coap=Coap(listen="127.0.0.1:0"), order_keys=OrderKeys(store="process"))
 
@@ -29,10 +29,10 @@
 @asynccontextmanager
 async def served(
     features: Features = COAP_ON, **changes: object
-) -> AsyncIterator[tuple[World, Backend, Front]]:
+) -> AsyncIterator[tuple[RunningProxy, Backend, Front]]:
     """Runs a proxy in front of one scripted HTTP node."""
     backend = await Backend().start()
-    async with world([backend.row("b0", cell=0)], features, **changes) as w:
+    async with running_proxy([backend.row("b0", cell=0)], features, **changes) as w:
         (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
         front = part.front
         assert front is not None
@@ -313,7 +313,7 @@
 def test_with_coap_off_nothing_listens() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b0")], Features()) as w:
+        async with running_proxy([backend.row("b0")], Features()) as w:
             assert w.proxy.components == []
         await backend.stop()
 
--- a/tests/config/test_retune.py
+++ b/tests/config/test_retune.py
@@ -14,7 +14,7 @@
 from honeywharf.config import node, retune
 from honeywharf.policy import interface as api
 from tests.helpers import KEYED, REPEATABLE, Driver, endpoint, make_settings
-from tests.loopback import SETTINGS, Backend, Client, reply, row, run, soon, until, world
+from tests.loopback import SETTINGS, Backend, Client, reply, row, run, running_proxy, soon, until
 
 GOOD: dict[str, Any] = {
     "name": "n",
@@ -167,7 +167,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
             good = {**GOOD, "discovery": f"127.0.0.1:{w.discovery.port}"}
@@ -215,7 +215,7 @@
 
     async def main() -> None:
         short = [{**c, "aimMs": 20.0, "deadlineMs": 60.0} for c in SETTINGS["profiles"]]
-        async with world([row("b", 1)], profiles=short) as w:
+        async with running_proxy([row("b", 1)], profiles=short) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
             good = {
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -11,7 +11,7 @@
 from honeywharf.flow import buffer_budget
 from honeywharf.http import backend as upstream, front as downstream
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, reply, run, soon, until, world
+from tests.loopback import Backend, Client, reply, run, running_proxy, soon, until
 
 MB = 1024 * 1024
 LONG = bytes(range(256)) * 4 * 1024  # 1 MB
@@ -71,7 +71,7 @@
         server = await raw(serve)
         backend = Backend()
         backend.port = port_of(server)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(
                 f"GET /api {version}\r\nHost: x\r\nX-Correlation-Id: i1\r\nX-Service-Class: read\r\n"
@@ -122,7 +122,7 @@
         server = await raw(serve)
         backend = Backend()
         backend.port = port_of(server)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             form = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {4 * MB}"
             client.writer.write(
@@ -154,7 +154,7 @@
         )
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             for at in range(1, len(answer)):
                 client.send()
@@ -187,7 +187,7 @@
         for form in ("length", "chunked"):
             backend = await Backend().start()
             backend.default_reply = None
-            async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
+            async with running_proxy([backend.row("b")], bounds={"mostTries": 3}) as w:
                 client = await Client.to(w.port)
                 client.send("read")
                 await soon(backend.request_received.wait())
@@ -231,7 +231,7 @@
         server = await raw(serve)
         backend = Backend()
         backend.port = port_of(server)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.reader._transport.pause_reading()  # type: ignore[attr-defined]
             client.send()
@@ -256,7 +256,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             for leaves in (True, False):
                 client = await Client.to(w.port)
                 client.send("pay", b"")  # An ordinary request first.
@@ -291,7 +291,7 @@
         server = await raw(serve)
         backend = Backend()
         backend.port = port_of(server)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: e1\r\nX-Service-Class: pay\r\n"
@@ -329,7 +329,7 @@
         bad, good = await raw(close_connection), await raw(serve)
         one, two = Backend(), Backend()
         one.port, two.port = port_of(bad), port_of(good)
-        async with world([one.row("one"), two.row("two")]) as w:
+        async with running_proxy([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
             for i in range(12):  # Until the bad backend has been tried.
                 client.writer.write(
@@ -350,7 +350,7 @@
 def test_bodies_beyond_the_slots_wait_or_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], memory_mb=16.0) as w:
+        async with running_proxy([backend.row("b")], memory_mb=16.0) as w:
             w.proxy.buffer_budget.max_pipes = 1
             first, second = await Client.to(w.port), await Client.to(w.port)
             upload = (
@@ -384,7 +384,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             await soon(backend.request_received.wait())
--- a/tests/http/test_offers.py
+++ b/tests/http/test_offers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from honeywharf.codecs import http1
-from tests.loopback import Backend, Client, reply, run, soon, until, world
+from tests.loopback import Backend, Client, reply, run, running_proxy, soon, until
 
 HEAD = b"X-Correlation-Id: %b\r\nX-Service-Class: %b\r\nX-Time-Left: 4000m\r\n"
 UPGRADE_OFFERS = [
@@ -48,7 +48,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"1"), reply(200, b"2"), reply(200, b"3")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(first + get(b"two", offer))  # in a single write
             assert [(await client.answer())[2] for _ in range(2)] == [b"1", b"2"]
@@ -124,7 +124,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [None, reply(200, b"2"), reply(200, b"3")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             second = pay(b"two", b"hello", b"Expect: 100-continue\r\n")
             client.writer.write(get(b"one") + second[:-5])
@@ -164,9 +164,9 @@
 def test_one_response_then_close(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
-            assert await client.ask(raw) == status
+            assert await client.send_raw(raw) == status
             assert await client.closed()
             assert len(backend.requests) == (status == 200)
         await backend.stop()
@@ -179,7 +179,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(get(b"one", version=version))
             client.writer.write_eof()
@@ -202,7 +202,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(get(b"one"))
             await soon(backend.request_received.wait())
@@ -217,7 +217,7 @@
 def test_valid_requests_are_served_despite_1100_partial_heads() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             kept = await Client.to(w.port)
             kept.send()
             assert await kept.status() == 200
--- a/tests/limits/test_sockets.py
+++ b/tests/limits/test_sockets.py
@@ -7,12 +7,12 @@
 import pytest
 
 from honeywharf.lab.model import Node, NodeSpec
-from tests.loopback import Backend, Client, World, run, world
+from tests.loopback import Backend, Client, RunningProxy, run, running_proxy
 
 CONNECTIONS, REQUESTS_EACH = 64, 6
 
 
-async def statuses(w: World) -> list[int]:
+async def statuses(w: RunningProxy) -> list[int]:
     """Returns the statuses of all clients, which send the next request after each answer."""
 
     async def one() -> list[int]:
@@ -33,7 +33,7 @@
     async def main() -> None:
         spec = NodeSpec(cores=64, warm_ms=0.0)
         backends = [await Backend(Node(spec), work_ms=work_ms, seed=i).start() for i in range(4)]
-        async with world([b.row(f"b{i}") for i, b in enumerate(backends)]) as w:
+        async with running_proxy([b.row(f"b{i}") for i, b in enumerate(backends)]) as w:
             assert await statuses(w) == [200] * (CONNECTIONS * REQUESTS_EACH)
             assert "refused" not in w.proxy.driver.counts
         for backend in backends:
@@ -48,7 +48,7 @@
     async def main() -> None:
         spec = NodeSpec(cores=1, queue=1, warm_ms=0.0)
         backend = await Backend(Node(spec), work_ms=400.0, spread=0.0).start()
-        async with world([backend.row("b0")]) as w:
+        async with running_proxy([backend.row("b0")]) as w:
             got = await statuses(w)
             counts = w.proxy.driver.counts
             assert got.count(503) == counts["refused"] > CONNECTIONS
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -84,7 +84,7 @@
     )
 
 
-class World:
+class RunningProxy:
     """A proxy and its discovery, with the recorded events and actions of the decision module."""
 
     def __init__(self, conf: config.Config, discovery: Registry, features: Features | None = None) -> None:
@@ -121,15 +121,15 @@
 
 
 @asynccontextmanager
-async def world(
+async def running_proxy(
     rows: list[dict[str, Any]],
     features: Features | None = None,
     **changes: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RunningProxy]:
     """Runs a proxy that knows these backends and whose first watch has got an answer without changes."""
     discovery = await scripted_registry()
     discovery.script_answer(1)
-    made = World(make_config(discovery.port, rows, **changes), discovery, features)
+    made = RunningProxy(make_config(discovery.port, rows, **changes), discovery, features)
     await made.start()
     await until(lambda: made.proxy.watch.up)
     try:
@@ -190,7 +190,7 @@
     async def status(self) -> int:
         return int((await self.answer())[0].split()[1])
 
-    async def ask(self, raw: bytes) -> int:
+    async def send_raw(self, raw: bytes) -> int:
         self.writer.write(raw)
         return await self.status()
 
--- a/tests/orderkeys/shared.py
+++ b/tests/orderkeys/shared.py
@@ -13,7 +13,7 @@
 from honeywharf.orderkeys.redis import RedisLink
 from honeywharf.standins.redis import Redis
 from honeywharf.standins.relay import Relay
-from tests.loopback import Backend, World, until, world
+from tests.loopback import Backend, RunningProxy, running_proxy, until
 
 
 def features_on(
@@ -33,23 +33,23 @@
     return Features(order_keys=OrderKeys(store="redis", redis=features.Redis(**told), **changes))
 
 
-def deduplicator_of(w: World) -> KeyDeduplicator:
+def deduplicator_of(w: RunningProxy) -> KeyDeduplicator:
     assert isinstance(w.proxy.driver.hooks.request_deduplicator, KeyDeduplicator)
     return w.proxy.driver.hooks.request_deduplicator
 
 
-def store_of(w: World) -> RedisLink:
+def store_of(w: RunningProxy) -> RedisLink:
     shared = deduplicator_of(w).shared
     assert shared is not None
     assert isinstance(shared.link, RedisLink)
     return shared.link
 
 
-def store_available(w: World) -> bool:
+def store_available(w: RunningProxy) -> bool:
     return store_of(w).shared.available()
 
 
-def is_idle(w: World) -> bool:
+def is_idle(w: RunningProxy) -> bool:
     """Whether no request is in progress or waiting."""
     deduplicator, driver = deduplicator_of(w), w.proxy.driver
     return not (driver.requests or driver.open_requests or deduplicator.runs or deduplicator.waiting)
@@ -61,7 +61,7 @@
     backends: int = 2,
     told: dict[str, Any] | None = None,
     **changes: Any,
-) -> AsyncIterator[tuple[Redis, list[World], list[Backend]]]:
+) -> AsyncIterator[tuple[Redis, list[RunningProxy], list[Backend]]]:
     """Proxies before the same backends, each in its own cell. All requests must have ended on exit."""
     redis = await Redis().start()
     made = [await Backend().start() for _ in range(backends)]
@@ -69,7 +69,9 @@
         async with AsyncExitStack() as stack:
             rows = [b.row(f"b{i}", cell=i) for i, b in enumerate(made)]
             worlds = [
-                await stack.enter_async_context(world(rows, features_on(redis, **(told or {})), **changes))
+                await stack.enter_async_context(
+                    running_proxy(rows, features_on(redis, **(told or {})), **changes)
+                )
                 for _ in range(proxies)
             ]
             for w in worlds:
--- a/tests/orderkeys/test_deduplicator.py
+++ b/tests/orderkeys/test_deduplicator.py
@@ -13,7 +13,18 @@
 from honeywharf.orderkeys.deduplicator import MAX_JOINED_PER_KEY, KeyDeduplicator
 from honeywharf.policy import interface as api
 from honeywharf.proxy import Proxy
-from tests.loopback import SETTINGS, Backend, Client, World, make_config, reply, run, soon, until, world
+from tests.loopback import (
+    SETTINGS,
+    Backend,
+    Client,
+    RunningProxy,
+    make_config,
+    reply,
+    run,
+    running_proxy,
+    soon,
+    until,
+)
 
 ENABLED = Features(order_keys=OrderKeys(store="process"))
 
@@ -27,10 +38,12 @@
     number: int = 1,
     features: Features | None = ENABLED,
     **changes: Any,
-) -> AsyncIterator[tuple[World, list[Backend]]]:
+) -> AsyncIterator[tuple[RunningProxy, list[Backend]]]:
     """A proxy before `number` backends, each in its own cell. Checks at the end that no request is left."""
     backends = [await Backend().start() for _ in range(number)]
-    async with world([b.row(f"b{i}", cell=i) for i, b in enumerate(backends)], features, **changes) as w:
+    async with running_proxy(
+        [b.row(f"b{i}", cell=i) for i, b in enumerate(backends)], features, **changes
+    ) as w:
         yield w, backends
         await until(lambda: not w.proxy.driver.requests)
         deduplicator = w.proxy.driver.hooks.request_deduplicator
@@ -42,16 +55,16 @@
         await backend.stop()
 
 
-def deduplicator_of(w: World) -> KeyDeduplicator:
+def deduplicator_of(w: RunningProxy) -> KeyDeduplicator:
     assert isinstance(w.proxy.driver.hooks.request_deduplicator, KeyDeduplicator)
     return w.proxy.driver.hooks.request_deduplicator
 
 
-async def clients(w: World, number: int) -> list[Client]:
+async def clients(w: RunningProxy, number: int) -> list[Client]:
     return [await Client.to(w.port) for _ in range(number)]
 
 
-async def running_and_joined(w: World, backend: Backend) -> tuple[Client, Client]:
+async def running_and_joined(w: RunningProxy, backend: Backend) -> tuple[Client, Client]:
     """A client whose order runs at a silent backend, and a client that waits for the same key."""
     backend.default_reply = None
     first, repeat = await clients(w, 2)
@@ -252,7 +265,7 @@
                 b"Idempotency-Key: %b\r\n\r\nx"
             )
             for serial in range(2):
-                assert await client.ask(head % (serial, key)) == 200
+                assert await client.send_raw(head % (serial, key)) == 200
             assert [m[1][b"idempotency-key"] for m in backend.requests] == [key]
 
     run(main())
@@ -264,7 +277,7 @@
         async with proxy_with_backends(features=features) as (w, (backend,)):
             (client,) = await clients(w, 1)
             assert (
-                await client.ask(
+                await client.send_raw(
                     b"POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: empty\r\n"
                     b"X-Service-Class: order\r\nX-Time-Left: 4000m\r\n"
                     b"Content-Length: 1\r\nIdempotency-Key:\r\n\r\nx"
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -12,7 +12,7 @@
 from honeywharf.policy import interface as api
 from honeywharf.standins.redis import Redis
 from honeywharf.standins.relay import Relay
-from tests.loopback import Backend, Client, World, reply, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, run, running_proxy, soon, until
 from tests.orderkeys.shared import features_on, sharing, store_available, store_of
 from tests.test_process import Process
 
@@ -27,7 +27,7 @@
         redis: Redis,
         relay: Relay,
         first: Process,
-        other: World,
+        other: RunningProxy,
         backends: list[Backend],
     ) -> None:
         self.redis, self.relay, self.first, self.other, self.backends = redis, relay, first, other, backends
@@ -85,7 +85,7 @@
         while not any("connected to the shared store" in line for line in lines):
             lines.append(await soon(asyncio.to_thread(pipe.readline)))
             assert lines[-1], "the process has ended"
-        async with world(rows, features_on(redis)) as other:
+        async with running_proxy(rows, features_on(redis)) as other:
             await until(lambda: store_available(other))
             yield KillScenario(redis, relay, process, other, backends)
     finally:
@@ -165,7 +165,7 @@
         async with sharing(1, 1) as (redis, _, (backend,)):
             relay = await Relay(redis.port).start()
             rows = [backend.row("b0", cell=0)]
-            async with world(rows, features_on(relay)) as w:
+            async with running_proxy(rows, features_on(relay)) as w:
                 await until(lambda: store_available(w))
                 client = await Client.to(w.port)
                 relay.cut_after_reply_bytes = after
--- a/tests/orderkeys/test_shared.py
+++ b/tests/orderkeys/test_shared.py
@@ -9,15 +9,15 @@
 
 from honeywharf.orderkeys.redis import address_of
 from honeywharf.policy import interface as api
-from tests.loopback import Client, World, reply, run, until
+from tests.loopback import Client, RunningProxy, reply, run, until
 from tests.orderkeys.shared import deduplicator_of, sharing, store_available, store_of
 
 
-async def clients(*worlds: World) -> list[Client]:
+async def clients(*worlds: RunningProxy) -> list[Client]:
     return [await Client.to(w.port) for w in worlds]
 
 
-def counted(w: World, what: str) -> int:
+def counted(w: RunningProxy, what: str) -> int:
     return w.proxy.driver.counts.get(what, 0)
 
 
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -12,7 +12,7 @@
 from honeywharf.service import door, life
 from honeywharf.service.door import HttpServer
 from honeywharf.service.life import State
-from tests.loopback import Backend, Client, World, reply, row, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, row, run, running_proxy, soon, until
 
 
 async def said(port: int, data: bytes, end: bool = False) -> bytes:
@@ -28,7 +28,7 @@
 
 
 @asynccontextmanager
-async def operated(w: World) -> AsyncIterator[int]:
+async def operated(w: RunningProxy) -> AsyncIterator[int]:
     """The second address of a running proxy; its port."""
     made = HttpServer(asyncio.get_running_loop(), w.proxy.keeper.call)
     _, port = await made.listen(("127.0.0.1", 0))
@@ -41,7 +41,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = reply(200, b"tile")
-        async with world([backend.row("b")], contract={"warmAfterMs": 0.0}) as w, operated(w) as port:
+        async with running_proxy([backend.row("b")], contract={"warmAfterMs": 0.0}) as w, operated(w) as port:
             assert await said(port, b"readyz\n") == b"OK ready\n"
             assert await said(port, b"exclude b\n") == b"OK b is out\n"
             assert await said(port, b"exclude b\n") == b"OK b was out already\n"
@@ -75,7 +75,7 @@
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
         one.default_reply = two.default_reply = None
-        async with world([one.row("one"), two.row("two")]) as w, operated(w) as port:
+        async with running_proxy([one.row("one"), two.row("two")]) as w, operated(w) as port:
             clients = [await Client.to(w.port) for _ in range(2)]
             for client in clients:
                 client.send("pay")
@@ -115,7 +115,7 @@
                 plug.setblocking(False)
                 plug.connect_ex(full.getsockname())
                 plugs.append(plug)
-            async with world([row("slow", full.getsockname()[1])]) as w, operated(w) as port:
+            async with running_proxy([row("slow", full.getsockname()[1])]) as w, operated(w) as port:
                 client = await Client.to(w.port)
                 client.send("pay")
                 await until(lambda: w.proxy.pool.count == 1)
@@ -149,7 +149,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w, operated(w) as port:
+        async with running_proxy([backend.row("b")]) as w, operated(w) as port:
             backend.default_reply = reply(200, b"tile")
             asks, idles = await Client.to(w.port), await Client.to(w.port)
             for client in (asks, idles):
@@ -165,7 +165,7 @@
             await until(lambda: len(backend.requests) == 3)
             assert (await said(port, b"evacuate\n")) == b"OK evacuating\n"
             checks = await Client.to(w.port)
-            assert await checks.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
+            assert await checks.send_raw(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
             backend.default_reply = reply(200, b"tile")
             asks.send()  # it never stops asking: an answer closes its connection, not a cut
             first, headers, _ = await asks.answer()
@@ -183,7 +183,7 @@
             await until(lambda: w.proxy.keeper.life.state is State.EMPTY)
             assert (await said(port, b"activate\n")) == b"OK ready\n"
             again = await Client.to(w.port)
-            assert await again.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+            assert await again.send_raw(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             again.send()
             first, headers, _ = await again.answer()
             assert first.split()[1] == b"200"
@@ -198,7 +198,7 @@
     monkeypatch.setattr(door, "PATIENCE_S", 0.2)
 
     async def main() -> None:
-        async with world([row("b", 1)]) as w, operated(w) as port:
+        async with running_proxy([row("b", 1)]) as w, operated(w) as port:
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(10)]
             for _, writer in idle[:5]:
                 writer.write(b"exc")
--- a/tests/storms/test_sockets.py
+++ b/tests/storms/test_sockets.py
@@ -17,17 +17,17 @@
 from honeywharf.storms import StormsPart
 from honeywharf.storms.detector import State
 from honeywharf.storms.storms import SHORTAGE_MS, Storms
-from tests.loopback import Backend, Client, World, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, run, running_proxy, soon, until
 
 ON = Features(storms=On(on=True))
 
 
-def storms_of(w: World) -> Storms:
+def storms_of(w: RunningProxy) -> Storms:
     (part,) = [p for p in w.proxy.components if isinstance(p, StormsPart)]
     return part.storms
 
 
-def acceptor(w: World) -> Acceptor:
+def acceptor(w: RunningProxy) -> Acceptor:
     server = w.proxy.front.server
     assert isinstance(server, Acceptor)
     return server
@@ -36,7 +36,7 @@
 def test_in_a_storm_first_attempts_are_served_and_repeats_are_refused_with_a_return_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], ON) as w:
+        async with running_proxy([backend.row("b")], ON) as w:
             client, s = await Client.to(w.port), storms_of(w)
             s.detector.state, s.last_shortage_ms = State.STORM, w.proxy.clock.now() + 60_000.0
             statuses, told = [], []
@@ -66,7 +66,7 @@
 def test_connections_are_accepted_late_in_a_storm_and_all_are_served() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], ON) as w:
+        async with running_proxy([backend.row("b")], ON) as w:
             w.proxy.front.pace(100.0)
             begun = asyncio.get_running_loop().time()
             clients = [await Client.to(w.port) for _ in range(40)]  # the kernel has taken them
@@ -86,7 +86,7 @@
     run(main())
 
 
-async def accept_one_then_pace(w: World) -> None:
+async def accept_one_then_pace(w: RunningProxy) -> None:
     """Accepts one connection now, and the next after 400 ms."""
     w.proxy.front.pace(2.5)
     known = len(w.proxy.front.connections)
@@ -99,7 +99,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], ON) as w:
+        async with running_proxy([backend.row("b")], ON) as w:
             await accept_one_then_pace(w)
             client = await Client.to(w.port)
             client.send("read", b"", "3000m")
@@ -120,7 +120,7 @@
 def test_work_begins_for_a_half_closed_client_but_not_for_one_that_has_left(leaves: bool) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], ON) as w:
+        async with running_proxy([backend.row("b")], ON) as w:
             await accept_one_then_pace(w)
             waits = await Client.to(w.port)
             waits.send()
@@ -145,7 +145,7 @@
 def test_connections_are_counted_and_the_counters_are_shown() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], ON) as w:
+        async with running_proxy([backend.row("b")], ON) as w:
             s = storms_of(w)
             for _ in range(7):
                 client = await Client.to(w.port)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,23 +13,23 @@
 from tests.loopback import (
     Backend,
     Client,
-    World,
+    RunningProxy,
     make_config,
     reply,
     row,
     run,
+    running_proxy,
     scripted_registry,
     soon,
     until,
-    world,
 )
 
 
-def lists_of(w: World) -> list[api.EndpointsListed]:
+def lists_of(w: RunningProxy) -> list[api.EndpointsListed]:
     return [e for e in w.events if isinstance(e, api.EndpointsListed)]
 
 
-async def nth_list(w: World, number: int) -> api.EndpointsListed:
+async def nth_list(w: RunningProxy, number: int) -> api.EndpointsListed:
     await until(lambda: len(lists_of(w)) >= number)
     return lists_of(w)[number - 1]
 
@@ -69,7 +69,7 @@
 
 def test_the_watch_continues_at_once_from_the_last_generation() -> None:
     async def main() -> None:
-        async with world([row("b", 1)]) as w:
+        async with running_proxy([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
             assert w.discovery.calls[0].startswith(b"GET /registry/instances?after=1&wait_ms=0 ")
             assert w.discovery.calls[1].startswith(b"GET /registry/instances?after=1&wait_ms=5000 ")
@@ -86,7 +86,7 @@
 def test_a_draining_backend_gets_no_new_requests_and_a_full_list_replaces() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
-        async with world([one.row("one"), two.row("two")]) as w:
+        async with running_proxy([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
             w.discovery.script_answer(2, one.row("one", lifecycle="draining"))
             await nth_list(w, 2)
@@ -112,7 +112,7 @@
 def test_idle_connections_to_removed_or_restarted_backends_are_closed(change: dict[str, Any]) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
@@ -129,7 +129,7 @@
     async def main() -> None:
         old, new = await Backend().start(), await Backend().start()
         old.default_reply = None
-        async with world([old.row("b")]) as w:
+        async with running_proxy([old.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             await soon(old.request_received.wait())
@@ -162,7 +162,7 @@
 )
 def test_the_watch_recovers_after_a_bad_answer(bad: bytes) -> None:
     async def main() -> None:
-        async with world([row("b", 1)]) as w:
+        async with running_proxy([row("b", 1)]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
             w.discovery.answers.put_nowait(bad)
             if bad.endswith(b"{") and b"Length: 5" in bad:
@@ -182,16 +182,16 @@
 def test_ready_only_once_the_first_watch_is_up() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
-        w = World(make_config(discovery.port, [row("b", 1)]), discovery)
+        w = RunningProxy(make_config(discovery.port, [row("b", 1)]), discovery)
         await w.start()
         await soon(discovery.called.wait())
         ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
         client = await Client.to(w.port)
-        assert await client.ask(ready) == 503
+        assert await client.send_raw(ready) == 503
         assert [e.kind for e in lists_of(w)] == [api.ListKind.CACHED]
         discovery.script_answer(1)
         await until(lambda: w.proxy.watch.up)
-        assert await client.ask(ready) == 200
+        assert await client.send_raw(ready) == 200
         assert w.running is not None
         w.running.cancel()
         await discovery.stop()
@@ -203,11 +203,11 @@
     async def main() -> None:
         discovery = await scripted_registry()  # accepts calls and answers none
         backend = await Backend().start()
-        w = World(make_config(discovery.port, [backend.row("b")]), discovery)
+        w = RunningProxy(make_config(discovery.port, [backend.row("b")]), discovery)
         await w.start()
         await until(lambda: w.proxy.watch.up)
         client = await Client.to(w.port)
-        assert await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
+        assert await client.send_raw(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
         assert await client.status() == 200
         await until(lambda: len(discovery.calls) == 2)  # it keeps asking
@@ -224,11 +224,11 @@
         discovery = await scripted_registry()
         port = discovery.port
         await discovery.stop()
-        w = World(make_config(port, [row("b", 1)]), discovery)
+        w = RunningProxy(make_config(port, [row("b", 1)]), discovery)
         await w.start()
         await until(lambda: w.proxy.watch.failures >= 2)
         client = await Client.to(w.port)
-        assert await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
+        assert await client.send_raw(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
         assert w.running is not None
         w.running.cancel()
 
@@ -238,7 +238,7 @@
 def test_a_module_that_asks_for_watches_is_told_of_failures() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
-        w = World(make_config(discovery.port, [row("b", 1)], discovery="ask"), discovery)
+        w = RunningProxy(make_config(discovery.port, [row("b", 1)], discovery="ask"), discovery)
         await w.start()
         assert discovery.calls == []
         w.proxy.driver._perform(api.WatchEndpoints())
@@ -260,7 +260,7 @@
     run(main())
 
 
-async def wait_for_move(w: World, discovery: Registry) -> None:
+async def wait_for_move(w: RunningProxy, discovery: Registry) -> None:
     """Waits until the watch has moved to `discovery`: it asks for the full list, then for changes."""
     await until(lambda: len(discovery.calls) >= 2)
     assert discovery.calls[0] == b"GET /registry/instances HTTP/1.1"
@@ -271,7 +271,7 @@
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             await until(lambda: len(w.discovery.calls) == 2)
             client = await Client.to(w.port)
             client.send()
@@ -305,7 +305,7 @@
 def test_a_watch_moved_repeatedly_ends_at_the_last_address() -> None:
     async def main() -> None:
         first, last = await scripted_registry(), await scripted_registry()
-        async with world([row("b", 1)]) as w:
+        async with running_proxy([row("b", 1)]) as w:
             for _ in range(5):  # each while the previous connection is being set up
                 w.proxy.watch.move(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
@@ -329,7 +329,7 @@
         other = await scripted_registry()
         port = other.port
         await other.stop()
-        async with world([row("b", 1)]) as w:
+        async with running_proxy([row("b", 1)]) as w:
             w.proxy.watch.move(("127.0.0.1", port))
             await until(lambda: w.proxy.watch.failures >= 2)
             assert w.proxy.watch.up
@@ -348,7 +348,7 @@
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             await soon(backend.request_received.wait())
@@ -377,7 +377,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             whole = w.discovery._body(2, (row("other", 1),), reset=True)
             calls = len(w.discovery.calls)
             before = set(w.discovery.connections)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -10,7 +10,7 @@
 from honeywharf.codecs import http1
 from honeywharf.http import front as downstream
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, reply, run, soon, until, world
+from tests.loopback import Backend, Client, reply, run, running_proxy, soon, until
 
 HEAD = b"X-Correlation-Id: abc\r\nX-Service-Class: read\r\nX-Time-Left: 900m\r\n"
 ORDER, PAY = HEAD.replace(b"read", b"order"), HEAD.replace(b"read", b"pay")
@@ -44,9 +44,9 @@
 def test_invalid_requests_are_answered_by_the_proxy_and_not_forwarded(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
-            assert await client.ask(raw) == status
+            assert await client.send_raw(raw) == status
             assert await client.closed()
             assert backend.requests == []
             other = await Client.to(w.port)  # other clients are served
@@ -61,9 +61,9 @@
 def test_an_unknown_path_is_not_found_and_the_connection_stays(path: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
-            assert await client.ask(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
+            assert await client.send_raw(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
             client.send()
             assert await client.status() == 200
         await backend.stop()
@@ -75,7 +75,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"one"), reply(200, b"two"), reply(200, b"three")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             names = [client.send() for _ in range(3)]
             assert [(await client.answer())[2] for _ in names] == [b"one", b"two", b"three"]
@@ -90,7 +90,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client, other = await Client.to(w.port), await Client.to(w.port)
             for k in range(number):
                 client.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"abc", b"abc%d" % k) + b"\r\n")
@@ -121,7 +121,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(raw)
             assert await client.status() >= 400
@@ -137,7 +137,7 @@
 def test_a_last_response_arrives_despite_bytes_after_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", "Connection: close")
             client.writer.write(b"x" * 100_000)
@@ -155,7 +155,7 @@
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
     async def main() -> None:
-        async with world([]) as w:
+        async with running_proxy([]) as w:
             client = await Client.to(w.port)
             client.writer.write(sent)
             await soon(client.reader.read())  # returns when it is closed
@@ -169,7 +169,7 @@
 def test_a_huge_time_left_is_limited_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "999999999999m")
             assert await client.status() == 200
@@ -186,7 +186,7 @@
 def test_a_valid_request_is_answered_before_the_malformed_one_after_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             client.writer.write(b"nonsense\r\n\r\n")
@@ -201,7 +201,7 @@
 def test_expect_100_continue_is_answered() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n"
@@ -222,7 +222,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")], bounds={"openCap": 1}) as w:
+        async with running_proxy([backend.row("b")], bounds={"openCap": 1}) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send()
             await soon(backend.request_received.wait())
@@ -238,11 +238,11 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
             await soon(backend.request_received.wait())
-            assert await second.ask(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
+            assert await second.send_raw(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
             for writer in list(backend.writers):
                 writer.write(reply())
             assert await first.status() == 200
@@ -258,7 +258,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             w.proxy.front.max_connections = 3
             idle, busy = await Client.to(w.port), await Client.to(w.port)
             idle.send()
@@ -298,11 +298,11 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             idle, slow = await Client.to(w.port), await Client.to(w.port)
             idle.send()
             assert await idle.status() == 200
-            assert await slow.ask(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
+            assert await slow.send_raw(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
             assert await slow.closed()
             idle.send()  # an idle one stays open
             assert await idle.status() == 200
@@ -315,15 +315,15 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             busy, idle = await Client.to(w.port), await Client.to(w.port)
-            assert await idle.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
+            assert await idle.send_raw(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             busy.send()
             await soon(backend.request_received.wait())
             w.proxy.drain()
             assert await idle.closed()
             late = await Client.to(w.port)  # clients still connect for a moment
-            assert await late.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
+            assert await late.send_raw(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
             assert await late.closed()
             late = await Client.to(w.port)
             late.send()
@@ -347,7 +347,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay")
             await soon(backend.request_received.wait())
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, run, until, world
+from tests.loopback import Backend, Client, run, running_proxy, until
 
 O = api.Outcome  # noqa: E741
 
@@ -14,7 +14,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.reply_delay_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
             for _ in range(30):
@@ -43,7 +43,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.reply_delay_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
             for _ in range(30):
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, reply, run, world
+from tests.loopback import Backend, Client, reply, run, running_proxy
 
 ANSWER_S = 0.25  # the backends' answer time, which is far longer than the short deadline
 SHORT_DEADLINE = "70m"
@@ -17,7 +17,9 @@
 
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
-        async with world([b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}) as w:
+        async with running_proxy(
+            [b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+        ) as w:
             balancer = w.proxy.balancer
             client = await Client.to(w.port)
             for backend in backends:
@@ -49,7 +51,9 @@
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
         backends[0].default_reply = reply(500)
-        async with world([b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}) as w:
+        async with running_proxy(
+            [b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+        ) as w:
             client = await Client.to(w.port)
             for _ in range(60):
                 client.send()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 from honeywharf.http import backend as upstream
 from honeywharf.http.backend import Pool
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, reply, row, run, soon, until, world
+from tests.loopback import Backend, Client, reply, row, run, running_proxy, soon, until
 
 O = api.Outcome  # noqa: E741
 
@@ -51,7 +51,7 @@
         backend = await Backend().start()
         cut = isinstance(step, bytes) and outcome is O.RESET
         backend.script = [step]
-        async with world([backend.row("b")], bounds={"mostTries": 1}) as w:
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 1}) as w:
             client = await Client.to(w.port)
             client.send("pay")
             await soon(backend.request_received.wait())
@@ -76,7 +76,7 @@
     async def main() -> None:
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))  # bound but not listening
-            async with world([row("b", taken.getsockname()[1])]) as w:
+            async with running_proxy([row("b", taken.getsockname()[1])]) as w:
                 client = await Client.to(w.port)
                 client.send("pay")
                 assert await client.status() == 503
@@ -96,7 +96,7 @@
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
                 fillers.append(filler)
-            async with world([row("b", listener.getsockname()[1])], bounds={"mostTries": 1}) as w:
+            async with running_proxy([row("b", listener.getsockname()[1])], bounds={"mostTries": 1}) as w:
                 client = await Client.to(w.port)
                 client.send("pay")
                 assert await client.status() == 503
@@ -155,7 +155,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay", left="300m")
             assert await client.status() == 502
@@ -171,7 +171,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = reply(200, bytes(range(256)) * 256)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             body = bytes(reversed(range(256))) * 256
             name = client.send("order", body, "4000m", "X-Account: acme", "Cookie: sid=7")
@@ -194,7 +194,7 @@
 def test_connections_are_reused_for_one_request_at_a_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             for _ in range(5):
                 client.send()
@@ -215,7 +215,7 @@
 def test_an_idle_connection_that_ends_or_gets_stray_bytes_is_not_reused(stray: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
@@ -237,7 +237,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"x", b"Connection: close"), reply(200, b"y")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             for number in (1, 2):
                 client.send()
@@ -251,7 +251,9 @@
 def test_a_connection_is_closed_before_the_idle_time_of_the_settings() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], bounds={"connIdleMs": 800.0}) as w:  # 50 ms short of the margin
+        async with running_proxy(
+            [backend.row("b")], bounds={"connIdleMs": 800.0}
+        ) as w:  # 50 ms short of the margin
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 200
@@ -268,7 +270,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("pay")
             await soon(backend.request_received.wait())
@@ -315,7 +317,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"pending=4,busy_reqs=5")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             w.proxy.driver._perform(api.Probe("b"))
             await until(lambda: any(isinstance(e, api.ProbeEnded) for e in w.events))
             (event,) = [e for e in w.events if isinstance(e, api.ProbeEnded)]
@@ -334,7 +336,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort"]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("order")
             assert await client.status() == 200
@@ -378,7 +380,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = [reply(200, b"one") + reply(200, b"copy"), reply(200, b"two")]
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             for body in (b"one", b"two"):
                 client.send()
@@ -441,7 +443,7 @@
         backend.default_reply = None
         body = os.urandom(400_000)
         whole = reply(200, body)
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             await soon(backend.request_received.wait())
@@ -465,7 +467,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")], bounds={"mostTries": 1}) as w:
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 1}) as w:
             client = await Client.to(w.port)
             client.send("pay")
             await soon(backend.request_received.wait())
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -22,7 +22,7 @@
 from honeywharf.traces.delivery import BATCH, BATCH_MS, MAX_MS, Answer, Delivery
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import WaitSpan
-from tests.loopback import Backend, Client, World, run, until, world
+from tests.loopback import Backend, Client, RunningProxy, run, running_proxy, until
 from tests.traces.model import attempt, hop
 
 
@@ -31,7 +31,7 @@
     return Features(traces=Traces(rate=1e-9, otlp=told))
 
 
-def exporter(w: World) -> otlp.Collector:
+def exporter(w: RunningProxy) -> otlp.Collector:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (made,) = part.exporters
     assert isinstance(made, otlp.Collector)
@@ -168,7 +168,7 @@
     assert otlp.decoded(200, headers, body) == answer
 
 
-async def failed(w: World, backend: Backend, number: int) -> float:
+async def failed(w: RunningProxy, backend: Backend, number: int) -> float:
     """So many failing requests, one after the other; the longest time of one, ms."""
     client, longest = await Client.to(w.port), 0.0
     backend.script += [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"] * number
@@ -184,7 +184,7 @@
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         collector.script = [503, (429, 1), ("two of them", 2)]
-        async with world([backend.row("b")], on(collector)) as w:
+        async with running_proxy([backend.row("b")], on(collector)) as w:
             await failed(w, backend, 1)
             made = exporter(w)
             await until(lambda: made.sent == 1)
@@ -227,7 +227,7 @@
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         await collector.stop()
-        async with world([backend.row("b")], on(collector, queued=2)) as w:
+        async with running_proxy([backend.row("b")], on(collector, queued=2)) as w:
             made = exporter(w)
             backend.default_reply = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
             client = await Client.to(w.port)
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -21,7 +21,7 @@
 from honeywharf.traces.notes import BATCH_MS, MAX_IDS, MAX_WAITING, TIMES, Notes
 from honeywharf.traces.queue import MAX_QUEUED
 from honeywharf.traces.spool import Spool
-from tests.loopback import Backend, Client, World, reply, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, run, running_proxy, soon, until
 
 PARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 ID = PARENT[3:35]
@@ -31,14 +31,14 @@
     return Features(traces=Traces(file=str(path), **{"rate": 1e-9, **changes}))
 
 
-def spool_of(w: World) -> Spool:
+def spool_of(w: RunningProxy) -> Spool:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     return spool
 
 
-async def kept(w: World, number: int) -> list[dict[str, Any]]:
+async def kept(w: RunningProxy, number: int) -> list[dict[str, Any]]:
     """The traces in the file, once so many are written."""
     spool = spool_of(w)
     await until(lambda: spool.written >= number)
@@ -49,7 +49,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = ["close"]  # unanswered, then as ever
-        async with world([backend.row("b1"), backend.row("b2")], on(tmp_path / "t")) as w:
+        async with running_proxy([backend.row("b1"), backend.row("b2")], on(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             name = client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: other=1")
             first, headers, _ = await client.answer()
@@ -90,7 +90,7 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", *lines)
             assert await client.status() == 200
@@ -107,7 +107,7 @@
 def test_what_a_hop_below_keeps_is_kept_and_a_client_can_force_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t")) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             for below in (0, 1):
                 parent = PARENT.replace("0af7", f"0af{below}")
@@ -128,7 +128,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=rate)) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "t", rate=rate)) as w:
 
             async def ask(tenant: str, lines: Callable[[int], tuple[str, ...]]) -> None:
                 client = await Client.to(w.port)
@@ -188,7 +188,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = on(tmp_path / "t", trust=trust)
-        async with world([backend.row("b")], features, tier=tier, tiers=["t", "u"]) as w:
+        async with running_proxy([backend.row("b")], features, tier=tier, tiers=["t", "u"]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: ot=rv:ffffffffffffff")
             assert await client.status() == 200
@@ -204,7 +204,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = on(tmp_path / "t", keep='tenant = "acme" and duration >= 0 ms')
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             for code, tenant, status in ((200, "other", 200), (500, "other", 502), (200, "acme", 200)):
                 backend.script.append(reply(code))
@@ -225,7 +225,7 @@
 def test_where_it_is_off_nothing_of_it_is_on_the_wire_or_in_memory() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}")
             first, headers, _ = await client.answer()
@@ -279,7 +279,7 @@
 def test_a_disk_that_refuses_costs_no_request_and_what_is_lost_is_counted(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "t", rate=1.0)) as w:
             client, spool = await Client.to(w.port), spool_of(w)
             spool.path = tmp_path / "not there" / "t"
             for _ in range(3):
@@ -336,7 +336,7 @@
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
-def part_of(w: World) -> tuple[TracesPart, Line]:
+def part_of(w: RunningProxy) -> tuple[TracesPart, Line]:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     assert part.line is not None
     return part, part.line
@@ -359,8 +359,8 @@
             on(tmp_path / "a", notes="127.0.0.1:0", keep="duration >= 0 ms"),
         )
         async with (
-            world([backend.row("n")], lower) as b,
-            world([{**backend.row("b"), "hostPort": f"127.0.0.1:{b.port}"}], upper) as a,
+            running_proxy([backend.row("n")], lower) as b,
+            running_proxy([{**backend.row("b"), "hostPort": f"127.0.0.1:{b.port}"}], upper) as a,
         ):
             (above, up), (below, down) = part_of(a), part_of(b)
             up.peers, down.peers = frozenset({below.at}) if told else frozenset(), frozenset({above.at})
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -17,7 +17,7 @@
 from honeywharf.traces.spans import HopTrace
 from tests.coap.test_backend import Node
 from tests.coap.test_front import Unit, request_options
-from tests.loopback import Backend, Client, World, reply, row, run, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, row, run, running_proxy, until
 from tests.orderkeys.shared import sharing
 
 PARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
@@ -28,7 +28,7 @@
     return Features(traces=Traces(file=str(path), rate=1.0), **more)
 
 
-async def kept(w: World, number: int) -> list[dict[str, Any]]:
+async def kept(w: RunningProxy, number: int) -> list[dict[str, Any]]:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesPart)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
@@ -47,7 +47,7 @@
         backend = await Backend().start()
         backend.default_reply = None
         features = on(tmp_path / "t", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", key="k")
             await until(lambda: bool(backend.requests))
@@ -84,7 +84,7 @@
         backend = await Backend().start()
         backend.script = [None]  # the first is never answered
         features = on(tmp_path / "t", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", "300m", key="k")
             await until(lambda: bool(backend.requests))
@@ -135,7 +135,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = on(tmp_path / "t", coap=Coap(listen="127.0.0.1:0"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             front = next(p for p in w.proxy.components if isinstance(p, CoapPart)).front
             assert front is not None
             await until(lambda: front.transport is not None)
@@ -170,7 +170,7 @@
     async def main() -> None:
         node = await Node().start()
         features = Features(traces=Traces(file=str(tmp_path / "t"), rate=1e-9), coap=Coap(nodes=True))
-        async with world([row("c0", node.port, cell=0, scheme="coap")], features) as w:
+        async with running_proxy([row("c0", node.port, cell=0, scheme="coap")], features) as w:
             client = await Client.to(w.port)
             node.response_options = [
                 (options.TRACE_RESPONSE, options.trace_context_bytes(f"00-{ID}-{'1' * 16}-01".encode()))
@@ -206,7 +206,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_reply = None
-        async with world([backend.row("b")], on(tmp_path / "t"), bounds={"openCap": 1}) as w:
+        async with running_proxy([backend.row("b")], on(tmp_path / "t"), bounds={"openCap": 1}) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send("read", b"", "500m")
             await until(lambda: bool(backend.requests))
