--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -22,7 +22,7 @@
 from honeywharf.config.features import Admin, Features
 from honeywharf.policy import interface as api
 from tests.helpers import Driver, endpoint, make_settings
-from tests.loopback import Backend, Client, run, soon, until, world
+from tests.loopback import Backend, Client, run, running_proxy, soon, until
 
 
 def test_each_server_is_shown_with_the_reason_and_end_of_its_ejection() -> None:
@@ -86,7 +86,7 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], admin_features(tmp_path / "s")) as w:
+        async with running_proxy([backend.row("b")], admin_features(tmp_path / "s")) as w:
             answer = await send_frame(tmp_path / "s", sent)
             assert message in answer.fault
             assert w.proxy.front.ready()
@@ -123,7 +123,9 @@
 def test_the_commands_show_a_running_proxy_and_drain_it(tmp_path: Path) -> None:
     async def main() -> None:
         backend, socket_path = await Backend().start(), str(tmp_path / "s")
-        async with world([backend.row("b1"), backend.row("b2", "y")], admin_features(tmp_path / "s")) as w:
+        async with running_proxy(
+            [backend.row("b1"), backend.row("b2", "y")], admin_features(tmp_path / "s")
+        ) as w:
             assert os.stat(socket_path).st_mode & 0o777 == 0o600
             client = await Client.to(w.port)
             client.send()
@@ -157,7 +159,7 @@
 def test_connections_over_the_limit_are_closed_and_idle_ones_cost_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], admin_features(tmp_path / "s")) as w:
+        async with running_proxy([backend.row("b")], admin_features(tmp_path / "s")) as w:
             (part,) = [p for p in w.proxy.components if isinstance(p, AdminPart)]
             silent = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(MAX_CONNECTIONS)]
             await until(lambda: part.open_connections == MAX_CONNECTIONS)
@@ -181,7 +183,7 @@
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(str(path))
         backend = await Backend().start()
-        async with world([backend.row("b")], admin_features(path)) as w:
+        async with running_proxy([backend.row("b")], admin_features(path)) as w:
             answer = await send_frame(path, protocol.encode_frame(protocol.Request("endpoints")))
             assert msgspec.to_builtins(answer.data)["number"] == 1
             (first,) = w.proxy.components
--- a/tests/admin/test_operator_commands.py
+++ b/tests/admin/test_operator_commands.py
@@ -26,7 +26,7 @@
 from honeywharf.metrics.families import Families, exposition_text
 from honeywharf.orderkeys import OrderKeysComponent
 from tests.admin.test_admin import run_command
-from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, until, world
+from tests.loopback import SETTINGS, Backend, Client, make_config, reply, run, running_proxy, until
 from tests.orderkeys.shared import sharing
 
 ROOT = Path(__file__).parent.parent.parent
@@ -50,7 +50,7 @@
         conf = tmp_path / "node.json"
         conf.write_text(json.dumps(node))
         features = of_features.load(file)
-        async with world([], features) as w:
+        async with running_proxy([], features) as w:
             w.proxy.environ = {"NODE_CONFIG": str(conf), "HONEYWHARF_FEATURES": str(file)}
             w.proxy.conf = of_node.load(w.proxy.environ)
             status, output = await run_command("config", "show", "--socket", socket_path, "--json")
@@ -115,9 +115,9 @@
     async def main() -> None:
         backend, socket_path = await Backend().start(), str(tmp_path / "s")
         features = admin_features(tmp_path / "s", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
-            backend.then = None
+            backend.default_reply = None
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             await until(lambda: bool(backend.requests))
             key_arguments = ("--socket", socket_path, "--tenant", "acme")
@@ -144,7 +144,7 @@
                 "keys", "show", "k1", "--socket", socket_path, "--class", "read"
             )
             assert (status, "found class 'read', wanted one of order" in output) == (1, True)
-            backend.then = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo"
+            backend.default_reply = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo"
             client.send("order", b"x", "4000m", "X-Account: acme", key="k1")
             assert (await client.answer())[2] == b"two"  # The request was executed again.
         await backend.stop()
@@ -196,7 +196,7 @@
             metrics=Metrics(listen="127.0.0.1:0"),
             traces=Traces(file=str(tmp_path / "t"), rate=1e-9),
         )
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             backend.script += [reply()] * 5 + [reply(500)]
             for _ in range(6):
@@ -240,7 +240,7 @@
 def test_metrics_are_not_served_to_the_network(tmp_path: Path) -> None:
     async def main() -> None:
         with pytest.raises(ValueError, match=r"metrics\.listen: found '0\.0\.0\.0:1', wanted a loopback"):
-            async with world([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
+            async with running_proxy([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
                 pass
 
     run(main())
--- a/tests/coap/test_backend.py
+++ b/tests/coap/test_backend.py
@@ -17,7 +17,7 @@
 from honeywharf.core.transport_router import TransportRouter
 from honeywharf.policy import interface as api
 from honeywharf.standins.messages import row
-from tests.loopback import Backend, Client as HttpClient, World, run, until, world
+from tests.loopback import Backend, Client as HttpClient, RunningProxy, run, running_proxy, until
 
 O = api.Outcome  # noqa: E741
 COAP_ON = Features(coap=Coap(nodes=True, nstart=16))
@@ -113,17 +113,19 @@
     number: int = 1,
     features: Features = COAP_ON,
     **changes: object,
-) -> AsyncIterator[tuple[World, list[Node]]]:
+) -> AsyncIterator[tuple[RunningProxy, list[Node]]]:
     coap_nodes = [await Node().start() for _ in range(number)]
     rows = [row(f"c{i}", n.port, cell=i, scheme="coap") for i, n in enumerate(coap_nodes)]
-    async with world(rows, features, **changes) as w:
+    async with running_proxy(rows, features, **changes) as w:
         yield w, coap_nodes
         await until(lambda: not w.proxy.driver.requests)
     for node in coap_nodes:
         node.stop()
 
 
-async def pay(w: World, left: str = "4000m", body: bytes = b"x", kind: str = "pay") -> tuple[int, bytes]:
+async def pay(
+    w: RunningProxy, left: str = "4000m", body: bytes = b"x", kind: str = "pay"
+) -> tuple[int, bytes]:
     caller = await HttpClient.to(w.port)
     caller.send(kind, body, left, "X-Account: acme", key="k" if kind == "order" else "")
     first, _, answer = await caller.answer()
@@ -206,7 +208,9 @@
             for _ in range(12):
                 assert (await pay(w))[0] == 200
             assert all(n.bodies for n in coap_nodes)
-            w.discovery.tell(2, row("c0", coap_nodes[0].port, "z", "draining", cell=0, scheme="coap"))
+            w.discovery.script_answer(
+                2, row("c0", coap_nodes[0].port, "z", "draining", cell=0, scheme="coap")
+            )
             servers = w.proxy.balancer.endpoints.servers
             await until(lambda: servers["c0"].endpoint.state is api.EndpointState.DRAINING)
             before = len(coap_nodes[0].got)
@@ -231,10 +235,10 @@
     async def main() -> None:
         http, node = await Backend().start(), await Node().start()
         rows = [http.row("h", cell=1), row("c", node.port, cell=2, scheme="coap")]
-        async with world(rows, Features()) as w:
+        async with running_proxy(rows, Features()) as w:
             assert list(w.proxy.balancer.endpoints.servers) == ["h"]
             assert (await pay(w))[0] == 200
-        async with world(rows, COAP_ON) as w:
+        async with running_proxy(rows, COAP_ON) as w:
             for _ in range(12):
                 assert (await pay(w))[0] == 200
             assert http.requests
@@ -415,7 +419,7 @@
         cold = {"coldShare": 0.2, "warmAfterMs": 60_000.0}
         async with nodes(5, contract=cold, profiles=quick) as (w, coap_nodes):
             fresh = row("c0", coap_nodes[0].port, cell=0, scheme="coap", startedAtMs=int(w.proxy.clock.now()))
-            w.discovery.tell(2, fresh)
+            w.discovery.script_answer(2, fresh)
             (part,) = [p for p in w.proxy.components if isinstance(p, CoapPart)]
             await until(lambda: part.counts()["coap:node starts"] == 1)
             before = [len(n.got) for n in coap_nodes]
--- a/tests/config/test_reloading.py
+++ b/tests/config/test_reloading.py
@@ -14,7 +14,7 @@
 from honeywharf.config import node, reloading
 from honeywharf.policy import interface as api
 from tests.helpers import KEYED, REPEATABLE, Driver, endpoint, make_settings
-from tests.loopback import SETTINGS, Backend, Client, reply, row, run, soon, until, world
+from tests.loopback import SETTINGS, Backend, Client, reply, row, run, running_proxy, soon, until
 
 VALID: dict[str, Any] = {
     "name": "n",
@@ -178,8 +178,8 @@
 def test_a_reload_by_a_running_proxy(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
+        backend.default_reply = None
+        async with running_proxy([backend.row("b")]) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
             good = {**VALID, "discovery": f"127.0.0.1:{w.discovery.port}"}
@@ -191,7 +191,7 @@
 
             client, other = await Client.to(w.port), await Client.to(w.port)
             client.send("read")
-            await soon(backend.came.wait())
+            await soon(backend.request_received.wait())
             read, order, pay = SETTINGS["profiles"]
             reload(profiles=[{**read, "deadlineMs": 0}, order, pay])
             assert w.proxy.driver.validator.classes["read"].deadline_ms == 5000.0  # Rejected completely.
@@ -208,7 +208,7 @@
                 writer.write(reply(200, b"tile"))
             assert (await client.answer())[2] == b"tile"  # A pending request keeps its class.
             reload(profiles=[{**read, "idempotency": "once"}, order, pay])
-            backend.then = reply(200, b"tile")
+            backend.default_reply = reply(200, b"tile")
             client.send("read")  # The client's method is that of the former class.
             assert await client.status() == 200
             reload(
@@ -227,7 +227,7 @@
 
     async def main() -> None:
         short = [{**c, "aimMs": 20.0, "deadlineMs": 60.0} for c in SETTINGS["profiles"]]
-        async with world([row("b", 1)], profiles=short) as w:
+        async with running_proxy([row("b", 1)], profiles=short) as w:
             file = tmp_path / "config.json"
             w.proxy.environ = {"NODE_CONFIG": str(file)}
             good = {
--- a/tests/handover/test_sockets.py
+++ b/tests/handover/test_sockets.py
@@ -17,7 +17,7 @@
 from honeywharf.handover.frames import Kind
 from honeywharf.http import front
 from honeywharf.standins import node
-from honeywharf.standins.platform import Load, Platform, say
+from honeywharf.standins.platform import Load, Platform, send_command
 from honeywharf.standins.registry import Registry
 from tests.loopback import Backend, reply, run, soon, until
 
@@ -35,11 +35,11 @@
 async def running_platform(folder: Path, **changes: Any) -> AsyncIterator[tuple[Platform, Backend, Backend]]:
     """Runs a platform with one proxy process in service and two backends."""
     first, second = await Backend().start(), await Backend().start()
-    first.then = second.then = reply(200, b"tile")
+    first.default_reply = second.default_reply = reply(200, b"tile")
     registry = await Registry().start()
     await registry.put(first.row("first"), second.row("second"))
     proxy_configuration = node.configuration(node.settings([ORDER], **changes), registry.port)
-    platform = Platform(folder, proxy_configuration, slack_s=30.0)
+    platform = Platform(folder, proxy_configuration, extra_time_s=30.0)
     try:
         await platform.start()
         yield platform, first, second
@@ -83,7 +83,7 @@
                     writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     assert (await soon(reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 200 ")
             await load.end()
-            assert set(load.met) == {"200"}, platform.words()
+            assert set(load.outcomes) == {"200"}, platform.log_text()
             for _, writer in idle_connections:
                 writer.close()
 
@@ -93,36 +93,40 @@
 def test_bans_and_evacuation_survive_an_upgrade_and_reach_both_processes(tmp_path: Path) -> None:
     async def main() -> None:
         async with running_platform(tmp_path) as (platform, first, second):
-            assert (await say(platform.operator, "exclude first")) == "OK first is out"
+            assert (await send_command(platform.operator, "exclude first")) == "OK first is out"
             old = platform.processes[0]
             await platform.start()
-            assert (await say(platform.operator, "exclude first")) == "OK first was out already"
-            assert (await say(platform.before, "include first")) == "OK first is used again"
-            assert (await say(platform.operator, "exclude second")) == "OK second is out"
+            assert (await send_command(platform.operator, "exclude first")) == "OK first was out already"
+            assert (
+                await send_command(platform.previous_operator, "include first")
+            ) == "OK first is used again"
+            assert (await send_command(platform.operator, "exclude second")) == "OK second is out"
             # Each process learns of the commands to the other one.
-            for port in (platform.before, platform.operator):
+            for port in (platform.previous_operator, platform.operator):
 
                 async def reports_the_ban(port: int = port) -> None:
-                    while (await say(port, "exclude second")) != "OK second was out already":
+                    while (await send_command(port, "exclude second")) != "OK second was out already":
                         pass
 
                 await soon(reports_the_ban())
-            assert (await say(platform.operator, "evacuate")).startswith("OK e")
-            while not (await say(platform.before, "readyz")).startswith("ERR not ready: e"):
+            assert (await send_command(platform.operator, "evacuate")).startswith("OK e")
+            while not (await send_command(platform.previous_operator, "readyz")).startswith(
+                "ERR not ready: e"
+            ):
                 await asyncio.sleep(0.01)
-            assert (await say(platform.before, "activate")) == "OK ready"
-            while not (await say(platform.operator, "readyz")).startswith("OK"):
+            assert (await send_command(platform.previous_operator, "activate")) == "OK ready"
+            while not (await send_command(platform.operator, "readyz")).startswith("OK"):
                 await asyncio.sleep(0.01)
             old.send_signal(signal.SIGTERM)
             await soon(old.wait())
             platform.processes.remove(old)
             load = Load(platform.port, 100.0, 4)
             load.begin()
-            await until(lambda: load.met["200"] > 20)
-            assert (await say(platform.operator, "evacuate")).startswith("OK e")
+            await until(lambda: load.outcomes["200"] > 20)
+            assert (await send_command(platform.operator, "evacuate")).startswith("OK e")
             await load.end()
             await platform.start("ERR not ready: e")  # The evacuation also applies to the new process.
-            assert (await say(platform.operator, "readyz")).startswith("ERR not ready")
+            assert (await send_command(platform.operator, "readyz")).startswith("ERR not ready")
             assert not second.requests
             assert first.requests
 
@@ -134,7 +138,7 @@
 def test_a_handover_that_fails_at_any_process_leaves_the_service_running(tmp_path: Path, how: str) -> None:
     async def main() -> None:
         async with running_platform(tmp_path) as (platform, _, second):
-            assert (await say(platform.operator, "exclude second")) == "OK second is out"
+            assert (await send_command(platform.operator, "exclude second")) == "OK second is out"
             old = platform.processes[0]
             if how == "kill the old":
                 await platform.start()
@@ -145,7 +149,7 @@
                 await soon(new.wait())
                 platform.processes.remove(new)
                 # The old process stays in service.
-                assert (await say(platform.before, "readyz")) == "OK ready"
+                assert (await send_command(platform.previous_operator, "readyz")) == "OK ready"
                 await platform.replace(2.0)
             elif how == "the old hangs":
                 old.send_signal(signal.SIGSTOP)
@@ -158,9 +162,9 @@
                 assert await soon(old.wait()) == 0
             load = Load(platform.port, 100.0, 4)
             load.begin()
-            await until(lambda: load.met["200"] > 20)
+            await until(lambda: load.outcomes["200"] > 20)
             await load.end()
-            assert set(load.met) == {"200"}, platform.words()
+            assert set(load.outcomes) == {"200"}, platform.log_text()
             assert not second.requests  # The ban survives every failure.
 
     run(main())
@@ -174,7 +178,7 @@
             with pytest.raises(RuntimeError, match="ended with 2"):
                 await platform.start()
             platform.configuration = good
-            assert (await say(platform.before, "readyz")) == "OK ready"
+            assert (await send_command(platform.previous_operator, "readyz")) == "OK ready"
 
     run(main())
 
--- a/tests/lab/test_histories.py
+++ b/tests/lab/test_histories.py
@@ -7,7 +7,7 @@
 import pytest
 
 from honeywharf.lab.histories import LOST, History
-from honeywharf.standins.units import GAVE_UP
+from honeywharf.standins.units import GIVEN_UP
 
 KEPT = 1000.0
 
@@ -125,7 +125,7 @@
 ) -> None:
     h = good()
     h.requested("d", "two", 7.0, False)
-    h.answered("d", 100.0, GAVE_UP, late_ms=late_ms)
+    h.answered("d", 100.0, GIVEN_UP, late_ms=late_ms)
     h.requested("e", "two", 150.0, True)
     h.charged("two", "d", 160.0)
     h.answered("e", 170.0, 503)
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -12,7 +12,7 @@
 from honeywharf.policy import interface as api
 from honeywharf.standins.redis import Redis
 from honeywharf.standins.relay import Relay
-from tests.loopback import Backend, Client, World, reply, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, run, running_proxy, soon, until
 from tests.orderkeys.shared import features_on, sharing, store_available, store_of
 from tests.test_process import Process
 
@@ -27,7 +27,7 @@
         redis: Redis,
         relay: Relay,
         first: Process,
-        other: World,
+        other: RunningProxy,
         backends: list[Backend],
     ) -> None:
         self.redis, self.relay, self.first, self.other, self.backends = redis, relay, first, other, backends
@@ -47,9 +47,9 @@
 
     async def states(self) -> list[object]:
         """The state and the noted cell of all keys in Redis."""
-        names = await self.redis.ask("ZRANGE", "honeywharf:x", "0", "-1")
+        names = await self.redis.execute("ZRANGE", "honeywharf:x", "0", "-1")
         assert isinstance(names, list)
-        return [await self.redis.ask("HMGET", b"honeywharf:k:" + name, "s", "c") for name in names]
+        return [await self.redis.execute("HMGET", b"honeywharf:k:" + name, "s", "c") for name in names]
 
     def kill_first(self) -> None:
         self.first.process.kill()
@@ -85,7 +85,7 @@
         while not any("connected to the shared store" in line for line in lines):
             lines.append(await soon(asyncio.to_thread(pipe.readline)))
             assert lines[-1], "the process has ended"
-        async with world(rows, features_on(redis)) as other:
+        async with running_proxy(rows, features_on(redis)) as other:
             await until(lambda: store_available(other))
             yield KillScenario(redis, relay, process, other, backends)
     finally:
@@ -103,9 +103,10 @@
 ) -> None:
     async def main() -> None:
         async with kill_scenario(tmp_path, monkeypatch) as s:
-            s.relay.hold_back = True
+            s.relay.hold_replies = True
             client = await s.order()
-            await until(lambda: s.relay.held_back > 0)  # the claim is granted, but the proxy has no reply yet
+            # The claim is granted, but the proxy has no reply yet.
+            await until(lambda: s.relay.pending_reply_bytes > 0)
             s.kill_first()
             assert await client.closed()
             assert await s.states() == [[b"R", None]]
@@ -141,11 +142,11 @@
     async def main() -> None:
         async with kill_scenario(tmp_path, monkeypatch) as s:
             client, used = await s.unanswered_order()
-            s.relay.hold_there = True
+            s.relay.hold_requests = True
             for writer in list(s.backends[used].writers):
                 writer.write(reply(200, b"tile"))
             assert await client.status() == 200
-            await until(lambda: s.relay.held_there > 0)
+            await until(lambda: s.relay.pending_request_bytes > 0)
             s.kill_first()
             s.backends[used].script = []
             s.relay.cut()  # the report of the key's end is lost
@@ -164,10 +165,10 @@
         async with sharing(1, 1) as (redis, _, (backend,)):
             relay = await Relay(redis.port).start()
             rows = [backend.row("b0", cell=0)]
-            async with world(rows, features_on(relay)) as w:
+            async with running_proxy(rows, features_on(relay)) as w:
                 await until(lambda: store_available(w))
                 client = await Client.to(w.port)
-                relay.cut_back_after = after
+                relay.cut_after_reply_bytes = after
                 client.send("order", b"x", key="k")
                 status = await client.status()
                 assert status in ((503,) if after < 20 else (200, 503))
@@ -183,10 +184,10 @@
 def test_an_answer_after_the_lease_still_settles_a_key_that_nobody_else_has_claimed() -> None:
     async def main() -> None:
         async with sharing(1, 1, {"wait_ms": 100.0}) as (redis, (w,), (backend,)):
-            backend.then = None
+            backend.default_reply = None
             client = await Client.to(w.port)
             client.send("order", b"x", "600m", key="k")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             redis.pause()
             try:
                 for writer in list(backend.writers):
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -12,7 +12,7 @@
 from honeywharf.service import lifecycle, operator_server
 from honeywharf.service.lifecycle import State
 from honeywharf.service.operator_server import OperatorServer
-from tests.loopback import Backend, Client, World, reply, row, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, row, run, running_proxy, soon, until
 
 
 async def send_line(port: int, data: bytes, end: bool = False) -> bytes:
@@ -28,7 +28,7 @@
 
 
 @asynccontextmanager
-async def operator_listener(w: World) -> AsyncIterator[int]:
+async def operator_listener(w: RunningProxy) -> AsyncIterator[int]:
     """Runs an operators' listener for a proxy; yields its port."""
     made = OperatorServer(asyncio.get_running_loop(), w.proxy.controller.execute)
     _, port = await made.listen(("127.0.0.1", 0))
@@ -40,9 +40,9 @@
 def test_the_commands_and_their_replies() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = reply(200, b"tile")
+        backend.default_reply = reply(200, b"tile")
         async with (
-            world([backend.row("b")], contract={"warmAfterMs": 0.0}) as w,
+            running_proxy([backend.row("b")], contract={"warmAfterMs": 0.0}) as w,
             operator_listener(w) as port,
         ):
             assert await send_line(port, b"readyz\n") == b"OK ready\n"
@@ -54,14 +54,14 @@
             client = await Client.to(w.port)
             client.send()
             assert await client.status() == 503  # All backends are banned.
-            w.discovery.tell(2, backend.row("b", startedAtMs=99))  # A restart does not lift the ban.
+            w.discovery.script_answer(2, backend.row("b", startedAtMs=99))  # A restart does not lift the ban.
             await until(lambda: w.proxy.directory.generation == 2)
             client.send()
             assert await client.status() == 503
             assert await send_line(port, b"include b\n") == b"OK b is used again\n"
             client.send()
             assert await client.status() == 200
-            w.discovery.tell(3, row("b", 1, lifecycle="removed"))
+            w.discovery.script_answer(3, row("b", 1, lifecycle="removed"))
             await until(lambda: "b" not in w.proxy.directory.rows)
             assert (
                 await send_line(port, b"exclude b\n") == b"OK b is out\n"
@@ -79,8 +79,8 @@
 def test_a_ban_closes_idle_connections_and_completes_calls_in_flight() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
-        one.then = two.then = None
-        async with world([one.row("one"), two.row("two")]) as w, operator_listener(w) as port:
+        one.default_reply = two.default_reply = None
+        async with running_proxy([one.row("one"), two.row("two")]) as w, operator_listener(w) as port:
             clients = [await Client.to(w.port) for _ in range(2)]
             for client in clients:
                 client.send("pay")
@@ -91,7 +91,7 @@
             before = len(held.requests)
             for writer in list(held.writers):
                 writer.write(reply(200, b"done"))  # A call that was in flight at the ban is completed.
-            other.then = reply(200, b"other")
+            other.default_reply = reply(200, b"other")
             for writer in list(other.writers):
                 writer.write(reply(200, b"other"))
             for client in clients:
@@ -120,7 +120,7 @@
                 plug.setblocking(False)
                 plug.connect_ex(full.getsockname())
                 plugs.append(plug)
-            async with world([row("slow", full.getsockname()[1])]) as w, operator_listener(w) as port:
+            async with running_proxy([row("slow", full.getsockname()[1])]) as w, operator_listener(w) as port:
                 client = await Client.to(w.port)
                 client.send("pay")
                 await until(lambda: w.proxy.pool.count == 1)
@@ -154,8 +154,8 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w, operator_listener(w) as port:
-            backend.then = reply(200, b"tile")
+        async with running_proxy([backend.row("b")]) as w, operator_listener(w) as port:
+            backend.default_reply = reply(200, b"tile")
             active_client, idle_client = await Client.to(w.port), await Client.to(w.port)
             for client in (active_client, idle_client):
                 client.send()
@@ -164,14 +164,14 @@
             partial_client.writer.write(b"POST /api HTTP/1.1\r\nHost: x\r\n")
             silent = await Client.to(w.port)
             await until(lambda: len(w.proxy.front.partial) == 1)
-            backend.then = None
+            backend.default_reply = None
             held = await Client.to(w.port)
             held.send()
             await until(lambda: len(backend.requests) == 3)
             assert (await send_line(port, b"evacuate\n")) == b"OK evacuating\n"
             checks = await Client.to(w.port)
-            assert await checks.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
-            backend.then = reply(200, b"tile")
+            assert await checks.send_raw(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503
+            backend.default_reply = reply(200, b"tile")
             active_client.send()  # A response closes the connection of a client that keeps sending requests.
             first, headers, _ = await active_client.answer()
             assert (first.split()[1], headers[b"connection"]) == (b"200", b"close")
@@ -189,7 +189,7 @@
             await until(lambda: w.proxy.controller.lifecycle.state is State.EMPTY)
             assert (await send_line(port, b"activate\n")) == b"OK ready\n"
             again = await Client.to(w.port)
-            assert await again.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+            assert await again.send_raw(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             again.send()
             first, headers, _ = await again.answer()
             assert first.split()[1] == b"200"
@@ -204,7 +204,7 @@
     monkeypatch.setattr(operator_server, "REQUEST_TIMEOUT_S", 0.2)
 
     async def main() -> None:
-        async with world([row("b", 1)]) as w, operator_listener(w) as port:
+        async with running_proxy([row("b", 1)]) as w, operator_listener(w) as port:
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(10)]
             for _, writer in idle[:5]:
                 writer.write(b"exc")
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, run, until, world
+from tests.loopback import Backend, Client, run, running_proxy, until
 
 O = api.Outcome  # noqa: E741
 
@@ -13,17 +13,17 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
+        backend.reply_delay_s = 0.02
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
             for _ in range(30):
                 client.send("order", b"x")
                 assert await client.status() == 200
             backend.script = [None]
-            backend.came.clear()
+            backend.request_received.clear()
             name = other.send("order", b"hangs")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             while not any(a.hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
                 assert await client.status() == 200
@@ -42,17 +42,17 @@
 def test_a_hung_call_of_an_unsafe_class_is_not_hedged() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
+        backend.reply_delay_s = 0.02
+        async with running_proxy([backend.row("b")], bounds={"mostTries": 3}) as w:
             balancer = w.proxy.balancer
             client, other = await Client.to(w.port), await Client.to(w.port)
             for _ in range(30):
                 client.send("pay", b"x")
                 assert await client.status() == 200
             backend.script = [None]
-            backend.came.clear()
+            backend.request_received.clear()
             other.send("pay", b"hangs", "1500m")
-            await until(lambda: backend.came.is_set())
+            await until(lambda: backend.request_received.is_set())
             while not any(a.hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("pay", b"x")
                 assert await client.status() == 200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 import pytest
 
 from honeywharf.config import node as config
-from tests.loopback import SETTINGS, WAIT_S, row
+from tests.loopback import SETTINGS, TIMEOUT_S, row
 
 ROOT = Path(__file__).parent.parent
 
@@ -72,7 +72,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=WAIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
     assert result.returncode == 2
@@ -113,8 +113,8 @@
         self.port = int(line.rpartition(":")[2])
 
     def connect(self) -> socket.socket:
-        connection = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
-        connection.settimeout(WAIT_S)
+        connection = socket.create_connection(("127.0.0.1", self.port), TIMEOUT_S)
+        connection.settimeout(TIMEOUT_S)
         return connection
 
     def get(self, path: str = "/health/ready") -> bytes:
@@ -134,7 +134,7 @@
     with Process(tmp_path) as proxy:
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         proxy.process.send_signal(signal.SIGTERM)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(TIMEOUT_S) == 0
 
 
 def test_too_few_descriptors_end_no_request_and_no_listener(tmp_path: Path) -> None:
@@ -153,7 +153,7 @@
         assert first.recv(4096).startswith(b"HTTP/1.1 404 ")
         for connection in connections:
             connection.close()
-        end = time.monotonic() + WAIT_S
+        end = time.monotonic() + TIMEOUT_S
         answer = b""
         while not answer:  # The listener accepts connections again once descriptors are free.
             assert time.monotonic() < end
@@ -171,14 +171,14 @@
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.settimeout(WAIT_S)
+        self.listener.settimeout(TIMEOUT_S)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def accept_request(self) -> bytes:
         """Returns the request line of the first request on the next connection."""
         connection, _ = self.listener.accept()
         with connection:
-            connection.settimeout(WAIT_S)
+            connection.settimeout(TIMEOUT_S)
             line = connection.recv(4096).split(b"\r\n")[0]
             body = b'{"generation":1,"reset":true,"instances":[]}'
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -213,6 +213,6 @@
                 pass
         proxy.process.send_signal(signal.SIGTERM)
         proxy.process.send_signal(signal.SIGHUP)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(TIMEOUT_S) == 0
     first.listener.close()
     second.listener.close()
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from honeywharf.policy import interface as api
-from tests.loopback import Backend, Client, reply, run, world
+from tests.loopback import Backend, Client, reply, run, running_proxy
 
 ANSWER_S = 0.25  # the backends' answer time, which is far longer than the short deadline
 SHORT_DEADLINE = "70m"
@@ -17,17 +17,19 @@
 
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
-        async with world([b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}) as w:
+        async with running_proxy(
+            [b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+        ) as w:
             balancer = w.proxy.balancer
             client = await Client.to(w.port)
             for backend in backends:
-                backend.pause_s = ANSWER_S
+                backend.reply_delay_s = ANSWER_S
             for _ in range(4):
                 client.send()
                 assert await client.status() == 200
             for backend in backends:
-                backend.pause_s = 0.01 if fails else ANSWER_S
-                backend.then = reply(500)
+                backend.reply_delay_s = 0.01 if fails else ANSWER_S
+                backend.default_reply = reply(500)
             before = {name: zone.limiter.limit for name, zone in balancer.endpoints.zones.items()}
             for _ in range(12):
                 client.send("read", b"", SHORT_DEADLINE)
@@ -48,8 +50,10 @@
 def test_servers_that_fail_callers_with_enough_time_are_ejected() -> None:
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
-        backends[0].then = reply(500)
-        async with world([b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}) as w:
+        backends[0].default_reply = reply(500)
+        async with running_proxy(
+            [b.row(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+        ) as w:
             client = await Client.to(w.port)
             for _ in range(60):
                 client.send()
--- a/tests/traces/test_export.py
+++ b/tests/traces/test_export.py
@@ -28,7 +28,7 @@
 )
 from honeywharf.traces.queue import Queue
 from honeywharf.traces.spans import WaitSpan
-from tests.loopback import Backend, Client, World, run, until, world
+from tests.loopback import Backend, Client, RunningProxy, run, running_proxy, until
 from tests.traces.model import attempt, hop
 
 
@@ -37,7 +37,7 @@
     return Features(traces=Traces(rate=1e-9, otlp=settings))
 
 
-def exporter(w: World) -> otlp.OtlpExporter:
+def exporter(w: RunningProxy) -> otlp.OtlpExporter:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (found,) = part.exporters
     assert isinstance(found, otlp.OtlpExporter)
@@ -178,7 +178,7 @@
     assert otlp.decode_response(200, headers, body) == answer
 
 
-async def failed(w: World, backend: Backend, number: int) -> float:
+async def failed(w: RunningProxy, backend: Backend, number: int) -> float:
     """Sends failing requests one after the other. Returns the longest duration in ms."""
     client, longest = await Client.to(w.port), 0.0
     backend.script += [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"] * number
@@ -194,7 +194,7 @@
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         collector.script = [503, (429, 1), ("two of them", 2)]
-        async with world([backend.row("b")], trace_features(collector)) as w:
+        async with running_proxy([backend.row("b")], trace_features(collector)) as w:
             await failed(w, backend, 1)
             otlp_exporter = exporter(w)
             await until(lambda: otlp_exporter.sent == 1)
@@ -237,9 +237,9 @@
     async def main() -> None:
         collector, backend = await StandIn().start(), await Backend().start()
         await collector.stop()
-        async with world([backend.row("b")], trace_features(collector, queued=2)) as w:
+        async with running_proxy([backend.row("b")], trace_features(collector, queued=2)) as w:
             otlp_exporter = exporter(w)
-            backend.then = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+            backend.default_reply = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
             client = await Client.to(w.port)
             for _ in range(5):
                 client.send("pay", b"x")
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -26,7 +26,7 @@
 from honeywharf.traces.notes_socket import NotesSocket
 from honeywharf.traces.queue import MAX_QUEUED_LINES
 from honeywharf.traces.spool import Spool
-from tests.loopback import Backend, Client, World, reply, run, soon, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, run, running_proxy, soon, until
 
 PARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 ID = PARENT[3:35]
@@ -36,14 +36,14 @@
     return Features(traces=Traces(file=str(path), **{"rate": 1e-9, **changes}))
 
 
-def spool_of(w: World) -> Spool:
+def spool_of(w: RunningProxy) -> Spool:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
     return spool
 
 
-async def kept(w: World, number: int) -> list[dict[str, Any]]:
+async def kept(w: RunningProxy, number: int) -> list[dict[str, Any]]:
     """Waits until `number` traces are written, and returns those in the file."""
     spool = spool_of(w)
     await until(lambda: spool.written >= number)
@@ -54,7 +54,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.script = ["close"]  # Only the first request gets no answer.
-        async with world([backend.row("b1"), backend.row("b2")], trace_features(tmp_path / "t")) as w:
+        async with running_proxy([backend.row("b1"), backend.row("b2")], trace_features(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             name = client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: other=1")
             first, headers, _ = await client.answer()
@@ -98,7 +98,7 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
+        async with running_proxy([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", *lines)
             assert await client.status() == 200
@@ -115,7 +115,7 @@
 def test_trace_kept_downstream_is_kept_and_clients_cannot_force_it(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], trace_features(tmp_path / "t")) as w:
+        async with running_proxy([backend.row("b")], trace_features(tmp_path / "t")) as w:
             client = await Client.to(w.port)
             for below in (0, 1):
                 parent = PARENT.replace("0af7", f"0af{below}")
@@ -136,7 +136,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=rate)) as w:
+        async with running_proxy([backend.row("b")], trace_features(tmp_path / "t", rate=rate)) as w:
 
             async def send_requests(tenant: str, lines: Callable[[int], tuple[str, ...]]) -> None:
                 client = await Client.to(w.port)
@@ -197,7 +197,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = trace_features(tmp_path / "t", trust=trust)
-        async with world([backend.row("b")], features, tier=tier, tiers=["t", "u"]) as w:
+        async with running_proxy([backend.row("b")], features, tier=tier, tiers=["t", "u"]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}", "tracestate: ot=rv:ffffffffffffff")
             assert await client.status() == 200
@@ -213,7 +213,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = trace_features(tmp_path / "t", keep='tenant = "acme" and duration >= 0 ms')
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             client = await Client.to(w.port)
             for code, tenant, status in ((200, "other", 200), (500, "other", 502), (200, "acme", 200)):
                 backend.script.append(reply(code))
@@ -234,7 +234,7 @@
 def test_disabled_traces_add_no_headers_and_import_nothing() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
+        async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send("read", b"", "4000m", f"traceparent: {PARENT}")
             first, headers, _ = await client.answer()
@@ -288,7 +288,7 @@
 def test_disk_failure_fails_no_request_and_counts_lost_traces(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
+        async with running_proxy([backend.row("b")], trace_features(tmp_path / "t", rate=1.0)) as w:
             client, spool = await Client.to(w.port), spool_of(w)
             spool.path = tmp_path / "not there" / "t"
             for _ in range(3):
@@ -345,7 +345,7 @@
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
 
-def part_of(w: World) -> tuple[TracesComponent, NotesSocket]:
+def part_of(w: RunningProxy) -> tuple[TracesComponent, NotesSocket]:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     assert part.notes_socket is not None
     return part, part.notes_socket
@@ -365,8 +365,8 @@
             trace_features(tmp_path / "a", notes="127.0.0.1:0", keep="duration >= 0 ms"),
         )
         async with (
-            world([backend.row("n")], lower) as b,
-            world([{**backend.row("b"), "hostPort": f"127.0.0.1:{b.port}"}], upper) as a,
+            running_proxy([backend.row("n")], lower) as b,
+            running_proxy([{**backend.row("b"), "hostPort": f"127.0.0.1:{b.port}"}], upper) as a,
         ):
             (above, up), (below, down) = part_of(a), part_of(b)
             up.peers, down.peers = (
--- a/tests/traces/test_tiers.py
+++ b/tests/traces/test_tiers.py
@@ -8,21 +8,23 @@
 import pytest
 
 from bench.tiers import checked
-from honeywharf.standins.tiers import TIERS, Asked, House, NotesNetwork, Seen
+from honeywharf.standins.tiers import TIERS, ClientRequest, NotesNetwork, ServedRequest, TieredFleet
 from tests.loopback import run
 
 
 def test_every_bad_request_is_kept_with_all_its_hops_and_attempts(tmp_path: Path) -> None:
     async def main() -> None:
-        house = House(tmp_path, errors=0.03, fronts=2, renders=2, stores=4, rate=0.001)
+        house = TieredFleet(tmp_path, errors=0.03, fronts=2, renders=2, stores=4, rate=0.001)
         try:
             await house.start()
-            await house.ask(600, 300.0)
+            await house.send_requests(600, 300.0)
             await asyncio.sleep(0.5)  # A note is sent a second time after 0.1 s.
         finally:
             await house.stop()
         assert house.network is not None
-        verdict = checked(house.asked, house.seen(), house.files(), {}, house.network)
+        verdict = checked(
+            house.client_requests, house.served_requests(), house.trace_files(), {}, house.network
+        )
         assert verdict.bad > 10
         assert verdict.unexplained == []
         assert (verdict.whole, verdict.kept_parts, verdict.kept_attempts) == (
@@ -35,8 +37,8 @@
     run(main(), 120.0)
 
 
-def seen(name: str, tier: int, node: str, status: int = 200, calls: tuple[str, ...] = ()) -> Seen:
-    return Seen(name, tier, node, "ab" * 16, f"{tier}{name:0>15}", status, [(c, 200) for c in calls])
+def seen(name: str, tier: int, node: str, status: int = 200, calls: tuple[str, ...] = ()) -> ServedRequest:
+    return ServedRequest(name, tier, node, "ab" * 16, f"{tier}{name:0>15}", status, [(c, 200) for c in calls])
 
 
 @pytest.mark.parametrize(("lost", "explained"), [(False, "unexplained"), (True, "notes lost twice")])
@@ -56,7 +58,7 @@
         .replace("%s", "ab" * 16, 1)
         .replace("%s", TIERS[0], 1)
     )
-    verdict = checked([Asked("c", "entry-0", 200, 0.0)], record, [file], {}, network)
+    verdict = checked([ClientRequest("c", "entry-0", 200, 0.0)], record, [file], {}, network)
     assert (verdict.bad, verdict.whole, verdict.parts, verdict.kept_parts) == (1, 0, 2, 1)
     assert dict(verdict.missing) == {explained: 1}
     assert len(verdict.unexplained) == (not lost)
--- a/tests/traces/test_waits.py
+++ b/tests/traces/test_waits.py
@@ -17,7 +17,7 @@
 from honeywharf.traces.spans import HopTrace
 from tests.coap.test_backend import Node
 from tests.coap.test_front import Unit, request_options
-from tests.loopback import Backend, Client, World, reply, row, run, until, world
+from tests.loopback import Backend, Client, RunningProxy, reply, row, run, running_proxy, until
 from tests.orderkeys.shared import sharing
 
 PARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
@@ -28,7 +28,7 @@
     return Features(traces=Traces(file=str(path), rate=1.0), **others)
 
 
-async def kept(w: World, number: int) -> list[dict[str, Any]]:
+async def kept(w: RunningProxy, number: int) -> list[dict[str, Any]]:
     (part,) = [p for p in w.proxy.components if isinstance(p, TracesComponent)]
     (spool,) = part.exporters
     assert isinstance(spool, Spool)
@@ -45,9 +45,9 @@
 ) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
+        backend.default_reply = None
         features = trace_features(tmp_path / "t", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", key="k")
             await until(lambda: bool(backend.requests))
@@ -84,7 +84,7 @@
         backend = await Backend().start()
         backend.script = [None]  # The first request is never answered.
         features = trace_features(tmp_path / "t", order_keys=OrderKeys(store="process"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             first, repeat = await Client.to(w.port), await Client.to(w.port)
             first.send("order", b"x", "300m", key="k")
             await until(lambda: bool(backend.requests))
@@ -135,7 +135,7 @@
     async def main() -> None:
         backend = await Backend().start()
         features = trace_features(tmp_path / "t", coap=Coap(listen="127.0.0.1:0"))
-        async with world([backend.row("b")], features) as w:
+        async with running_proxy([backend.row("b")], features) as w:
             front = next(p for p in w.proxy.components if isinstance(p, CoapPart)).front
             assert front is not None
             await until(lambda: front.transport is not None)
@@ -170,7 +170,7 @@
     async def main() -> None:
         node = await Node().start()
         features = Features(traces=Traces(file=str(tmp_path / "t"), rate=1e-9), coap=Coap(nodes=True))
-        async with world([row("c0", node.port, cell=0, scheme="coap")], features) as w:
+        async with running_proxy([row("c0", node.port, cell=0, scheme="coap")], features) as w:
             client = await Client.to(w.port)
             node.response_options = [
                 (options.TRACE_RESPONSE, options.trace_context_bytes(f"00-{ID}-{'1' * 16}-01".encode()))
@@ -205,8 +205,10 @@
 def test_request_refused_before_the_decision_has_a_trace(tmp_path: Path) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")], trace_features(tmp_path / "t"), bounds={"openCap": 1}) as w:
+        backend.default_reply = None
+        async with running_proxy(
+            [backend.row("b")], trace_features(tmp_path / "t"), bounds={"openCap": 1}
+        ) as w:
             first, second = await Client.to(w.port), await Client.to(w.port)
             first.send("read", b"", "500m")
             await until(lambda: bool(backend.requests))
