--- a/bench/compatibility/__init__.py
+++ b/bench/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Do two checkouts send and store the same bytes, and take turns in one running control plane?"""
+"""Checks that two checkouts send and store the same bytes, and run together in one control plane."""
--- a/bench/compatibility/record_traffic.py
+++ b/bench/compatibility/record_traffic.py
@@ -1,12 +1,12 @@
-"""Plays one seeded day of the simulation and writes down all that its nodes send and store, one event a line.
+"""Runs one seeded day of the simulation and records everything that its nodes send and store.
 
     python -m bench.compatibility.record_traffic DAY SEED FILE
 
 DAY is `mesh` (control nodes and sidecars under faults of all kinds), `regions` (gateways between regions) or
-`drift` (a sidecar with an injected deviation). `simulated_traffic` runs this file under two checkouts; it
-therefore imports honeywharf from wherever the checkout's folder is on the path, and uses only the simulated
-network and disk. An event is the virtual time, its kind, the node, and the size and a hash of the bytes. Log
-lines are left out: their words may change.
+`drift` (a sidecar with an injected deviation). `simulated_traffic` runs this file under two checkouts, so it
+imports honeywharf from the checkout on the path and uses only the simulated network and disk. FILE has one
+event in each line: the virtual time, the kind, the node, and the size and a hash of the bytes. Log lines are
+left out, because their texts may change.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from honeywharf.simulation import machine, regions, run, slips
 
 HASH_DIGITS = 16
-DRIFT_COUNT = 3  # deviations injected in a day of drift
+DRIFT_COUNT = 3  # Deviations that are injected in a day of `drift`.
 
 
 class TrafficRecorder:
@@ -28,14 +28,14 @@
     def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def add(self, process: machine.Process, kind: str, where: object, data: bytes) -> None:
-        """Add one event."""
+    def add(self, process: machine.Process, kind: str, destination: object, data: bytes) -> None:
+        """Adds one event."""
         digest = hashlib.sha256(data).hexdigest()[:HASH_DIGITS]
         machine_ip = process.machine.ip
-        self.lines.append(f"{process.now():.9f} {kind} {machine_ip} {where} {len(data)} {digest}")
+        self.lines.append(f"{process.now():.9f} {kind} {machine_ip} {destination} {len(data)} {digest}")
 
     def install(self) -> None:
-        """Record from now on whatever any simulated process sends or stores."""
+        """Starts to record whatever any simulated process sends or stores."""
         self._record_connections()
         self._record_datagrams()
         self._record_disk()
@@ -73,8 +73,8 @@
         machine.Process.rename = recorded_rename  # type: ignore[method-assign, assignment]
 
 
-def play(day: str, seed: int) -> int:
-    """Play a day; how many rules it broke."""
+def run_day(day: str, seed: int) -> int:
+    """Runs a day; returns the number of broken rules. ValueError for an unknown day."""
     if day == "mesh":
         return len(run.run(seed, any_kind=True).broken)
     if day == "regions":
@@ -82,17 +82,17 @@
     if day == "drift":
         kinds = list(slips.KINDS)
         return len(slips.Trial(seed, kinds[seed % len(kinds)], DRIFT_COUNT).play().wrong)
-    raise ValueError(f"found the day {day!r}, wanted mesh, regions or drift")
+    raise ValueError(f"day: expected mesh, regions or drift, got {day!r}")
 
 
 def main(arguments: list[str]) -> int:
-    """Play and write."""
+    """Runs the day and writes its events."""
     day, seed, path = arguments[0], int(arguments[1]), Path(arguments[2])
     recorder = TrafficRecorder()
     recorder.install()
-    broken = play(day, seed)
+    violation_count = run_day(day, seed)
     path.write_text("\n".join([*recorder.lines, ""]))
-    print(f"{len(recorder.lines)} events, {broken} rules broken")
+    print(f"{len(recorder.lines)} events, {violation_count} rules broken")
     return 0
 
 
