--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the scale run (`bench.mesh_scale`): real control and sidecar processes beside hollow sidecars."""
+"""Components of the scale bench (`bench.mesh_scale`): real processes beside hollow sidecars."""
--- a/bench/scale/counted_loop.py
+++ b/bench/scale/counted_loop.py
@@ -1,7 +1,7 @@
-"""The programs' event loop, with the traffic between machines counted, and partitions between them.
+"""The programs' event loop, with the traffic between machines counted and with simulated partitions.
 
-Connections count where this side asked another machine for them, or where they come to the internal port.
-What a machine says to itself (its backend, its clients) and the run's own questions are no traffic.
+A connection is counted at the machine that opens it to another machine, and at the internal port that accepts
+it. Traffic of a machine with itself (its backend, its clients) and the bench's own calls are not counted.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 class CountedLoop(EventLoop):
-    """A `Loop` for one machine. `ip` and `internal_port` tell which connections are counted.
+    """An event loop for one machine, whose `ip` and `internal_port` select the counted connections.
 
-    Each connection between machines has an end that asked for it, which is the end that a partition breaks.
+    A partition closes each connection between machines at the end that opened it.
     """
 
     def __init__(
@@ -34,57 +34,56 @@
     ) -> None:
         super().__init__(directory)
         self.reach = reach or Reach(lambda ip: "")
-        self.asked: dict[
-            TcpConnection, str
-        ] = {}  # open connections that this machine asked for, and where they lead
+        #: The remote IP of each open connection that this machine opened.
+        self.outgoing: dict[TcpConnection, str] = {}
         self.ip, self.internal_port = ip, internal_port
         self.traffic = Traffic()
         self.links: dict[TcpConnection, CountedLink] = {}
 
-    def count(self, wire: TcpConnection, traffic: Traffic) -> None:
-        """Count a connection for a machine."""
-        self.links[wire] = CountedLink(wire.socket, traffic)
+    def count(self, connection: TcpConnection, traffic: Traffic) -> None:
+        """Starts to count a connection's traffic for a machine."""
+        self.links[connection] = CountedLink(connection.socket, traffic)
 
     def read_links(self) -> None:
-        """Bring the counts of all open connections up to date."""
+        """Updates the counts of all open connections."""
         for link in self.links.values():
             link.read()
 
-    def drop(self, wire: TcpConnection, why: str) -> None:
-        """Take the last counts of a connection before it is closed."""
-        self.asked.pop(wire, None)
-        link = self.links.pop(wire, None)
+    def drop(self, connection: TcpConnection, reason: str) -> None:
+        """Reads the last counts of a connection before it is closed."""
+        self.outgoing.pop(connection, None)
+        link = self.links.pop(connection, None)
         if link is not None:
             link.read()
-        super().drop(wire, why)
+        super().drop(connection, reason)
 
     def log(self, line: str) -> None:
-        """A line with the steady clock's time, which all processes of the run share."""
+        """Writes a line with the time of the monotonic clock, which all processes of the bench share."""
         sys.stderr.write(f"{self.now():.6f} {line}\n")
         sys.stderr.flush()
 
-    # One machine's traffic; a process of many hollow nodes counts by node in `NodeHost`.
+    # The following methods count one machine. A process of many hollow nodes counts by node in `NodeHost`.
 
     def connect(
         self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0
     ) -> TcpConnection:
-        """Ask for a connection, counted where it leads to another machine."""
+        """Opens a connection, which is counted if it leads to another machine."""
         if self.ip and self.reach.separates(self.ip, to[0]):
             return cast(TcpConnection, Unreachable(self.after, to, handler, within))
-        wire = super().connect(to, handler, within)
+        connection = super().connect(to, handler, within)
         if self.ip and to[0] != self.ip:
-            self.count(wire, self.traffic)
-            self.asked[wire] = to[0]
-        return wire
+            self.count(connection, self.traffic)
+            self.outgoing[connection] = to[0]
+        return connection
 
-    def part(self) -> None:
-        """Lose the connections that lead through the partition."""
-        for wire, ip in list(self.asked.items()):
+    def drop_separated(self) -> None:
+        """Closes the connections that the partition separates."""
+        for connection, ip in list(self.outgoing.items()):
             if self.reach.separates(self.ip, ip):
-                self.drop(wire, TIMEOUT)
+                self.drop(connection, TIMEOUT)
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections, counted at the internal port."""
+        """Accepts connections, which are counted at the internal port."""
         if at[1] != self.internal_port:
             super().listen(at, accept)
             return
@@ -97,7 +96,7 @@
         super().listen(at, accept_counted)
 
     def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
-        """Take datagrams, counted."""
+        """Receives and counts datagrams."""
 
         def received_counted(sender: Address, data: bytes) -> None:
             if not self.reach.separates(self.ip, sender[0]):
@@ -107,7 +106,7 @@
         super().listen_datagrams(at, received_counted)
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        """Send, counted."""
+        """Counts and sends a datagram."""
         self.traffic.sent_datagram(len(data))
         if not self.reach.separates(self.ip, to[0]):
             super().send_datagram(to, data)
--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet that runs: control processes, a few sidecar processes, and processes of hollow sidecars."""
+"""A running fleet: control processes, a few sidecar processes, and processes of hollow sidecars."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from honeywharf.transport.rpc_client import RpcClient
 
 CONTROL_PROGRAM, SIDECAR_PROGRAM = "control", "sidecar"
-ANSWER_S = 20.0  # that a process of the run has for one answer
-POLL_S = 0.05
-NOWHERE: Zones = frozenset()
-ORDER_S = 1.0  # that a control machine has to acknowledge before the operator asks the next one
-ORDER_PAUSE_S = 0.1
+CALL_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
+NO_ZONES: Zones = frozenset()
+ORDER_S = 1.0  # Time-out of one request to a control machine.
+RETRY_INTERVAL_S = 0.1
 
 
 class FleetError(Exception):
-    """The fleet did not do what the run waits for: `what`, after `seconds`."""
+    """The fleet did not reach the condition `what` within `seconds`."""
 
     def __init__(self, what: str, seconds: float) -> None:
         super().__init__(f"{what}: not within {seconds:g} s")
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """See the module. Use it as a context: its end ends every process that it started."""
+    """A fleet as a context manager, which kills every process that it has started when it exits."""
 
     def __init__(self, plan: Plan, folder: Path, real: int, processes: int, limit_s: float) -> None:
         self.plan, self.folder = plan, folder
@@ -55,24 +55,24 @@
         self.version = 0
 
     def __enter__(self) -> Fleet:
-        """Start what must be there before the nodes."""
+        """Starts the control processes and the processes of hollow nodes."""
         for process in [*self.controls, *self.hollow]:
             process.start()
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """End everything."""
+        """Kills all processes."""
         for process in self.all:
             process.kill()
 
     @property
     def all(self) -> list[Spawned]:
-        """Every process of the fleet."""
+        """All processes of the fleet."""
         return [*self.hollow, *self.sidecars, *self.controls]
 
     @property
     def machines(self) -> int:
-        """Sidecar and control machines."""
+        """The number of sidecar and control machines."""
         return self.plan.nodes + self.plan.controls
 
     # Processes.
@@ -100,132 +100,142 @@
         arguments = ["bench.scale.hollow_process", json.dumps(asdict(self.plan)), str(process), str(limit_s)]
         return Spawned(self.folder, f"hollow-{process}", address, arguments)
 
-    # Asking the processes.
+    # Calls to the processes.
 
     def wait(self, what: str, seconds: float, until: Callable[[], bool]) -> float:
-        """Look every `POLL_S` until something has come true; how long it took. FleetError if it does not."""
-        begun = time.monotonic()
+        """Polls until a condition holds; returns the seconds it took.
+
+        FleetError if the condition does not hold within `seconds`.
+        """
+        started_at = time.monotonic()
         while not until():
-            if time.monotonic() - begun > seconds:
+            if time.monotonic() - started_at > seconds:
                 raise FleetError(what, seconds)
-            self.pause(POLL_S)
-        return time.monotonic() - begun
+            self.pause(POLL_INTERVAL_S)
+        return time.monotonic() - started_at
 
     def pause(self, seconds: float) -> None:
-        """Let time pass."""
+        """Runs the event loop for some seconds."""
         self.loop.status = None
         self.loop.after(seconds, partial(self.loop.exit, 0))
         self.loop.run()
 
-    def _answers(self, method: str, asked: list[tuple[Spawned, Any]]) -> dict[int, Any]:
-        """Answers by the place of the question; None where none came."""
+    def _answers(self, method: str, calls: list[tuple[Spawned, Any]]) -> dict[int, Any]:
+        """Returns the answers by the rank of the call; None where none arrived."""
         answers: dict[int, Any] = {}
-        if not asked:
+        if not calls:
             return answers
 
         def answered(rank: int, answer: Any) -> None:
             answers[rank] = answer
-            if len(answers) == len(asked):
+            if len(answers) == len(calls):
                 self.loop.exit(0)
 
-        for rank, (process, arguments) in enumerate(asked):
-            self.caller.call(process.address, method, arguments, ANSWER_S, partial(answered, rank))
+        for rank, (process, arguments) in enumerate(calls):
+            self.caller.call(process.address, method, arguments, CALL_TIMEOUT_S, partial(answered, rank))
         self.loop.status = None
         self.loop.run()
         return answers
 
-    def answering(self, processes: list[Spawned]) -> bool:
-        """Whether all of some processes can be asked."""
+    def all_answer(self, processes: list[Spawned]) -> bool:
+        """Returns whether all of these processes answer."""
         answers = self._answers(messages.SAMPLE, [(process, None) for process in processes])
         return all(answer is not None for answer in answers.values())
 
-    def ask(self, method: str, args: Iterable[tuple[Spawned, Any]]) -> list[Any]:
-        """Answers of some processes, asked at once, in their order. FleetError where one does not answer."""
-        asked = list(args)
-        answers = self._answers(method, asked)
-        silent = [asked[rank][0].name for rank, answer in answers.items() if answer is None]
-        if silent:
-            raise FleetError(f"{method}: answers of {', '.join(silent)}", ANSWER_S)
-        return [answers[rank] for rank in range(len(asked))]
+    def call_all(self, method: str, args: Iterable[tuple[Spawned, Any]]) -> list[Any]:
+        """Calls a method of several processes at once; returns their answers in order.
+
+        FleetError where one does not answer.
+        """
+        calls = list(args)
+        answers = self._answers(method, calls)
+        unanswered = [calls[rank][0].name for rank, answer in answers.items() if answer is None]
+        if unanswered:
+            raise FleetError(f"{method}: answers of {', '.join(unanswered)}", CALL_TIMEOUT_S)
+        return [answers[rank] for rank in range(len(calls))]
 
     def samples(self, processes: list[Spawned]) -> list[NodeSample]:
-        """Every node of some processes."""
-        answers = self.ask(messages.SAMPLE, [(process, None) for process in processes])
+        """Returns the samples of all nodes of these processes."""
+        answers = self.call_all(messages.SAMPLE, [(process, None) for process in processes])
         return [NodeSample.unpacked(sample) for answer in answers for sample in answer]
 
     def hollow_samples(self) -> list[NodeSample]:
-        """Every hollow node that has been started."""
+        """Returns the samples of all hollow nodes that have been started."""
         return self.samples(self.hollow)
 
-    # What is done to the fleet.
+    # Operations on the fleet.
 
     def start_nodes(self, spread_s: float) -> None:
-        """Start all sidecars, hollow and real, spread over some seconds."""
+        """Starts all sidecars, hollow and real, spread over some seconds."""
         for process in self.sidecars:
             process.start()
-        orders = [
+        calls = [
             (process, Start(share, spread_s, self.machines).packed())
             for process, share in zip(self.hollow, self.shares, strict=True)
         ]
-        orders[0][1][3] = self.real_indexes
-        self.ask(messages.START, orders)
+        calls[0][1][3] = self.real_indexes
+        self.call_all(messages.START, calls)
 
     def _by_process(self, indexes: list[int]) -> list[tuple[Spawned, list[int]]]:
-        """Hollow nodes by their process; processes without any of them are left out."""
+        """Returns hollow nodes by their process, without processes that have none of them."""
         chosen = set(indexes)
         by_process = [
             (process, [index for index in share if index in chosen])
             for process, share in zip(self.hollow, self.shares, strict=True)
         ]
-        return [(process, some) for process, some in by_process if some]
+        return [
+            (process, indexes_of_process) for process, indexes_of_process in by_process if indexes_of_process
+        ]
 
     def kill_hollow(self, indexes: list[int]) -> None:
-        """End hollow nodes at once."""
-        self.ask(messages.KILL, self._by_process(indexes))
-
-    def revive_hollow(self, indexes: list[int]) -> None:
-        """Start hollow nodes that were ended."""
-        orders = [
-            (process, Start(some, 0.0, self.machines).packed()) for process, some in self._by_process(indexes)
+        """Kills hollow nodes."""
+        self.call_all(messages.KILL, self._by_process(indexes))
+
+    def restart_hollow(self, indexes: list[int]) -> None:
+        """Starts hollow nodes that were killed."""
+        calls = [
+            (process, Start(indexes_of_process, 0.0, self.machines).packed())
+            for process, indexes_of_process in self._by_process(indexes)
         ]
-        self.ask(messages.START, orders)
+        self.call_all(messages.START, calls)
 
-    def partition(self, one: Zones = NOWHERE, other: Zones = NOWHERE) -> None:
-        """Separate two groups of zones; without them, join all again."""
+    def partition(self, one: Zones = NO_ZONES, other: Zones = NO_ZONES) -> None:
+        """Separates two groups of zones; without arguments, removes the partition."""
         sides = [sorted(one), sorted(other)]
-        self.ask(messages.PARTITION, [(process, sides) for process in self.all if process.running])
+        self.call_all(messages.PARTITION, [(process, sides) for process in self.all if process.running])
 
     def change(self, first: int = 0) -> tuple[float, float]:
-        """Put a new configuration in force; when it was sent first and when it was acknowledged.
+        """Replaces the configuration; returns the times of the first request and of the acknowledgement.
 
-        The operator asks control machine `first`, and after a failure or a second of silence the next one.
+        Sends the request to control machine `first`, and after each failure or time-out to the next one.
+        FleetError if none acknowledges it.
         """
         self.version += 1
         text = configuration(self.version, self.plan.services)
-        begun = time.monotonic()
-        for turn in range(60):
-            ip = self.plan.control_ip((first + turn) % self.plan.controls)
+        started_at = time.monotonic()
+        for attempt in range(60):
+            ip = self.plan.control_ip((first + attempt) % self.plan.controls)
             at = f"{ip}:{self.plan.port(deployment.CONTROL)}"
             try:
                 status, _ = call(at, "POST", "/api/configuration/replace", text, ORDER_S)
             except WrongError:
                 status = 0
             if status == 200:
-                return begun, time.monotonic()
-            self.pause(ORDER_PAUSE_S)
-        raise FleetError(f"acknowledgement of r{self.version}", time.monotonic() - begun)
+                return started_at, time.monotonic()
+            self.pause(RETRY_INTERVAL_S)
+        raise FleetError(f"acknowledgement of r{self.version}", time.monotonic() - started_at)
 
-    def in_force(self, version: int) -> list[float]:
-        """When each running hollow node had a version in force; 0 for those that do not have it yet."""
-        answers = self.ask(messages.APPLIED, [(process, version) for process in self.hollow])
+    def application_times(self, version: int) -> list[float]:
+        """Returns when each running hollow node applied a version; 0 for those that have not."""
+        answers = self.call_all(messages.APPLIED, [(process, version) for process in self.hollow])
         return [at for answer in answers for at in answer]
 
-    def in_force_at_processes(self, version: int) -> list[float]:
-        """The same of the running sidecar processes."""
-        return [process.in_force(version) for process in self.sidecars if process.running]
+    def process_application_times(self, version: int) -> list[float]:
+        """Returns when each running sidecar process applied a version; 0 if it has not."""
+        return [process.applied_at(version) for process in self.sidecars if process.running]
 
     def is_ready(self, ip: str, port: int) -> bool:
-        """Whether a machine says that it is ready."""
+        """Returns whether a machine reports that it is ready."""
         try:
             return call(f"{ip}:{self.plan.port(port)}", "GET", "/api/readiness", b"", ORDER_S)[0] == 200
         except WrongError:
--- a/bench/scale/heartbeats.py
+++ b/bench/scale/heartbeats.py
@@ -1,4 +1,4 @@
-"""The backend beside a sidecar, as far as the control plane sees it: its heartbeats, over HTTP."""
+"""Heartbeats over HTTP from a backend to its sidecar, which is all that the control plane sees of it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 INTERVAL_S = 1.3
 SLOTS = 64
-RETRY_S = 0.2  # until a sidecar that did not take the call is called again
-JITTER = 0.1  # share of the interval
+RETRY_INTERVAL_S = 0.2
+JITTER = 0.1  # Share of the interval.
 
 
 class Heartbeats:
-    """Sends heartbeats on one connection, for as long as it is not stopped."""
+    """Sends heartbeats on one connection until it is stopped."""
 
     def __init__(self, loop: EventLoop, control: Address, instance: str, service: str, zone: str) -> None:
         self._loop, self._control = loop, control
@@ -31,22 +31,22 @@
             "capacity-slots": SLOTS,
         }
         self._sequence = 0
-        self._wire: TcpConnection | None = None
+        self._connection: TcpConnection | None = None
         self.acknowledged = 0
         self.stopped = False
-        self._beat()
+        self._send_heartbeat()
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stops sending."""
         self.stopped = True
-        if self._wire is not None:
-            self._wire.abort()
+        if self._connection is not None:
+            self._connection.abort()
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self.stopped:
             return
-        if self._wire is None:
-            self._wire = EventLoop.connect(self._loop, self._control, self._opening)
+        if self._connection is None:
+            self._connection = EventLoop.connect(self._loop, self._control, self._accept_connection)
         self._sequence += 1
         body = json.dumps(
             {
@@ -59,29 +59,29 @@
             f"POST {self._path} HTTP/1.1\r\nHost: {self._control[0]}\r\n"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         )
-        self._wire.send((head + body).encode())
-        self._loop.after(INTERVAL_S * random.uniform(1.0 - JITTER, 1.0 + JITTER), self._beat)
+        self._connection.send((head + body).encode())
+        self._loop.after(INTERVAL_S * random.uniform(1.0 - JITTER, 1.0 + JITTER), self._send_heartbeat)
 
-    # The connection's handler.
+    # Methods of the connection's handler.
 
-    def _opening(self, connection: Connection) -> Handler:
+    def _accept_connection(self, connection: Connection) -> Handler:
         return self
 
     def opened(self) -> None:
-        """It is up; what was sent goes by itself."""
+        """Does nothing: data that was sent before is flushed by the connection."""
 
     def received(self, data: bytes) -> None:
-        """Answers; each holds one status line."""
+        """Counts the responses by their status lines."""
         self.acknowledged += data.count(b"HTTP/1.1 200")
 
     def ended(self) -> None:
-        """The sidecar takes nothing more."""
-        if self._wire is not None:
-            self._wire.close()
+        """Closes the connection after the sidecar has closed its side."""
+        if self._connection is not None:
+            self._connection.close()
 
     def drained(self) -> None:
-        """All has gone."""
+        """Does nothing."""
 
     def closed(self, why: str) -> None:
-        """The next heartbeat opens another connection."""
-        self._wire = None
+        """Forgets the connection; the next heartbeat opens another one."""
+        self._connection = None
--- a/bench/scale/hollow_process.py
+++ b/bench/scale/hollow_process.py
@@ -1,10 +1,10 @@
-"""A process of many hollow nodes, asked by the run over the programs' own calls.
+"""A process of many hollow nodes, which the bench controls by remote calls.
 
     python -m bench.scale.hollow_process PLAN PROCESS LIMIT_S
 
-PLAN: the plan's fields as JSON. PROCESS: which of the run's processes it is. It ends after LIMIT_S seconds in
-any case. Garbage collection is off: one pass over hundreds of tables in one heap would stop all its nodes for
-longer than any process of one node is ever stopped. Its nodes share their readings of configurations.
+PLAN is the plan's fields as JSON, PROCESS the number of this process. It ends after LIMIT_S seconds at the
+latest. Garbage collection is off, because a pass over hundreds of tables in one heap would stop all nodes for
+longer than a process of one node ever stops. The nodes share their parsed configurations.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from honeywharf.transport.host import Address
 from honeywharf.transport.rpc_server import RpcServer
 
-Reply = Any  # the way back of one call
+Reply = Any  # The function that sends the answer of a call.
 
 
 class HollowProcess:
-    """The nodes of one process."""
+    """The hollow nodes of one process."""
 
     def __init__(self, loop: CountedLoop, plan: Plan, process: int) -> None:
         self.loop, self.plan = loop, plan
         self.reach = Reach(plan.zone_of)
         self.nodes: dict[int, HollowNode] = {}
         self.backends: list[Heartbeats] = []
-        answerer = RpcServer(
+        server = RpcServer(
             {
                 messages.START: self._start,
                 messages.KILL: self._kill,
@@ -47,7 +47,7 @@
             },
             log=loop.log,
         )
-        loop.listen((plan.management_ip(process), plan.port(MANAGEMENT)), answerer.accept)
+        loop.listen((plan.management_ip(process), plan.port(MANAGEMENT)), server.accept)
 
     def _start(self, args: Any, reply: Reply, peer: Address) -> None:
         start = Start.unpacked(args)
@@ -71,10 +71,10 @@
 
     def _sample(self, args: Any, reply: Reply, peer: Address) -> None:
         self.loop.read_links()
-        reply([self._sampled(node).packed() for node in self.nodes.values() if node.lives])
+        reply([self._sample_of(node).packed() for node in self.nodes.values() if node.incarnation])
 
     @staticmethod
-    def _sampled(node: HollowNode) -> NodeSample:
+    def _sample_of(node: HollowNode) -> NodeSample:
         return NodeSample(
             node.node.index,
             node.traffic(),
@@ -82,31 +82,33 @@
             node.ready,
             node.complete,
             node.known(),
-            node.held_down(),
+            node.unreachable(),
             max(node.applied, default=0),
         )
 
     def _applied(self, args: Any, reply: Reply, peer: Address) -> None:
-        """When each node had a revision in force, or a newer one that overtook it."""
-        reply([self._since(node, args) for node in self.nodes.values() if node.program is not None])
+        """Replies when each node applied a revision or a newer one."""
+        reply([self._applied_at(node, args) for node in self.nodes.values() if node.program is not None])
 
     @staticmethod
-    def _since(node: HollowNode, revision: int) -> float:
-        return min((at for held, at in node.applied.items() if held >= revision), default=0.0)
+    def _applied_at(node: HollowNode, revision: int) -> float:
+        return min(
+            (applied_at for version, applied_at in node.applied.items() if version >= revision), default=0.0
+        )
 
     def _partition(self, args: Any, reply: Reply, peer: Address) -> None:
         one, other = args
-        self.reach.part(frozenset(one), frozenset(other))
+        self.reach.separate(frozenset(one), frozenset(other))
         for node in self.nodes.values():
             if node.host is not None:
-                node.host.part()
+                node.host.drop_separated()
         reply(True)
 
 
 def main(arguments: list[str]) -> int:
-    """Run until the time is over, or the run ends this process."""
+    """Runs until the time limit, or until the process is killed."""
     gc.disable()
-    shared_readings.share()
+    shared_readings.share_parsers()
     plan = Plan(**json.loads(arguments[0]))
     loop = CountedLoop(None)
     HollowProcess(loop, plan, int(arguments[1]))
--- a/bench/scale/messages.py
+++ b/bench/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the run and its processes say to each other, packed as lists by the programs' own frames."""
+"""Messages between the bench and its processes, packed as lists into the programs' own frames."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from bench.scale.traffic import Traffic
 
-#: Methods that the processes of a run answer.
+#: The remote methods of the bench's processes.
 START = "scale.start"
 KILL = "scale.kill"
 SAMPLE = "scale.sample"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class NodeSample:
-    """One node at one moment; times are seconds on the steady clock, 0 for what has not come yet."""
+    """The state of one node. Times are seconds on the monotonic clock, 0 for what has not happened."""
 
     index: int
     traffic: Traffic
@@ -25,34 +25,35 @@
     ready: float = 0.0
     complete: float = 0.0
     known: int = 0
-    held_down: int = 0
+    unreachable: int = 0
     revision: int = 0
 
     def packed(self) -> list[Any]:
-        """As a list."""
+        """Returns the fields as a list."""
         return list(astuple(self))
 
     @staticmethod
     def unpacked(values: list[Any]) -> NodeSample:
-        """From such a list."""
+        """Returns the sample of such a list."""
         index, traffic, *rest = values
         return NodeSample(index, Traffic(*traffic), *rest)
 
 
 @dataclass(frozen=True)
 class Start:
-    """Begin a life of some nodes, spread over `spread_s`; each is complete once it knows `known` machines."""
+    """Starts nodes, spread over `spread_s`; each is complete once it knows `known` machines."""
 
     indexes: list[int]
     spread_s: float = 0.0
     known: int = 0
-    backends_only: list[int] = field(default_factory=list)  # machines whose sidecar is a process of its own
+    #: Machines whose sidecar is a separate process.
+    backends_only: list[int] = field(default_factory=list)
 
     def packed(self) -> list[Any]:
-        """As a list."""
+        """Returns the fields as a list."""
         return list(astuple(self))
 
     @staticmethod
     def unpacked(values: list[Any]) -> Start:
-        """From such a list."""
+        """Returns the message of such a list."""
         return Start(*values)
--- a/bench/scale/node_host.py
+++ b/bench/scale/node_host.py
@@ -1,4 +1,4 @@
-"""The `Host` of one hollow node: its addresses, sockets and counts on an event loop that many nodes share."""
+"""The `Host` of one hollow node: its addresses, sockets and counts on a shared event loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class NodeHost:
-    """What a program is given of its machine (`Host`). `exited` is called when the program ends itself."""
+    """The `Host` of a hollow node's program. `exited` is called when the program exits."""
 
     def __init__(self, loop: CountedLoop, ip: str, internal_port: int, reach: Reach) -> None:
         self.loop, self.ip, self.internal_port, self.reach = loop, ip, internal_port, reach
@@ -26,11 +26,11 @@
         self.exited: Callable[[], None] = self.stop
         self._socket: socket.socket | None = None
         self._listening: list[Address] = []
-        self._wires: dict[TcpConnection, Address] = {}  # open connections that this node asked for
+        self._connections: dict[TcpConnection, Address] = {}  # Open connections and their peers.
         self.now, self.wall_time, self.random = loop.now, loop.wall_time, loop.random
 
     def after(self, seconds: float, call: Callable[[], None]) -> EventLoopTimer:
-        """Call once, so much later, unless the node has stopped by then."""
+        """Schedules one call after a delay; a node that has stopped by then ignores it."""
         return self.loop.after(seconds, lambda: None if self.stopped else call())
 
     def connect(
@@ -39,35 +39,35 @@
         handler: Callable[[Connection], Handler],
         within: float = 1.0,
     ) -> Connection:
-        """Ask for a connection; none comes up through a partition."""
+        """Opens a connection, which times out if a partition separates the machines."""
         if self.stopped or self.reach.separates(self.ip, to[0]):
             return Unreachable(self.after, to, handler, within)
-        wire = self.loop.connect(to, handler, within)
+        connection = self.loop.connect(to, handler, within)
         if to[0] != self.ip:
-            self.loop.count(wire, self.traffic)
-        self._wires = {old: peer for old, peer in self._wires.items() if old.handler is not None}
-        self._wires[wire] = to
-        return wire
+            self.loop.count(connection, self.traffic)
+        self._connections = {old: peer for old, peer in self._connections.items() if old.handler is not None}
+        self._connections[connection] = to
+        return connection
 
     def listen(self, at: Address, accept: Callable[[Connection], Handler]) -> None:
-        """Take connections; those at the internal port are counted."""
+        """Accepts connections, which are counted at the internal port."""
 
         def accept_counted(connection: Connection) -> Handler:
             assert isinstance(connection, TcpConnection)
             if at[1] == self.internal_port:
                 self.loop.count(connection, self.traffic)
-            self._wires[connection] = (self.ip, 0)  # where it comes from is not known
+            self._connections[connection] = (self.ip, 0)  # The peer is unknown.
             return accept(connection)
 
         self.loop.listen(at, accept_counted)
         self._listening.append(at)
 
     def stop_listening(self, at: Address) -> None:
-        """Take no further connections."""
+        """Accepts no further connections at an address."""
         self.loop.stop_listening(at)
 
     def listen_datagrams(self, at: Address, received: Callable[[Address, bytes], None]) -> None:
-        """Take datagrams."""
+        """Receives and counts datagrams."""
 
         def received_counted(sender: Address, data: bytes) -> None:
             if self.stopped or self.reach.separates(self.ip, sender[0]):
@@ -79,30 +79,30 @@
         self._socket = self.loop.send_socket
 
     def send_datagram(self, to: Address, data: bytes) -> None:
-        """Send; what goes into a partition is sent, and lost."""
+        """Counts and sends a datagram; a partition drops it."""
         self.traffic.sent_datagram(len(data))
         if self._socket is None or self.stopped or self.reach.separates(self.ip, to[0]):
             return
         try:
             self._socket.sendto(data, to)
         except OSError:
-            return  # a full queue, or nobody there: as if it had been lost on the way
+            return  # The queue is full or the peer is unreachable; the datagram counts as lost.
 
-    def part(self) -> None:
-        """Lose the connections that lead through the partition."""
-        for wire, peer in list(self._wires.items()):
+    def drop_separated(self) -> None:
+        """Closes the connections that the partition separates."""
+        for connection, peer in list(self._connections.items()):
             if self.reach.separates(self.ip, peer[0]):
-                self.loop.drop(wire, TIMEOUT)
+                self.loop.drop(connection, TIMEOUT)
 
     def log(self, line: str) -> None:
-        """Nobody reads the log of a hollow node."""
+        """Ignores the line: the log of a hollow node is not kept."""
 
     def exit(self, status: int) -> None:
-        """The program has ended."""
+        """Handles the exit of the program."""
         self.loop.after(0.0, self.exited)
 
     def stop(self) -> None:
-        """Close everything at once, as the death of a process does."""
+        """Closes all sockets and connections at once, like the death of a process."""
         if self.stopped:
             return
         self.stopped = True
@@ -112,5 +112,5 @@
             self.loop.epoll.unregister(self._socket.fileno())
             del self.loop.datagram_sockets[self._socket.fileno()]
             self._socket.close()
-        for wire in list(self._wires):
-            self.loop.drop(wire, "reset")
+        for connection in list(self._connections):
+            self.loop.drop(connection, "reset")
--- a/bench/scale/payload.py
+++ b/bench/scale/payload.py
@@ -1,4 +1,4 @@
-"""Configurations of a size: many services, several routes to each, a small change between two versions."""
+"""Configurations of a given size: many services, several routes to each, a small change between versions."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from zlib import crc32
 
 ROUTES_PER_SERVICE = 3
-KINDS = ("read_only", "mutating", "upload")
-SPLIT_RANK = 2  # the route of each service that goes to a second one as well
+ROUTE_KINDS = ("read_only", "mutating", "upload")
+SPLIT_RANK = 2  # The route of each service that splits its traffic with another service.
 BASE_TIMEOUT_MS = 1500
 
 
 def configuration(version: int, services: int) -> bytes:
-    """A valid configuration; two versions differ in their number and in the timeout of one route."""
+    """Returns a valid configuration; two versions differ in their number and one route's time-out."""
     names = [f"service-{number:03}" for number in range(services)]
     routes = [
         _route(names, service, rank) for service in range(services) for rank in range(ROUTES_PER_SERVICE)
@@ -33,23 +33,23 @@
     ).encode()
 
 
-def _word(text: str) -> str:
-    """A short name that compresses as badly as the names of a real deployment."""
+def _hashed_name(text: str) -> str:
+    """Returns a short name that compresses as badly as the names of a real deployment."""
     return f"{crc32(text.encode()):08x}"
 
 
 def host_and_prefix(service: str, rank: int) -> tuple[str, str]:
-    """Where a service's route of a rank (its place in `KINDS`) is asked for."""
-    return f"{_word(service)}.example", f"/{_word(f'{service}/{rank}/prefix')}/"
+    """Returns the host and the path prefix of a service's route; `rank` is an index of `ROUTE_KINDS`."""
+    return f"{_hashed_name(service)}.example", f"/{_hashed_name(f'{service}/{rank}/prefix')}/"
 
 
 def _route(names: list[str], service: int, rank: int) -> dict[str, object]:
     host, prefix = host_and_prefix(names[service], rank)
     route: dict[str, object] = {
-        "name": f"route-{_word(prefix)}",
+        "name": f"route-{_hashed_name(prefix)}",
         "hostname": host,
         "path-prefix": prefix,
-        "route-kind": KINDS[rank % len(KINDS)],
+        "route-kind": ROUTE_KINDS[rank % len(ROUTE_KINDS)],
         "timeout": f"{BASE_TIMEOUT_MS}ms",
         "target-latency": "400ms",
         "priority": 1 + rank,
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes that the run starts: their logs, their processor time and memory, and their end."""
+"""Processes that the bench starts: their logs, processor time and memory."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from honeywharf.transport.host import Address
 
-NANOSECONDS = 1e9  # in a second
+NANOSECONDS_PER_SECOND = 1e9
 KB_PER_MB = 1024.0
-_IN_FORCE = re.compile(r"^([0-9.]+) .*configuration r([0-9]+), evacuated")
+_APPLIED_LINE = re.compile(r"^([0-9.]+) .*configuration r([0-9]+), evacuated")
 
 
 class Spawned:
-    """A process that is asked at `address`. `arguments`: a module and what it is given."""
+    """A process that answers calls at `address`. `arguments` are a module and its command line."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Begin a life."""
+        """Starts the process."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *self.arguments],
@@ -44,7 +44,7 @@
             )
 
     def kill(self) -> None:
-        """End at once; harmless where it does not run."""
+        """Kills the process, if it runs."""
         if self.process is not None:
             if self.process.poll() is None:
                 self.process.kill()
@@ -52,20 +52,22 @@
 
     @property
     def running(self) -> bool:
-        """Whether it has been started and has not ended."""
+        """Whether the process has been started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def processor_s(self) -> float:
-        """Seconds of processor time that this life has used."""
+        """Returns the processor time in seconds since the last start."""
         if self.process is None:
             return 0.0
         threads = Path(f"/proc/{self.process.pid}/task").glob("*/schedstat")
         with suppress(OSError):
-            return sum(int(thread.read_text("utf-8").split()[0]) for thread in threads) / NANOSECONDS
+            return (
+                sum(int(thread.read_text("utf-8").split()[0]) for thread in threads) / NANOSECONDS_PER_SECOND
+            )
         return 0.0
 
     def memory_mb(self, field: str = "VmRSS") -> float:
-        """Resident memory, or its peak (`VmHWM`), in megabytes."""
+        """Returns resident memory, or its peak (`VmHWM`), in megabytes."""
         if self.process is None:
             return 0.0
         with suppress(OSError):
@@ -75,14 +77,14 @@
                     return int(line.split()[1]) / KB_PER_MB
         return 0.0
 
-    def in_force(self, version: int) -> float:
-        """When its log says that a version or a newer one came into force (steady clock); 0 if it has not."""
+    def applied_at(self, version: int) -> float:
+        """Returns when the log reports a version or a newer one as applied (monotonic clock); 0 if never."""
         for line in self.log.read_text("utf-8", "replace").splitlines():
-            found = _IN_FORCE.match(line)
+            found = _APPLIED_LINE.match(line)
             if found and int(found[2]) >= version:
                 return float(found[1])
         return 0.0
 
     def faults(self) -> int:
-        """Faults of the program that its log tells of."""
+        """Returns the number of faults in the program's log."""
         return self.log.read_text("utf-8", "replace").count(" fault ")
--- a/bench/scale/reach.py
+++ b/bench/scale/reach.py
@@ -1,4 +1,4 @@
-"""Which machines reach each other, and what a connection through a partition is."""
+"""Simulated partitions: which machines reach each other, and a connection between separated machines."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class Reach:
-    """All machines reach each other, but for those of two groups of zones that a partition separates.
+    """Machines reach each other unless they are in two groups of zones that a partition separates.
 
-    `zone_of` gives the zone of an address of the fleet.
+    `zone_of` returns the zone of an address of the fleet.
     """
 
     def __init__(self, zone_of: Callable[[str], str]) -> None:
         self._zone_of = zone_of
         self._sides: tuple[Zones, Zones] | None = None
 
-    def part(self, one: Zones, other: Zones) -> None:
-        """Separate two groups of zones; nothing is separated where one of them is empty."""
-        self._sides = (one, other) if one and other else None
+    def separate(self, first: Zones, second: Zones) -> None:
+        """Separates two groups of zones; removes the partition where one of them is empty."""
+        self._sides = (first, second) if first and second else None
 
     def separates(self, ip: str, other: str) -> bool:
-        """Whether the partition lies between two machines."""
+        """Returns whether the partition separates two machines."""
         if self._sides is None:
             return False
-        one, two = self._sides
-        here, there = self._zone_of(ip), self._zone_of(other)
-        return (here in one and there in two) or (here in two and there in one)
+        first, second = self._sides
+        zone, other_zone = self._zone_of(ip), self._zone_of(other)
+        return (zone in first and other_zone in second) or (zone in second and other_zone in first)
 
 
 class Unreachable:
-    """A connection through a partition: nothing is heard until the time for connecting is over."""
+    """A connection between separated machines, which is closed after the connect time-out."""
 
     unsent = 0
 
@@ -53,22 +53,22 @@
         self._timer = after(within, lambda: self._handler.closed(TIMEOUT))
 
     def send(self, data: bytes) -> None:
-        """It is lost."""
+        """Drops the data."""
 
     def close(self) -> None:
-        """Give up."""
+        """Cancels the connection attempt."""
         self.abort()
 
     def abort(self) -> None:
-        """Give up; `closed` follows."""
+        """Cancels the connection attempt; `closed` is called afterwards."""
         self._timer.cancel()
         self._after(0.0, lambda: self._handler.closed(""))
 
     def pause(self) -> None:
-        """Nothing comes anyway."""
+        """Does nothing: no data arrives."""
 
     def resume(self) -> None:
-        """Nothing comes anyway."""
+        """Does nothing: no data arrives."""
 
     def watch_half_close(self, call: Callable[[], None]) -> None:
-        """Nothing ever comes."""
+        """Does nothing: no data arrives."""
--- a/bench/scale/real_process.py
+++ b/bench/scale/real_process.py
@@ -1,10 +1,10 @@
-"""Run a program of the mesh as it is deployed, on an event loop that counts its traffic.
+"""Runs a program of the mesh as it is deployed, on an event loop that counts its traffic.
 
     python -m bench.scale.real_process PLAN PROGRAM LIMIT_S
 
-PROGRAM is a module of `honeywharf.programs`, whose `main` runs unchanged; its settings are those that the
-environment names. The run asks it for its counts, and parts it from others, at the management port of its own
-address. PLAN: the plan's fields as JSON. It ends after LIMIT_S seconds in any case.
+PROGRAM is a module of `honeywharf.programs`, whose `main` runs unchanged with the settings file from the
+environment. At the management port of its address it answers the bench's calls for counts and partitions.
+PLAN is the plan's fields as JSON. The process ends after LIMIT_S seconds at the latest.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program; its exit status, or 0 when the time is over."""
+    """Runs the program; returns its exit status, or 0 after the time limit."""
     plan, program, limit_s = Plan(**json.loads(arguments[0])), arguments[1], float(arguments[2])
     settings = json.loads(Path(os.environ[SETTINGS_VARIABLE]).read_text("utf-8"))
     ip, internal_port = settings["ip-address"], settings["internal-port-range"][0]
 
-    def counted(directory: str | None) -> CountedLoop:
+    def counted_loop(directory: str | None) -> CountedLoop:
         loop = CountedLoop(directory, ip, internal_port, Reach(plan.zone_of))
 
         def sample(args: Any, reply: Any, peer: Any) -> None:
@@ -40,16 +40,16 @@
             reply([NodeSample(-1, loop.traffic).packed()])
 
         def partition(args: Any, reply: Any, peer: Any) -> None:
-            loop.reach.part(frozenset(args[0]), frozenset(args[1]))
-            loop.part()
+            loop.reach.separate(frozenset(args[0]), frozenset(args[1]))
+            loop.drop_separated()
             reply(True)
 
-        answerer = RpcServer({messages.SAMPLE: sample, messages.PARTITION: partition})
-        loop.listen((ip, plan.port(MANAGEMENT)), answerer.accept)
+        server = RpcServer({messages.SAMPLE: sample, messages.PARTITION: partition})
+        loop.listen((ip, plan.port(MANAGEMENT)), server.accept)
         loop.after(limit_s, lambda: loop.exit(0))
         return loop
 
-    loop_module.EventLoop = counted  # type: ignore[assignment,misc]
+    loop_module.EventLoop = counted_loop  # type: ignore[assignment,misc]
     status: int = importlib.import_module(f"honeywharf.programs.{program}").main()
     return status
 
--- a/bench/scale/shared_readings.py
+++ b/bench/scale/shared_readings.py
@@ -1,10 +1,10 @@
-"""One reading of each configuration for all hollow nodes of a process.
+"""One parsed copy of each configuration for all hollow nodes of a process.
 
-A sidecar reads the text of a configuration twice, into a table of routes and into a second, independent
-form. On machines of their own all do so at the same time; a hundred nodes of one process would do it one
-after the other, and the last one would have the change in force a second late. So each text is read once in
-each way and the result is shared: neither is changed after it was made. What the reading costs is measured at
-the sidecar processes, which share nothing.
+A sidecar parses the text of a configuration twice, into a table of routes and into a second, independent
+form. On separate machines all sidecars do so at the same time; a hundred nodes of one process would do it
+one after the other, and the last one would apply the change a second late. Each text is therefore parsed
+once in each way, and the result, which is never changed, is shared. The sidecar processes share nothing and
+show the cost of parsing.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from honeywharf.mesh_config.routes import RoutingTable
 from honeywharf.sidecar import mesh_state
 
-READINGS = 4  # of the latest texts that are kept
+MAX_CACHED_TEXTS = 4
 
 
-def once(read: Callable[[bytes], Any]) -> Callable[[bytes], Any]:
-    """The same, read once for each text."""
-    return lru_cache(READINGS)(read)
+def cached(parse: Callable[[bytes], Any]) -> Callable[[bytes], Any]:
+    """Returns a parser that caches the result for each text."""
+    return lru_cache(MAX_CACHED_TEXTS)(parse)
 
 
-def share() -> None:
-    """From now on all nodes of this process share their readings."""
-    cast(Any, mesh_state).Table = once(RoutingTable)
-    cast(Any, monitor).ReferenceTable = once(ReferenceTable)
+def share_parsers() -> None:
+    """Shares the parsed configurations between all nodes of this process."""
+    cast(Any, mesh_state).Table = cached(RoutingTable)
+    cast(Any, monitor).ReferenceTable = cached(ReferenceTable)
--- a/bench/scale/traffic.py
+++ b/bench/scale/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes and packets that one machine exchanges with other machines, headers included."""
+"""Counts of the bytes and packets that a machine exchanges with other machines, headers included."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import struct
 from dataclasses import dataclass, fields
 
-UDP_HEADERS = 28  # bytes of IPv4 and UDP headers
-TCP_HEADERS = 52  # bytes of IPv4 and TCP headers, with timestamps
-_TCP_INFO_SIZE = 256
-_RECEIVED = struct.Struct("=Q")  # tcpi_bytes_received, and segments out and in behind it
-_RECEIVED_AT, _SEGMENTS_AT, _SENT_AT = 128, 136, 200  # offsets in the kernel's struct tcp_info
+UDP_HEADER_BYTES = 28  # IPv4 and UDP headers.
+TCP_HEADER_BYTES = 52  # IPv4 and TCP headers, with timestamps.
+_TCP_INFO_SIZE_BYTES = 256
+_UINT64 = struct.Struct("=Q")  # Format of tcpi_bytes_received and tcpi_bytes_sent.
+_RECEIVED_OFFSET, _SEGMENTS_OFFSET, _SENT_OFFSET = 128, 136, 200  # Offsets in the kernel's struct tcp_info.
 _SEGMENTS = struct.Struct("=II")
 
 
@@ -30,40 +30,40 @@
 
     @property
     def bytes_sent(self) -> int:
-        """All bytes that left, with headers."""
+        """All sent bytes, with headers."""
         return self.datagram_bytes_sent + self.link_bytes_sent
 
     @property
     def bytes_received(self) -> int:
-        """All bytes that came, with headers."""
+        """All received bytes, with headers."""
         return self.datagram_bytes_received + self.link_bytes_received
 
     @property
     def packets_sent(self) -> int:
-        """All packets that left."""
+        """All sent packets."""
         return self.datagrams_sent + self.segments_sent
 
     def sent_datagram(self, size: int) -> None:
-        """Count one that leaves."""
+        """Counts a sent datagram of `size` bytes."""
         self.datagrams_sent += 1
-        self.datagram_bytes_sent += size + UDP_HEADERS
+        self.datagram_bytes_sent += size + UDP_HEADER_BYTES
 
     def received_datagram(self, size: int) -> None:
-        """Count one that came."""
+        """Counts a received datagram of `size` bytes."""
         self.datagrams_received += 1
-        self.datagram_bytes_received += size + UDP_HEADERS
+        self.datagram_bytes_received += size + UDP_HEADER_BYTES
 
     def __add__(self, other: Traffic) -> Traffic:
-        """The counts of both."""
+        """Returns the sum of both counts."""
         return Traffic(*(getattr(self, each.name) + getattr(other, each.name) for each in fields(self)))
 
     def __sub__(self, other: Traffic) -> Traffic:
-        """What was counted since an earlier state."""
+        """Returns the difference from an earlier state."""
         return Traffic(*(getattr(self, each.name) - getattr(other, each.name) for each in fields(self)))
 
 
 class CountedLink:
-    """One TCP connection, whose bytes the kernel counts; `read` adds what is new to the machine's traffic."""
+    """One TCP connection, whose bytes the kernel counts."""
 
     __slots__ = ("_received", "_segments_in", "_segments_out", "_sent", "_sock", "_traffic")
 
@@ -73,20 +73,20 @@
         traffic.links_opened += 1
 
     def read(self) -> None:
-        """Add the bytes since the last call; nothing where the socket has been closed."""
+        """Adds the counts since the last call to the machine's traffic, unless the socket is closed."""
         try:
-            info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
+            info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE_BYTES)
         except OSError:
             return
-        received = _RECEIVED.unpack_from(info, _RECEIVED_AT)[0]
-        sent = _RECEIVED.unpack_from(info, _SENT_AT)[0]
-        segments_out, segments_in = _SEGMENTS.unpack_from(info, _SEGMENTS_AT)
+        received = _UINT64.unpack_from(info, _RECEIVED_OFFSET)[0]
+        sent = _UINT64.unpack_from(info, _SENT_OFFSET)[0]
+        segments_out, segments_in = _SEGMENTS.unpack_from(info, _SEGMENTS_OFFSET)
         traffic = self._traffic
         traffic.segments_sent += segments_out - self._segments_out
         traffic.segments_received += segments_in - self._segments_in
-        traffic.link_bytes_sent += sent - self._sent + TCP_HEADERS * (segments_out - self._segments_out)
+        traffic.link_bytes_sent += sent - self._sent + TCP_HEADER_BYTES * (segments_out - self._segments_out)
         traffic.link_bytes_received += (
-            received - self._received + TCP_HEADERS * (segments_in - self._segments_in)
+            received - self._received + TCP_HEADER_BYTES * (segments_in - self._segments_in)
         )
         self._sent, self._received = sent, received
         self._segments_out, self._segments_in = segments_out, segments_in
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -1,4 +1,4 @@
-"""The load of the latency bench: its rate, its bound of lanes, and what it counts, against a real backend."""
+"""The load generator: its rate, its limit of connections and its counts, against a real backend."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 import pytest
 
-from bench.scale.backend_process import Served, attempt_of
+from bench.scale.backend_process import BackendConnection, attempt_id_of
 from bench.scale.load import Load
 from honeywharf.transport.event_loop import EventLoop
 from honeywharf.transport.host import Address, Connection, Handler
 
 
-class Silent(Served):
-    """A backend that never answers."""
+class SilentConnection(BackendConnection):
+    """A backend connection that never answers."""
 
     def received(self, data: bytes) -> None:
-        """Nothing."""
+        """Ignores the request."""
 
 
-def serve(loop: EventLoop, handler: type[Served]) -> Address:
-    """Listen on loopback; where."""
+def serve(loop: EventLoop, handler: type[BackendConnection]) -> Address:
+    """Listens on loopback; returns the address."""
 
     def accept(connection: Connection) -> Handler:
         return handler(connection)
@@ -31,62 +31,70 @@
     return "127.0.0.1", sock.getsockname()[1]
 
 
-def run_until(loop: EventLoop, reached: Callable[[], bool]) -> None:
-    """Let the loop run until something holds, twenty seconds at most."""
+def run_until(loop: EventLoop, condition: Callable[[], bool]) -> None:
+    """Runs the loop until a condition holds, for 20 s at most."""
 
-    def look() -> None:
-        if reached():
+    def check() -> None:
+        if condition():
             loop.exit(0)
         else:
-            loop.after(0.005, look)
+            loop.after(0.005, check)
 
     loop.after(20.0, partial(loop.exit, 1))
-    look()
+    check()
     assert loop.run() == 0
 
 
 def run_until_over(loop: EventLoop, load: Load) -> None:
-    """Let the loop run until all is answered."""
+    """Runs the loop until all requests have been answered."""
     run_until(loop, lambda: load.over)
 
 
 def test_requests_go_out_at_the_rate_and_are_timed() -> None:
     loop = EventLoop(None)
-    begun = loop.now()
-    load = Load(loop, serve(loop, Served), "a.example", "/b/", rate=200.0, lanes=4, seconds=20.0)
+    started_at = loop.now()
+    load = Load(
+        loop, serve(loop, BackendConnection), "a.example", "/b/", rate=200.0, connections=4, seconds=20.0
+    )
 
-    def due() -> int:
+    def due_count() -> int:
         return len(load.answers.times) + len(load.busy) + load.skipped
 
-    run_until(loop, lambda: due() >= 40)
-    assert due() <= 200.0 * (loop.now() - begun) + 1, "never faster than its rate, however busy the machine"
+    run_until(loop, lambda: due_count() >= 40)
+    assert due_count() <= 200.0 * (loop.now() - started_at) + 1, (
+        "never faster than its rate, however busy the machine"
+    )
     assert load.answers.failed == 0
     assert 0.0 < load.answers.percentile_ms(0.5) <= load.answers.percentile_ms(0.99)
 
 
-def test_without_a_rate_each_lane_sends_as_soon_as_it_is_answered() -> None:
+def test_without_a_rate_each_connection_sends_after_each_answer() -> None:
     loop = EventLoop(None)
-    load = Load(loop, serve(loop, Served), "a.example", "/b/", rate=0.0, lanes=3, seconds=0.1)
+    load = Load(
+        loop, serve(loop, BackendConnection), "a.example", "/b/", rate=0.0, connections=3, seconds=0.1
+    )
     run_until_over(loop, load)
     assert len(load.answers.times) > 3
     assert load.answers.failed == load.skipped == 0
 
 
-def test_what_finds_no_lane_is_counted() -> None:
+def test_requests_without_an_idle_connection_are_counted() -> None:
     loop = EventLoop(None)
-    load = Load(loop, serve(loop, Silent), "a.example", "/b/", rate=200.0, lanes=2, seconds=20.0)
+    load = Load(
+        loop, serve(loop, SilentConnection), "a.example", "/b/", rate=200.0, connections=2, seconds=20.0
+    )
     run_until(loop, lambda: load.skipped >= 10)
     assert len(load.busy) == 2
     assert not load.over
 
 
 @pytest.mark.parametrize(
-    ("head", "attempt"),
+    ("head", "attempt_id"),
     [
         (b"GET / HTTP/1.1\r\nHost: a\r\nX-Honeywharf-Attempt-Id:  a-1 ", b"a-1"),
         (b"GET / HTTP/1.1\r\nx-honeywharf-attempt-id: b", b"b"),
         (b"GET / HTTP/1.1\r\nHost: a", b""),
     ],
 )
-def test_the_backend_reads_the_attempt(head: bytes, attempt: bytes) -> None:
-    assert attempt_of(head) == attempt
+def test_the_backend_reads_the_attempt_id(head: bytes, attempt_id: bytes) -> None:
+    assert attempt_id_of(head) == attempt_id
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run's own logic: layout, counts, fits, and a fleet of ten hollow nodes with real control."""
+"""The scale bench's layout, counts and fits, and a fleet of ten hollow nodes with real control processes."""
 
 import socket
 from contextlib import closing
@@ -12,23 +12,23 @@
 from bench.scale.messages import NodeSample, Start
 from bench.scale.payload import configuration
 from bench.scale.phases import Schedule, start
-from bench.scale.plan import DEAF_REGIONS, DEAF_ZONES, ZONES, Plan
+from bench.scale.plan import PARTITIONED_REGIONS, PARTITIONED_ZONES, ZONES, Plan
 from bench.scale.reach import Reach
-from bench.scale.traffic import TCP_HEADERS, CountedLink, Traffic
+from bench.scale.traffic import TCP_HEADER_BYTES, CountedLink, Traffic
 from honeywharf.mesh_config import settings
 from honeywharf.mesh_config.configuration import check
 
 PLAN = Plan(nodes=1200, controls=6, services=160, octet=20, shift=0)
 
 
-def test_every_machine_has_an_address_of_its_own_that_names_its_zone() -> None:
+def test_every_machine_has_its_own_address_in_its_zone() -> None:
     nodes = [PLAN.node(index) for index in range(PLAN.nodes)]
     controls = [(PLAN.control_ip(index), PLAN.control_zone(index)) for index in range(PLAN.controls)]
-    places = [(node.ip, node.zone) for node in nodes] + controls
-    assert len({ip for ip, _ in places}) == PLAN.nodes + PLAN.controls
-    assert all(PLAN.zone_of(ip) == zone for ip, zone in places)
+    addresses = [(node.ip, node.zone) for node in nodes] + controls
+    assert len({ip for ip, _ in addresses}) == PLAN.nodes + PLAN.controls
+    assert all(PLAN.zone_of(ip) == zone for ip, zone in addresses)
     assert len({node.service for node in nodes}) == PLAN.services
-    assert all(max(map(int, ip.split("."))) < 256 for ip, _ in places)
+    assert all(max(map(int, ip.split("."))) < 256 for ip, _ in addresses)
 
 
 def test_a_partition_separates_two_sides_and_nothing_else() -> None:
@@ -39,23 +39,23 @@
         return {(a, b) for a in ips for b in ips if reach.separates(ips[a], ips[b])}
 
     assert not separated()
-    reach.part(*DEAF_ZONES)
+    reach.separate(*PARTITIONED_ZONES)
     assert separated() == {("north-b", "north-c"), ("north-c", "north-b")}
-    reach.part(*DEAF_REGIONS)
+    reach.separate(*PARTITIONED_REGIONS)
     assert len(separated()) == 12
     assert all(dict(ZONES)[a] != dict(ZONES)[b] for a, b in separated())
-    reach.part(frozenset(), frozenset())
+    reach.separate(frozenset(), frozenset())
     assert not separated()
 
 
 def test_settings_are_those_of_a_machine_of_two_regions(tmp_path: Path) -> None:
-    read = settings.parse(PLAN.node_settings(PLAN.node(7)))
-    assert (read.ip, read.zone, read.service) == ("127.22.1.2", "north-c", "service-007")
-    assert read.zones == dict(ZONES)
-    assert read.bound("config-apply", 0.0) == 6.0
+    parsed = settings.parse(PLAN.node_settings(PLAN.node(7)))
+    assert (parsed.ip, parsed.zone, parsed.service) == ("127.22.1.2", "north-c", "service-007")
+    assert parsed.zones == dict(ZONES)
+    assert parsed.bound("config-apply", 0.0) == 6.0
     control = settings.parse(PLAN.control_settings(5, tmp_path))
     assert (control.ip, control.data_directory) == ("127.20.250.2", str(tmp_path))
-    assert control.seeds == read.seeds
+    assert control.seeds == parsed.seeds
 
 
 def test_configurations_are_valid_and_differ() -> None:
@@ -64,28 +64,28 @@
     assert first.digest != second.digest
 
 
-def test_a_line_and_a_power_are_found_again() -> None:
-    line = fits.line([(30, 70.0), (100, 210.0), (300, 610.0)])
-    assert (line.start, line.slope, line.error) == pytest.approx((10.0, 2.0, 0.0), abs=1e-9)
+def test_a_line_and_a_power_are_fitted() -> None:
+    line = fits.fit_line([(30, 70.0), (100, 210.0), (300, 610.0)])
+    assert (line.intercept, line.slope, line.error) == pytest.approx((10.0, 2.0, 0.0), abs=1e-9)
     assert line.at(1200) == pytest.approx(2410.0)
-    power = fits.power([(30, 3 * 30**1.5), (100, 3 * 100**1.5), (300, 3 * 300**1.5)])
+    power = fits.fit_power([(30, 3 * 30**1.5), (100, 3 * 100**1.5), (300, 3 * 300**1.5)])
     assert power is not None
     assert (power.factor, power.exponent) == pytest.approx((3.0, 1.5))
-    assert fits.power([(30, 0.0), (100, 1.0)]) is None
+    assert fits.fit_power([(30, 0.0), (100, 1.0)]) is None
     with pytest.raises(ValueError, match="no points"):
-        fits.line([])
+        fits.fit_line([])
 
 
-def test_a_fit_tells_how_far_it_is_off() -> None:
-    assert fits.line([(1, 1.0), (2, 4.0), (3, 1.0)]).error == pytest.approx(1.0)
+def test_a_fit_reports_its_largest_relative_error() -> None:
+    assert fits.fit_line([(1, 1.0), (2, 4.0), (3, 1.0)]).error == pytest.approx(1.0)
 
 
-@pytest.mark.parametrize(("share", "found"), [(0.5, 5.0), (0.99, 10.0), (1.0, 10.0), (0.0, 1.0)])
-def test_percentiles(share: float, found: float) -> None:
-    assert fits.percentile([float(value) for value in range(10, 0, -1)], share) == found
+@pytest.mark.parametrize(("share", "expected"), [(0.5, 5.0), (0.99, 10.0), (1.0, 10.0), (0.0, 1.0)])
+def test_percentiles(share: float, expected: float) -> None:
+    assert fits.percentile([float(value) for value in range(10, 0, -1)], share) == expected
 
 
-def test_counts_are_kept_by_machine_and_survive_the_way_to_the_run() -> None:
+def test_counts_and_messages_survive_packing() -> None:
     traffic = Traffic()
     traffic.sent_datagram(72)
     traffic.received_datagram(12)
@@ -94,31 +94,31 @@
     assert twice - traffic == traffic
     sample = NodeSample(3, twice, started=1.5, ready=2.5, known=9)
     assert NodeSample.unpacked(sample.packed()) == sample
-    order = Start([1, 2], 0.5, 12, [0])
-    assert Start.unpacked(order.packed()) == order
+    start_message = Start([1, 2], 0.5, 12, [0])
+    assert Start.unpacked(start_message.packed()) == start_message
 
 
 def test_a_link_is_counted_once_however_often_it_is_read() -> None:
     with (
         closing(socket.create_server(("127.0.0.1", 0))) as server,
-        closing(socket.create_connection(server.getsockname())) as caller,
-        closing(server.accept()[0]) as answerer,
+        closing(socket.create_connection(server.getsockname())) as client,
+        closing(server.accept()[0]) as accepted,
     ):
         traffic = Traffic()
-        link = CountedLink(answerer, traffic)
-        caller.sendall(bytes(3000))
-        left = 3000
-        while left:
-            left -= len(answerer.recv(left))
+        link = CountedLink(accepted, traffic)
+        client.sendall(bytes(3000))
+        remaining = 3000
+        while remaining:
+            remaining -= len(accepted.recv(remaining))
         link.read()
         link.read()
-        payload = traffic.link_bytes_received - TCP_HEADERS * traffic.segments_received
+        payload = traffic.link_bytes_received - TCP_HEADER_BYTES * traffic.segments_received
         assert payload == 3000
         assert traffic.links_opened == 1
-    link.read()  # closed: nothing more, and no error
+    link.read()  # A closed socket adds nothing and raises no error.
 
 
-def test_a_small_fleet_starts_changes_restarts_and_parts(tmp_path: Path) -> None:
+def test_a_small_fleet_starts_changes_restarts_and_is_partitioned(tmp_path: Path) -> None:
     plan = Plan.on_free_ports(nodes=10, controls=3, services=4)
     schedule = Schedule(0.0, 0.0, 1, 0.0, 1, 0.0)
     with Fleet(plan, tmp_path, real=0, processes=1, limit_s=60.0) as fleet:
@@ -128,20 +128,20 @@
         assert [sample.known for sample in samples] == [13] * 10
 
         sent, acknowledged = fleet.change()
-        fleet.wait("the change", 10.0, lambda: all(fleet.in_force(fleet.version)))
+        fleet.wait("the change", 10.0, lambda: all(fleet.application_times(fleet.version)))
         assert sent < acknowledged
 
-        lives = {sample.index: sample.started for sample in samples}
+        started_at = {sample.index: sample.started for sample in samples}
         fleet.kill_hollow([4])
-        fleet.revive_hollow([4])
+        fleet.restart_hollow([4])
         fleet.wait("node 4", 10.0, lambda: all(sample.complete for sample in fleet.hollow_samples()))
         assert [
-            sample.index for sample in fleet.hollow_samples() if sample.started != lives[sample.index]
+            sample.index for sample in fleet.hollow_samples() if sample.started != started_at[sample.index]
         ] == [4]
 
-        fleet.partition(*DEAF_ZONES)
+        fleet.partition(*PARTITIONED_ZONES)
         assert sent < fleet.change()[1]
-        fleet.wait("a change beside a partition", 10.0, lambda: all(fleet.in_force(fleet.version)))
+        fleet.wait("a change beside a partition", 10.0, lambda: all(fleet.application_times(fleet.version)))
         assert all(sample.known == 13 for sample in fleet.hollow_samples())
         fleet.partition()
         processes = fleet.all
@@ -149,7 +149,7 @@
     assert not any(process.running for process in processes)
 
 
-def test_the_table_leads_to_the_target() -> None:
+def test_the_table_extrapolates_to_the_target() -> None:
     lines = mesh_scale.table([30, 300], [{"rest | x": 60.0}, {"rest | x": 600.0}], 1200)
     partly = mesh_scale.table([30, 300], [{"rest | x": 60.0}, {"rest | y": 6.0}], 1200)
     assert [line.split()[-2:] for line in partly[1:]] == [["60.00", "-"], ["-", "6.00"]]
