--- a/bench/coap.py
+++ b/bench/coap.py
@@ -24,7 +24,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from bench.processes import HERE, backends, checkouts, peer, proxy, registry, started, wait_for
+from bench.processes import HERE, backends, checkouts, peer, proxy, registry, running_process, wait_for
 from honeywharf.coap import options
 from honeywharf.coap.messages import MAX_TRANSMIT_SPAN, Exchange, MessageLayer
 from honeywharf.codecs import coap
@@ -106,7 +106,7 @@
     discovery = stack.enter_context(registry([row(f"n{i}", p, cell=i) for i, p in enumerate(servers)]))
     wheres = checkouts(args.also)
     echo, *ports = node.free_ports(1 + 2 * len(wheres))
-    stack.enter_context(started(peer("echo", "--port", str(echo)), core, cwd=HERE))
+    stack.enter_context(running_process(peer("echo", "--port", str(echo)), core, cwd=HERE))
     targets = {"echo": echo}
     for (name, where), port, own in zip(wheres.items(), ports[::2], ports[1::2], strict=True):
         stack.enter_context(
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,10 +1,10 @@
-"""us of one core for a request's arrival and its answer in the decision module, beside other checkouts.
+"""Cost of the decision module for one request and its answer, beside other checkouts.
 
     python -m bench.decisions [--number 60000] [--rounds 5] [--also PATH]
 
-Two classes in turn, 16 servers in two zones, every attempt answered at once. The least of seven plays in a
-process of its own, checkouts in turn; the median over rounds is printed. Each checkout is played with what
-`deploy/build.sh` has installed in its `.venv`.
+Prints us of one core: two classes in turn, 16 servers in two zones, every attempt answered at once. Each
+round runs each checkout in its own process and takes the minimum of seven runs; the median over rounds is
+printed. Each checkout runs what `deploy/build.sh` has installed in its `.venv`.
 """
 
 from __future__ import annotations
@@ -46,22 +46,22 @@
 
 
 def main() -> int:
-    """Play and print."""
-    parser = argparse.ArgumentParser(description="what a decision costs")
+    """Runs the measurement and prints it."""
+    parser = argparse.ArgumentParser(description="cost of a decision")
     parser.add_argument("--number", type=int, default=60_000)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--also", type=Path, action="append", default=[], help="another checkout")
     args = parser.parse_args()
-    found: dict[str, list[float]] = {}
+    times_us_by_name: dict[str, list[float]] = {}
     for _ in range(args.rounds):
-        for name, where in checkouts(args.also).items():
-            python = command(where)[:-2]  # less `-m honeywharf`
-            done = subprocess.run(
+        for name, checkout in checkouts(args.also).items():
+            python = command(checkout)[:-2]  # The interpreter's part of the command.
+            completed = subprocess.run(
                 [*python, "-c", PLAY % args.number], cwd="/", capture_output=True, text=True, check=True
             )
-            found.setdefault(name, []).append(float(done.stdout))
-    for name, took in found.items():
-        print(f"{name:<16}{statistics.median(took):6.3f} us ({min(took):.3f} to {max(took):.3f})")
+            times_us_by_name.setdefault(name, []).append(float(completed.stdout))
+    for name, times_us in times_us_by_name.items():
+        print(f"{name:<16}{statistics.median(times_us):6.3f} us ({min(times_us):.3f} to {max(times_us):.3f})")
     return 0
 
 
--- a/bench/mesh_scale.py
+++ b/bench/mesh_scale.py
@@ -4,9 +4,9 @@
 
 Each size has `--controls` control processes, `--real` sidecar processes and hollow sidecars
 (`bench.scale.hollow`) for all other machines, and runs all phases of `bench.scale.phases` but those of
-`--without PHASE,...`. Prints for each figure its value by size, the exponent of its
-growth, and its extrapolation to the target by a line and by a power. `--report FILE` writes the figures as
-JSON. Status 1 where a program's log reports a fault or a phase does not complete.
+`--without PHASE,...`. Prints for each figure its value by size, the exponent of its growth, and its
+extrapolation to the target by a line and by a power. `--report FILE` writes the figures as JSON. Status 1
+where a program's log reports a fault or a phase does not complete.
 """
 
 from __future__ import annotations
--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -28,7 +28,7 @@
 
 import uvloop
 
-from bench.processes import HERE, READ, backends, peer, proxy, registry, started, wait_for
+from bench.processes import HERE, READ, backends, peer, proxy, registry, running_process, wait_for
 from honeywharf import wire
 from honeywharf.codecs import http1
 from honeywharf.core.driver import Driver
@@ -98,7 +98,7 @@
                 if state == "busy":
                     for port in ports:
                         stack.enter_context(
-                            started(
+                            running_process(
                                 peer("load", "--port", str(port), "--seconds", "600", "--name", str(port)),
                                 cores[-1],
                                 cwd=HERE,
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,13 +1,13 @@
-"""Our own ends for the measurements, each a process of one core: as little work as answers the purpose.
+"""Minimal clients and servers for the measurements, each a process on one core.
 
-    python -m bench.peers backend --port P           answers every request at once with four bytes
-    python -m bench.peers relay --port P --to P1,P2  carries bytes to these in turn and reads none of them
+    python -m bench.peers backend --port P           answers every request with four bytes
+    python -m bench.peers relay --port P --to P1,P2  relays bytes to these ports in turn
     python -m bench.peers load --port P --connections N --seconds S --name X
     python -m bench.peers echo --port P              sends every datagram back
 
-`load` asks for the next tile on a connection as soon as it has the last (closed loop), each request with an
-id of its own. Its standard output is one line, answers refused and odd ones, then the us that each answer
-took, four bytes each in the machine's order. Status 1 where a connection breaks.
+`load` is a closed loop: a connection sends its next request, with a new id, once the last is answered. Its
+standard output is one line with the counts of refused and unexpected answers, then the duration of each
+request in us as four bytes in native order. Status 1 where a connection breaks.
 """
 
 from __future__ import annotations
@@ -22,126 +22,126 @@
 
 import uvloop
 
-END = b"\r\n\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntile"
-REQUEST = (
+HEAD_END = b"\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntile"
+REQUEST_FORMAT = (
     b"GET /api/tile HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: %b-%d\r\nX-Service-Class: read\r\n"
     b"X-Time-Left: 5000m\r\n\r\n"
 )
-MAX_ANSWERS = 4_000_000  # that one load process keeps the times of; it ends there
+MAX_ANSWERS = 4_000_000  # Maximum number of durations that a load process records before it ends.
 
 
 class Backend(asyncio.Protocol):
-    """One connection of a server that reads no more than where a head ends."""
+    """One connection of a server that parses only the ends of heads."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A proxy has connected."""
-        self.transport, self.tail = cast(asyncio.Transport, transport), b""
+        """Keeps the transport."""
+        self.transport, self.last_bytes = cast(asyncio.Transport, transport), b""
 
     def data_received(self, data: bytes) -> None:
-        """Answer each head that has come to its end."""
-        came = self.tail + data
-        number = came.count(END)
-        self.tail = came[-3:]
-        if number:
-            self.transport.write(ANSWER * number)
+        """Answers each complete head."""
+        pending = self.last_bytes + data
+        head_count = pending.count(HEAD_END)
+        self.last_bytes = pending[-3:]
+        if head_count:
+            self.transport.write(RESPONSE * head_count)
 
 
-class Side(asyncio.Protocol):
+class RelaySide(asyncio.Protocol):
     """One of the two connections of a relay."""
 
     def __init__(self) -> None:
-        self.other: Side | None = None
-        self.early = b""
+        self.other: RelaySide | None = None
+        self.unsent_data = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Pass on what has come before the other side was there."""
+        """Forwards data that the other side received before this connection was open."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.other is not None and self.other.early:
-            self.transport.write(self.other.early)
+        if self.other is not None and self.other.unsent_data:
+            self.transport.write(self.other.unsent_data)
 
     def data_received(self, data: bytes) -> None:
-        """Pass it on."""
+        """Forwards the data."""
         if self.other is None or self.other.transport is None:
-            self.early += data
+            self.unsent_data += data
         else:
             self.other.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close both."""
+        """Closes the other side."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.close()
 
 
-class Near(Side):
-    """A caller's side of a relay."""
+class CallerSide(RelaySide):
+    """The caller's side of a relay."""
 
     def __init__(self, to: int) -> None:
         super().__init__()
         self.to = to
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect the other side."""
-        self.other = Side()
+        """Opens the connection to the server."""
+        self.other = RelaySide()
         self.other.other = self
         super().connection_made(transport)
         loop, other = asyncio.get_running_loop(), self.other
-        self.work = loop.create_task(loop.create_connection(lambda: other, "127.0.0.1", self.to))
+        self.connect_task = loop.create_task(loop.create_connection(lambda: other, "127.0.0.1", self.to))
 
 
 class Load:
-    """All connections of one process, and what their answers took."""
+    """The state of all connections of one load process, with the durations of their requests."""
 
     def __init__(self, name: str, seconds: float) -> None:
-        self.name, self.ends = name.encode(), time.perf_counter() + seconds
-        self.serial, self.refused, self.odd, self.open = 0, 0, 0, 0
-        self.took = array("I")
+        self.name, self.ends_at = name.encode(), time.perf_counter() + seconds
+        self.serial, self.refused, self.unexpected, self.open = 0, 0, 0, 0
+        self.durations_us = array("I")
         self.done = asyncio.get_running_loop().create_future()
-        self.broken = False
+        self.is_broken = False
 
 
-class Caller(asyncio.Protocol):
-    """One connection: the next request as soon as the last is answered."""
+class LoadConnection(asyncio.Protocol):
+    """One connection, which sends its next request once the last is answered."""
 
     def __init__(self, load: Load) -> None:
-        self.load, self.came = load, b""
+        self.load, self.buffer = load, b""
         load.open += 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask."""
+        """Sends the first request."""
         self.transport = cast(asyncio.Transport, transport)
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         load = self.load
         load.serial += 1
-        self.sent = time.perf_counter()
-        self.transport.write(REQUEST % (load.name, load.serial))
+        self.sent_at = time.perf_counter()
+        self.transport.write(REQUEST_FORMAT % (load.name, load.serial))
 
     def data_received(self, data: bytes) -> None:
-        """Note an answer that is whole, and ask again."""
-        self.came += data
-        head, end, body = self.came.partition(END)
+        """Records a complete answer and sends the next request."""
+        self.buffer += data
+        head, end, body = self.buffer.partition(HEAD_END)
         if not end or len(body) < int(head.lower().partition(b"content-length:")[2].partition(b"\r\n")[0]):
             return
         now, load = time.perf_counter(), self.load
-        load.took.append(int((now - self.sent) * 1e6))
+        load.durations_us.append(int((now - self.sent_at) * 1e6))
         status = head[9:12]
         if status != b"200":
             load.refused += status in (b"503", b"429")
-            load.odd += status not in (b"503", b"429")
-        self.came = b""
-        if now < load.ends and len(load.took) < MAX_ANSWERS:
-            self._ask()
+            load.unexpected += status not in (b"503", b"429")
+        self.buffer = b""
+        if now < load.ends_at and len(load.durations_us) < MAX_ANSWERS:
+            self._send_request()
         else:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The last one ends the run."""
+        """Ends the run with the last connection."""
         load = self.load
-        load.broken = load.broken or (
-            exc is not None or (time.perf_counter() < load.ends and len(load.took) < MAX_ANSWERS)
+        load.is_broken = load.is_broken or (
+            exc is not None or (time.perf_counter() < load.ends_at and len(load.durations_us) < MAX_ANSWERS)
         )
         load.open -= 1
         if not load.open:
@@ -152,45 +152,48 @@
     """Sends each datagram back."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Back."""
+        """Sends the datagram back."""
         self.transport.sendto(data, addr)
 
 
-async def play(args: argparse.Namespace) -> int:
-    """Serve until ended, or load for its time; the exit status."""
+async def run_program(args: argparse.Namespace) -> int:
+    """Serves until the process is ended, or sends load for its time; returns the exit status."""
     loop = asyncio.get_running_loop()
     if args.kind == "load":
         load = Load(args.name, args.seconds)
         for _ in range(args.connections):
-            await loop.create_connection(lambda: Caller(load), "127.0.0.1", args.port)
+            await loop.create_connection(lambda: LoadConnection(load), "127.0.0.1", args.port)
         await load.done
-        sys.stdout.buffer.write(b"%d %d\n" % (load.refused, load.odd) + load.took.tobytes())
-        return int(load.broken)
+        sys.stdout.buffer.write(b"%d %d\n" % (load.refused, load.unexpected) + load.durations_us.tobytes())
+        return int(load.is_broken)
     if args.kind == "echo":
         await loop.create_datagram_endpoint(Echo, ("127.0.0.1", args.port))
         await asyncio.Event().wait()
-    turn = itertools.cycle(int(port) for port in args.to.split(",") if port)
+    ports = itertools.cycle(int(port) for port in args.to.split(",") if port)
     server = await loop.create_server(
-        Backend if args.kind == "backend" else lambda: Near(next(turn)), "127.0.0.1", args.port, backlog=512
+        Backend if args.kind == "backend" else lambda: CallerSide(next(ports)),
+        "127.0.0.1",
+        args.port,
+        backlog=512,
     )
     await server.serve_forever()
     return 0
 
 
 def main() -> int:
-    """Be one of them."""
-    parser = argparse.ArgumentParser(description="ends for the measurements")
+    """Runs one of the programs; returns the exit status."""
+    parser = argparse.ArgumentParser(description="clients and servers for the measurements")
     parser.add_argument("kind", choices=("backend", "relay", "load", "echo"))
     parser.add_argument("--port", type=int, required=True)
-    parser.add_argument("--to", default="", help="of a relay: ports, by commas")
+    parser.add_argument("--to", default="", help="ports of a relay, separated by commas")
     parser.add_argument("--connections", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=1.0)
     parser.add_argument("--name", default="l")
-    return uvloop.run(play(parser.parse_args()))
+    return uvloop.run(run_program(parser.parse_args()))
 
 
 if __name__ == "__main__":
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""What the measurements have in common: processes on cores, checkouts, servers that answer at once."""
+"""Helpers of the measurements: processes pinned to cores, checkouts, and servers that answer at once."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def wait_for(port: int, most_s: float = 20.0) -> None:
-    """Wait until something listens there."""
+    """Waits until something listens on a port. SystemExit after `most_s` seconds."""
     end = time.monotonic() + most_s
     while time.monotonic() < end:
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 0.2):
@@ -34,9 +34,9 @@
 
 
 @contextlib.contextmanager
-def started(command: list[str], core: str, **more: Any) -> Iterator[subprocess.Popen[bytes]]:
-    """A process on these cores, ended at the end."""
-    process = subprocess.Popen(["taskset", "-c", core, *command], stdout=subprocess.DEVNULL, **more)
+def running_process(command: list[str], core: str, **options: Any) -> Iterator[subprocess.Popen[bytes]]:
+    """Runs a process on these cores and terminates it at the end."""
+    process = subprocess.Popen(["taskset", "-c", core, *command], stdout=subprocess.DEVNULL, **options)
     try:
         yield process
     finally:
@@ -49,20 +49,20 @@
 
 @contextlib.contextmanager
 def registry(rows: list[dict[str, Any]]) -> Iterator[int]:
-    """A registry in a thread of its own; its port."""
-    loop, made = asyncio.new_event_loop(), Registry()
+    """Runs a registry in a separate thread; yields its port."""
+    loop, server = asyncio.new_event_loop(), Registry()
 
     async def finish() -> None:
-        await made.stop()
+        await server.stop()
         open_watches = [t for t in asyncio.all_tasks() if t is not asyncio.current_task()]
         for task in open_watches:
             task.cancel()
         await asyncio.gather(*open_watches, return_exceptions=True)
 
     async def prepare() -> int:
-        await made.start()
-        await made.put(*rows)
-        return made.port
+        await server.start()
+        await server.put(*rows)
+        return server.port
 
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -75,43 +75,43 @@
 
 
 def peer(kind: str, *options: str) -> list[str]:
-    """How to start one of bench.peers."""
+    """Returns the command line of a program of bench.peers."""
     return [sys.executable, "-m", "bench.peers", kind, *options]
 
 
 @contextlib.contextmanager
 def backends(cores: list[str], number: int = 4) -> Iterator[list[int]]:
-    """Servers that answer at once, on these cores in turn; their ports."""
+    """Runs servers that answer at once, on these cores in turn; yields their ports."""
     with contextlib.ExitStack() as stack:
         ports = node.free_ports(number)
         for i, port in enumerate(ports):
             stack.enter_context(
-                started(peer("backend", "--port", str(port)), cores[i % len(cores)], cwd=HERE)
+                running_process(peer("backend", "--port", str(port)), cores[i % len(cores)], cwd=HERE)
             )
         for port in ports:
             wait_for(port)
         yield ports
 
 
-def command(where: Path, *, sources: bool = False) -> list[str]:
-    """How to start that checkout's proxy: what `deploy/build.sh` has installed there, or the sources."""
-    environment = where / ".venv"
-    python = environment / "bin" / "python"
-    safe = ["-P"] if (environment / "honeywharf.sources").exists() and not sources else []
-    return [str(python) if python.exists() else sys.executable, *safe, "-m", "honeywharf"]
+def command(checkout: Path, *, sources: bool = False) -> list[str]:
+    """Returns the command of a checkout's proxy: the build by `deploy/build.sh`, or the sources."""
+    virtual_environment = checkout / ".venv"
+    python = virtual_environment / "bin" / "python"
+    safe_path_option = ["-P"] if (virtual_environment / "honeywharf.sources").exists() and not sources else []
+    return [str(python) if python.exists() else sys.executable, *safe_path_option, "-m", "honeywharf"]
 
 
 def checkouts(also: list[Path], sources: bool = False) -> dict[str, Path]:
-    """This checkout and others, by name."""
+    """Returns this checkout and others, by name."""
     return {
         "honeywharf": HERE,
         **({"sources": HERE} if sources else {}),
-        **{p.resolve().name: p.resolve() for p in also},
+        **{path.resolve().name: path.resolve() for path in also},
     }
 
 
 def proxy(
-    where: Path,
+    checkout: Path,
     core: str,
     port: int,
     discovery: int,
@@ -122,16 +122,18 @@
     classes: tuple[dict[str, Any], ...] = (READ,),
     sources: bool = False,
 ) -> contextlib.AbstractContextManager[subprocess.Popen[bytes]]:
-    """A proxy of that checkout on that core and port, before these servers; `features` is its file's text."""
+    """Runs a checkout's proxy on a core and port before these servers; `features` is its file's text."""
     rows = [row(f"n{i}", p, cell=i) for i, p in enumerate(servers)]
-    conf, file = folder / f"{port}.json", folder / f"{port}.toml"
-    conf.write_text(json.dumps(node.configuration(node.settings(classes), discovery, rows, port=port)))
-    file.write_text(features)
-    told = {"HONEYWHARF_FEATURES": str(file)} if features else {}
-    return started(
-        command(where, sources=sources),
+    configuration_file, features_file = folder / f"{port}.json", folder / f"{port}.toml"
+    configuration_file.write_text(
+        json.dumps(node.configuration(node.settings(classes), discovery, rows, port=port))
+    )
+    features_file.write_text(features)
+    extra_environment = {"HONEYWHARF_FEATURES": str(features_file)} if features else {}
+    return running_process(
+        command(checkout, sources=sources),
         core,
-        cwd=where,
+        cwd=checkout,
         stderr=subprocess.DEVNULL,
-        env={**os.environ, "NODE_CONFIG": str(conf), **told},
+        env={**os.environ, "NODE_CONFIG": str(configuration_file), **extra_environment},
     )
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -31,7 +31,7 @@
 CONTROL_ROW = 250  # Third octet of the control machines' addresses.
 MANAGEMENT_ROW = 251  # Third octet of the addresses at which the bench's own processes answer calls.
 SEED_COUNT = 3
-MAX_OCTET = 254 - len(ZONES)
+HIGHEST_OCTET = 254 - len(ZONES)
 MANAGEMENT = 8308  # Port for the bench's calls to its processes, beside the ports of `deployment`.
 BOUND_OVERRIDES = {"config-apply": "6000ms"}  # The bound of a real deployment replaces the simulation's.
 
@@ -62,9 +62,9 @@
 
     @staticmethod
     def on_free_ports(nodes: int, controls: int, services: int) -> Plan:
-        """Returns a plan whose ports are free. OSError where there is none."""
+        """A plan whose ports nobody uses. OSError where there is none."""
         subnet, shift = place()
-        octet = min(MAX_OCTET, int(subnet.split(".")[1]))
+        octet = min(HIGHEST_OCTET, int(subnet.split(".")[1]))
         return Plan(nodes, controls, services, octet, shift)
 
     def port(self, number: int) -> int:
--- a/bench/storms.py
+++ b/bench/storms.py
@@ -1,10 +1,10 @@
-"""What the rules of storms cost for each request, and whether anything calm is taken for a storm.
+"""False alarms of the storm rules, and their cost for each request.
 
     python -m bench.storms [--experiment bench/experiments/quiet.toml]
 
-Plays the days of the experiment (200: 0.2 to 0.6 of capacity, and floods of first tries up to 0.75) and
-counts changes to the state of a storm; status 1 where there was one. Then us of one core for a first try and
-for a repeat that is refused, and the bytes of the sketches. What storms do with and without the rules is
+Runs the days of the experiment (200: 0.2 to 0.6 of capacity, and floods of first attempts up to 0.75) and
+counts changes to the state of a storm; status 1 where there was one. Then prints the us of one core for a
+first attempt and for a refused repeat, and the bytes of the sketches. The effect of the rules is shown by
 `honeywharf lab run bench/experiments/storms.toml`.
 """
 
@@ -25,25 +25,25 @@
 
 
 def cost(number: int = 200_000) -> tuple[float, float, int]:
-    """us of one core for a first try and for a repeat that is refused, and bytes of the sketches."""
+    """Returns us for a first attempt and for a refused repeat, and the bytes of the sketches."""
     storms, now = Storms(Rules(), random.Random(1), b"secret"), 1e6
     names = [b"name %d" % i for i in range(number)]
-    begun = time.process_time()
+    started_at = time.process_time()
     for name in names:
         now += 1.0
         storms.arrived(now, name, "t", False)
-    first = (time.process_time() - begun) / number * 1e6
-    begun = time.process_time()
+    first_us = (time.process_time() - started_at) / number * 1e6
+    started_at = time.process_time()
     for name in names[-4000:] * 10:
         now += 0.01
-        coming, code, _ = storms.arrived(now, name, "t", True)
-        storms.admits(now, "t", coming)
-        storms.refused(now, code, coming, True)
-    return first, (time.process_time() - begun) / 40_000 * 1e6, storms.size_bytes
+        arrival, code, _ = storms.arrived(now, name, "t", True)
+        storms.admits(now, "t", arrival)
+        storms.refused(now, code, arrival, True)
+    return first_us, (time.process_time() - started_at) / 40_000 * 1e6, storms.size_bytes
 
 
 def main() -> int:
-    """Play and print."""
+    """Runs the days and prints the results."""
     parser = argparse.ArgumentParser(description="false alarms and the cost of the rules of storms")
     parser.add_argument("--experiment", type=Path, default=QUIET)
     args = parser.parse_args()
