--- a/bench/mesh_explore.py
+++ b/bench/mesh_explore.py
@@ -1,16 +1,12 @@
-"""The register explored: every order of write, sync, loss of power, message and loss of one; states counted.
+"""Explores all orders of writes, syncs, power losses and messages of the register, and counts its states.
 
     python -m bench.mesh_explore [--most 200000] [--only WORDS,...] [--wrong]
 
-Each case starts some proposers and readers (the classes that the program runs) among three or five acceptors
-and takes every step that may come next, each state once: an actor begins, a message arrives, a write is
-synced, the power goes before that with the write kept or lost, a message comes twice, a disk is given up. A
-message that never arrives is a lost one, an actor that never goes on is a dead one. After each step what was
-told as in force must not be older than what was told before it was asked for, no revision may have two
-contents, and no version may go back. Where a roster never changes its members are alike: states that differ
-by their names count once. Printed for each case: states, whether these are all, seconds; then for each wrong
-register (`--wrong` alone: only these) after how many states it was found out. Status 1 where a rule was
-broken or a wrong register was not found out.
+Each case starts proposers and readers (the classes that the program runs) among three or five acceptors and
+takes every possible step, visiting each state once; tests/control/explore.py has the steps and the rules.
+Prints for each case the number of states, whether they are all, and seconds; then for each faulty register
+(`--wrong`: only these) the number of states until it is detected. Status 1 where a rule was broken or a
+faulty register was not detected.
 """
 
 from __future__ import annotations
@@ -59,13 +55,13 @@
 )
 
 NAMES = "abcde"
-TELLS = 400  # states of a wrong register that are met in one order
-ORDERS = range(1, 201)  # of steps, by seed
+MAX_FAULTY_STATES = 400  # States of a faulty register that are visited for each seed.
+ORDER_SEEDS = range(1, 201)  # Seeds of the order of steps.
 
 
 @dataclass
 class Case:
-    """What is explored: a start in a world. `broken` of a wrong register: a patch that is on meanwhile."""
+    """A start state in a world. `patch` makes a register faulty while the case is explored."""
 
     name: str
     start: Callable[[], Node]
@@ -73,113 +69,129 @@
     patch: tuple[type, str, Any] | None = None
 
 
-def roster(count: int) -> Membership:
-    """Members by their first disks."""
+def membership_of(count: int) -> Membership:
+    """Returns a membership of members with their first disks."""
     return members([MemberId(name, "first") for name in NAMES[:count]])
 
 
-def node(count: int, *actors: Actor, more: str = "") -> Node:
-    """So many members that hold nothing yet, and machines that are not members."""
+def start_state(count: int, *actors: Actor, others: str = "") -> Node:
+    """Returns a state with `count` empty members, and machines that are not members."""
     votes = {}
     for name in NAMES[:count]:
-        state = AcceptorState("first", 1, roster(count))
+        state = AcceptorState("first", 1, membership_of(count))
         votes[name] = Vote(state, state)
-    for name in more:
+    for name in others:
         state = AcceptorState(f"disk-{name}")
         votes[name] = Vote(state, state)
     return Node(votes, actors, (), {}, 0)
 
 
-def put(
+def configuration_proposer(
     count: int,
     version: int,
     name: str,
     counter: int = 0,
-    who: str = "p",
+    actor_name: str = "p",
     change: Callable[[int, str], Change] = mesh_state.replace_configuration,
     made: type[QuorumWrite] = QuorumWrite,
 ) -> Actor:
-    """A proposer of a configuration."""
-    return proposer(who, change(version, name), 1, roster(count), counter, made)
+    """Returns a proposer of a configuration."""
+    return proposer(actor_name, change(version, name), 1, membership_of(count), counter, made)
 
 
-def two(count: int, made: type[QuorumWrite] = QuorumWrite) -> Node:
-    """Two contents of one version at once."""
-    return node(count, put(count, 1, "one", made=made), put(count, 1, "other", 1, "q", made=made))
+def competing_proposers(count: int, made: type[QuorumWrite] = QuorumWrite) -> Node:
+    """Returns two proposers of different contents of one version."""
+    return start_state(
+        count,
+        configuration_proposer(count, 1, "one", made=made),
+        configuration_proposer(count, 1, "other", 1, "q", made=made),
+    )
 
 
-def held(count: int, *actors: Actor, version: int = 3, world: World | None = None) -> Node:
-    """A word that was acknowledged by a bare majority; then others come."""
-    first = node(count, put(count, version, "three", who="r"))
-    made = run_to_end(world or World(), first, 0, set(NAMES[: count // 2 + 1]))
-    made.actors = actors
-    return made
+def accepted_value(count: int, *actors: Actor, version: int = 3, world: World | None = None) -> Node:
+    """Returns a state with a value that a bare majority has acknowledged, and actors that start later."""
+    start = start_state(count, configuration_proposer(count, version, "three", actor_name="r"))
+    state = run_to_end(world or World(), start, 0, set(NAMES[: count // 2 + 1]))
+    state.actors = actors
+    return state
 
 
-def one(count: int) -> Node:
-    """A proposer and a reader."""
-    return node(count, put(count, 1, "one"), reader(1, roster(count)))
+def proposer_and_reader(count: int) -> Node:
+    """Returns a proposer and a reader."""
+    return start_state(count, configuration_proposer(count, 1, "one"), reader(1, membership_of(count)))
 
 
-def contested(count: int, version: int) -> Node:
-    """A held word of version 3; a proposer that knows nothing of it, and a reader."""
-    return held(count, put(count, version, "other", 3, "q"), reader(1, roster(count)))
+def accepted_and_proposer(count: int, version: int) -> Node:
+    """Returns an accepted value of version 3, a proposer that does not know it, and a reader."""
+    return accepted_value(
+        count, configuration_proposer(count, version, "other", 3, "q"), reader(1, membership_of(count))
+    )
 
 
-def overtaken_twice(count: int) -> Node:
-    """A held word of version 3; two contents of version 2 come."""
-    return held(count, put(count, 2, "two", 3, "q"), put(count, 2, "other", 4, "s"))
+def accepted_and_conflicting(count: int) -> Node:
+    """Returns an accepted value of version 3, and two proposers of different contents of version 2."""
+    return accepted_value(
+        count,
+        configuration_proposer(count, 2, "two", 3, "q"),
+        configuration_proposer(count, 2, "other", 4, "s"),
+    )
 
 
-def dead(count: int, survey: type[QuorumRead] = QuorumRead) -> Node:
-    """A proposer that died when one member had accepted; one that writes back, and two readers."""
-    first = node(count, put(count, 1, "one"))
-    made = run_until(
+def dead_proposer(count: int, read_type: type[QuorumRead] = QuorumRead) -> Node:
+    """Returns a proposer that died when one member had accepted, one that writes back, and two readers."""
+    start = start_state(count, configuration_proposer(count, 1, "one"))
+    crashed = run_until(
         World(),
-        first,
+        start,
         0,
         set(NAMES[: count // 2 + 1]),
         lambda node: any(vote.state.value is not None for vote in node.votes.values()),
     )
-    back = proposer("q", mesh_state.no_change, 1, roster(count), 1)
-    readers = [reader(1, roster(count), survey) for _ in range(2)]
-    return Node(made.votes, (*readers, back) if survey is QuorumRead else tuple(readers), (), {}, 0)
+    write_back = proposer("q", mesh_state.no_change, 1, membership_of(count), 1)
+    readers = [reader(1, membership_of(count), read_type) for _ in range(2)]
+    return Node(
+        crashed.votes, (*readers, write_back) if read_type is QuorumRead else tuple(readers), (), {}, 0
+    )
 
 
-def promised(count: int) -> Node:
-    """Two proposers, of whom one has its promises already."""
+def proposer_with_promises(count: int) -> Node:
+    """Returns two proposers; one of them already has its promises."""
     return run_until(
         World(),
-        two(count),
+        competing_proposers(count),
         0,
         set(NAMES[: count // 2 + 1]),
         lambda node: getattr(node.actors[0].operation, "phase", None) is Phase.ACCEPT,
     )
 
 
-def swaps(made: type[QuorumWrite] = QuorumWrite) -> Node:
-    """Two put machines in the places of silent members, and a third proposes under the roster it knew."""
-    actors = [put(3, 1, "one", who="s", made=made)]
-    for who, joiner, gone in (("p", "d", "c"), ("q", "e", "a")):
-        change = mesh_state.admit(Member(joiner, f"disk-{joiner}", "", False), [MemberId(gone, "first")])
-        actors.append(proposer(who, change, 1, roster(3), made=made))
-    return node(3, *actors, more="de")
+def member_replacements(made: type[QuorumWrite] = QuorumWrite) -> Node:
+    """Returns two replacements of silent members, and a proposer that knows only the old membership."""
+    actors = [configuration_proposer(3, 1, "one", actor_name="s", made=made)]
+    for actor_name, joiner, replaced in (("p", "d", "c"), ("q", "e", "a")):
+        change = mesh_state.admit(Member(joiner, f"disk-{joiner}", "", False), [MemberId(replaced, "first")])
+        actors.append(proposer(actor_name, change, 1, membership_of(3), made=made))
+    return start_state(3, *actors, others="de")
 
 
-def renamed(state: AcceptorState) -> AcceptorState:
-    """What giving a name up leaves, or a wiped disk: no vote under the old name."""
+def wiped_state(state: AcceptorState) -> AcceptorState:
+    """Returns the state of a disk that was given up or wiped: no vote under the old name."""
     return AcceptorState("new", state.epoch, state.members)
 
 
-def readmitted(count: int) -> Node:
-    """A held word; one proposes, one reads, one puts a new disk name in the place of the first member."""
-    joins = proposer("s", mesh_state.admit(Member("a", "new", "", False), []), 1, roster(count), 5)
-    return held(count, joins, put(count, 4, "four", 3, "q"), reader(1, roster(count)))
+def disk_readmission(count: int) -> Node:
+    """Returns an accepted value, a proposer, a reader, and a new disk for the first member."""
+    joins = proposer("s", mesh_state.admit(Member("a", "new", "", False), []), 1, membership_of(count), 5)
+    return accepted_value(
+        count, joins, configuration_proposer(count, 4, "four", 3, "q"), reader(1, membership_of(count))
+    )
 
 
-def after(count: int) -> Node:
-    """A word that was acknowledged before it was synced, and a reader."""
-    return held(count, reader(1, roster(count)), world=World(split=True, late_sync=("accepted",)))
+def acknowledged_before_sync(count: int) -> Node:
+    """Returns a value that was acknowledged before its sync, and a reader."""
+    return accepted_value(
+        count, reader(1, membership_of(count)), world=World(split=True, late_sync=("accepted",))
+    )
 
 
 SPLIT = {"split": True, "alike": True}
@@ -190,99 +202,99 @@
         for case in (
             Case(
                 f"{count}: a proposer and a reader, power lost once",
-                partial(one, count),
+                partial(proposer_and_reader, count),
                 {**SPLIT, "faults": 1},
             ),
-            Case(f"{count}: two proposers", partial(two, count), SPLIT),
+            Case(f"{count}: two proposers", partial(competing_proposers, count), SPLIT),
             Case(
                 f"{count}: a held word, a proposer and a reader, power lost once",
-                partial(contested, count, 4),
+                partial(accepted_and_proposer, count, 4),
                 {**SPLIT, "faults": 1},
             ),
             Case(
                 f"{count}: a held word, two contents of an overtaken version, power lost once",
-                partial(overtaken_twice, count),
+                partial(accepted_and_conflicting, count),
                 {**SPLIT, "faults": 1},
             ),
             Case(
                 f"{count}: a held word, an older version and a reader, messages twice",
-                partial(contested, count, 2),
+                partial(accepted_and_proposer, count, 2),
                 {**SPLIT, "faults": 1, "twice": True},
             ),
             Case(
                 f"{count}: a proposer that died half-way, two readers, one that writes back",
-                partial(dead, count),
+                partial(dead_proposer, count),
                 SPLIT,
             ),
             Case(
                 f"{count}: two proposers, of whom one has its promises, power lost once",
-                partial(promised, count),
+                partial(proposer_with_promises, count),
                 {**SPLIT, "faults": 1},
             ),
             Case(
                 f"{count}: a held word, a disk given up, its admission, a proposer, a reader",
-                partial(readmitted, count),
-                {"faults": 1, "wiped": renamed},
+                partial(disk_readmission, count),
+                {"faults": 1, "wiped": wiped_state},
             ),
         )
     ),
     Case(
         "3: two proposers that try twice, power lost once",
-        partial(two, 3),
+        partial(competing_proposers, 3),
         {**SPLIT, "tries": 2, "faults": 1},
     ),
-    Case("3: two changes of the roster and a proposer that knows neither", swaps, {"tries": 2}),
+    Case("3: two changes of the roster and a proposer that knows neither", member_replacements, {"tries": 2}),
 ]
 
 
-# Wrong registers.
+# Faulty registers.
 
 
-def by_arrival(version: int, digest: str) -> Change:
-    """Takes whatever came last."""
+def replace_by_arrival(version: int, digest: str) -> Change:
+    """Applies whatever arrives last."""
     return lambda value: (value.with_changes(version=version, digest=digest), True)
 
 
-def unremembered(version: int, digest: str) -> Change:
-    """Confirms whatever is not above the version in force, without a look at its content."""
-    right = mesh_state.replace_configuration(version, digest)
+def replace_without_history(version: int, digest: str) -> Change:
+    """Confirms whatever is not above the current version without comparing its content."""
+    replace = mesh_state.replace_configuration(version, digest)
 
     def change(state: MeshState) -> tuple[MeshState | None, Any]:
         if version > state.version:
-            return right(state)
+            return replace(state)
         return None, Confirmation(Outcome.CONFIRMED, version, digest, digest)
 
     return change
 
 
-def one_version_unremembered(count: int) -> Node:
-    """Another content under the version in force, where the memory of versions is left out."""
-    return held(count, put(count, 3, "other", 3, "q", unremembered))
+def conflict_without_history(count: int) -> Node:
+    """Proposes different content under the current version, without the version history."""
+    return accepted_value(count, configuration_proposer(count, 3, "other", 3, "q", replace_without_history))
 
 
-def overtaken_unremembered(count: int) -> Node:
-    """One content of an overtaken version was confirmed, another comes; the memory is left out."""
-    start = held(count, put(count, 2, "two", 3, "q", unremembered))
-    made = run_to_end(World(), start, 0, set(NAMES[: count // 2 + 1]))
-    made.actors = (put(count, 2, "other", 5, "s", unremembered),)
-    return made
+def overtaken_without_history(count: int) -> Node:
+    """Proposes a second content of an overtaken version, without the version history."""
+    start = accepted_value(count, configuration_proposer(count, 2, "two", 3, "q", replace_without_history))
+    state = run_to_end(World(), start, 0, set(NAMES[: count // 2 + 1]))
+    state.actors = (configuration_proposer(count, 2, "other", 5, "s", replace_without_history),)
+    return state
 
 
-def living(self: Quorums, by: Any) -> bool:
-    """A majority of those that answer."""
-    there = set(by)
-    return all(any(key in there for key in one) for one in self.memberships)
+def majority_of_answers(self: Quorums, answers: Any) -> bool:
+    """Returns whether a majority of those that answer is covered."""
+    answered = set(answers)
+    return all(any(key in answered for key in membership) for membership in self.memberships)
 
 
-class Hasty(QuorumRead):
-    """Tells the highest that a majority told of, and writes nothing back."""
+class ReaderWithoutWriteBack(QuorumRead):
+    """Returns the highest value that a majority reports, and does not write it back."""
 
     def received(self, now: float, key: mesh_state.MemberId, answer: Answer) -> OutgoingRequests:
-        """A member has answered."""
+        """Handles a member's answer."""
         if self.result is None and isinstance(answer, CurrentValue):
             self.answers[key] = AcceptedValue(answer.accepted, answer.state)
             if self.quorums.covered(self.answers):
-                highest = max(self.answers.values(), key=lambda told: told[0])[1]
+                highest = max(self.answers.values(), key=lambda answer_value: answer_value[0])[1]
                 self.result, self.value = (
                     QuorumResult.OK,
                     highest or mesh_state.initial_state(self.decided.members),
@@ -290,17 +302,17 @@
         return []
 
 
-class Forgetful(Acceptor):
-    """Accepts whatever it has promised since."""
+class ForgetfulAcceptor(Acceptor):
+    """Accepts a proposal regardless of later promises."""
 
     def _accept(
-        self, state: AcceptorState, ballot: ProposalNumber, value: MeshState
+        self, state: AcceptorState, number: ProposalNumber, value: MeshState
     ) -> tuple[AcceptorState, Answer]:
-        return super()._accept(replace(state, promised=NO_PROPOSAL), ballot, value)
+        return super()._accept(replace(state, promised=NO_PROPOSAL), number, value)
 
 
-class Blind(QuorumWrite):
-    """Proposes its own value whatever the others have accepted."""
+class BlindProposer(QuorumWrite):
+    """Proposes its own value regardless of what others have accepted."""
 
     def _propose_when_promised(self) -> OutgoingRequests:
         if self.quorums.covered(self.promises):
@@ -308,40 +320,59 @@
         return super()._propose_when_promised()
 
 
-def blind(count: int) -> Node:
-    """The wrong proposer, after a word is held."""
-    return held(count, put(count, 3, "other", 3, "q", made=Blind))
+def accepted_and_blind_proposer(count: int) -> Node:
+    """Returns an accepted value and a faulty proposer."""
+    return accepted_value(count, configuration_proposer(count, 3, "other", 3, "q", made=BlindProposer))
 
 
-def overtaken(count: int) -> Node:
-    """An older version and a reader of it, after a newer one is held."""
-    return held(count, put(count, 2, "two", 3, "q", by_arrival))
+def accepted_and_older_version(count: int) -> Node:
+    """Returns an accepted value, and a proposer and a reader of an older version."""
+    return accepted_value(count, configuration_proposer(count, 2, "two", 3, "q", replace_by_arrival))
 
 
-WRONG = [
+FAULTY_REGISTERS = [
     case
     for count in (3, 5)
     for case in (
         Case(
             f"{count}: accepted before the sync",
-            partial(after, count),
+            partial(acknowledged_before_sync, count),
             {**SPLIT, "faults": 1, "late_sync": ("accepted",)},
         ),
         Case(
             f"{count}: promise not synced",
-            partial(promised, count),
+            partial(proposer_with_promises, count),
             {**SPLIT, "faults": 1, "late_sync": ("promised",)},
         ),
-        Case(f"{count}: majority of the living", partial(two, count), SPLIT, (Quorums, "covered", living)),
-        Case(f"{count}: version by arrival", partial(overtaken, count), SPLIT),
-        Case(f"{count}: one version, two contents", partial(one_version_unremembered, count), SPLIT),
-        Case(f"{count}: an overtaken version, two contents", partial(overtaken_unremembered, count), SPLIT),
-        Case(f"{count}: reader without write back", partial(dead, count, Hasty), SPLIT),
-        Case(f"{count}: promise forgotten", partial(two, count), {**SPLIT, "acceptor": Forgetful}),
-        Case(f"{count}: what others accepted is not taken over", partial(blind, count), SPLIT),
+        Case(
+            f"{count}: majority of the living",
+            partial(competing_proposers, count),
+            SPLIT,
+            (Quorums, "covered", majority_of_answers),
+        ),
+        Case(f"{count}: version by arrival", partial(accepted_and_older_version, count), SPLIT),
+        Case(f"{count}: one version, two contents", partial(conflict_without_history, count), SPLIT),
+        Case(
+            f"{count}: an overtaken version, two contents", partial(overtaken_without_history, count), SPLIT
+        ),
+        Case(
+            f"{count}: reader without write back",
+            partial(dead_proposer, count, ReaderWithoutWriteBack),
+            SPLIT,
+        ),
+        Case(
+            f"{count}: promise forgotten",
+            partial(competing_proposers, count),
+            {**SPLIT, "acceptor": ForgetfulAcceptor},
+        ),
+        Case(
+            f"{count}: what others accepted is not taken over",
+            partial(accepted_and_blind_proposer, count),
+            SPLIT,
+        ),
         Case(
             f"{count}: a wiped disk keeps its name",
-            partial(contested, count, 4),
+            partial(accepted_and_proposer, count, 4),
             {
                 "alike": True,
                 "faults": 1,
@@ -352,50 +383,53 @@
 ]
 
 
-def played(case: Case, most: int, seed: int | None = None) -> tuple[int, bool, str]:
-    """States met, whether they are all, and what was broken."""
-    seen: list[int] = []
-    saved = getattr(case.patch[0], case.patch[1]) if case.patch else None
+def explore_case(case: Case, max_states: int, seed: int | None = None) -> tuple[int, bool, str]:
+    """Returns the number of visited states, whether they are all, and the broken rule."""
+    visited_counts: list[int] = []
+    original = getattr(case.patch[0], case.patch[1]) if case.patch else None
     if case.patch:
         setattr(*case.patch)
     try:
-        count, whole = explore(World(**case.world), case.start(), most, seed, seen)
-        return count, whole, ""
-    except BrokenError as broken:
-        return seen[-1], False, str(broken)
+        count, is_complete = explore(World(**case.world), case.start(), max_states, seed, visited_counts)
+        return count, is_complete, ""
+    except BrokenError as error:
+        return visited_counts[-1], False, str(error)
     finally:
         if case.patch:
-            setattr(case.patch[0], case.patch[1], saved)
+            setattr(case.patch[0], case.patch[1], original)
 
 
 def main(arguments: list[str]) -> int:
-    """Explore all cases, then all wrong registers."""
+    """Explores all cases, then all faulty registers."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--most", type=int, default=200_000)
     parser.add_argument("--only", default="")
     parser.add_argument("--wrong", action="store_true")
-    asked = parser.parse_args(arguments)
-    words, total, bad = asked.only.split(","), 0, 0
-    for case in [] if asked.wrong else CASES:
-        if any(one in case.name for one in words):
-            begun = time.monotonic()
-            count, whole, broken = played(case, asked.most)
-            total, bad = total + count, bad + bool(broken)
-            told = f"BROKEN: {broken}" if broken else "all" if whole else "the first of more"
-            print(f"{case.name:72} {count:8} states, {told}, {time.monotonic() - begun:.0f} s", flush=True)
-    for case in WRONG:
-        if any(one in case.name for one in words):
-            met, found = 0, False
-            for seed in ORDERS:
-                count, _, broken = played(case, TELLS, seed)
-                met, found = met + count, bool(broken)
-                if found:
+    options = parser.parse_args(arguments)
+    words, total, failure_count = options.only.split(","), 0, 0
+    for case in [] if options.wrong else CASES:
+        if any(word in case.name for word in words):
+            started_at = time.monotonic()
+            count, is_complete, violation = explore_case(case, options.most)
+            total, failure_count = total + count, failure_count + bool(violation)
+            result = f"BROKEN: {violation}" if violation else "all" if is_complete else "the first of more"
+            print(
+                f"{case.name:72} {count:8} states, {result}, {time.monotonic() - started_at:.0f} s",
+                flush=True,
+            )
+    for case in FAULTY_REGISTERS:
+        if any(word in case.name for word in words):
+            state_count, is_detected = 0, False
+            for seed in ORDER_SEEDS:
+                count, _, violation = explore_case(case, MAX_FAULTY_STATES, seed)
+                state_count, is_detected = state_count + count, bool(violation)
+                if is_detected:
                     break
-            bad += not found
-            told = f"{'found out' if found else 'NOT FOUND OUT'} after {met} states"
-            print(f"wrong register, {case.name:57} {told}", flush=True)
-    print(f"{total} states in all; {bad} cases not as wanted")
-    return 1 if bad else 0
+            failure_count += not is_detected
+            result = f"{'found out' if is_detected else 'NOT FOUND OUT'} after {state_count} states"
+            print(f"wrong register, {case.name:57} {result}", flush=True)
+    print(f"{total} states in all; {failure_count} cases not as wanted")
+    return 1 if failure_count else 0
 
 
 if __name__ == "__main__":
--- a/tests/control/test_explored.py
+++ b/tests/control/test_explored.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.mesh_explore import CASES, ORDERS, TELLS, WRONG, played
+from bench.mesh_explore import CASES, FAULTY_REGISTERS, MAX_FAULTY_STATES, ORDER_SEEDS, explore_case
 from honeywharf.control.quorum import Quorums
 
 QUICK = (
@@ -23,14 +23,14 @@
 @pytest.mark.parametrize("name", [case.name for case in CASES])
 def test_no_order_breaks_a_rule(name: str) -> None:
     case = next(case for case in CASES if case.name == name)
-    count, is_complete, broken = played(case, 700, 1)
+    count, is_complete, broken = explore_case(case, 700, 1)
     assert broken == ""
     assert is_complete or count == 700
 
 
 @pytest.mark.parametrize("name", [f"3: {name}" for name in QUICK])
 def test_a_faulty_register_is_detected(name: str) -> None:
-    case = next(case for case in WRONG if case.name == name)
+    case = next(case for case in FAULTY_REGISTERS if case.name == name)
     covered = Quorums.covered
-    assert any(played(case, TELLS, seed)[2] for seed in ORDERS[:15])
+    assert any(explore_case(case, MAX_FAULTY_STATES, seed)[2] for seed in ORDER_SEEDS[:15])
     assert Quorums.covered is covered, "the patch is reverted"
