--- a/bench/all_troubles.py
+++ b/bench/all_troubles.py
@@ -1,18 +1,13 @@
-"""A copy of a deployment's file whose list of troubles holds every kind, with the variants of each.
+"""Copies a deployment's file and adds every kind of fault, with its variants, to its list `troubles`.
 
     python -m bench.all_troubles SITE.toml OUT.toml [--kinds FILE] [--extra-only] [--days FOLDER]
 
-A site file names the troubles that its days are drawn from; any other may come as well. The copy keeps what
-the file lists and adds every kind below, so that `hunt` and `run ... mix` of the bench draw from all of them.
-Kinds that ask for a contract which the deployment has not open come with that contract. The deployment's name
-changes too, and nothing else. The files that belong to a site (`.days`, `wire.json`) are copied beside it.
-OUT must hold "kinds" in its name and lie outside this repository.
+The days of a copy draw from all faults. The copy also opens the contracts that faults need and has another
+name; nothing else changes. The files that belong to a site (`.days`, `wire.json`) are copied beside it. OUT
+contains "kinds" in its name and lies outside this repository.
 
-`--kinds FILE` compares the list with what the bench's `kinds` printed for the site, and refuses to write a
-copy that would miss a kind. `--extra-only` leaves out what the site file lists itself, so that a short hunt
-draws mostly from the rare ones. `--days FOLDER` puts the days of that folder (one in each TOML file, as in
-`bench/days/control`) in the place of the file's own, so that `hunt` plays them with other seeds; they have
-no marks, so their scores say nothing. Troubles that need two places take the first two zones of the file.
+`--kinds FILE` rejects a copy that lacks a kind of the listing in FILE. `--extra-only` omits the site's own
+list. `--days FOLDER` replaces the site's days by those of a folder.
 """
 
 from __future__ import annotations
@@ -26,15 +21,15 @@
 from pathlib import Path
 from typing import Any
 
-Trouble = dict[str, Any]
+FaultEntry = dict[str, Any]
 
 REPOSITORY = Path(__file__).resolve().parent.parent
 NAME_PART = "kinds"
-TROUBLES = re.compile(r"^troubles = \[\n(?P<entries>.*?)^\]\n", re.MULTILINE | re.DOTALL)
-LISTED_KIND = re.compile(r"^([a-z]+(?:_[a-z]+)*): ", re.MULTILINE)
+TROUBLES_LIST = re.compile(r"^troubles = \[\n(?P<entries>.*?)^\]\n", re.MULTILINE | re.DOTALL)
+LISTED_KIND_LINE = re.compile(r"^([a-z]+(?:_[a-z]+)*): ", re.MULTILINE)
 
 FIRST_DAY = "[[day]]\n"
-# What the bench wants to know of a day of a site file; days that are played for the rules only need no marks.
+# The required marks of a day; days that only check the rules use these.
 NO_MARKS = """slot = "trouble"
 one = 1.0
 zero = 0.1
@@ -46,7 +41,7 @@
 light = false
 """
 
-# Kinds that the bench plays only where a contract is open.
+# The contracts that some kinds need.
 CONTRACTS: Mapping[str, str] = {
     "srv_grey": "health",
     "srv_lying_health": "health",
@@ -54,12 +49,12 @@
     "srv_cut": "health",
     "idle_race": "pool",
 }
-OPEN = re.compile(r"^contracts = \[(?P<names>[^\]\n]*)\]$", re.MULTILINE)
+CONTRACTS_LIST = re.compile(r"^contracts = \[(?P<names>[^\]\n]*)\]$", re.MULTILINE)
 
-ONE_CORE: Trouble = {"on": "core", "count": 1}
+ONE_CORE: FaultEntry = {"on": "core", "count": 1}
 
-# What every entry of a kind has, then what each variant adds to it.
-KINDS: Mapping[str, tuple[Trouble, Sequence[Trouble]]] = {
+# The common fields of each kind, and the additional fields of each variant.
+KINDS: Mapping[str, tuple[FaultEntry, Sequence[FaultEntry]]] = {
     "srv_grey": (
         {"share": 0.15, "x": 0.4, "for_s": 6.0},
         (
@@ -224,99 +219,99 @@
 }
 
 
-def troubles(zones: Sequence[str]) -> Iterator[Trouble]:
-    """Every kind with each of its variants; places are given by their rank among `zones`."""
+def fault_entries(zones: Sequence[str]) -> Iterator[FaultEntry]:
+    """Yields an entry for each variant of each kind; places are given by their rank among `zones`."""
     for kind, (common, variants) in KINDS.items():
         for variant in variants:
             entry = {"kind": kind, **common, **variant}
-            for place in ("zone", "to_zone"):
-                if place in entry:
-                    entry[place] = zones[entry[place] % len(zones)]
+            for zone_key in ("zone", "to_zone"):
+                if zone_key in entry:
+                    entry[zone_key] = zones[entry[zone_key] % len(zones)]
             yield entry
 
 
-def missing(listing: str) -> set[str]:
-    """The kinds that the bench lists and this module does not know."""
-    return set(LISTED_KIND.findall(listing)) - set(KINDS) - {"closing", "for_s"}
+def unknown_kinds(listing: str) -> set[str]:
+    """Returns the kinds of a listing that this module does not have."""
+    return set(LISTED_KIND_LINE.findall(listing)) - set(KINDS) - {"closing", "for_s"}
 
 
-def written(entry: Trouble) -> str:
-    """One trouble as a line of the list."""
+def format_entry(entry: FaultEntry) -> str:
+    """Returns an entry as a line of the list."""
     fields = ", ".join(
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {value}" for key, value in entry.items()
     )
     return f"  {{ {fields} }},\n"
 
 
-def with_contracts(text: str, needed: Iterable[str]) -> str:
-    """The text with further contracts open. ValueError where the file has no list of them."""
-    listed = OPEN.search(text)
-    if listed is None:
-        raise ValueError("found no list `contracts`, wanted one on a line of its own")
-    names = dict.fromkeys([*tomllib.loads(listed[0])["contracts"], *needed])
+def add_contracts(text: str, needed: Iterable[str]) -> str:
+    """Returns the text with further contracts open. ValueError where the file has no list of them."""
+    match = CONTRACTS_LIST.search(text)
+    if match is None:
+        raise ValueError("contracts: expected a list on one line, got none")
+    names = dict.fromkeys([*tomllib.loads(match[0])["contracts"], *needed])
     quoted = ", ".join(f'"{name}"' for name in names)
-    return f"{text[: listed.start()]}contracts = [{quoted}]{text[listed.end() :]}"
+    return f"{text[: match.start()]}contracts = [{quoted}]{text[match.end() :]}"
 
 
-def copy(text: str, extra_only: bool = False) -> str:
-    """The text of the copy. ValueError where the file has no list of troubles."""
-    listed = TROUBLES.search(text)
-    if listed is None:
-        raise ValueError("found no list `troubles`, wanted one on lines of its own")
+def copy_text(text: str, extra_only: bool = False) -> str:
+    """Returns the text of the copy. ValueError where the file has no list of faults."""
+    match = TROUBLES_LIST.search(text)
+    if match is None:
+        raise ValueError("troubles: expected a list with one entry on each line, got none")
     zones = [zone["name"] for zone in tomllib.loads(text)["zones"]]
-    added = "".join(map(written, troubles(zones)))
-    kept = "" if extra_only else listed["entries"]
-    text = f"{text[: listed.start()]}troubles = [\n{kept}{added}]\n{text[listed.end() :]}"
-    text = with_contracts(text, CONTRACTS.values())
+    added_lines = "".join(map(format_entry, fault_entries(zones)))
+    kept_lines = "" if extra_only else match["entries"]
+    text = f"{text[: match.start()]}troubles = [\n{kept_lines}{added_lines}]\n{text[match.end() :]}"
+    text = add_contracts(text, CONTRACTS.values())
     return re.sub(r'^name = "([^"]+)"', rf'name = "\1-{NAME_PART}"', text, count=1)
 
 
-def with_days(text: str, days: Iterable[str]) -> str:
-    """The text of a copy with other days. ValueError for one that is not a single day."""
-    head = text.partition(FIRST_DAY)[0]
-    marked = []
+def replace_days(text: str, days: Iterable[str]) -> str:
+    """Returns the text with other days. ValueError for a file that is not a single day."""
+    text_before_days = text.partition(FIRST_DAY)[0]
+    marked_days = []
     for day in days:
-        before, header, body = day.partition(FIRST_DAY)
-        if not header or FIRST_DAY in body or tomllib.loads(before):
-            raise ValueError("found something else than one [[day]] in a file of days")
-        marked.append(header + NO_MARKS + body)
-    return head + "\n".join(marked)
+        text_before, header, day_text = day.partition(FIRST_DAY)
+        if not header or FIRST_DAY in day_text or tomllib.loads(text_before):
+            raise ValueError("day: expected a file with one [[day]] and nothing else")
+        marked_days.append(header + NO_MARKS + day_text)
+    return text_before_days + "\n".join(marked_days)
 
 
 def write_copy(site: Path, out: Path, extra_only: bool = False, days: Path | None = None) -> None:
-    """Write the copy of a site and the files that belong to it. ValueError for a place it may not have."""
+    """Writes the copy of a site and the files that belong to it. ValueError for an invalid path."""
     if NAME_PART not in out.name:
-        raise ValueError(f"the name {out.name} of the copy lacks {NAME_PART!r}")
+        raise ValueError(f"out: expected a name with {NAME_PART!r}, got {out.name}")
     if out.resolve().is_relative_to(REPOSITORY):
-        raise ValueError(f"{out} lies in the repository, wanted a place outside")
-    for beside, name in (
+        raise ValueError(f"out: expected a path outside the repository, got {out}")
+    for source, target_name in (
         (site.with_suffix(".days"), f"{out.stem}.days"),
         (site.with_name("wire.json"), "wire.json"),
     ):
-        if beside.exists():
-            shutil.copyfile(beside, out.with_name(name))
-    text = copy(site.read_text("utf-8"), extra_only)
+        if source.exists():
+            shutil.copyfile(source, out.with_name(target_name))
+    text = copy_text(site.read_text("utf-8"), extra_only)
     if days is not None:
-        text = with_days(text, [day.read_text("utf-8") for day in sorted(days.glob("*.toml"))])
+        text = replace_days(text, [day.read_text("utf-8") for day in sorted(days.glob("*.toml"))])
     out.write_text(text, "utf-8")
 
 
 def main(arguments: list[str]) -> int:
-    """Write one copy; status 2 with one line on what stands in the way."""
+    """Writes one copy; returns status 2 after an error, which is printed in one line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("site", type=Path)
     parser.add_argument("out", type=Path)
-    parser.add_argument("--kinds", type=Path, help="what the bench's `kinds` printed for this site")
-    parser.add_argument("--extra-only", action="store_true", help="leave out the site's own list")
-    parser.add_argument("--days", type=Path, help="a folder of days that take the place of the site's own")
-    asked = parser.parse_args(arguments)
-    if asked.kinds is not None and (unknown := missing(asked.kinds.read_text("utf-8"))):
-        print(f"{asked.kinds}: these kinds are not known here: {', '.join(sorted(unknown))}", file=sys.stderr)
+    parser.add_argument("--kinds", type=Path, help="the output of the command `kinds` for this site")
+    parser.add_argument("--extra-only", action="store_true", help="omit the site's own list")
+    parser.add_argument("--days", type=Path, help="a folder of days that replace the site's own")
+    options = parser.parse_args(arguments)
+    if options.kinds is not None and (unknown_names := unknown_kinds(options.kinds.read_text("utf-8"))):
+        print(f"{options.kinds}: unknown kinds: {', '.join(sorted(unknown_names))}", file=sys.stderr)
         return 2
     try:
-        write_copy(asked.site, asked.out, asked.extra_only, asked.days)
-    except ValueError as problem:
-        print(f"{asked.site}: {problem}", file=sys.stderr)
+        write_copy(options.site, options.out, options.extra_only, options.days)
+    except ValueError as error:
+        print(f"{options.site}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/bench/compatibility/rolling_upgrade.py
+++ b/bench/compatibility/rolling_upgrade.py
@@ -29,12 +29,12 @@
 
 def end_gracefully(node: ControlNode) -> int | None:
     """Ends a process by SIGTERM; returns its exit status, or None where it had to be killed."""
-    node.send(signal.SIGTERM)
+    node.signal_process(signal.SIGTERM)
     assert node.process is not None
     try:
         return node.process.wait(END_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        node.end()
+        node.kill()
         return None
 
 
@@ -53,20 +53,26 @@
         node.start()
         return f"status {status}"
 
-    def step(self, what: str) -> None:
+    def step(self, action: str) -> None:
         """Replaces the configuration and repeats earlier and conflicting requests at every node."""
-        newest = self.next(TIMEOUTS_MS[0])
-        first = self.until(self.nodes[self.version % len(self.nodes)], newest)[0]
+        newest = self.next_configuration(TIMEOUTS_MS[0])
+        first = self.replace_until_answered(self.nodes[self.version % len(self.nodes)], newest)[0]
         versions = [self.version, max(1, self.version - VERSION_GAP)]
         repeated_statuses, other, read = [], [], []
         for node in self.nodes:
             repeated_statuses += [
-                self.until(node, configuration(version, TIMEOUTS_MS[0]))[0] for version in versions
+                self.replace_until_answered(node, configuration(version, TIMEOUTS_MS[0]))[0]
+                for version in versions
+            ]
+            other += [
+                self.replace_until_answered(node, configuration(version, TIMEOUTS_MS[1]))[0]
+                for version in versions
             ]
-            other += [self.until(node, configuration(version, TIMEOUTS_MS[1]))[0] for version in versions]
             read.append(self.describe_until_confirmed(node) == (200, newest))
-        good = first == 200 and set(repeated_statuses) == {200} and set(other) == {409} and all(read)
-        self.tell(what, f"new {first}, same {repeated_statuses}, other {other}, read back {read}", good)
+        is_good = first == 200 and set(repeated_statuses) == {200} and set(other) == {409} and all(read)
+        self.print_result(
+            action, f"new {first}, same {repeated_statuses}, other {other}, read back {read}", is_good
+        )
 
     def describe_until_confirmed(self, node: ControlNode) -> tuple[int, bytes]:
         """Returns a node's description, retried until its status is 200 or `END_TIMEOUT_S` have passed."""
@@ -77,14 +83,14 @@
             answer = node.describe()
         return answer
 
-    def play(self) -> int:
+    def run(self) -> int:
         """Runs all steps; returns the exit status."""
         for node in self.nodes:
             node.checkout = self.other
             node.start()
         try:
             for _ in range(VERSION_GAP + 1):
-                self.until(self.nodes[0], self.next(TIMEOUTS_MS[0]))
+                self.replace_until_answered(self.nodes[0], self.next_configuration(TIMEOUTS_MS[0]))
             self.step("three processes of the other checkout")
             for number in range(len(self.nodes)):
                 exit_text = self.restart(number, THIS_CHECKOUT)
@@ -92,15 +98,15 @@
             exit_text = self.restart(0, self.other)
             self.step(f"process 1 back to the other checkout, this one's ended with {exit_text}")
             for node in self.nodes:
-                node.end()
+                node.kill()
             for node in self.nodes:
                 node.checkout = THIS_CHECKOUT
                 node.start()
             self.step("all killed, and started cold from this checkout on their disks")
         finally:
             for node in self.nodes:
-                node.end()
-        return 1 if self.bad else 0
+                node.kill()
+        return 1 if self.failure_count else 0
 
 
 def main(arguments: list[str]) -> int:
@@ -109,7 +115,7 @@
     parser.add_argument("checkout", type=Path)
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory(dir=os.environ.get("TMPDIR")) as folder:
-        return Upgrade(Path(folder), options.checkout.resolve()).play()
+        return Upgrade(Path(folder), options.checkout.resolve()).run()
 
 
 if __name__ == "__main__":
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -4,7 +4,7 @@
     python -m bench.gateway --simulation [--days 5] [--seed N] [--compare] [--plan bench/days/gateway.toml]
     ... [--plot FOLDER]: also an SVG of uploads by gateway for each run
 
-Loopback: two regions of two gateways, of which the busiest one is drained and killed in turn. `--simulation`:
+Loopback: two regions of two gateways; the busiest one is drained and killed in turn. `--simulation`:
 the plan's day with a drain, then with a kill; `--compare` also without lanes and without sessions. Prints
 outcomes, retransmitted bytes, quantiles of inner calls, and a chart of uploads by gateway.
 """
--- a/bench/mesh_membership.py
+++ b/bench/mesh_membership.py
@@ -2,8 +2,8 @@
 
     python -m bench.mesh_membership [--nodes 13,100,1000] [--span 6] [--seed N]
 
-Runs one network of three zones for each size in virtual time (`tests/gossip/network.py`) through the faults
-below, with a pause between them. In each, a node ends after a third of the span.
+Runs one network of three zones for each size in virtual time through the faults below. In each, a node
+ends after a third of the span.
 
     quiet       one datagram of a hundred is lost
     loss        one of five is lost
--- a/tests/bench/test_all_troubles.py
+++ b/tests/bench/test_all_troubles.py
@@ -1,4 +1,4 @@
-"""Copies of a deployment's file with every kind of trouble: what is added, and that nothing else changes."""
+"""Copies of a deployment's file contain every kind of fault; nothing else changes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.all_troubles import KINDS, REPOSITORY, copy, main, missing, troubles, with_days
+from bench.all_troubles import KINDS, REPOSITORY, copy_text, fault_entries, main, replace_days, unknown_kinds
 
 SITE = """name = "harbour"
 contracts = ["base", "health"]
@@ -42,31 +42,31 @@
 
 
 def test_only_the_name_troubles_and_the_contracts_they_need_change() -> None:
-    before, after = tomllib.loads(SITE), tomllib.loads(copy(SITE))
+    before, after = tomllib.loads(SITE), tomllib.loads(copy_text(SITE))
     assert after.pop("name") == "harbour-kinds"
     assert after.pop("contracts") == [*before.pop("contracts"), "pool"]
     listed = after.pop("troubles")
     assert listed[:1] == before.pop("troubles")
-    assert listed[1:] == list(troubles(["east", "west"]))
+    assert listed[1:] == list(fault_entries(["east", "west"]))
     before.pop("name")
     assert after == before
 
 
-def test_every_kind_is_there_with_each_variant_once() -> None:
-    listed = tomllib.loads(copy(SITE, extra_only=True))["troubles"]
+def test_each_variant_of_every_kind_is_listed_once() -> None:
+    listed = tomllib.loads(copy_text(SITE, extra_only=True))["troubles"]
     assert {entry["kind"] for entry in listed} == set(KINDS)
     assert len(listed) == sum(len(variants) for _, variants in KINDS.values())
     assert all(listed.count(entry) == 1 for entry in listed)
 
 
 def test_places_are_zones_of_the_site() -> None:
-    cut = next(entry for entry in troubles(["east", "west"]) if entry["kind"] == "bridge_cut")
+    cut = next(entry for entry in fault_entries(["east", "west"]) if entry["kind"] == "bridge_cut")
     assert (cut["zone"], cut["to_zone"]) == ("east", "west")
 
 
-def test_a_kind_that_is_not_known_is_named() -> None:
-    assert missing(LISTING) == set()
-    assert missing(LISTING + "flood: share (.1) of the machines\n") == {"flood"}
+def test_unknown_kinds_are_reported() -> None:
+    assert unknown_kinds(LISTING) == set()
+    assert unknown_kinds(LISTING + "flood: share (.1) of the machines\n") == {"flood"}
 
 
 DAY = """# Why this day.
@@ -76,8 +76,8 @@
 """
 
 
-def test_days_of_a_folder_take_the_place_of_the_sites_own() -> None:
-    site = tomllib.loads(with_days(SITE, [DAY, DAY.replace("cut", "replaced")]))
+def test_days_of_a_folder_replace_the_sites_days() -> None:
+    site = tomllib.loads(replace_days(SITE, [DAY, DAY.replace("cut", "replaced")]))
     assert [day["name"] for day in site["day"]] == ["cut", "replaced"]
     assert site["day"][0]["plan"] == [{"at": 1.0, "kind": "hup"}]
     assert site["tolerate"] == {"machines": 1}
@@ -85,55 +85,57 @@
 
 @pytest.mark.parametrize("other", ["", "x = 1\n" + DAY, DAY + DAY])
 def test_a_file_of_days_holds_one_day(other: str) -> None:
-    with pytest.raises(ValueError, match="found something else than one"):
-        with_days(SITE, [other])
+    with pytest.raises(ValueError, match="day: expected a file with one"):
+        replace_days(SITE, [other])
 
 
 @pytest.mark.parametrize("name", ["clients", "control"])
-def test_every_day_of_our_own_is_read(name: str) -> None:
+def test_every_day_in_the_repository_is_valid(name: str) -> None:
     folder = REPOSITORY / "bench" / "days" / name
     texts = [day.read_text() for day in sorted(folder.glob("*.toml"))]
-    days = tomllib.loads(with_days(SITE, texts))["day"]
+    days = tomllib.loads(replace_days(SITE, texts))["day"]
     assert len({day["name"] for day in days}) == len({day["seed"] for day in days}) == len(texts)
-    played = {trouble["kind"] for day in days for part in ("plan", "faults") for trouble in day.get(part, [])}
-    assert played <= set(KINDS)
-    assert played
+    fault_kinds = {
+        fault["kind"] for day in days for part in ("plan", "faults") for fault in day.get(part, [])
+    }
+    assert fault_kinds <= set(KINDS)
+    assert fault_kinds
 
 
-def test_a_file_without_a_list_is_refused() -> None:
-    with pytest.raises(ValueError, match="found no list `troubles`"):
-        copy(SITE.replace("troubles = [", "others = ["))
+def test_a_file_without_a_list_is_rejected() -> None:
+    with pytest.raises(ValueError, match="troubles: expected a list"):
+        copy_text(SITE.replace("troubles = [", "others = ["))
 
 
-def test_the_command_writes_the_copy_and_what_belongs_to_it(tmp_path: Path) -> None:
+def test_the_command_writes_the_copy_and_its_other_files(tmp_path: Path) -> None:
     site, out = tmp_path / "harbour.toml", tmp_path / "harbour-kinds.toml"
     site.write_text(SITE)
     site.with_suffix(".days").write_text("sealed")
     assert main([str(site), str(out)]) == 0
-    assert out.read_text() == copy(SITE)
+    assert out.read_text() == copy_text(SITE)
     assert out.with_suffix(".days").read_text() == "sealed"
 
 
 @pytest.mark.parametrize(
-    ("name", "told"),
+    ("name", "message"),
     [
-        ("harbour-copy.toml", "lacks 'kinds'"),
-        (str(REPOSITORY / "harbour-kinds.toml"), "lies in the repository"),
+        ("harbour-copy.toml", "expected a name with 'kinds'"),
+        (str(REPOSITORY / "harbour-kinds.toml"), "expected a path outside the repository"),
     ],
 )
-def test_a_copy_has_its_place(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], name: str, told: str
+def test_a_copy_needs_a_valid_path(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], name: str, message: str
 ) -> None:
     site = tmp_path / "harbour.toml"
     site.write_text(SITE)
     assert main([str(site), str(tmp_path / name)]) == 2
-    assert told in capsys.readouterr().err
+    assert message in capsys.readouterr().err
     assert not (tmp_path / name).exists()
 
 
-def test_a_file_without_contracts_is_refused() -> None:
-    with pytest.raises(ValueError, match="found no list `contracts`"):
-        copy(SITE.replace("contracts = [", "others = ["))
+def test_a_file_without_contracts_is_rejected() -> None:
+    with pytest.raises(ValueError, match="contracts: expected a list"):
+        copy_text(SITE.replace("contracts = [", "others = ["))
 
 
 def test_a_listing_with_an_unknown_kind_writes_nothing(
--- a/tests/simulation/test_copies.py
+++ b/tests/simulation/test_copies.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.mesh_copies import COPIES, copy, scaled
+from bench.mesh_copies import COPIES, copy_text, scale_number
 
 SITE = """name = "harbour"
 machines = [
@@ -34,11 +34,11 @@
 
 @pytest.mark.parametrize("name", COPIES)
 def test_a_copy_is_another_deployment_with_the_same_days(name: str) -> None:
-    before, after = tomllib.loads(SITE), tomllib.loads(copy(SITE, name))
+    before, after = tomllib.loads(SITE), tomllib.loads(copy_text(SITE, name))
     assert after["name"] == f"harbour-{name}"
     assert after["day"] == before["day"]
-    differ = {key for key in before if before[key] != after[key]}
-    assert len(differ) > 3, differ
+    changed_keys = {key for key in before if before[key] != after[key]}
+    assert len(changed_keys) > 3, changed_keys
 
 
 def counts(site: dict[str, Any], kind: str) -> list[int]:
@@ -46,14 +46,14 @@
 
 
 def test_a_wide_copy_has_five_core_machines() -> None:
-    wide = tomllib.loads(copy(SITE, "wide"))
+    wide = tomllib.loads(copy_text(SITE, "wide"))
     assert counts(wide, "core") == [2, 2, 1]
     assert counts(wide, "side") == [2, 2]
 
 
-def test_numbers_keep_their_kind_and_what_is_missing_is_told() -> None:
-    assert scaled("a_ms", 0.5)("xa_ms = 3, a_ms = 7, b = 1") == "xa_ms = 3, a_ms = 4, b = 1"
-    assert scaled("a", 0.5)("a = 3.0") == "a = 1.5"
-    assert scaled("slots", 0.1, 2.0)("slots = 9") == "slots = 2"
-    with pytest.raises(ValueError, match="found no beat_ms"):
-        scaled("beat_ms", 2.0)("a = 1")
+def test_numbers_keep_their_type_and_missing_ones_are_reported() -> None:
+    assert scale_number("a_ms", 0.5)("xa_ms = 3, a_ms = 7, b = 1") == "xa_ms = 3, a_ms = 4, b = 1"
+    assert scale_number("a", 0.5)("a = 3.0") == "a = 1.5"
+    assert scale_number("slots", 0.1, 2.0)("slots = 9") == "slots = 2"
+    with pytest.raises(ValueError, match="beat_ms: expected a number"):
+        scale_number("beat_ms", 2.0)("a = 1")
