--- a/bench/coap_orders.py
+++ b/bench/coap_orders.py
@@ -1,13 +1,12 @@
-"""Order keys tried by CoAP and by HTTP clients, over a network that loses, doubles and delays datagrams.
+"""Order keys with CoAP and HTTP clients, over a network that loses, duplicates and delays datagrams.
 
-    python -m bench.coap_orders [--keys 20000] [--seed 1] [--on] [--histories]
+    python -m bench.coap_orders [--keys 20000] [--seed N] [--on] [--histories]
 
-One proxy as a process before four racks of two nodes, one by HTTP and one by CoAP, on loopback, which fall
-silent and die. Each key is sent up to five times, each time by HTTP or by one of 32 field units, whose
-datagrams are lost (30 in 100 each way), doubled (10 in 100) and delayed by up to 0.2 s. Played without
-order keys and with them; printed for both: keys charged at the racks, keys charged twice, final answers by
-status (408: a unit gave up), datagrams, what the message layer counted, and what the checker of the
-history found. Status 1 where it found a fault with order keys on.
+One proxy process serves four racks of two nodes on loopback, which fall silent and die. Each key is sent up
+to five times, by HTTP or by one of 32 CoAP clients, whose datagrams are lost (30 % each way), duplicated
+(10 %) and delayed by up to 0.2 s. Prints, without and with order keys: charged keys, keys charged twice,
+final answers by status (408: a client gave up), datagrams, and the violations of the history. Status 1 where
+order keys are on and there is one.
 """
 
 from __future__ import annotations
@@ -24,12 +23,12 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Runs the scenario and prints the results."""
     parser = argparse.ArgumentParser(description="order keys by CoAP and HTTP")
     parser.add_argument("--keys", type=int, default=20_000)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--on", action="store_true", help="only with order keys")
-    parser.add_argument("--histories", action="store_true", help="tell of the first key that broke each rule")
+    parser.add_argument("--histories", action="store_true", help="print the first key that broke each rule")
     args = parser.parse_args()
     program, broken = tuple(command(HERE)), False
     for name, features in (("off", ""), ("on", PROCESS))[args.on :]:
--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -1,11 +1,11 @@
-"""Limiters side by side on seeded days in virtual time.
+"""Comparison of limiters on seeded days in virtual time.
 
-    python -m bench.limiters [--seeds 24] [--kinds fast,jam] [--limiters lateness,formerly] [--jobs 4]
+    python -m bench.limiters [--seeds 24] [--kinds fast,jam] [--limiters lateness,NAME] [--jobs 4]
 
-Each limiter plays the same days (kinds x seeds). Printed for each kind and over all: goodput (share answered
-within the aim) as mean and spread over seeds, the least goodput, refusals in 100 first tries while 30 in 100
-cores were idle, and the 99th percentile of the answers in ms (the mean over days). Status 1 where a rule
-broke with the limiter in use.
+Each limiter runs the same days (kinds x seeds). Prints for each kind and over all: goodput (share answered
+within the latency target) as mean, spread over seeds and minimum; refusals per 100 first attempts while 30 of
+100 cores were idle; and the 99th percentile of the latency in ms (mean over days). Status 1 where a rule
+broke with the default limiter.
 """
 
 from __future__ import annotations
@@ -20,11 +20,13 @@
 from honeywharf.lab import days
 from honeywharf.lab.simulator import play
 
-Row = tuple[str, str, float, float, float, int]  # limiter, kind, goodput, refused with room, p99, broken
+Row = tuple[
+    str, str, float, float, float, int
+]  # Limiter, kind, goodput, refusals with idle cores, p99, broken rules.
 
 
-def one(task: tuple[str, str, int]) -> Row:
-    """Play one day."""
+def run_day(task: tuple[str, str, int]) -> Row:
+    """Runs one day."""
     limiter, kind, seed = task
     got = play(replace(days.KINDS[kind](seed), limiter=limiter))
     broken = got.fell + got.double_charges + got.late_drains
@@ -39,8 +41,8 @@
 
 
 def main() -> int:
-    """Play all and print."""
-    parser = argparse.ArgumentParser(description="limiters side by side on seeded days")
+    """Runs all days and prints the results."""
+    parser = argparse.ArgumentParser(description="comparison of limiters on seeded days")
     parser.add_argument("--seeds", type=int, default=24)
     parser.add_argument("--kinds", default=",".join(days.KINDS))
     parser.add_argument("--limiters", default=",".join(limits.LIMITERS))
@@ -49,7 +51,7 @@
     kinds, names = args.kinds.split(","), args.limiters.split(",")
     tasks = [(name, kind, seed) for kind in kinds for seed in range(args.seeds) for name in names]
     with multiprocessing.Pool(args.jobs) as pool:
-        rows = pool.map(one, tasks, chunksize=2)
+        rows = pool.map(run_day, tasks, chunksize=2)
     print(f"{len(kinds) * args.seeds} days for each limiter")
     print(
         f"{'day':<8}{'limiter':<10}{'goodput':>9}{'spread':>8}{'least':>7}{'refused with room %':>21}"
@@ -57,14 +59,14 @@
     )
     for kind in (*kinds, "all"):
         for name in names:
-            of = [r for r in rows if r[0] == name and kind in (r[1], "all")]
-            good = [r[2] for r in of]
+            selected = [row for row in rows if row[0] == name and kind in (row[1], "all")]
+            goodputs = [row[2] for row in selected]
             print(
-                f"{kind:<8}{name:<10}{statistics.mean(good):>9.3f}{statistics.pstdev(good):>8.3f}"
-                f"{min(good):>7.3f}{statistics.mean(r[3] for r in of):>21.2f}"
-                f"{statistics.mean(r[4] for r in of):>8.0f}{sum(r[5] for r in of):>8}"
+                f"{kind:<8}{name:<10}{statistics.mean(goodputs):>9.3f}{statistics.pstdev(goodputs):>8.3f}"
+                f"{min(goodputs):>7.3f}{statistics.mean(row[3] for row in selected):>21.2f}"
+                f"{statistics.mean(row[4] for row in selected):>8.0f}{sum(row[5] for row in selected):>8}"
             )
-    return 1 if any(r[5] for r in rows if r[0] == limits.DEFAULT) else 0
+    return 1 if any(row[5] for row in rows if row[0] == limits.DEFAULT) else 0
 
 
 if __name__ == "__main__":
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -1,17 +1,14 @@
-"""What daily operation has to show, on loopback, with the program as operators run it.
+"""Checks of daily operations on loopback, with the program as operators run it.
 
     python -m bench.operations evacuations [--number 100]
     python -m bench.operations bans [--number 1000]
     python -m bench.operations calls [--number 1000]
     python -m bench.operations bodies [--number 200] [--mb 32]
 
-`evacuations`: a proxy behind a front that asks its health ten times a second is emptied and brought back
-under load; lost requests are counted, and what is still open four seconds after the call. `bans`: backends
-are taken out under load, and what reaches one later than 500 ms after the yes is counted. `calls`:
-operators' calls while clients keep the proxy's core full and some callers finish no call; how long each
-answer took. `bodies`: long uploads and downloads at unlike speeds at once; each digest is checked, and the
-proxy's peak memory printed. `--build` plays what `deploy/build.sh` installed in `.venv` in place of the
-sources. Status 1 where a rule broke.
+`evacuations` evacuates and activates a proxy under load. `bans` excludes backends under load and counts
+requests that arrive more than 500 ms later. `calls` measures operators' calls at a saturated proxy. `bodies`
+checks the digests of concurrent uploads and downloads, and the proxy's peak memory. `--build` runs what
+`deploy/build.sh` installed in `.venv`. Status 1 where a rule broke.
 """
 
 from __future__ import annotations
@@ -45,11 +42,11 @@
     "windowMs": 7500.0,
 }
 GRACE_MS = 500.0
-PIECE = bytes(range(256)) * 256  # 64 KiB
+CHUNK = bytes(range(256)) * 256  # 64 KiB.
 
 
-class Counting(Backend):
-    """Notes when it was asked, while it is out."""
+class CountingBackend(Backend):
+    """A backend that counts requests, and those that arrive too long after its exclusion."""
 
     def __init__(self) -> None:
         super().__init__(most_noted=0)
@@ -64,19 +61,19 @@
 
 
 @asynccontextmanager
-async def place(
+async def running_platform(
     rows: list[dict[str, Any]],
     built: bool,
     memory_mb: float = 80.0,
 ) -> AsyncIterator[Platform]:
-    """A proxy in service before these backends."""
+    """Runs a proxy in service with these backends."""
     registry = await Registry().start()
     await registry.put(*rows)
     with tempfile.TemporaryDirectory() as folder:
-        told = node.configuration(node.settings([ORDER]), registry.port)
-        told["limits"]["memory_mb"] = memory_mb
+        platform_configuration = node.configuration(node.settings([ORDER]), registry.port)
+        platform_configuration["limits"]["memory_mb"] = memory_mb
         python = str(HERE / ".venv" / "bin" / "python") if built else sys.executable
-        platform = Platform(Path(folder), told, python=python)
+        platform = Platform(Path(folder), platform_configuration, python=python)
         try:
             await platform.start()
             yield platform
@@ -86,13 +83,13 @@
 
 
 class Front:
-    """Asks a proxy's health ten times a second, and lets nobody connect 0.2 s after a no."""
+    """Checks a proxy's health ten times per second, and closes 0.2 s after a negative answer."""
 
     def __init__(self, port: int) -> None:
         self.port, self.open, self.said = port, True, 200
-        self.task = asyncio.create_task(self._look())
+        self.task = asyncio.create_task(self._check_health())
 
-    async def _look(self) -> None:
+    async def _check_health(self) -> None:
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -105,17 +102,17 @@
             if self.said == 200:
                 self.open = True
             else:
-                asyncio.get_running_loop().call_later(0.2, self._shut)
+                asyncio.get_running_loop().call_later(0.2, self._close)
             await asyncio.sleep(0.1)
 
-    def _shut(self) -> None:
+    def _close(self) -> None:
         self.open = self.said == 200
 
 
 async def evacuations(number: int, built: bool) -> int:
-    """Evacuate and activate, again and again."""
-    backends = [await Counting().start() for _ in range(4)]
-    async with place([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
+    """Evacuates and activates the proxy repeatedly."""
+    backends = [await CountingBackend().start() for _ in range(4)]
+    async with running_platform([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
         front = Front(platform.port)
         load = Load(platform.port, 500.0, 64, door=lambda: front.open)
         load.begin()
@@ -147,9 +144,9 @@
 
 
 async def bans(number: int, built: bool) -> int:
-    """Take backends out and back, several at once."""
-    backends = [await Counting().start() for _ in range(12)]
-    async with place([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
+    """Excludes and includes several backends concurrently."""
+    backends = [await CountingBackend().start() for _ in range(12)]
+    async with running_platform([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
         load = Load(platform.port, 1000.0, 64)
         load.begin()
         left, unused, rng = number, 0, random.Random(1)
@@ -180,15 +177,15 @@
 
 
 async def calls(number: int, built: bool) -> int:
-    """Ask while the proxy's core is full."""
-    backends = [await Counting().start() for _ in range(4)]
-    async with place([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
+    """Makes operators' calls while the proxy's core is saturated."""
+    backends = [await CountingBackend().start() for _ in range(4)]
+    async with running_platform([b.row(f"n{i}") for i, b in enumerate(backends)], built) as platform:
         load = Load(platform.port, 1e9, 256)
         load.begin()
-        idle = [await asyncio.open_connection("127.0.0.1", platform.operator) for _ in range(8)]
+        idle_connections = [await asyncio.open_connection("127.0.0.1", platform.operator) for _ in range(8)]
         took, failed = [], 0
         stat = Path(f"/proc/{platform.processes[-1].pid}/stat")
-        spent = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
+        earlier_ticks = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
         begun = time.monotonic()
         for i in range(number):
             at = time.monotonic()
@@ -199,21 +196,21 @@
             except (OSError, TimeoutError):
                 failed += 1
             took.append((time.monotonic() - at) * 1000.0)
-        now = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
-        busy = (sum(now) - sum(spent)) / 100.0 / (time.monotonic() - begun)
-        for _, writer in idle:
+        ticks = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
+        cpu_share = (sum(ticks) - sum(earlier_ticks)) / 100.0 / (time.monotonic() - begun)
+        for _, writer in idle_connections:
             writer.close()
         await load.end()
     took.sort()
     print(
-        f"{number} calls with the proxy at {busy:.0%} of a core: p50 {took[len(took) // 2]:.1f} ms, p99"
+        f"{number} calls with the proxy at {cpu_share:.0%} of a core: p50 {took[len(took) // 2]:.1f} ms, p99"
         f" {took[int(0.99 * len(took))]:.1f} ms, most {took[-1]:.1f} ms; {failed} wrong or unanswered"
     )
     return int(bool(failed or took[-1] > 1000.0))
 
 
-async def _uploads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, size: int) -> None:
-    """A backend: takes an upload and says its digest, or gives `size` bytes."""
+async def _serve_bodies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, size: int) -> None:
+    """Serves as a backend: answers an upload with its digest, or sends `size` bytes."""
     try:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -225,19 +222,19 @@
                 ),
                 0,
             )
-            seen, digest = 0, hashlib.sha256()
-            while seen < length:
-                piece = await reader.read(min(262_144, length - seen))
-                if not piece:
+            received, digest = 0, hashlib.sha256()
+            while received < length:
+                chunk = await reader.read(min(262_144, length - received))
+                if not chunk:
                     return
-                seen += len(piece)
-                digest.update(piece)
+                received += len(chunk)
+                digest.update(chunk)
             if length > 1:
                 writer.write(reply(200, digest.hexdigest().encode()))
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            for _ in range(size // len(PIECE)):
-                writer.write(PIECE)
+            for _ in range(size // len(CHUNK)):
+                writer.write(CHUNK)
                 await writer.drain()
     except (OSError, asyncio.IncompleteReadError):
         pass
@@ -245,19 +242,19 @@
         writer.close()
 
 
-TRIES = 5
+MAX_ATTEMPTS = 5
 
 
 async def bodies(number: int, built: bool, mb: int) -> int:
-    """Uploads and downloads at once, each at a speed of its own."""
+    """Runs uploads and downloads concurrently, each at its own speed."""
     size = mb * 1024 * 1024
-    server = await asyncio.start_server(lambda r, w: _uploads(r, w, size), "127.0.0.1", 0)
+    server = await asyncio.start_server(lambda r, w: _serve_bodies(r, w, size), "127.0.0.1", 0)
     rows = [row(f"n{i}", server.sockets[0].getsockname()[1]) for i in range(4)]
-    whole = hashlib.sha256(PIECE * (size // len(PIECE))).hexdigest()
+    expected_digest = hashlib.sha256(CHUNK * (size // len(CHUNK))).hexdigest()
     rng = random.Random(1)
-    async with place(rows, built) as platform:
+    async with running_platform(rows, built) as platform:
 
-        async def one(number: int, up: bool, per_s: float) -> str:
+        async def transfer(number: int, up: bool, per_s: float) -> str:
             reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
             writer.write(
                 (
@@ -268,72 +265,79 @@
                 ).encode()
                 + (b"" if up else b"x")
             )
-            begun, moved, digest = time.monotonic(), 0, hashlib.sha256()
+            started_at, transferred, digest = time.monotonic(), 0, hashlib.sha256()
             try:
-                coming = asyncio.ensure_future(reader.readuntil(b"\r\n\r\n"))
-                while up and moved < size and not coming.done():  # an early answer ends the upload
-                    writer.write(PIECE)
+                head_task = asyncio.ensure_future(reader.readuntil(b"\r\n\r\n"))
+                while up and transferred < size and not head_task.done():  # An early answer ends the upload.
+                    writer.write(CHUNK)
                     await writer.drain()
-                    moved += len(PIECE)
-                    await asyncio.sleep(max(0.0, begun + moved / per_s - time.monotonic()))
-                head = await coming
+                    transferred += len(CHUNK)
+                    await asyncio.sleep(max(0.0, started_at + transferred / per_s - time.monotonic()))
+                head = await head_task
                 if not head.startswith(b"HTTP/1.1 200 "):
                     return head[9:12].decode()
                 if up:
-                    return "right" if (await reader.readexactly(64)).decode() == whole else "wrong digest"
-                while moved < size:
-                    piece = await reader.read(65_536)
-                    if not piece:
+                    return (
+                        "right"
+                        if (await reader.readexactly(64)).decode() == expected_digest
+                        else "wrong digest"
+                    )
+                while transferred < size:
+                    chunk = await reader.read(65_536)
+                    if not chunk:
                         return "broken off"
-                    moved += len(piece)
-                    digest.update(piece)
-                    await asyncio.sleep(max(0.0, begun + moved / per_s - time.monotonic()))
-                return "right" if digest.hexdigest() == whole else "wrong digest"
-            except (OSError, asyncio.IncompleteReadError) as fault:
-                return f"{'upload' if up else 'download'} {type(fault).__name__}"
+                    transferred += len(chunk)
+                    digest.update(chunk)
+                    await asyncio.sleep(max(0.0, started_at + transferred / per_s - time.monotonic()))
+                return "right" if digest.hexdigest() == expected_digest else "wrong digest"
+            except (OSError, asyncio.IncompleteReadError) as error:
+                return f"{'upload' if up else 'download'} {type(error).__name__}"
             finally:
                 writer.close()
 
-        async def tried(number: int, up: bool, per_s: float) -> str:
-            """Again after a refusal, which promises that it is harmless."""
-            for _ in range(TRIES):
-                end = await one(number, up, per_s)
-                if end != "503":
-                    return end
+        async def transfer_with_retries(number: int, up: bool, per_s: float) -> str:
+            """Retries after a refusal, which guarantees that the request has not run."""
+            for _ in range(MAX_ATTEMPTS):
+                outcome = await transfer(number, up, per_s)
+                if outcome != "503":
+                    return outcome
                 refusals[0] += 1
                 await asyncio.sleep(0.5)
-            return end
+            return outcome
 
-        begun, refusals = time.monotonic(), [0]
-        ends = await asyncio.gather(
-            *(tried(i, i % 2 == 0, rng.uniform(1.0, 16.0) * 1024 * 1024) for i in range(number))
+        started_at, refusals = time.monotonic(), [0]
+        outcomes = await asyncio.gather(
+            *(
+                transfer_with_retries(i, i % 2 == 0, rng.uniform(1.0, 16.0) * 1024 * 1024)
+                for i in range(number)
+            )
         )
-        took = time.monotonic() - begun
+        duration_s = time.monotonic() - started_at
         status = Path(f"/proc/{platform.processes[-1].pid}/status").read_text()
         peak = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
     server.close()
     print(
-        f"{number} bodies of {mb} MB at 1 to 16 MB/s, half of them up: {dict(Counter(ends))},"
-        f" {refusals[0]} refusals; peak memory of the proxy {peak / 1024:.1f} MB of 80; {took:.0f} s"
+        f"{number} bodies of {mb} MB at 1 to 16 MB/s, half of them up: {dict(Counter(outcomes))},"
+        f" {refusals[0]} refusals; peak memory of the proxy {peak / 1024:.1f} MB of 80; {duration_s:.0f} s"
     )
-    return int(set(ends) != {"right"} or peak > 80 * 1024)
+    return int(set(outcomes) != {"right"} or peak > 80 * 1024)
 
 
 def main() -> int:
-    """Exit status."""
-    parse = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parse.add_argument("what", choices=["evacuations", "bans", "calls", "bodies"])
-    parse.add_argument("--number", type=int)
-    parse.add_argument("--mb", type=int, default=32)
-    parse.add_argument("--build", action="store_true")
-    told = parse.parse_args()
-    plays: dict[str, Callable[[], Coroutine[Any, Any, int]]] = {
-        "evacuations": lambda: evacuations(told.number or 100, told.build),
-        "bans": lambda: bans(told.number or 1000, told.build),
-        "calls": lambda: calls(told.number or 1000, told.build),
-        "bodies": lambda: bodies(told.number or 200, told.build, told.mb),
+    """Runs one check; returns the exit status."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("what", choices=["evacuations", "bans", "calls", "bodies"])
+    parser.add_argument("--number", type=int)
+    parser.add_argument("--mb", type=int, default=32)
+    parser.add_argument("--build", action="store_true")
+    options = parser.parse_args()
+    checks: dict[str, Callable[[], Coroutine[Any, Any, int]]] = {
+        "evacuations": lambda: evacuations(options.number or 100, options.build),
+        "bans": lambda: bans(options.number or 1000, options.build),
+        "calls": lambda: calls(options.number or 1000, options.build),
+        "bodies": lambda: bodies(options.number or 200, options.build, options.mb),
     }
-    return asyncio.run(plays[told.what]())
+    return asyncio.run(checks[options.what]())
 
 
 if __name__ == "__main__":
--- a/bench/orderkeys.py
+++ b/bench/orderkeys.py
@@ -1,15 +1,12 @@
-"""What order keys at the edge prevent, with the feature and without it.
+"""Duplicate orders with and without order keys at the edge.
 
-    python -m bench.orderkeys [--keys 20000] [--proxies 5] [--seed 1] [--store redis]
+    python -m bench.orderkeys [--keys 20000] [--proxies 5] [--seed N] [--store redis]
 
-Proxies, each a process of its own, before four racks of two nodes on loopback. Every key is sent
-up to five times, one after the other or at once, each time to any proxy, some with too little time left,
-while nodes fall silent and die, proxies are killed (SIGKILL) and started again, and, where they share
-keys, Redis is paused for up to 3 s. A rack drops a repeat that it knows; another rack charges it. Played
-without the feature and with it; printed for both: keys charged, keys charged twice, final answers by status
-(0 where the connection ended with its proxy), and what a checker of the whole history found by rule.
-
-Status 1 where the checker found a fault with the feature on. What keys cost: bench.orderkeys_cost.
+Proxy processes serve four racks of two nodes on loopback. Each key is sent up to five times to any proxy,
+some with too little remaining time, while nodes fall silent and die, proxies are killed and restarted, and a
+shared Redis pauses for up to 3 s. A rack drops a repeat that it knows; another rack charges it. Prints,
+without and with the feature: charged keys, keys charged twice, final answers by status (0: the proxy died),
+and the violations of the history by rule. Status 1 where the feature is on and there is one.
 """
 
 from __future__ import annotations
@@ -26,7 +23,7 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Runs the scenario and prints the results."""
     parser = argparse.ArgumentParser(description="order keys at the edge")
     parser.add_argument("--keys", type=int, default=20_000)
     parser.add_argument("--proxies", type=int, default=5)
--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -1,14 +1,12 @@
-"""What an order key costs: time added to a request, claims a second, bytes a key.
+"""Cost of an order key: added latency, claims per second, and bytes per key.
 
     python -m bench.orderkeys_cost [--number 2000] [--rounds 6] [--cores 1,2,3,4,5,6]
 
-Three proxies, without the feature, with a table in the process and with Redis (our stand-in), each on a
-core of its own (the first three), before servers that answer at once (the next two); one client asks them
-in turn, in an order drawn anew each time, for a key that is new: p50, and what is added to that without the
-feature. Once with proxies that do nothing else, and once while a caller keeps one read at a time going at
-each (from the last core): a proxy that idles has to fetch its own code from memory first. Then the table
-alone, and one proxy's side of the shared store: what a claim costs there hangs on the stand-in as well,
-which is not as fast as the server that operators run.
+Three proxies, without order keys, with a table in the process and with a Redis stand-in, run on the first
+three cores, and servers on the next two. One client sends each a new key in random order; p50 and the added
+time are printed for idle proxies, whose code has left the caches, and for proxies that serve another client
+from the last core. Then the table alone, and one proxy's side of the shared store, which includes the cost of
+the Redis stand-in.
 """
 
 from __future__ import annotations
@@ -47,7 +45,7 @@
 
 
 def launch(cores: list[str], folder: Path, store: Redis, stack: contextlib.ExitStack) -> list[int]:
-    """Start the servers and the three proxies; the proxies' ports."""
+    """Starts the servers and the three proxies; returns the proxies' ports."""
     proxies = node.free_ports(3)
     servers = stack.enter_context(backends(cores[3:5]))
     discovery = stack.enter_context(registry([row(f"n{i}", p, cell=i) for i, p in enumerate(servers)]))
@@ -60,7 +58,7 @@
     return proxies
 
 
-def ask(connection: socket.socket, name: str) -> float:
+def request_duration_ms(connection: socket.socket, name: str) -> float:
     """Ask for a new key; what it took in ms. RuntimeError where it was not served."""
     request = REQUEST % (name.encode(), 1400, name.encode(), b"")
     begun = time.perf_counter()
@@ -68,27 +66,29 @@
     answer = connection.recv(65536)
     took = (time.perf_counter() - begun) * 1000.0
     if not answer.startswith(b"HTTP/1.1 200") or not answer.endswith(b"tile"):
-        raise RuntimeError(f"found {answer[:60]!r}, wanted a tile")
+        raise RuntimeError(f"answer: expected a tile, got {answer[:60]!r}")
     return took
 
 
-def new_keys(ports: list[int], number: int, name: str) -> list[list[float]]:
-    """What each new key took at each proxy, in ms, sorted; the first fifth is left out."""
+def new_key_durations_ms(ports: list[int], number: int, name: str) -> list[list[float]]:
+    """Returns the sorted durations of new keys in ms for each proxy, without the first fifth."""
     connections = [socket.create_connection(("127.0.0.1", port), 5.0) for port in ports]
-    took: list[list[float]] = [[] for _ in ports]
-    draw, order = random.Random(1), list(range(len(ports)))
+    durations_ms: list[list[float]] = [[] for _ in ports]
+    rng, order = random.Random(1), list(range(len(ports)))
     for i in range(number):
-        draw.shuffle(order)
-        for which in order:
-            took[which].append(ask(connections[which], f"{name}-{which}-{i}"))
+        rng.shuffle(order)
+        for proxy_index in order:
+            durations_ms[proxy_index].append(
+                request_duration_ms(connections[proxy_index], f"{name}-{proxy_index}-{i}")
+            )
     for connection in connections:
         connection.close()
-    return [sorted(times[number // 5 :]) for times in took]
+    return [sorted(times[number // 5 :]) for times in durations_ms]
 
 
-def one_round(number: int, cores: list[str], folder: Path) -> dict[str, list[float]]:
-    """p50 of a new key in ms, off, in the process and in Redis, by the state of the proxies."""
-    found: dict[str, list[float]] = {}
+def run_round(number: int, cores: list[str], folder: Path) -> dict[str, list[float]]:
+    """Returns p50 of a new key in ms for each proxy, by the state of the proxies."""
+    medians_ms: dict[str, list[float]] = {}
     store = asyncio.run(Redis().start())
     try:
         with contextlib.ExitStack() as stack:
@@ -105,48 +105,55 @@
                             )
                         )
                     time.sleep(1.0)
-                found[state] = [statistics.median(times) for times in new_keys(ports, number, state)]
+                medians_ms[state] = [
+                    statistics.median(times) for times in new_key_durations_ms(ports, number, state)
+                ]
     finally:
         store.kill()
-    return found
+    return medians_ms
 
 
-def side_by_side(number: int, rounds: int, cores: list[str]) -> None:
-    """Play and print; in each round the three proxies change cores, as no two are equally quiet."""
-    found = []
-    for turn in range(rounds):
-        mine = [cores[(i + turn) % 3] for i in range(3)] + cores[3:]
+def compare_proxies(number: int, rounds: int, cores: list[str]) -> None:
+    """Runs and prints the rounds; the proxies change cores each round, because cores differ."""
+    medians = []
+    for round_number in range(rounds):
+        cores_of_round = [cores[(i + round_number) % 3] for i in range(3)] + cores[3:]
         with tempfile.TemporaryDirectory() as folder:
-            found.append(one_round(number, mine, Path(folder)))
+            medians.append(run_round(number, cores_of_round, Path(folder)))
     for state in ("idle", "busy"):
-        off = [one[state][0] for one in found]
-        words = f"{state}: p50 {statistics.median(off):.4f} ms off"
-        for which, name in ((1, "in the process"), (2, "in Redis")):
-            more = sorted((one[state][which] - one[state][0]) * 1000.0 for one in found)
-            words += f"; {name} {statistics.median(more):+.1f} us ({more[0]:+.1f} to {more[-1]:+.1f})"
-        print(words, flush=True)
+        off = [medians_of_round[state][0] for medians_of_round in medians]
+        line = f"{state}: p50 {statistics.median(off):.4f} ms off"
+        for proxy_index, name in ((1, "in the process"), (2, "in Redis")):
+            added_us = sorted(
+                (medians_of_round[state][proxy_index] - medians_of_round[state][0]) * 1000.0
+                for medians_of_round in medians
+            )
+            line += (
+                f"; {name} {statistics.median(added_us):+.1f} us ({added_us[0]:+.1f} to {added_us[-1]:+.1f})"
+            )
+        print(line, flush=True)
 
 
 class Neighbour:
-    """The driver's transport and its requests' caller, in one: keeps the call that was started last."""
+    """The driver's transport and its requests' caller; keeps the call that was started last."""
 
     def __init__(self) -> None:
         self.call: UpstreamRequest | None = None
         self.answered = 0
 
     def known(self, endpoint: str) -> bool:
-        """All are."""
+        """Returns True for every endpoint."""
         return True
 
     def start(self, call: UpstreamRequest) -> None:
-        """Keep it."""
+        """Keeps the call."""
         self.call = call
 
     def abort(self, call: UpstreamRequest) -> None:
-        """Nothing is ever given up here."""
+        """Does nothing: no call is aborted here."""
 
     def close_idle(self, endpoint: str) -> None:
-        """There is none."""
+        """Does nothing: there are no connections."""
 
     def answer(
         self,
@@ -156,12 +163,12 @@
         retry_after_ms: float = 0.0,
         kind: bytes = b"",
     ) -> None:
-        """Count the final answer."""
+        """Counts the final answer."""
         self.answered += status == Status.SERVED
 
 
-async def stages(keys: bool, number: int = 20_000) -> list[float]:
-    """us (p50) for a new key's arrival, the decision on it and its answer, here and without sockets."""
+async def stage_durations_us(keys: bool, number: int = 20_000) -> list[float]:
+    """Returns us (p50) for a new key's arrival, the decision on it and its answer, without sockets."""
     loop, clock, near = asyncio.get_running_loop(), Clock(), Neighbour()
     settings = wire.settings(node.settings([ORDER]))
     driver = Driver(settings, Balancer(settings, 1), near, loop, clock)
@@ -185,7 +192,7 @@
         laps = [time.perf_counter()]
         driver.accept(request, near)
         laps.append(time.perf_counter())
-        await asyncio.sleep(0)  # the decision is made in the loop's next turn
+        await asyncio.sleep(0)  # The decision is made in the next turn of the loop.
         laps.append(time.perf_counter())
         assert near.call is not None
         near.call.ended(api.Outcome.OK, response)
@@ -194,57 +201,61 @@
             times.append((ended - begun) * 1e6)
         await asyncio.sleep(0)
     if near.answered != number:
-        raise RuntimeError(f"{near.answered} of {number} answered")
+        raise RuntimeError(f"answers: expected {number}, got {near.answered}")
     return [statistics.median(times) for times in took]
 
 
-def alone(number: int = 100_000) -> tuple[float, float]:
-    """The table alone: us for a claim and its end, and bytes for each key, of so many new keys."""
+def measure_table(number: int = 100_000) -> tuple[float, float]:
+    """Returns us for a claim and its end in the table, and the bytes of each key."""
     names = [b"%016d" % i for i in range(number)]
     table, place, answer = Table(number, 10**9, 1000), api.Earlier("a", 1, 1.0), Answer(b"ok")
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     for name in names:
         table.finish(name, table.claim(name, "t", b"p", 0.0).fence, answer, place, 1e9)
-    took = (time.perf_counter() - begun) / number * 1e6
+    duration_us = (time.perf_counter() - started_at) / number * 1e6
     tracemalloc.start()
     table = Table(number, 10**9, 1000)
     for name in names:
         table.finish(name, table.claim(name, "t", b"p", 0.0).fence, answer, api.Earlier("a", 1, 1.0), 1e9)
-    used = tracemalloc.get_traced_memory()[0] / number
+    bytes_per_key = tracemalloc.get_traced_memory()[0] / number
     tracemalloc.stop()
-    return took, used
+    return duration_us, bytes_per_key
 
 
-class Claimer:
-    """Claims and ends new keys in a shared store, `most` at a time, as fast as a proxy's side goes."""
+class ClaimLoad:
+    """Claims and ends new keys in a shared store, with up to `most` outstanding."""
 
     def __init__(self, store: RedisLink, number: int, most: int) -> None:
-        self.store, self.left, self.most = store, number, most
-        self.out, self.done = 0, asyncio.get_running_loop().create_future()
+        self.store, self.remaining, self.max_outstanding = store, number, most
+        self.outstanding, self.done = 0, asyncio.get_running_loop().create_future()
         self.serial = 0
         self.refused: Counter[str] = Counter()
 
     def fill(self) -> None:
-        """Ask for as many as may be asked for."""
-        while self.left and self.out < self.most:
-            self.left, self.out, self.serial = self.left - 1, self.out + 1, self.serial + 1
+        """Starts as many claims as allowed."""
+        while self.remaining and self.outstanding < self.max_outstanding:
+            self.remaining, self.outstanding, self.serial = (
+                self.remaining - 1,
+                self.outstanding + 1,
+                self.serial + 1,
+            )
             one = Claiming(self, b"%016d" % self.serial)
             if not self.store.shared.claim(one.name, "tenant", b"p" * 16, 1000.0, KEPT_MS, 0.0, one):
                 one.claimed(Claim(Verdict.STORE_UNAVAILABLE))
-        if not self.left and not self.out and not self.done.done():
+        if not self.remaining and not self.outstanding and not self.done.done():
             self.done.set_result(None)
 
 
 class Claiming:
-    """One key of these."""
+    """The claim of one key."""
 
-    def __init__(self, owner: Claimer, name: bytes) -> None:
+    def __init__(self, owner: ClaimLoad, name: bytes) -> None:
         self.owner, self.name = owner, name
 
     def claimed(self, claim: Claim) -> None:
-        """Note a place, and end it with a short answer."""
+        """Records a place and ends the claim with a short answer."""
         owner, place = self.owner, api.Earlier("z", 1, time.time() * 1000.0)
-        owner.out -= 1
+        owner.outstanding -= 1
         if claim.verdict is Verdict.RUN:
             owner.store.shared.note(self.name, claim.fence, place)
             owner.store.shared.end(
@@ -255,8 +266,8 @@
         asyncio.get_running_loop().call_soon(owner.fill)
 
 
-async def shared_alone(number: int = 10_000) -> tuple[float, Counter[str]]:
-    """Keys claimed, noted and ended a second by one proxy's side."""
+async def shared_keys_per_s(number: int = 10_000) -> tuple[float, Counter[str]]:
+    """Returns the keys that one proxy's side claims, notes and ends per second."""
     server = await Redis().start()
     store = RedisLink(
         asyncio.get_running_loop(),
@@ -271,7 +282,7 @@
         store.start()
         while not store.shared.available():
             await asyncio.sleep(0.01)
-        claimer, begun = Claimer(store, number, 64), time.perf_counter()
+        claimer, begun = ClaimLoad(store, number, 64), time.perf_counter()
         claimer.fill()
         await claimer.done
         while store.shared.unconfirmed_ends:
@@ -282,22 +293,25 @@
 
 
 def main() -> int:
-    """Play and print."""
-    parser = argparse.ArgumentParser(description="what an order key costs")
+    """Runs the measurements and prints them."""
+    parser = argparse.ArgumentParser(description="cost of an order key")
     parser.add_argument("--number", type=int, default=2000)
     parser.add_argument("--rounds", type=int, default=6)
     parser.add_argument("--cores", default="1,2,3,4,5,6")
     args = parser.parse_args()
-    side_by_side(args.number, args.rounds, args.cores.split(","))
-    for words, keys in (("off", False), ("on", True)):
-        arrival, decision, answer = uvloop.run(stages(keys))
+    compare_proxies(args.number, args.rounds, args.cores.split(","))
+    for state, keys in (("off", False), ("on", True)):
+        arrival, decision, answer = uvloop.run(stage_durations_us(keys))
         print(
-            f"without sockets, {words}: {arrival:.1f} us arrival, {decision:.1f} us decision and a turn of"
+            f"without sockets, {state}: {arrival:.1f} us arrival, {decision:.1f} us decision and a turn of"
             f" the loop, {answer:.1f} us answer"
         )
-    took, used = alone()
-    print(f"table: {took:.2f} us for a claim and its end, {1e6 / took:.0f} a second, {used:.0f} bytes each")
-    rate, refused = uvloop.run(shared_alone())
+    claim_us, bytes_per_key = measure_table()
+    print(
+        f"table: {claim_us:.2f} us for a claim and its end, {1e6 / claim_us:.0f} a second,"
+        f" {bytes_per_key:.0f} bytes each"
+    )
+    rate, refused = uvloop.run(shared_keys_per_s())
     print(
         f"shared: {rate:.0f} keys a second claimed, noted and ended by one proxy's side, refused"
         f" {dict(refused)}"
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -1,15 +1,12 @@
-"""Load reports read or not: recovery, herding, stale and lying reports, and the cost of a request.
+"""Effect of load reports: recovery, herding, stale and false reports, and the cost for a request.
 
     python -m bench.reports [--proxies 3,9,31,93] [--seeds 2] [--jobs 8] [--quick]
 
-All in virtual time with the real decision modules (`honeywharf.lab`): 42 nodes that jam, 0.75 of capacity
-in use, 0.4 of the nodes dead from 10 to 16 s and then cold for 8 s; nodes report the calls that wait, as
-`simulator.Reporting` has it. Printed, off beside on: the share answered within the aim while nodes are dead
-and after, the time until it is back at 0.95 of before, and the widest swing of what waits at a node on the
-mean, over two-second steps at ease; the same for reports by delay and noise, and for nodes that lie; the
-loop by itself, a fluid queue; and the microseconds that a report adds to a request, on the installed build.
-Status 1 where a report that is stale or a lie costs more than 0.03 of what is answered in time beside
-reports off.
+Runs the real decision modules (`honeywharf.lab`) in virtual time: 42 nodes at 0.75 of capacity; 0.4 of them
+are dead from 10 to 16 s and then cold for 8 s. Prints, without and with reports: the share answered within
+the latency target while nodes are dead and after, the recovery time to 0.95, and the swing of the waiting
+calls per node; the same for stale, noisy and false reports; a fluid-queue model; and a report's cost in us.
+Status 1 where stale or false reports lose more than 0.03 of the answers in time.
 """
 
 from __future__ import annotations
@@ -27,9 +24,9 @@
 from honeywharf.lab.simulator import Day, Reporting, Simulation, Trouble
 from tests.reports.model import loop
 
-WORSE = 0.03
+MAX_LOSS = 0.03
 NODES = {"a": 14, "b": 14, "c": 14}
-LIES = {
+FALSE_REPORTS = {
     "half say nothing": Reporting(silent=0.5),
     "a third always 0": Reporting(liars=0.33, lie=0.0),
     "a third always 7": Reporting(liars=0.33, lie=7.0),
@@ -40,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Play:
-    """One day and what came of it: shares of first tries in time, s, calls waiting for each node."""
+    """The result of one day: shares of first attempts in time, seconds, waiting calls per node."""
 
     dead: float
     after: float
@@ -49,7 +46,7 @@
 
 
 def day(proxies: int, on: bool, load: Reporting, seed: int) -> Day:
-    """The day."""
+    """Returns the day."""
     made = Day(
         "reports",
         seed,
@@ -70,7 +67,7 @@
 
 
 def play(what: tuple[int, bool, Reporting, int]) -> Play:
-    """Play a day, and look each 100 ms at what waits while all is well."""
+    """Runs a day and samples the waiting calls every 100 ms before the nodes die."""
     proxies, on, load, seed = what
     shape = day(proxies, on, load, seed)
     simulation, waits = Simulation(shape), list[float]()
@@ -85,7 +82,7 @@
     return Play(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
 
 
-def row(name: str, plays: list[Play]) -> str:
+def format_row(name: str, plays: list[Play]) -> str:
     """One line: means, and each recovery."""
     back = ", ".join("never" if p.recovery_s >= measures.LATER else f"{p.recovery_s:.1f}" for p in plays)
     return (
@@ -95,7 +92,7 @@
     )
 
 
-PLAY = """
+COST_PROGRAM = """
 import time
 from honeywharf.policy import Balancer, interface as api
 from honeywharf.reports import LoadReports
@@ -124,16 +121,16 @@
 
 
 def cost() -> float:
-    """Microseconds that a report adds to a request's decisions, on what `deploy/build.sh` has installed."""
-    done = subprocess.run(
-        [*command(HERE)[:-2], "-c", PLAY], cwd="/", capture_output=True, text=True, check=True
+    """Returns the us that a report adds to a request's decisions, on the build by `deploy/build.sh`."""
+    completed = subprocess.run(
+        [*command(HERE)[:-2], "-c", COST_PROGRAM], cwd="/", capture_output=True, text=True, check=True
     )
-    return float(done.stdout)
+    return float(completed.stdout)
 
 
 def main() -> int:
-    """Play and print."""
-    parser = argparse.ArgumentParser(description="load reports read or not, in virtual time")
+    """Runs the days and prints the results."""
+    parser = argparse.ArgumentParser(description="effect of load reports, in virtual time")
     parser.add_argument("--proxies", default="3,9,31,93")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--jobs", type=int, default=8)
@@ -145,36 +142,45 @@
         for n in map(int, args.proxies.split(","))
         for on in (False, True)
     ]
-    many = int(args.proxies.split(",")[-2]) if "," in args.proxies else int(args.proxies)
+    proxy_count = int(args.proxies.split(",")[-2]) if "," in args.proxies else int(args.proxies)
     stale: list[tuple[str, int, bool, Reporting]] = []
     if not args.quick:
         stale = [
             (
                 f"{late:g} ms late, noise {noise:g}",
-                many,
+                proxy_count,
                 True,
                 replace(Reporting(), late_ms=late, noise=noise),
             )
             for late in (0.0, 450.0, 2000.0)
             for noise in (0.0, 0.5)
         ]
-        stale += [(name, many, True, load) for name, load in LIES.items()]
+        stale += [(name, proxy_count, True, load) for name, load in FALSE_REPORTS.items()]
     jobs = [(n, on, load, seed) for _, n, on, load in table + stale for seed in seeds]
     with ProcessPoolExecutor(args.jobs) as pool:
         plays = list(pool.map(play, jobs))
     print(f"{'':<34}{'dead':>7}{'after':>7}{'swing':>7}  back after, s")
-    found: dict[str, list[Play]] = {}
+    plays_by_name: dict[str, list[Play]] = {}
     for i, (name, *_) in enumerate(table + stale):
         if i == len(table):
-            print(f"behind {many} proxies, by what is reported:")
-        found[name] = plays[i * args.seeds : (i + 1) * args.seeds]
-        print(row(name, found[name]))
+            print(f"behind {proxy_count} proxies, by what is reported:")
+        plays_by_name[name] = plays[i * args.seeds : (i + 1) * args.seeds]
+        print(format_row(name, plays_by_name[name]))
     for delay in (0.0, 200.0, 500.0, 1000.0, 2000.0):
         mean, swing = loop(delay, 31)
         print(f"the loop by itself, reports {delay:g} ms old: wait {mean:.2f}, swing {swing:.1f} references")
     print(f"a report costs {cost():.2f} us of a request's decisions")
-    off = statistics.fmean(p.after for p in found[f"{many} proxies, reports off"])
-    return 1 if any(statistics.fmean(p.after for p in found[name]) < off - WORSE for name, *_ in stale) else 0
+    share_without_reports = statistics.fmean(
+        p.after for p in plays_by_name[f"{proxy_count} proxies, reports off"]
+    )
+    return (
+        1
+        if any(
+            statistics.fmean(p.after for p in plays_by_name[name]) < share_without_reports - MAX_LOSS
+            for name, *_ in stale
+        )
+        else 0
+    )
 
 
 if __name__ == "__main__":
--- a/bench/upgrades.py
+++ b/bench/upgrades.py
@@ -1,10 +1,10 @@
-"""Upgrades under load: the process is replaced again and again, and what clients met is counted.
+"""Repeated upgrades of the proxy process under load, with the outcomes of the clients' requests.
 
     python -m bench.upgrades [--upgrades 100] [--per-s 2000] [--connections 64] [--no-handover]
 
-One proxy at a time before four backends that answer at once, clients on kept connections, all on loopback. An
-upgrade is as the operators' page has it: a new process on the same listening socket, readyz, SIGTERM to the
-old. `--no-handover` plays the same with a folder that the new process finds nothing in.
+One proxy serves four backends that answer at once; clients reuse connections; all run on loopback. An upgrade
+starts a new process on the same listening socket, waits for readyz, and sends SIGTERM to the old process.
+`--no-handover` empties the directory in which the new process looks for the handover.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     "group": "cell",
     "windowMs": 7500.0,
 }
-MIN_MS = 50.0  # of load between two upgrades
+MIN_INTERVAL_MS = 50.0  # Minimum time of load between two upgrades.
 
 
 async def play(
@@ -39,7 +39,7 @@
     connections: int,
     handover: bool,
 ) -> tuple[Load, list[float], str]:
-    """What clients met, and how long each old process took to end, s."""
+    """Runs the upgrades; returns the load, the seconds each old process took to end, and the log."""
     backends = [await Backend().start() for _ in range(4)]
     for one in backends:
         one.then = reply(200, b"tile")
@@ -53,10 +53,10 @@
             load.begin()
             took = []
             for _ in range(upgrades):
-                await asyncio.sleep(MIN_MS / 1000.0)
+                await asyncio.sleep(MIN_INTERVAL_MS / 1000.0)
                 if not handover:
-                    for left in (Path(folder) / "tmp").iterdir():
-                        left.unlink()
+                    for leftover in (Path(folder) / "tmp").iterdir():
+                        leftover.unlink()
                 took.append(await platform.replace(2.0))
             await load.end()
             return load, took, platform.words()
@@ -68,13 +68,13 @@
 
 
 def main() -> int:
-    """Exit status: 1 where a request was lost, refused or met a closed connection."""
+    """Runs the upgrades; returns 1 where a request was lost, refused or met a closed connection."""
     parse = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parse.add_argument("--upgrades", type=int, default=100)
     parse.add_argument("--per-s", type=float, default=2000.0)
     parse.add_argument("--connections", type=int, default=64)
     parse.add_argument("--no-handover", action="store_true")
-    parse.add_argument("--log", type=Path, help="where the processes' lines go")
+    parse.add_argument("--log", type=Path, help="file for the log lines of the processes")
     told = parse.parse_args()
     load, took, words = asyncio.run(play(told.upgrades, told.per_s, told.connections, not told.no_handover))
     if told.log:
