--- a/bench/hinted_handoff.py
+++ b/bench/hinted_handoff.py
@@ -72,7 +72,7 @@
     others = [name for name in network.names if name != absent]
     return_node = make_unavailable(network, absent, how, others)
     network.run(args.away / 2)
-    change_others(network, others, args.changes, seed)
+    change_entries(network, others, args.changes, seed)
     network.run(args.away / 2)
     idle_bytes = sum(network.bytes.values())
     network.run(2.0)
@@ -124,7 +124,7 @@
     return network.start(absent, 2, **sample_attributes(absent))
 
 
-def change_others(network: GossipNetwork, others: list[str], changes: int, seed: int) -> None:
+def change_entries(network: GossipNetwork, others: list[str], changes: int, seed: int) -> None:
     """Changes the entries of some nodes, broadcasts a revision from one, and ends one."""
     changed = network.rng.sample(others, min(changes + 1, len(others)))
     for name in changed[:-1]:
--- a/bench/mesh_explore.py
+++ b/bench/mesh_explore.py
@@ -74,13 +74,13 @@
     return members([MemberId(name, "first") for name in NAMES[:count]])
 
 
-def start_state(count: int, *actors: Actor, others: str = "") -> Node:
+def start_state(count: int, *actors: Actor, non_members: str = "") -> Node:
     """Returns a state with `count` empty members, and machines that are not members."""
     votes = {}
     for name in NAMES[:count]:
         state = AcceptorState("first", 1, membership_of(count))
         votes[name] = Vote(state, state)
-    for name in others:
+    for name in non_members:
         state = AcceptorState(f"disk-{name}")
         votes[name] = Vote(state, state)
     return Node(votes, actors, (), {}, 0)
@@ -171,7 +171,7 @@
     for actor_name, joiner, replaced in (("p", "d", "c"), ("q", "e", "a")):
         change = mesh_state.admit(Member(joiner, f"disk-{joiner}", "", False), [MemberId(replaced, "first")])
         actors.append(proposer(actor_name, change, 1, membership_of(3), made=made))
-    return start_state(3, *actors, others="de")
+    return start_state(3, *actors, non_members="de")
 
 
 def wiped_state(state: AcceptorState) -> AcceptorState:
--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -167,7 +167,7 @@
         self.answered += status == Status.SERVED
 
 
-async def stage_durations_us(keys: bool, number: int = 20_000) -> list[float]:
+async def phase_durations_us(keys: bool, number: int = 20_000) -> list[float]:
     """Returns us (p50) for a new key's arrival, the decision on it and its answer, without sockets."""
     loop, clock, near = asyncio.get_running_loop(), Clock(), Neighbour()
     settings = wire.settings(node.settings([ORDER]))
@@ -181,7 +181,7 @@
             api.ListKind.FULL, tuple(api.Endpoint(f"n{i}", "z", cell=i % 4) for i in range(8))
         )
     )
-    took: list[list[float]] = [[], [], []]
+    durations_us: list[list[float]] = [[], [], []]
     response = http1.Response()
     response.body = b"tile"
     for i in range(number):
@@ -197,12 +197,12 @@
         assert near.call is not None
         near.call.ended(api.Outcome.OK, response)
         laps.append(time.perf_counter())
-        for times, begun, ended in zip(took, laps, laps[1:], strict=False):
+        for times, begun, ended in zip(durations_us, laps, laps[1:], strict=False):
             times.append((ended - begun) * 1e6)
         await asyncio.sleep(0)
     if near.answered != number:
         raise RuntimeError(f"answers: expected {number}, got {near.answered}")
-    return [statistics.median(times) for times in took]
+    return [statistics.median(times) for times in durations_us]
 
 
 def measure_table(number: int = 100_000) -> tuple[float, float]:
@@ -301,7 +301,7 @@
     args = parser.parse_args()
     compare_proxies(args.number, args.rounds, args.cores.split(","))
     for state, keys in (("off", False), ("on", True)):
-        arrival, decision, answer = uvloop.run(stage_durations_us(keys))
+        arrival, decision, answer = uvloop.run(phase_durations_us(keys))
         print(
             f"without sockets, {state}: {arrival:.1f} us arrival, {decision:.1f} us decision and a turn of"
             f" the loop, {answer:.1f} us answer"
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -102,12 +102,12 @@
                 return
             await asyncio.sleep(pause / 1000.0)
 
-    async def send_attempt(self, target: str, tries: int, remaining_s: float) -> tuple[int, float]:
+    async def send_attempt(self, target: str, attempt_number: int, remaining_s: float) -> tuple[int, float]:
         """Sends one attempt; returns its status (0 without an answer) and the Retry-After in ms."""
-        mark_header = "X-Repeat: 1\r\n" if tries > 1 and self.random.random() < 0.5 else ""
+        mark_header = "X-Repeat: 1\r\n" if attempt_number > 1 and self.random.random() < 0.5 else ""
         data = REQUEST_FORMAT.format(
             target=target,
-            name=f"{self.sid}-{target}-{tries}",
+            name=f"{self.sid}-{target}-{attempt_number}",
             sid=self.sid,
             left=max(1, int(remaining_s * 1000)),
             mark=mark_header,
--- a/bench/tiers.py
+++ b/bench/tiers.py
@@ -1,14 +1,12 @@
-"""Three tiers on sockets: are all hops and attempts kept of the requests that went wrong?
+"""Completeness of the kept traces of bad requests through three tiers on sockets.
 
     python -m bench.tiers [--requests 200000] [--rate 1200] [--errors 0.001] [--notes-loss 0.1]
 
-Stand-in nodes call the next tier through proxies of ours (honeywharf.standins.tiers). One store answer in
-1,000 is an error; an entry proxy is killed halfway and comes back; the other entry's clock is 2 s off; one
-front node drops the trace's header; one datagram of notes in ten is lost. What the proxies kept is held
-against the record of clients and nodes: a request went wrong where its client or any node below saw no 200,
-or anything was sent twice. Each hop and each attempt of it has to be there. What is missing is put down to
-the kill, to the dropped header, or to notes lost twice, each only where the record shows it; status 1 where
-anything else is missing. Beside it: what head sampling that keeps as many spans would have kept.
+Stand-in nodes call the next tier through proxies (honeywharf.standins.tiers). An entry proxy is killed
+halfway and restarts, another's clock is 2 s off, one node drops the trace's header, and notes are lost. A
+request is bad where its client or any node below saw no 200, or anything was sent twice; each hop and each
+attempt of it must be kept. Missing ones count by recorded cause; status 1 where one is unknown. Also prints
+how many bad requests head sampling of as many spans would keep.
 """
 
 from __future__ import annotations
@@ -32,7 +30,7 @@
 
 @dataclass
 class Part:
-    """One request at one hop, as clients and nodes saw it."""
+    """One request at one hop, as clients and nodes recorded it."""
 
     hop: str
     id: str
@@ -44,20 +42,20 @@
 
 @dataclass
 class Verdict:
-    """What came of a day."""
+    """The counts of a day."""
 
     requests: int = 0
     bad: int = 0
-    whole: int = 0  # bad ones of which every hop and attempt is kept
-    parts: int = 0  # of bad ones
+    whole: int = 0  # Bad requests with every hop and attempt kept.
+    parts: int = 0  # Parts of bad requests.
     kept_parts: int = 0
     attempts: int = 0
     kept_attempts: int = 0
-    missing: Counter[str] = field(default_factory=Counter)  # parts and attempts, by what explains them
+    missing: Counter[str] = field(default_factory=Counter)  # Parts and attempts, by cause.
     unexplained: list[str] = field(default_factory=list)
-    spans: int = 0  # all hops that were kept
-    of_spans: int = 0  # all that there were
-    head: int = 0  # bad ones that head sampling keeps whole, at as many spans
+    spans: int = 0  # All kept hops.
+    of_spans: int = 0  # All hops.
+    head: int = 0  # Bad requests that head sampling keeps with as many spans.
 
 
 def parts(asked: Asked, by_id: dict[tuple[int, str], list[Seen]]) -> Iterator[Part]:
@@ -81,7 +79,7 @@
     network: NotesNetwork,
     seed: int = 1,
 ) -> Verdict:
-    """Hold what was kept against what was seen."""
+    """Compares the kept traces with the record."""
     all_asked = [a for a in all_asked if a.status >= 0]  # what no proxy took has no trace
     made = Verdict(requests=len(all_asked))
     by_id: dict[tuple[int, str], list[Seen]] = defaultdict(list)
@@ -95,47 +93,47 @@
     for asked in all_asked:
         tree = list(parts(asked, by_id))
         made.of_spans += len(tree)
-        if any(map(wrong, tree)):
+        if any(map(is_bad, tree)):
             bad.append((asked, tree))
     made.bad = len(bad)
     rng = random.Random(seed)
     made.head = sum(rng.random() < made.spans / max(1, made.of_spans) for _ in bad)
     for asked, tree in bad:
-        cut = asked.proxy in killed and asked.status == 0
-        seen_above = any(not p.split and wrong(p) for p in tree)
+        is_killed = asked.proxy in killed and asked.status == 0
+        seen_above = any(not p.split and is_bad(p) for p in tree)
         traces = {s.trace_id for p in tree if not p.split for s in p.attempts}
-        whole = True
+        is_complete = True
         for part in tree:
             spans = kept.get((part.hop, part.id))
             made.parts += 1
             made.kept_parts += spans is not None
-            lost = [s for s in part.attempts if s.span_id not in (spans or ())]
+            missing_attempts = [s for s in part.attempts if s.span_id not in (spans or ())]
             if part.split and part.attempts and spans is None:
-                lost = []  # counted once, as a part
+                missing_attempts = []  # The part is counted, and its attempts are not.
             made.attempts += len(part.attempts)
             made.kept_attempts += len(part.attempts) - len(
                 [s for s in part.attempts if s.span_id not in (spans or ())]
             )
-            if spans is not None and not lost:
+            if spans is not None and not missing_attempts:
                 continue
-            whole = False
-            why = explained(part, cut, seen_above, traces, asked, killed, network)
-            made.missing[why or "unexplained"] += 1
-            if why is None:
+            is_complete = False
+            cause = recorded_cause(part, is_killed, seen_above, traces, asked, killed, network)
+            made.missing[cause or "unexplained"] += 1
+            if cause is None:
                 made.unexplained.append(
                     f"{asked.id}, answered {asked.status}: {part.hop} {part.id} by {part.proxy}, attempts"
                     f" {[(s.node, s.status) for s in part.attempts]}, kept {spans}"
                 )
-        made.whole += whole
+        made.whole += is_complete
     return made
 
 
-def wrong(part: Part) -> bool:
-    """Whether a part alone shows that something went wrong."""
+def is_bad(part: Part) -> bool:
+    """Returns whether a part by itself shows a failure or a repeat."""
     return part.status != 200 or len(part.attempts) > 1 or any(s.status != 200 for s in part.attempts)
 
 
-def explained(
+def recorded_cause(
     part: Part,
     cut: bool,
     seen_above: bool,
@@ -144,10 +142,10 @@
     killed: dict[str, float],
     network: NotesNetwork,
 ) -> str | None:
-    """What the record shows to have cost a part; None where it shows nothing."""
+    """Returns the recorded cause of a missing part; None where there is none."""
     if cut or (part.proxy in killed and asked.begun_s <= killed[part.proxy]):
         return "the killed proxy"
-    if part.split or not seen_above:  # two traces: neither knows of the other
+    if part.split or not seen_above:  # The dropped header split the request into two traces.
         return "the dropped header"
     if any(network.missed[part.proxy, t] and not network.told[part.proxy, t] for t in traces):
         return "notes lost twice"
@@ -155,7 +153,7 @@
 
 
 async def play(args: argparse.Namespace, folder: Path) -> Verdict:
-    """A day, checked."""
+    """Runs a day and checks it."""
     compiled = HERE / ".venv" / "bin" / "python"
     house = House(
         folder,
@@ -173,7 +171,7 @@
             await asyncio.sleep(0.5 * args.requests / args.rate)
             await house.kill("entry-0", 2.0)
         await work
-        await asyncio.sleep(1.0)  # notes are sent twice, and files written now and then
+        await asyncio.sleep(1.0)  # Notes are sent twice, and files are written at intervals.
     finally:
         await house.stop()
     assert house.network is not None
@@ -183,7 +181,7 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Runs a day and prints the counts."""
     parser = argparse.ArgumentParser(description="three tiers on sockets, checked against their record")
     parser.add_argument("--requests", type=int, default=200_000)
     parser.add_argument("--rate", type=float, default=1200.0)
@@ -198,8 +196,8 @@
         f"{made.requests} requests, {made.bad} of them went wrong: {made.whole} kept whole,"
         f" {made.kept_parts} of {made.parts} hops, {made.kept_attempts} of {made.attempts} attempts"
     )
-    for why, number in made.missing.most_common():
-        print(f"  {number} missing for {why}")
+    for cause, number in made.missing.most_common():
+        print(f"  {number} missing for {cause}")
     for line in made.unexplained[:10]:
         print(f"  unexplained: {line}")
     print(
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -13,7 +13,7 @@
 from honeywharf.transport.host import Address, Connection, Handler
 
 
-class SilentConnection(BackendConnection):
+class UnresponsiveConnection(BackendConnection):
     """A backend connection that never answers."""
 
     def received(self, data: bytes) -> None:
@@ -81,7 +81,7 @@
 def test_requests_without_an_idle_connection_are_counted() -> None:
     loop = EventLoop(None)
     load = Load(
-        loop, serve(loop, SilentConnection), "a.example", "/b/", rate=200.0, connections=2, seconds=20.0
+        loop, serve(loop, UnresponsiveConnection), "a.example", "/b/", rate=200.0, connections=2, seconds=20.0
     )
     run_until(loop, lambda: load.skipped >= 10)
     assert len(load.busy) == 2
