--- a/bench/forged.py
+++ b/bench/forged.py
@@ -81,12 +81,12 @@
                 time.sleep(1.0)
             hops = [orjson.loads(line) for line in file.read_bytes().splitlines()]
             for tenant in TENANTS:
-                kept = [hop for hop in hops if hop["tenant"] == tenant and hop["kept"] == ["ordinary"]]
+                kept_hops = [hop for hop in hops if hop["tenant"] == tenant and hop["kept"] == ["ordinary"]]
                 print(
-                    f"{name:<16} {tenant:<7} kept {len(kept):>5} as ordinary, standing for"
-                    f" {sum(hop['weight'] for hop in kept):>8.0f}"
+                    f"{name:<16} {tenant:<7} kept {len(kept_hops):>5} as ordinary, standing for"
+                    f" {sum(hop['weight'] for hop in kept_hops):>8.0f}"
                 )
-                if name == "honeywharf" and abs(len(kept) - expected) > 5.0 * expected**0.5:
+                if name == "honeywharf" and abs(len(kept_hops) - expected) > 5.0 * expected**0.5:
                     is_unbiased = False
     return 0 if is_unbiased else 1
 
--- a/bench/mesh_membership.py
+++ b/bench/mesh_membership.py
@@ -79,11 +79,11 @@
 
     def freezes(self) -> Callable[[], None]:
         """Freezes nodes by turns."""
-        for turn in range(3):
+        for round_number in range(3):
             for node in self.sample_nodes(1 / 30):
                 machine = self.network.machines[node]
-                self.network.at(1.3 * turn, lambda machine=machine: setattr(machine, "frozen", True))  # type: ignore[misc]
-                self.network.at(1.3 * turn + FREEZE_S, machine.resume)
+                self.network.at(1.3 * round_number, lambda machine=machine: setattr(machine, "frozen", True))  # type: ignore[misc]
+                self.network.at(1.3 * round_number + FREEZE_S, machine.resume)
         return lambda: None
 
     def one_way(self) -> Callable[[], None]:
--- a/bench/mesh_news.py
+++ b/bench/mesh_news.py
@@ -129,9 +129,9 @@
     tracemalloc.start()
     for data in datagrams:
         table.received(0.0, "10.9.0.1", b"r" + data[1:])
-    used = tracemalloc.get_traced_memory()[0]
+    used_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return used / 1000
+    return used_bytes / 1000
 
 
 class FixedRandom:
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -183,30 +183,31 @@
         load = Load(platform.port, 1e9, 256)
         load.begin()
         idle_connections = [await asyncio.open_connection("127.0.0.1", platform.operator) for _ in range(8)]
-        took, failed = [], 0
+        latencies, failed = [], 0
         stat = Path(f"/proc/{platform.processes[-1].pid}/stat")
         earlier_ticks = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
-        begun = time.monotonic()
+        started_at = time.monotonic()
         for i in range(number):
-            at = time.monotonic()
+            call_started_at = time.monotonic()
             try:
                 line = ("readyz", "exclude n1", "include n1", "exclude nobody")[i % 4]
                 said = await say(platform.operator, line)
                 failed += said.startswith("OK") == (i % 4 == 3)
             except (OSError, TimeoutError):
                 failed += 1
-            took.append((time.monotonic() - at) * 1000.0)
+            latencies.append((time.monotonic() - call_started_at) * 1000.0)
         ticks = [int(x) for x in stat.read_text().rsplit(")", 1)[1].split()[11:13]]
-        cpu_share = (sum(ticks) - sum(earlier_ticks)) / 100.0 / (time.monotonic() - begun)
+        cpu_share = (sum(ticks) - sum(earlier_ticks)) / 100.0 / (time.monotonic() - started_at)
         for _, writer in idle_connections:
             writer.close()
         await load.end()
-    took.sort()
+    latencies.sort()
     print(
-        f"{number} calls with the proxy at {cpu_share:.0%} of a core: p50 {took[len(took) // 2]:.1f} ms, p99"
-        f" {took[int(0.99 * len(took))]:.1f} ms, most {took[-1]:.1f} ms; {failed} wrong or unanswered"
+        f"{number} calls with the proxy at {cpu_share:.0%} of a core:"
+        f" p50 {latencies[len(latencies) // 2]:.1f} ms, p99 {latencies[int(0.99 * len(latencies))]:.1f} ms,"
+        f" most {latencies[-1]:.1f} ms; {failed} wrong or unanswered"
     )
-    return int(bool(failed or took[-1] > 1000.0))
+    return int(bool(failed or latencies[-1] > 1000.0))
 
 
 async def _serve_bodies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, size: int) -> None:
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -58,10 +58,10 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self.serial = 0
 
-    def count(self, what: str, when: float | None = None) -> None:
+    def count(self, event: str, at: float | None = None) -> None:
         """Counts an event in the window of `when`, or of now."""
-        window = int((time.monotonic() if when is None else when) // WINDOW_S)
-        self.counts.setdefault(window, Counter())[what] += 1
+        window = int((time.monotonic() if at is None else at) // WINDOW_S)
+        self.counts.setdefault(window, Counter())[event] += 1
 
     async def live(self, until: float, think_s: float) -> None:
         """Sends requests at random intervals until a time."""
@@ -141,8 +141,8 @@
     """Runs the clients of this process; writes their counts by window as JSON to standard output."""
     counts: dict[int, Counter[str]] = {}
     ports = [int(p) for p in args.ports.split(",")]
-    made = [Client(args.first + i, ports, args.seed, counts) for i in range(args.number)]
-    await asyncio.gather(*(one.live(args.until, args.think) for one in made))
+    all_clients = [Client(args.first + i, ports, args.seed, counts) for i in range(args.number)]
+    await asyncio.gather(*(client.live(args.until, args.think) for client in all_clients))
     json.dump(counts, sys.stdout)
 
 
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,13 +1,13 @@
 """Minimal clients and servers for the measurements, each a process on one core.
 
     python -m bench.peers backend --port P           answers every request with four bytes
-    python -m bench.peers relay --port P --to P1,P2  relays bytes to these ports in turn
+    python -m bench.peers relay --port P --to P1,P2  relays bytes to these ports
     python -m bench.peers load --port P --connections N --seconds S --name X
     python -m bench.peers echo --port P              sends every datagram back
 
 `load` is a closed loop: a connection sends its next request, with a new id, once the last is answered. Its
 standard output is one line with the counts of refused and unexpected answers, then the duration of each
-request in us as four bytes in native order. Status 1 where a connection breaks.
+request in us as four bytes in native order. Status 1 if a connection breaks.
 """
 
 from __future__ import annotations
--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -199,9 +199,9 @@
         ]
         self.call_all(messages.START, calls)
 
-    def partition(self, one: Zones = NO_ZONES, other: Zones = NO_ZONES) -> None:
+    def partition(self, first: Zones = NO_ZONES, second: Zones = NO_ZONES) -> None:
         """Separates two groups of zones; without arguments, removes the partition."""
-        sides = [sorted(one), sorted(other)]
+        sides = [sorted(first), sorted(second)]
         self.call_all(messages.PARTITION, [(process, sides) for process in self.all if process.running])
 
     def change(self, first: int = 0) -> tuple[float, float]:
--- a/bench/scale/heartbeats.py
+++ b/bench/scale/heartbeats.py
@@ -82,6 +82,6 @@
     def drained(self) -> None:
         """Does nothing."""
 
-    def closed(self, why: str) -> None:
+    def closed(self, reason: str) -> None:
         """Forgets the connection; the next heartbeat opens another one."""
         self._connection = None
--- a/bench/scale/hollow_process.py
+++ b/bench/scale/hollow_process.py
@@ -97,8 +97,8 @@
         )
 
     def _partition(self, args: Any, reply: Reply, peer: Address) -> None:
-        one, other = args
-        self.reach.separate(frozenset(one), frozenset(other))
+        first, second = args
+        self.reach.separate(frozenset(first), frozenset(second))
         for node in self.nodes.values():
             if node.host is not None:
                 node.host.drop_separated()
--- a/bench/scale/load.py
+++ b/bench/scale/load.py
@@ -68,7 +68,7 @@
     def drained(self) -> None:
         """Does nothing."""
 
-    def closed(self, why: str) -> None:
+    def closed(self, reason: str) -> None:
         """Counts a pending request as failed; the next request opens another connection."""
         self.connection, self.buffer = None, b""
         if self in self.load.busy:
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -80,9 +80,9 @@
     def applied_at(self, version: int) -> float:
         """Returns when the log reports a version or a newer one as applied (monotonic clock); 0 if never."""
         for line in self.log.read_text("utf-8", "replace").splitlines():
-            found = _APPLIED_LINE.match(line)
-            if found and int(found[2]) >= version:
-                return float(found[1])
+            matched = _APPLIED_LINE.match(line)
+            if matched and int(matched[2]) >= version:
+                return float(matched[1])
         return 0.0
 
     def faults(self) -> int:
