--- a/honeywharf/config/file_errors.py
+++ b/honeywharf/config/file_errors.py
@@ -1,8 +1,8 @@
 """Errors of a file that is decoded into a typed model, worded for operators.
 
-Each error names the key, the value in the file and the expected type with its range; `with_position` adds the
-line and column. All errors of a file are reported at once. The models are `msgspec` structures, and the texts
-are derived from their types, so they always match the checks.
+Each error names the key, the expected type with its range, and the value in the file; `with_position` adds
+the line and column. All errors of a file are reported at once. The models are `msgspec` structures, and the
+texts are derived from their types, so they always match the checks.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FileError(msgspec.Struct, frozen=True):
-    """An error at one key: its path, and a text with the actual and the expected value."""
+    """An error at one key: its path, and a text with the expected and the actual value."""
 
     where: KeyPath
     words: str
@@ -54,7 +54,7 @@
     model = _struct_type(value_type)
     if model is not None:
         if not isinstance(raw, dict):
-            yield FileError(where, f"found {format_value(raw)}, wanted a table")
+            yield FileError(where, f"expected a table, got {format_value(raw)}")
             return
         fields = {f.encode_name: f for f in msgspec.structs.fields(model)}
         for name, value in raw.items():
@@ -62,11 +62,11 @@
                 yield from find_errors(value, fields[name].type, (*where, name))
             else:
                 yield FileError(
-                    (*where, str(name)), f"found a key that there is not, wanted one of {', '.join(fields)}"
+                    (*where, str(name)), f"expected one of {', '.join(fields)}, got an unknown key"
                 )
         for name, field in fields.items():
             if field.required and name not in raw:
-                yield FileError((*where, name), f"found nothing, wanted {describe_type(field.type)}")
+                yield FileError((*where, name), f"expected {describe_type(field.type)}, got nothing")
         return
     origin, type_arguments = get_origin(value_type), get_args(value_type)
     if origin is list and isinstance(raw, list) and _struct_type(type_arguments[0]) is not None:
@@ -84,7 +84,7 @@
             for i, item in enumerate(raw):
                 yield from find_errors(item, type_arguments[0], (*where, i))
             return
-        yield FileError(where, f"found {format_value(raw)}, wanted {describe_type(value_type)}")
+        yield FileError(where, f"expected {describe_type(value_type)}, got {format_value(raw)}")
 
 
 def _struct_type(value_type: Any) -> type[msgspec.Struct] | None:
@@ -113,9 +113,9 @@
     if isinstance(info, inspect.LiteralType):
         return "one of " + ", ".join(str(v) for v in get_args(value_type))
     if isinstance(info, inspect.ListType | inspect.VarTupleType):
-        return f"a list, each of it {describe_type(get_args(value_type)[0])}"
+        return f"a list, each item {describe_type(get_args(value_type)[0])}"
     if isinstance(info, inspect.DictType):
-        return f"a table, each of it {describe_type(get_args(value_type)[1])}"
+        return f"a table, each value {describe_type(get_args(value_type)[1])}"
     return "a table"
 
 
--- a/honeywharf/metrics/__init__.py
+++ b/honeywharf/metrics/__init__.py
@@ -118,8 +118,8 @@
     listen_address = address(features.listen) if features.listen else None
     if listen_address is not None and not _loopback(listen_address[0]):
         raise ValueError(
-            f"metrics.listen: found {features.listen!r}, wanted a loopback address, such as"
-            " 127.0.0.1:9464: figures name tenants' classes and servers"
+            "metrics.listen: expected a loopback address, such as 127.0.0.1:9464, as the metrics name"
+            f" tenants' classes and servers, got {features.listen!r}"
         )
     try:
         return MetricsComponent(proxy, listen_address)
--- a/honeywharf/traces/language.py
+++ b/honeywharf/traces/language.py
@@ -288,5 +288,5 @@
     def _resolve_name(self, token: Tree[Token] | Token) -> str:
         name = str(token)
         if name not in self.fields:
-            raise self.error(token, f"found field '{name}', wanted one of {', '.join(sorted(self.fields))}")
+            raise self.error(token, f"field: expected one of {', '.join(sorted(self.fields))}, got '{name}'")
         return name
--- a/tests/admin/test_operator_commands.py
+++ b/tests/admin/test_operator_commands.py
@@ -80,7 +80,10 @@
             assert {d["key"] for d in orjson.loads(output)} == {"node.sockets", "storms.ratio"}
             file.write_text("[storms]\nratio = 7\n")
             status, output = await run_command("config", "diff", "--socket", socket_path)
-            assert (status, f"{file}:2:1: storms.ratio: found 7, wanted a number" in output) == (2, True)
+            assert (
+                status,
+                f"{file}:2:1: storms.ratio: expected a number over 0 and at most 1, got 7" in output,
+            ) == (2, True)
 
     run(main())
 
@@ -239,7 +242,7 @@
 
 def test_metrics_are_not_served_to_the_network(tmp_path: Path) -> None:
     async def main() -> None:
-        with pytest.raises(ValueError, match=r"metrics\.listen: found '0\.0\.0\.0:1', wanted a loopback"):
+        with pytest.raises(ValueError, match=r"metrics\.listen: expected a loopback .*, got '0\.0\.0\.0:1'"):
             async with running_proxy([], Features(metrics=Metrics(listen="0.0.0.0:1"))):
                 pass
 
--- a/tests/config/test_features.py
+++ b/tests/config/test_features.py
@@ -37,31 +37,52 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("[limits]\nlimiter = 'red'", ":2:1: limits.limiter: found 'red', wanted one of lateness, open"),
-        ("[limits]\n  limiter = 3", ":2:3: limits.limiter: found 3, wanted one of lateness"),
+        (
+            "[limits]\nlimiter = 'red'",
+            ":2:1: limits.limiter: expected one of lateness, open, formerly, gradient, vegas, aimd, codel,"
+            " got 'red'",
+        ),
+        (
+            "[limits]\n  limiter = 3",
+            ":2:3: limits.limiter: expected one of lateness, open, formerly, gradient, vegas, aimd, codel,"
+            " got 3",
+        ),
         (
             "[limits]\nlimiters = 'aimd'",
-            ":2:1: limits.limiters: found a key that there is not, wanted one of",
+            ":2:1: limits.limiters: expected one of limiter, got an unknown key",
+        ),
+        (
+            "\n[limit]",
+            ":2:1: limit: expected one of limits, order_keys, coap, storms, reports, traces, admin, metrics,"
+            " log, got an unknown key",
         ),
-        ("\n[limit]", ":2:1: limit: found a key that there is not, wanted one of limits"),
-        ("limits = 7", ":1:1: limits: found 7, wanted a table"),
+        ("limits = 7", ":1:1: limits: expected a table, got 7"),
         ("[limits", ": not TOML: "),
-        ("[traces]\nrate = 7", ":2:1: traces.rate: found 7, wanted a number over 0 and at most 1"),
-        ("traces = { keep = '', rate = 7 }", ":1:23: traces.rate: found 7, wanted a number over 0 and at"),
+        ("[traces]\nrate = 7", ":2:1: traces.rate: expected a number over 0 and at most 1, got 7"),
+        (
+            "traces = { keep = '', rate = 7 }",
+            ":1:23: traces.rate: expected a number over 0 and at most 1, got 7",
+        ),
         (
             "[traces]\nquantile = 1",
-            ":2:1: traces.quantile: found 1, wanted a number at least 0.5 and under 1",
+            ":2:1: traces.quantile: expected a number at least 0.5 and under 1, got 1",
         ),
-        ("[traces]\nheld = 0", ":2:1: traces.held: found 0, wanted a whole number at least 1"),
-        ("[storms]\non = 1", ":2:1: storms.on: found 1, wanted true or false"),
-        ("[coap]\nlisten = true", ":2:1: coap.listen: found true, wanted text in quotes"),
+        ("[traces]\nheld = 0", ":2:1: traces.held: expected a whole number at least 1, got 0"),
+        ("[storms]\non = 1", ":2:1: storms.on: expected true or false, got 1"),
+        ("[coap]\nlisten = true", ":2:1: coap.listen: expected text in quotes, got true"),
         (
             "[order_keys]\nkeep_ms = { a = -1 }",
-            ":2:13: order_keys.keep_ms.a: found -1, wanted a number over 0",
+            ":2:13: order_keys.keep_ms.a: expected a number over 0, got -1",
+        ),
+        (
+            "[order_keys]\nalone = 'a'",
+            ":2:1: order_keys.alone: expected a list, each item text in quotes, got 'a'",
+        ),
+        ("[order_keys]\nalone = [\n 'a', 7]", ":3:7: order_keys.alone[1]: expected text in quotes, got 7"),
+        (
+            "[order_keys.redis]\nprefix = ''",
+            ":2:1: order_keys.redis.prefix: expected text in quotes of 1 to 64 characters, got ''",
         ),
-        ("[order_keys]\nalone = 'a'", ":2:1: order_keys.alone: found 'a', wanted a list, each of it text"),
-        ("[order_keys]\nalone = [\n 'a', 7]", ":3:7: order_keys.alone[1]: found 7, wanted text"),
-        ("[order_keys.redis]\nprefix = ''", ":2:1: order_keys.redis.prefix: found '', wanted text"),
         (
             "[traces]\npeers = ['a:1',\n'b']",
             ":3:1: traces.peers[1]: expected host:port, such as 127.0.0.1:4000, got 'b'",
@@ -103,7 +124,7 @@
     assert CliRunner().invoke(main, ["check-config", str(good)]).exit_code == 0
     result = CliRunner().invoke(main, ["check-config", str(good), str(bad)])
     assert result.exit_code == 2
-    assert "found 'red'" in result.output
+    assert "got 'red'" in result.output
     node = tmp_path / "node.json"
     node.write_text("{}")
     result = CliRunner().invoke(main, ["check-config", str(node)])
@@ -120,7 +141,7 @@
     result = CliRunner().invoke(main, ["check-config", str(path)])
     assert result.exit_code == 2
     lines = result.output.splitlines()
-    assert [line.removeprefix(f"{path}:").split(": found")[0] for line in lines] == [
+    assert [line.removeprefix(f"{path}:").split(": expected")[0] for line in lines] == [
         "2:1: limits.limiter",
         "4:1: storms.on",
         "5:1: storms.rate",
@@ -130,7 +151,11 @@
     path.write_text('[traces]\nnotes = "nowhere"\npeers = ["a:1", "b"]\nkeep = "durations > 5"\n')
     value_errors = CliRunner().invoke(main, ["check-config", str(path)]).output
     assert value_errors.count("expected host:port") == 2
-    assert f"{path}:4:1: traces.keep: found field 'durations'" in value_errors
+    assert (
+        f"{path}:4:1: traces.keep: field: expected one of attempts, class, copied, duration, errors, failed,"
+        " late, outcome, reason, refused, request, retried, served, server, slow, tenant, trace, zone,"
+        " got 'durations'"
+    ) in value_errors
 
 
 @given(
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -97,8 +97,13 @@
         ("seeds", [1, "x"], "seeds: expected a list of integers or their number, got [1, 'x']"),
         ("seeds", [], "seeds: expected"),
         ("seeds", 0, "seeds: expected a list of integers or their number, got 0"),
-        ("day.lenght_ms", 1.0, "day.lenght_ms: found a key that there is not, wanted one of length_ms"),
-        ("day.load", "high", "day.load: found 'high', wanted a number"),
+        (
+            "day.lenght_ms",
+            1.0,
+            "day.lenght_ms: expected one of length_ms, work_ms, spread, aim_ms, deadline_ms, load, peak,"
+            " peak_from_ms, peak_ms, peak_random, got an unknown key",
+        ),
+        ("day.load", "high", "day.load: expected a number, got 'high'"),
         ("day.load", 11.0, "day.load: expected 0 to 10, got 11"),
         ("day.deadline_ms", 5.0, "day.deadline_ms: expected 2000 to 1e+06, got 5"),
         ("fleet.zones", {}, "fleet.zones: expected at least one node"),
@@ -116,7 +121,11 @@
         ("sweep.1.cases.0", {"label": "x"}, "sweep[1].cases[0]: expected a label and a table"),
         ("sweep.0.path", "troubles.7.part", "troubles.7.part: expected an index from 0 to 0, got '7'"),
         ("sweep.0.path", "troubles.0", "troubles.0: expected the name of a setting"),
-        ("sweep.0.path", "name2.x", "name2: found a key that there is not"),
+        (
+            "sweep.0.path",
+            "name2.x",
+            "name2: expected one of day, fleet, clients, features, load, troubles, got an unknown key",
+        ),
         ("seeds", list(range(5000)), "sweep: expected up to 10000 cells, got 20000"),
     ],
 )
--- a/tests/traces/test_queries.py
+++ b/tests/traces/test_queries.py
@@ -66,7 +66,13 @@
         ('attempts > "2"', 11, "expected a number, got a text"),
         ('zone > "a"', 5, "expected = or != between a text and another, got '>'"),
         ("attempts", 0, "expected a boolean, got a number"),
-        ('zona = "tartu"', 0, "found field 'zona', wanted one of attempts, class"),
+        (
+            'zona = "tartu"',
+            0,
+            "field: expected one of attempts, class, copied, duration, errors, failed, hop, hops,"
+            " kept, late, node, outcome, reason, refused, request, retried, served,"
+            " server, slow, tenant, trace, zone, got 'zona'",
+        ),
         ("duration > p42(class)", 11, "function: expected p50, p90, p99, got 'p42'"),
         ("duration > p50(attempts)", 15, "expected a text, got a number"),
         ("failed % slow", 7, ", got '%'"),
@@ -76,7 +82,7 @@
     ],
 )
 def test_error_gives_position_and_expectation(expression: str, position: int, message: str) -> None:
-    with pytest.raises(language.ExpressionError, match=r"expected .*, got |found field ") as fault:
+    with pytest.raises(language.ExpressionError, match=r"expected .*, got ") as fault:
         language.compile_expression(expression)
     assert message in str(fault.value)
     assert fault.value.position == position
@@ -151,7 +157,7 @@
     assert run_command("traces", "duration > 1000 s", str(file))[0] == 1
     status, printed = run_command("traces", "zona", str(file))
     assert status == 2
-    assert "found field 'zona'" in printed
+    assert "server, slow, tenant, trace, zone, got 'zona'" in printed
     status, printed = run_command("traces", "failed", str(file), "--by", "zone", "--json")
     assert status == 0
     assert orjson.loads(printed[printed.index("[") :])[0]["zone"] == "tartu"
--- a/tests/traces/test_sockets.py
+++ b/tests/traces/test_sockets.py
@@ -340,7 +340,9 @@
 def test_invalid_keep_rule_is_reported_with_file_key_and_position(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text('[traces]\nfile = "t"\nkeep = "durations > 5"\n')
-    with pytest.raises(FeaturesError, match=r"traces\.keep: found field 'durations', wanted one of") as fault:
+    with pytest.raises(
+        FeaturesError, match=r"traces\.keep: field: expected one of .*, got 'durations'"
+    ) as fault:
         load(path, feature_faults)
     assert str(fault.value).startswith(f"{path}:3:1: ")
 
