--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 """Known failures stay red in the output, are printed, and alone do not fail the run (`KNOWN-RED.txt`).
 
-A run still fails where any other test does, where a listed one fails otherwise than by an assertion of its
-own, and where a listed one passes: its line has to go.
+A run still fails if any other test fails, if a listed test fails other than by an assertion of its own, or if
+a listed test passes: its line must be removed.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 def pytest_runtest_logreport(report: pytest.TestReport) -> None:
-    """Note how each test ended; workers' reports come here as well."""
+    """Records the outcome of each test, including those run by workers."""
     crash = getattr(report.longrepr, "reprcrash", None)
-    VERDICTS.note(report.nodeid, report.when, report.outcome, crash.message if crash is not None else "")
+    VERDICTS.record(report.nodeid, report.when, report.outcome, crash.message if crash is not None else "")
 
 
 def pytest_sessionfinish(session: pytest.Session, exitstatus: int) -> None:
-    """Let the run pass where just the listed tests failed; fail it where one of them passed."""
+    """Sets the exit status: success if only listed tests failed, failure if one of them passed."""
     if hasattr(session.config, "workerinput"):
         return
     if VERDICTS.listed_pass():
@@ -30,6 +30,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list at the end of each run."""
+    """Prints the list at the end of each run."""
     for line in VERDICTS.lines():
         terminalreporter.write_line(line)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that fail for a real fault not mended yet, a line each: `test | cause | issue`."""
+"""Reads KNOWN-RED.txt, which lists tests that fail for a known open fault as `test | cause | issue`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KnownFailure(NamedTuple):
-    """One line of the list. `test`: its node id, as pytest prints it."""
+    """One line of the list. `test` is its node id, as pytest prints it."""
 
     test: str
     cause: str
@@ -19,25 +19,25 @@
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """The list's lines. ValueError for a line that lacks a part, or for too many lines."""
+    """Parses the lines of the list. ValueError for a line that lacks a field, or for too many lines."""
     known = []
     for line in text.splitlines():
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != len(KnownFailure._fields) or not all(parts):
-            raise ValueError(f"found {line!r}, wanted `test | cause | issue`")
-        known.append(KnownFailure(*parts))
+        cells = [cell.strip() for cell in line.split("|")]
+        if len(cells) != len(KnownFailure._fields) or not all(cells):
+            raise ValueError(f"line: expected `test | cause | issue`, got {line!r}")
+        known.append(KnownFailure(*cells))
     if len(known) > MAX_KNOWN:
-        raise ValueError(f"found {len(known)} known failures, wanted at most {MAX_KNOWN}")
+        raise ValueError(f"known failures: expected at most {MAX_KNOWN}, got {len(known)}")
     return known
 
 
 def read(path: Path = LIST) -> list[KnownFailure]:
-    """What stands in the list; nothing where there is no such file."""
+    """Returns the list, which is empty if the file does not exist."""
     return parse(path.read_text("utf-8")) if path.exists() else []
 
 
 class Verdicts:
-    """How the tests of one run ended, against the list."""
+    """Compares the outcomes of one test run with the list."""
 
     def __init__(self, known: list[KnownFailure]) -> None:
         self.known = {failure.test: failure for failure in known}
@@ -45,8 +45,8 @@
         self.passed_known: set[str] = set()
         self.failed_others: set[str] = set()
 
-    def note(self, test: str, when: str | None, outcome: str, message: str) -> None:
-        """One phase of one test: `setup`, `call` or `teardown`; `message` is what it failed with."""
+    def record(self, test: str, when: str | None, outcome: str, message: str) -> None:
+        """Records one phase of one test: `setup`, `call` or `teardown`. `message` is that of a failure."""
         asserted = message.startswith(("AssertionError", "assert "))
         if outcome == "failed" and test in self.known and when == "call" and asserted:
             self.failed_known.add(test)
@@ -56,17 +56,17 @@
             self.passed_known.add(test)
 
     def listed_pass(self) -> bool:
-        """Whether a listed test passed."""
+        """Returns whether a listed test passed."""
         return bool(self.passed_known)
 
     def only_known_failed(self) -> bool:
-        """Whether tests failed, all of them listed."""
+        """Returns whether tests failed and all of them are listed."""
         return bool(self.failed_known) and not self.failed_others
 
     def lines(self) -> list[str]:
-        """The list for the end of a run, and which of it passed."""
-        told = []
+        """Returns the lines to print at the end of a run: each listed test, and whether it passed."""
+        lines = []
         for failure in self.known.values():
             passed = "; it PASSED, take it off the list" if failure.test in self.passed_known else ""
-            told.append(f"KNOWN-RED {failure.test}: {failure.cause} ({failure.issue}){passed}")
-        return told
+            lines.append(f"KNOWN-RED {failure.test}: {failure.cause} ({failure.issue}){passed}")
+        return lines
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,7 +12,7 @@
 from tests.known_red import MAX_KNOWN, ROOT, parse, read
 
 
-def test_every_listed_test_stands_in_its_file() -> None:
+def test_every_listed_test_exists_in_its_file() -> None:
     for failure in read():
         path, _, name = failure.test.partition("::")
         assert f"def {name.partition('[')[0]}(" in (ROOT / path).read_text("utf-8")
@@ -21,8 +21,10 @@
 @pytest.mark.parametrize(
     "line", ["tests/a.py::test_b", "tests/a.py::test_b | cause", "tests/a.py::test_b | | issue 1"]
 )
-def test_a_line_that_lacks_a_part_is_no_line(line: str) -> None:
-    with pytest.raises(ValueError, match=r"wanted `test \| cause \| issue`"):
+def test_a_line_that_lacks_a_field_is_rejected(line: str) -> None:
+    with pytest.raises(
+        ValueError, match=r"line: expected `test \| cause \| issue`, got 'tests/a\.py::test_b"
+    ):
         parse(line)
 
 
@@ -57,7 +59,7 @@
 
 @pytest.mark.parametrize("workers", ["0", "2"])
 @pytest.mark.parametrize(
-    ("listed", "played", "status"),
+    ("listed", "selected", "status"),
     [
         (["test_red"], ["test_red", "test_green"], PYTEST_OK),
         ([], ["test_red", "test_green"], PYTEST_FAILED),
@@ -68,8 +70,8 @@
         (["test_red"], ["test_green"], PYTEST_OK),
     ],
 )
-def test_a_run_passes_over_listed_failures_and_nothing_else(
-    tmp_path: Path, listed: list[str], played: list[str], status: int, workers: str
+def test_a_run_ignores_listed_failures_and_no_others(
+    tmp_path: Path, listed: list[str], selected: list[str], status: int, workers: str
 ) -> None:
     folder = tmp_path / "tests"
     folder.mkdir()
@@ -80,15 +82,19 @@
     lines = [f"tests/test_sample.py::{name} | a cause | issue 1\n" for name in listed]
     (tmp_path / "KNOWN-RED.txt").write_text("".join(lines))
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "-n", workers]
-    ran = subprocess.run(
-        [*command, *(f"tests/test_sample.py::{name}" for name in played)],
+    result = subprocess.run(
+        [*command, *(f"tests/test_sample.py::{name}" for name in selected)],
         cwd=tmp_path,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ran.returncode == status, ran.stdout
-    assert all(f"KNOWN-RED tests/test_sample.py::{name}: a cause (issue 1)" in ran.stdout for name in listed)
+    assert result.returncode == status, result.stdout
+    assert all(
+        f"KNOWN-RED tests/test_sample.py::{name}: a cause (issue 1)" in result.stdout for name in listed
+    )
     for name in listed:
-        if name == "test_red" and name in played:
-            assert "1 failed" in ran.stdout or "2 failed" in ran.stdout, "a known failure is shown as one"
+        if name == "test_red" and name in selected:
+            assert "1 failed" in result.stdout or "2 failed" in result.stdout, (
+                "a known failure is shown as one"
+            )
