--- a/tests/test_exceptions.py
+++ b/tests/test_exceptions.py
@@ -1,6 +1,6 @@
 """Exceptions to the linter and the type checker may only become fewer.
 
-Where a number here is higher than what is found, lower it; it is never raised.
+A number here that is higher than the count found has to be lowered; none is ever raised.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_layers import KNOWN_CIRCLE
+from tests.test_layers import KNOWN_IMPORT_CYCLE
 
 ROOT = Path(__file__).parent.parent
 FINISHED = (
@@ -39,7 +39,7 @@
 
 
 def occurrences(pattern: str, *folders: str) -> int:
-    """How often a pattern stands in files of folders of the root."""
+    """Counts the matches of a pattern in files of folders of the root."""
     return sum(len(re.findall(pattern, path.read_text("utf-8"))) for path in sources(*folders))
 
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "found", "known"),
+    ("label", "found", "known"),
     [
         ("files with rules switched off", len(ignored_files()), 68),
         ("rules switched off, over files", sum(map(len, ignored_files().values())), 78),
@@ -61,12 +61,12 @@
             occurrences(r"# noqa|# type: ignore", "tests", "bench"),
             72,
         ),
-        ("modules in the circle of imports", len(KNOWN_CIRCLE), 11),
+        ("modules in the circle of imports", len(KNOWN_IMPORT_CYCLE), 11),
     ],
 )
-def test_exceptions_become_fewer(what: str, found: int, known: int) -> None:
-    assert found <= known, f"{what}: found {found}, wanted at most {known}"
-    assert found == known, f"{what}: found {found}; lower the number here from {known}"
+def test_exceptions_become_fewer(label: str, found: int, known: int) -> None:
+    assert found <= known, f"{label}: expected at most {known}, got {found}"
+    assert found == known, f"{label}: expected {known}, got {found}: lower the number in this test"
 
 
 def test_finished_packages_have_no_rule_switched_off() -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Arrows point one way: protocols -> codecs -> core -> the decision module; rules do no I/O."""
+"""Imports go one way, protocols -> codecs -> core -> the decision module, and rules do no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parent.parent / "honeywharf"
 PROTOCOLS = ("http", "coap", "discovery")
-#: What a layer's modules may import of honeywharf; of its own package it may import all.
+#: The packages and modules of honeywharf that each layer may import, besides its own package.
 ALLOWED = {
     "limits": ("limits",),
     "terms": ("terms",),
@@ -64,7 +64,7 @@
         "traces",
     ),
     "__main__.py": ("cli", "proxy"),
-    # The mesh: rules, then what moves bytes between programs, then the programs and the simulation.
+    # The layers of the mesh are rules, transport between programs, and the programs with the simulation.
     "verdict.py": (),
     "admission": ("admission",),
     "failure_detector": ("failure_detector", "gossip"),
@@ -119,7 +119,7 @@
         "admission",
     ),
 }
-#: Modules of subsystems that settle something: no sockets, no loop, no clock.
+#: Modules that make decisions and use no sockets, no event loop and no clock.
 PURE = (
     "policy",
     "terms",
@@ -195,7 +195,7 @@
     "programs/control_leases.py",
     "programs/control_handoff.py",
 )
-#: Rules of the mesh that know no host either: time and facts come as arguments.
+#: Rules of the mesh that are independent of their host: time and inputs are arguments.
 RULES = {
     "verdict.py": (),
     "admission": ("admission",),
@@ -225,7 +225,7 @@
     "mesh_config": ("mesh_config",),
     **{f"sessions/{name}.py": ("sessions", "verdict") for name in ("sender", "receiver", "relay")},
 }
-#: What a sidecar must not load: each of many processes pays for it in memory.
+#: Modules that a sidecar must not load, because each of many processes would use memory for them.
 HEAVY = {
     "absl",
     "asyncio",
@@ -245,8 +245,8 @@
     "honeywharf.lease",
     "honeywharf.mesh_config.configuration",
 }
-#: The one circle that is left: drift checks and the data plane that they look at know each other's types.
-KNOWN_CIRCLE = frozenset(
+#: The only import cycle: drift checks and the data plane that they inspect use each other's types.
+KNOWN_IMPORT_CYCLE = frozenset(
     {f"honeywharf.drift.{name}" for name in ("monitor", "periodic_scan", "scan", "remediation")}
     | {
         f"honeywharf.sidecar.{name}"
@@ -263,7 +263,7 @@
 
 
 def imported(path: Path) -> Iterator[str]:
-    """What a module imports when it is loaded and when it runs; not what only a type checker reads."""
+    """Yields the imports of a module at load time and run time, without those for type checkers only."""
     tree = ast.parse(path.read_text("utf-8"))
     for node in ast.walk(tree):
         if isinstance(node, ast.If) and isinstance(node.test, ast.Name) and node.test.id == "TYPE_CHECKING":
@@ -272,18 +272,18 @@
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module is not None:
-            whole = node.module == "honeywharf"
-            yield from (f"honeywharf.{a.name}" for a in node.names) if whole else (node.module,)
+            is_root = node.module == "honeywharf"
+            yield from (f"honeywharf.{a.name}" for a in node.names) if is_root else (node.module,)
 
 
 def module_of(path: Path) -> str:
-    """The name by which a file is imported."""
+    """Returns the name by which a file is imported."""
     parts = path.relative_to(ROOT.parent).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def import_graph() -> dict[str, set[str]]:
-    """All imports of modules by modules, those that only a type checker reads included."""
+    """Returns all imports between modules, including those for type checkers only."""
     paths = {module_of(path): path for path in ROOT.rglob("*.py")}
     graph: dict[str, set[str]] = {}
     for name, path in paths.items():
@@ -298,16 +298,16 @@
     return graph
 
 
-def circles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
-    """Groups of modules that import each other, directly or not."""
+def import_cycles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
+    """Returns the groups of modules that import each other, directly or indirectly."""
     reached: dict[str, set[str]] = {}
     for name in graph:
-        seen, waiting = set[str](), list(graph[name])
-        while waiting:
-            other = waiting.pop()
+        seen, pending = set[str](), list(graph[name])
+        while pending:
+            other = pending.pop()
             if other not in seen:
                 seen.add(other)
-                waiting += graph[other]
+                pending += graph[other]
         reached[name] = seen
     return {
         frozenset(other for other in reached[name] if name in reached[other])
@@ -317,11 +317,11 @@
 
 
 def test_no_modules_import_each_other() -> None:
-    assert circles(import_graph()) == {KNOWN_CIRCLE}
+    assert import_cycles(import_graph()) == {KNOWN_IMPORT_CYCLE}
 
 
-def test_a_circle_is_found() -> None:
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set()}) == {frozenset("abc")}
+def test_a_cycle_is_detected() -> None:
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set()}) == {frozenset("abc")}
 
 
 @pytest.mark.parametrize("layer", ALLOWED)
@@ -333,7 +333,7 @@
 
 
 @pytest.mark.parametrize("name", PURE)
-def test_what_settles_something_does_no_io(name: str) -> None:
+def test_decision_modules_do_no_io(name: str) -> None:
     found = files(name)
     assert found
     for path in found:
@@ -341,7 +341,7 @@
 
 
 @pytest.mark.parametrize("name", RULES)
-def test_rules_of_the_mesh_know_no_host(name: str) -> None:
+def test_rules_of_the_mesh_are_independent_of_the_host(name: str) -> None:
     found = files(name)
     assert found
     for path in found:
@@ -351,17 +351,17 @@
 
 
 def test_a_sidecar_loads_little() -> None:
-    words = "import sys, honeywharf.programs.sidecar, honeywharf.transport.event_loop; print(*sys.modules)"
+    program = "import sys, honeywharf.programs.sidecar, honeywharf.transport.event_loop; print(*sys.modules)"
     loaded = subprocess.run(
-        [sys.executable, "-c", words], cwd=ROOT.parent, capture_output=True, text=True, check=True
+        [sys.executable, "-c", program], cwd=ROOT.parent, capture_output=True, text=True, check=True
     ).stdout
     assert "honeywharf.sidecar.gate" in loaded.split()
     assert not HEAVY & set(loaded.split())
 
 
-def test_the_scan_sees_what_it_is_to_see() -> None:
+def test_the_scan_finds_imports_at_run_time_only() -> None:
     front = set(imported(ROOT / "http" / "front.py"))
     assert {"asyncio", "honeywharf.codecs", "honeywharf.core.driver"} <= front
     assert "honeywharf.config.features" not in set(
         imported(ROOT / "orderkeys" / "deduplicator.py")
-    )  # for types only
+    )  # imported for type checkers only
