--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -1,4 +1,4 @@
-"""Compiled and not, the decisions are the same to the last bit; and what a build does without a compiler."""
+"""Compiled and pure builds decide identically, and a build without a compiler changes nothing."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from honeywharf.policy import balancer
 
 ROOT = Path(__file__).parent.parent
-PLAY = """
+SIMULATION_PROGRAM = """
 from honeywharf.policy import balancer
 from honeywharf.lab import days
 from honeywharf.lab.simulator import play
@@ -28,9 +28,9 @@
 """
 
 
-def played(tree: Path) -> list[str]:
-    done = subprocess.run(
-        [sys.executable, "-c", PLAY],
+def run_simulations(tree: Path) -> list[str]:
+    result = subprocess.run(
+        [sys.executable, "-c", SIMULATION_PROGRAM],
         cwd=tree,
         capture_output=True,
         text=True,
@@ -38,28 +38,28 @@
         check=True,
         env={k: v for k, v in os.environ.items() if k != "PYTHONPATH"},
     )
-    return done.stdout.splitlines()
+    return result.stdout.splitlines()
 
 
-@pytest.mark.skipif(balancer.__file__.endswith(".py"), reason="asks for a compiled copy: tests/compiled.sh")
-def test_a_compiled_build_plays_each_simulated_day_as_the_sources_do() -> None:
-    compiled, pure = played(ROOT), played(Path(os.environ["HONEYWHARF_PURE_TREE"]))
+@pytest.mark.skipif(balancer.__file__.endswith(".py"), reason="needs a compiled copy: tests/compiled.sh")
+def test_a_compiled_build_gives_the_results_of_the_sources_on_each_simulated_day() -> None:
+    compiled, pure = run_simulations(ROOT), run_simulations(Path(os.environ["HONEYWHARF_PURE_TREE"]))
     assert compiled[0].endswith(".so")
     assert pure[0].endswith(".py")
     assert compiled[1:] == pure[1:]
     assert len(set(compiled[1:])) == 6
 
 
-def followed(name: str) -> Iterator[Path]:
-    """The files of ours that an import of a name may load."""
+def loaded_files(name: str) -> Iterator[Path]:
+    """Yields the files of the repository that an import of a name may load."""
     parts = name.split(".")
     for length in range(1, len(parts) + 1):
         path = ROOT.joinpath(*parts[:length])
         yield from (file for file in (path / "__init__.py", path.with_suffix(".py")) if file.exists())
 
 
-def names(path: Path) -> Iterator[str]:
-    """All that a module imports, for types too: mypyc follows both."""
+def imported_names(path: Path) -> Iterator[str]:
+    """Yields all imports of a module, including those for type checkers only: mypyc follows both."""
     for node in ast.walk(ast.parse(path.read_text("utf-8"))):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -67,48 +67,55 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def compiled() -> set[Path]:
-    """What `setup.py` has compiled."""
-    found = next(
+def compiled_files() -> set[Path]:
+    """Returns the files that `setup.py` compiles."""
+    expression = next(
         node.value
         for node in ast.parse((ROOT / "setup.py").read_text()).body
         if isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == "COMPILED"
     )
-    told = eval(ast.unparse(found), {"glob": lambda some: [str(path) for path in ROOT.glob(some)]})
-    return {ROOT / path for path in told}
+    paths = eval(
+        ast.unparse(expression), {"glob": lambda pattern: [str(path) for path in ROOT.glob(pattern)]}
+    )
+    return {ROOT / path for path in paths}
 
 
-@pytest.mark.model  # it reads sources; the compiled tree has no requirements
-def test_the_lean_build_finds_or_may_miss_every_library() -> None:
-    """Guards the platform's build: mypyc follows imports, and compiles nothing where it misses one."""
-    lean = re.findall(
+@pytest.mark.model  # reads sources; the compiled tree has no requirements files
+def test_the_minimal_build_has_or_may_miss_every_library() -> None:
+    """Guards the platform's build: mypyc follows imports, and compiles nothing if one is missing."""
+    required = re.findall(
         r"^[\w-]+",
         (ROOT / "requirements.txt").read_text() + (ROOT / "requirements-build.txt").read_text(),
         re.M,
     )
     may_miss = {
         name.partition(".")[0]
-        for told in tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["mypy"]["overrides"]
-        for name in told["module"]
+        for override in tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["mypy"]["overrides"]
+        for name in override["module"]
+    }
+    known = {
+        "honeywharf",
+        *sys.stdlib_module_names,
+        *(name.replace("-", "_") for name in required),
+        *may_miss,
     }
-    known = {"honeywharf", *sys.stdlib_module_names, *(name.replace("-", "_") for name in lean), *may_miss}
-    seen, left = set[Path](), compiled()
-    while left:
-        path = left.pop()
+    seen, pending = set[Path](), compiled_files()
+    while pending:
+        path = pending.pop()
         seen.add(path)
-        left |= {file for name in names(path) for file in followed(name)} - seen
-    used = {name.partition(".")[0] for path in seen for name in names(path)}
+        pending |= {file for name in imported_names(path) for file in loaded_files(name)} - seen
+    used = {name.partition(".")[0] for path in seen for name in imported_names(path)}
     assert used - known == set()
     assert {"lark", "httptools"} <= used
     assert not [path for path in seen if path.parent.name in ("sidecar", "control", "programs")]
 
 
-def test_without_a_compiler_the_build_says_so_and_leaves_the_code_as_it_is(tmp_path: Path) -> None:
+def test_without_a_compiler_the_build_reports_it_and_compiles_nothing(tmp_path: Path) -> None:
     only_sources = shutil.ignore_patterns("*.so", "__pycache__")
     shutil.copytree(ROOT / "honeywharf", tmp_path / "honeywharf", ignore=only_sources)
     for name in ("setup.py", "pyproject.toml", "README.md", "LICENSE"):
         shutil.copy(ROOT / name, tmp_path)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "setup.py", "build_ext", "--inplace"],
         cwd=tmp_path,
         capture_output=True,
@@ -117,6 +124,6 @@
         check=False,
         env={**os.environ, "CC": "/bin/false"},
     )
-    assert done.returncode == 0, done.stderr
-    assert 'extension "honeywharf.policy.balancer" failed' in done.stdout + done.stderr
+    assert result.returncode == 0, result.stderr
+    assert 'extension "honeywharf.policy.balancer" failed' in result.stdout + result.stderr
     assert not list(tmp_path.rglob("*.so"))
--- a/tests/test_deploy_files.py
+++ b/tests/test_deploy_files.py
@@ -9,7 +9,7 @@
 import pytest
 
 DEPLOY = Path(__file__).parent.parent / "deploy"
-#: What in a build asks for which of Debian's packages.
+#: The Debian package that each call in a build needs.
 NEEDS = {
     "python3": "python3",
     "python3 -m pip": "python3-pip",
@@ -20,12 +20,12 @@
 
 
 def read(name: str) -> dict[str, Any]:
-    """A deploy file."""
+    """Returns the contents of a deploy file."""
     return tomllib.loads((DEPLOY / name).read_text("utf-8"))
 
 
 def build_text(name: str) -> str:
-    """The build's command, with the script that it runs."""
+    """Returns the command of the build, or the text of the script that it runs."""
     command: str = read(name)["build"]
     script = command.removeprefix("sh ")
     return (DEPLOY.parent / script).read_text("utf-8") if script != command else command
@@ -41,9 +41,9 @@
 @pytest.mark.parametrize("name", DEPLOY_FILES)
 def test_what_the_build_calls_is_in_its_packages(name: str) -> None:
     text, packages = build_text(name), read(name)["packages"]
-    wanted = {package for call, package in NEEDS.items() if call in text}
-    assert "python3" in wanted  # otherwise the build's text was not found
-    assert wanted <= set(packages)
+    needed = {package for call, package in NEEDS.items() if call in text}
+    assert "python3" in needed  # otherwise the build's text was not found
+    assert needed <= set(packages)
 
 
 def test_a_build_that_compiles_has_a_compiler_and_headers() -> None:
