--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -20,7 +20,7 @@
 Script = list[tuple[float, api.Event]]
 
 
-def play(rename: dict[str, str], seed: int = 3, servers: int = 12) -> list[str]:
+def record_actions(rename: dict[str, str], seed: int = 3, servers: int = 12) -> list[str]:
     """Runs a fixed script with its names mapped by `rename`; returns the actions with the original names."""
 
     def name(text: str) -> str:
@@ -32,20 +32,20 @@
         for i, (c, effect) in enumerate(zip(("read", "write", "keyed"), api.Effect, strict=True))
     )
     tenants = (api.Tenant(name("small"), 20.0), api.Tenant(name("large"), 500.0))
-    made = make_settings(
+    balancer_settings = make_settings(
         zone=name("a"),
         classes=classes,
         tenants=tenants,
         over_share_worth=0.1,
         prices=api.Prices(cross_zone=0.2),
     )
-    balancer = Balancer(made, seed)
+    balancer = Balancer(balancer_settings, seed)
     listed = tuple(
         api.Endpoint(name(f"s{i}"), name("ab"[i % 2]), cell=i // 3, started_ms=900.0 if i % 4 == 0 else None)
         for i in range(servers)
     )
-    now, log, out = 1000.0, [], []
-    back = {v: k for k, v in rename.items()}
+    now, log, in_flight = 1000.0, [], []
+    original_names = {v: k for k, v in rename.items()}
     events: list[api.Event] = [api.Started(), api.EndpointsListed(api.ListKind.FULL, listed)]
     for i in range(1500):
         events.append(
@@ -59,17 +59,19 @@
         for event in events:
             for action in balancer.handle(now, event):
                 if isinstance(action, api.Send):
-                    out.append((now + rng.choice([5, 60, 400]), action.request, now))
-                    log.append(f"send {action.request} {back.get(action.endpoint, action.endpoint)}")
+                    in_flight.append((now + rng.choice([5, 60, 400]), action.request, now))
+                    log.append(
+                        f"send {action.request} {original_names.get(action.endpoint, action.endpoint)}"
+                    )
                 else:
                     log.append(repr(action))
         now += 4.0
         events = []
         tried: dict[str, int] = {}
-        for due, request, sent in [o for o in out if o[0] <= now]:
-            out.remove((due, request, sent))
-            held = balancer.requests.get(request)
-            tried[request] = len(held.attempts) - 1 if held else 0
+        for due, request, sent in [call for call in in_flight if call[0] <= now]:
+            in_flight.remove((due, request, sent))
+            record = balancer.requests.get(request)
+            tried[request] = len(record.attempts) - 1 if record else 0
             outcome = rng.choice([api.Outcome.OK] * 5 + [api.Outcome.ERROR, api.Outcome.RESET])
             events.append(
                 api.AttemptEnded(request, tried[request], outcome, now - sent, outcome is api.Outcome.OK)
@@ -81,18 +83,21 @@
     names = ["a", "b", "read", "write", "keyed", "small", "large", *(f"s{i}" for i in range(12))]
     rng = random.Random(9)
     renamed = {n: f"{rng.getrandbits(60):x}" for n in names}
-    plain = play({})
-    assert plain == play(renamed)
+    plain = record_actions({})
+    assert plain == record_actions(renamed)
     assert any(line.startswith("Refuse") for line in plain)
     assert any(line.startswith("Fail") for line in plain)
 
 
 def test_decisions_depend_on_the_seed() -> None:
-    assert play({}, seed=3) != play({}, seed=4)
+    assert record_actions({}, seed=3) != record_actions({}, seed=4)
 
 
 def test_decisions_do_not_depend_on_the_hash_seed() -> None:
-    code = "from tests.test_invariants import play; import zlib; print(zlib.crc32(repr(play({})).encode()))"
+    code = (
+        "from tests.test_invariants import record_actions; import zlib;"
+        " print(zlib.crc32(repr(record_actions({})).encode()))"
+    )
     prints = {
         subprocess.run(
             [sys.executable, "-c", code],
@@ -172,13 +177,13 @@
 
 
 def test_the_module_stays_within_its_size() -> None:
-    """The bound covers the whole folder, with `levels`, which is not part of the platform's module."""
+    """The bound covers all files of the folder, with `levels`, which is no part of the platform's module."""
     lines = [line for path in FILES for line in path.read_text().splitlines()]
     assert sum(bool(line.strip()) for line in lines) <= 1200
     assert max(len(path.read_text().splitlines()) for path in FILES) <= 500
 
 
-def test_the_platforms_file_lists_the_whole_module() -> None:
+def test_the_platforms_file_lists_all_files_of_the_module() -> None:
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(listed["policy"]) == [str(path.relative_to(ROOT)) for path in MODULE]
     for key in ("policy", "node"):
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -11,17 +11,17 @@
 BORROW = api.RequestClass("borrow", 1000, 2000, effect=api.Effect.ONCE, in_order=True)
 RENEW = api.RequestClass("renew", 1000, 2000, effect=api.Effect.KEYED, window_ms=1500, in_order=True)
 READ = api.RequestClass("read", 1000, 2000)
-GAP = 150.0
+GAP_MS = 150.0
 
 
 @pytest.fixture
 def driver() -> Driver:
     settings = make_settings(
-        classes=(BORROW, RENEW, READ), rules=api.Rules(ask_every_ms=10000, turn_gap_ms=GAP)
+        classes=(BORROW, RENEW, READ), rules=api.Rules(ask_every_ms=10000, turn_gap_ms=GAP_MS)
     )
-    made = Driver(settings)
-    made.list([endpoint(f"a{i}") for i in range(6)])
-    return made
+    new_driver = Driver(settings)
+    new_driver.list([endpoint(f"a{i}") for i in range(6)])
+    return new_driver
 
 
 def fire_timer(driver: Driver, token: str, after_ms: float) -> Actions:
@@ -57,8 +57,8 @@
     assert api.Fail("r1") in actions
     assert sends(actions) == []
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
-    assert timer.at_ms == driver.now + GAP
-    assert sends(fire_timer(driver, timer.token, GAP)) == ["r2"]
+    assert timer.at_ms == driver.now + GAP_MS
+    assert sends(fire_timer(driver, timer.token, GAP_MS)) == ["r2"]
 
 
 def test_the_first_request_of_a_key_is_retried_without_a_wait(driver: Driver) -> None:
@@ -107,7 +107,7 @@
     for i in range(50):
         driver.request("borrow", key=f"k{i}")
         driver.end(O.TIMEOUT if i % 2 else O.OK)
-    fire_timer(driver, "turn", GAP)
+    fire_timer(driver, "turn", GAP_MS)
     assert not driver.balancer.order.queues
     assert not driver.balancer.order.holds
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -55,10 +55,10 @@
 
 def test_only_a_request_refused_by_its_zone_spills() -> None:
     levels = make_levels(5)
-    for asked in range(len(HOME) + 1):
-        picked = {levels.pick(0.0, set(HOME[:asked])) for _ in range(300)}
-        assert picked == (set(HOME[asked:]) if asked < MAX_OWN_ZONE_REFUSALS else set(AWAY)), asked
-        assert levels.depth == (asked >= MAX_OWN_ZONE_REFUSALS)
+    for refusals in range(len(HOME) + 1):
+        picked = {levels.pick(0.0, set(HOME[:refusals])) for _ in range(300)}
+        assert picked == (set(HOME[refusals:]) if refusals < MAX_OWN_ZONE_REFUSALS else set(AWAY)), refusals
+        assert levels.depth == (refusals >= MAX_OWN_ZONE_REFUSALS)
     assert {levels.pick(0.0, set(AWAY)) for _ in range(300)} == set(HOME)
     for away in AWAY:
         levels.update(away, "away", usable=False, renewed=False)
@@ -124,11 +124,11 @@
     levels, now, durations = single_backend(), 0.0, []
     levels.record_failure(now, "x", unreachable=True)
     for _ in range(8):
-        begun = now
+        started = now
         while levels.pick(now) is None:
             now += 0.001
         assert levels.pick(now + 100.0) is None, "a second trial"
-        durations.append(now - begun)
+        durations.append(now - started)
         levels.record_failure(now, "x")
     for n, duration in enumerate(durations):
         mean = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**n)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -110,8 +110,10 @@
     assert "a0" in driver.fill(300)
 
 
-@pytest.mark.parametrize(("elapsed_ms", "again"), [(1.0, 20), (100.0, 5)])
-def test_a_retry_costs_in_proportion_to_the_load_of_its_reset_attempt(elapsed_ms: float, again: int) -> None:
+@pytest.mark.parametrize(("elapsed_ms", "expected"), [(1.0, 20), (100.0, 5)])
+def test_a_retry_costs_in_proportion_to_the_load_of_its_reset_attempt(
+    elapsed_ms: float, expected: int
+) -> None:
     """Guards against a budget emptied by connections reset as soon as they are written to."""
     driver = Driver(make_settings(limits=api.Limits(max_attempts=2)))
     driver.list(TWO_ZONES)
@@ -126,7 +128,7 @@
         retried += isinstance(actions[0], api.Send)
         if isinstance(actions[0], api.Send):
             driver.end(api.Outcome.OK, after_ms=100.0, attempt=1)
-    assert again <= retried <= again + 1
+    assert expected <= retried <= expected + 1
 
 
 def test_decisions_are_explained_on_request() -> None:
@@ -163,7 +165,7 @@
     resets: int,
     ejected: bool,
 ) -> None:
-    """Guards against ejecting a whole zone for connections that break."""
+    """Guards against ejecting all servers of a zone for connections that break."""
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     driver.list([*(endpoint(f"a{i}") for i in range(zone)), *(endpoint(f"b{i}", "b") for i in range(6))])
     for _ in range(100):
@@ -212,7 +214,7 @@
         only_send(driver.request())
         only_send(driver.end(api.Outcome.REJECTED, after_ms=1.0))
         driver.end(api.Outcome.OK, 1, after_ms=1.0)
-    driver.balancer.budget.tokens = 0.5  # an error costs a whole token
+    driver.balancer.budget.tokens = 0.5  # an error costs one token
     driver.request()
     assert not any(isinstance(a, api.Send) for a in driver.end(api.Outcome.ERROR, after_ms=1.0))
 
@@ -271,7 +273,7 @@
     driver.list([endpoint(f"a{i}") for i in range(6)])
     driver.fill(100)
     unresponsive = "a0"
-    driver.balancer.endpoints.servers[unresponsive].failures = 1  # its last call has failed too
+    driver.balancer.endpoints.servers[unresponsive].failures = 1  # the last call to it has failed too
     end_at(driver, unresponsive, api.Outcome.TIMEOUT, 1, "write")
     sent: dict[str, set[str]] = {"write": set(), "read": set()}
     for i in range(400):
@@ -281,11 +283,11 @@
     assert unresponsive not in sent["write"]
     assert unresponsive in sent["read"]
     driver.now += 13000
-    again: set[str] = set()
+    servers_after_trial: set[str] = set()
     for _ in range(100):
-        again.add(only_send(driver.request("write")).endpoint)
+        servers_after_trial.add(only_send(driver.request("write")).endpoint)
         driver.end(api.Outcome.OK, after_ms=1.0)
-    assert unresponsive in again
+    assert unresponsive in servers_after_trial
 
 
 def test_servers_that_are_all_unresponsive_still_get_calls() -> None:
@@ -307,7 +309,7 @@
     assert full not in driver.fill(300)
 
 
-def play_load(driver: Driver, elapsed_ms: float, rounds: int) -> None:
+def run_load(driver: Driver, elapsed_ms: float, rounds: int) -> None:
     """Makes one call per millisecond; all are answered after `elapsed_ms`."""
     pending: list[tuple[float, str]] = []
     for _ in range(rounds):
@@ -341,10 +343,10 @@
     """Guards against overload: servers that answer late must get fewer calls, early and at the first tier."""
     driver = Driver()
     driver.list(TWO_ZONES)
-    play_load(driver, 50.0, 400)
-    play_load(driver, 900.0, 4000)
+    run_load(driver, 50.0, 400)
+    run_load(driver, 900.0, 4000)
     low = sum(z.limiter.limit for z in driver.balancer.endpoints.zones.values())
-    play_load(driver, 50.0, 8000)
+    run_load(driver, 50.0, 8000)
     high = sum(z.limiter.limit for z in driver.balancer.endpoints.zones.values())
     assert high > 2 * low
 
@@ -400,7 +402,7 @@
 
 
 def test_ejected_servers_get_no_calls_while_others_are_only_full() -> None:
-    """Guards against calls to dead servers whenever the live ones have no room (incident i0f1c09)."""
+    """Guards against calls to dead servers whenever the live ones have no capacity (incident i0f1c09)."""
     driver = Driver()
     driver.list([endpoint("a0"), endpoint("a1"), endpoint("b0", "b")])
     servers = driver.balancer.endpoints.servers
@@ -415,7 +417,7 @@
 
 
 def test_a_lone_cold_server_is_not_overloaded_from_a_deeper_tier() -> None:
-    """Guards against the same without limits: the surplus goes to other zones, and none is refused."""
+    """Guards against overloading a lone cold server without limits: the surplus goes to other zones."""
     driver = Driver(make_settings(tier=1, tiers=2, balancers=30))
     others = [endpoint(f"b{i}", "b") for i in range(20)]
     driver.list([endpoint("a0", started_ms=driver.now), *others])
@@ -465,7 +467,7 @@
         if any(isinstance(a, api.Send) for a in driver.request(name)):
             taken[name] += 1
             driver.end(api.Outcome.OK, after_ms=3000)  # every answer is late: the limit stays low
-    assert taken["costly"] > 50  # of 100
+    assert taken["costly"] > 50  # 100 of the 400 requests are costly
     assert taken["cheap"] / 300 < 0.5 * taken["costly"] / 100
 
 
@@ -506,7 +508,7 @@
 
 
 def test_a_refusal_gives_a_retry_time_within_the_sites_bound() -> None:
-    for allowed, most in (
+    for allowed, max_retry_after_ms in (
         (api.Limits(retry_after=True, max_retry_after_ms=2000.0), 600.0),
         (api.Limits(retry_after=True, max_retry_after_ms=100.0), 100.0),
         (api.Limits(), 0.0),
@@ -514,7 +516,7 @@
         driver = Driver(make_settings(limits=allowed))
         (refusal,) = driver.request()
         assert isinstance(refusal, api.Refuse)
-        assert min(most, 200.0) <= refusal.retry_after_ms <= most
+        assert min(max_retry_after_ms, 200.0) <= refusal.retry_after_ms <= max_retry_after_ms
 
 
 def test_a_rejected_hedged_request_is_sent_again_and_ends_no_request() -> None:
@@ -561,12 +563,12 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "least", "most"), [(0, 0.9, 1.1), (1, 0.0, 0.3), (2, 0.0, 0.3), (3, 0.9, 1.1)]
+    ("overdue", "minimum", "maximum"), [(0, 0.9, 1.1), (1, 0.0, 0.3), (2, 0.0, 0.3), (3, 0.9, 1.1)]
 )
 def test_a_server_with_an_overdue_answer_gets_a_tenth_of_its_calls(
-    held: int,
-    least: float,
-    most: float,
+    overdue: int,
+    minimum: float,
+    maximum: float,
 ) -> None:
     """One late call of three or more is chance; of one or two it shows overload."""
     driver = Driver(make_settings(balancers=2))
@@ -577,13 +579,13 @@
     calls = driver.balancer.endpoints.servers["a0"].calls
     server = driver.balancer.endpoints.servers["a0"]
     zone = driver.balancer.endpoints.zones["a"]
-    for i in range(held):
+    for i in range(overdue):
         calls[Attempt(f"overdue{i}", server, zone, driver.now - 500.0, 0)] = None
     sent = 0
     for _ in range(800):
         sent += only_send(driver.request()).endpoint == "a0"
         driver.end(api.Outcome.OK, after_ms=20.0)
-    assert least <= sent / 200.0 <= most
+    assert minimum <= sent / 200.0 <= maximum
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "excluded"])
@@ -601,15 +603,15 @@
     zone = driver.balancer.endpoints.zones["a"]
     before = zone.limiter.limit
     sent = [a for _ in range(4) for a in driver.request()]
-    held = [a.request for a in sent if isinstance(a, api.Send) and a.endpoint == "a1"]
-    assert held
+    pending = [a.request for a in sent if isinstance(a, api.Send) and a.endpoint == "a1"]
+    assert pending
     if change == "excluded":
         driver.feed(api.EndpointsExcluded(frozenset({"a1"})))
     else:
         state = api.EndpointState.DRAINING if change == "draining" else api.EndpointState.GONE
         driver.list([endpoint("a1", state=state)], api.ListKind.CHANGES)
-    assert zone.in_flight == 0  # the calls take no room from the next server
-    for request in held:
+    assert zone.in_flight == 0  # the calls use no capacity of the next server
+    for request in pending:
         driver.end(api.Outcome.OK, request=request, after_ms=100.0)
     assert zone.limiter.limit <= before * 1.5
     driver.feed(api.EndpointsExcluded(frozenset()))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -400,7 +400,7 @@
 )
 def test_the_checker_catches_broken_balancers(broken: type[Balancer]) -> None:
     rng = random.Random(5)
-    caught = False
+    detected = False
     for seed in range(30):
         try:
             run_world(
@@ -411,8 +411,8 @@
                 rules=api.Rules(turn_gap_ms=150.0),
             )
         except RuleBrokenError:
-            caught = True
-    assert caught
+            detected = True
+    assert detected
 
 
 def test_calls_to_a_cold_server_stay_within_its_share() -> None:
