--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -199,7 +199,7 @@
     run(main())
 
 
-def test_ready_on_the_list_held_last_if_discovery_does_not_answer() -> None:
+def test_ready_with_the_cached_list_if_discovery_does_not_answer() -> None:
     async def main() -> None:
         discovery = await scripted_registry()  # accepts calls and answers none
         backend = await Backend().start()
@@ -210,7 +210,7 @@
         assert await client.send_raw(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
         assert await client.status() == 200
-        await until(lambda: len(discovery.calls) == 2)  # it keeps asking
+        await until(lambda: len(discovery.calls) == 2)  # the watch continues to call
         assert w.running is not None
         w.running.cancel()
         await backend.stop()
@@ -235,7 +235,7 @@
     run(main())
 
 
-def test_a_module_that_asks_for_watches_is_told_of_failures() -> None:
+def test_a_module_that_requests_watches_is_notified_of_failures() -> None:
     async def main() -> None:
         discovery = await scripted_registry()
         w = RunningProxy(make_config(discovery.port, [row("b", 1)], discovery="ask"), discovery)
@@ -261,13 +261,13 @@
 
 
 async def wait_for_move(w: RunningProxy, discovery: Registry) -> None:
-    """Waits until the watch has moved to `discovery`: it asks for the full list, then for changes."""
+    """Waits until the watch has moved to `discovery`, by its calls for the full list and then for changes."""
     await until(lambda: len(discovery.calls) >= 2)
     assert discovery.calls[0] == b"GET /registry/instances HTTP/1.1"
     assert b"?after=" in discovery.calls[1]
 
 
-def test_a_moved_watch_asks_for_the_full_list_and_keeps_the_one_held() -> None:
+def test_a_moved_watch_requests_the_full_list_and_keeps_the_current_one() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await scripted_registry()
         backend.default_reply = None
@@ -278,7 +278,7 @@
             await soon(backend.request_received.wait())
             record = w.proxy.balancer.endpoints.servers["b"]
             w.proxy.watch.move(("127.0.0.1", other.port))
-            assert w.proxy.watch.up  # it stays in service
+            assert w.proxy.watch.up  # the watch stays in service
             await until(lambda: len(other.calls) == 1)
             w.discovery.script_answer(50, row("late", 9))  # a late answer on the old connection
             other.script_answer(3, backend.row("b"), row("c", 2), reset=False)  # generations start anew
@@ -365,24 +365,24 @@
     run(main())
 
 
-@pytest.mark.parametrize("at", [1, 20, 60, -1])
-@pytest.mark.parametrize("ends", [True, False])
-def test_a_partial_list_is_never_applied_and_is_soon_asked_for_again(
-    at: int,
-    ends: bool,
+@pytest.mark.parametrize("cut_at", [1, 20, 60, -1])
+@pytest.mark.parametrize("closes", [True, False])
+def test_a_partial_list_is_never_applied_and_is_soon_requested_again(
+    cut_at: int,
+    closes: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a full list, cut or stalled at some byte, that removes the endpoints held."""
+    """Guards against a full list, cut or stalled at some byte, that removes known endpoints."""
     monkeypatch.setattr("honeywharf.discovery.watch.STALL_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         backend = await Backend().start()
         async with running_proxy([backend.row("b")]) as w:
-            whole = w.discovery._body(2, (row("other", 1),), reset=True)
+            full_answer = w.discovery._body(2, (row("other", 1),), reset=True)
             calls = len(w.discovery.calls)
             before = set(w.discovery.connections)
-            w.discovery.answers.put_nowait(whole[:at])
-            if ends:
+            w.discovery.answers.put_nowait(full_answer[:cut_at])
+            if closes:
                 await until(lambda: w.discovery.answers.empty())
                 await asyncio.sleep(0.01)
                 for writer in before:
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -117,7 +117,7 @@
     ],
 )
 def test_a_client_that_continues_sending_still_gets_the_response(raw: bytes) -> None:
-    """Its data is read and discarded for a while, as closing with unread bytes could destroy the response."""
+    """Excess data is read and discarded for a while: closing with unread bytes could destroy the response."""
 
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -191,7 +191,7 @@
     assert clock.now() == pytest.approx(1_700_000_000_500.0)
 
 
-def test_a_200_is_passed_on_at_once_and_ends_the_request(harness: DriverHarness) -> None:
+def test_a_200_is_forwarded_at_once_and_ends_the_request(harness: DriverHarness) -> None:
     harness.script.on = send_to_b1
     _, caller = harness.arrive()
     harness.clock.ms += 40.0
@@ -267,7 +267,7 @@
 def test_the_time_since_the_request_was_read_counts(harness: DriverHarness) -> None:
     request, caller = http1.Request(), FakeCaller()
     request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
-    request.read_ms = harness.clock.ms - 300.0  # it waited behind another request on its connection
+    request.read_ms = harness.clock.ms - 300.0  # the request waited behind another on its connection
     assert harness.driver.accept(request, caller)
     harness.loop.run_soon()
     (event,) = harness.events(api.RequestArrived)
@@ -429,12 +429,12 @@
     gc.disable()
     try:
         request, _ = harness.arrive()
-        held = weakref.ref(harness.driver.requests[request.id].attempts[0])
+        attempt = weakref.ref(harness.driver.requests[request.id].attempts[0])
         harness.transport.started.pop().ended(O.OK, ok())
         harness.loop.run_soon()
         harness.loop.timers.clear()
         assert harness.driver.requests == {}
-        assert held() is None
+        assert attempt() is None
     finally:
         gc.enable()
 
@@ -504,12 +504,12 @@
 
     def on(event: api.Event) -> list[api.Action]:
         if draw.random() < 0.02:
-            raise RuntimeError("now and then")
+            raise RuntimeError("random failure")
         if isinstance(event, api.RequestArrived):
             return [api.Send(event.id, draw.choice(["b1", "b2", "b9"]), draw.choice([0.0, 30.0]))]
         if isinstance(event, api.AttemptEnded) and not event.request_over:
-            again: list[api.Action] = [api.Send(event.request, "b1", 0.0), api.Cancel(event.request, 0)]
-            return draw.choice([again, [api.Refuse(event.request, 5.0)], [api.Fail(event.request)], []])
+            retry: list[api.Action] = [api.Send(event.request, "b1", 0.0), api.Cancel(event.request, 0)]
+            return draw.choice([retry, [api.Refuse(event.request, 5.0)], [api.Fail(event.request)], []])
         return []
 
     harness.script.on = on
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary names what is in the code: every module is there, and every name is defined in it."""
+"""Every module that the glossary names exists and defines the names listed for it."""
 
 from __future__ import annotations
 
@@ -65,11 +65,11 @@
     assert set(row.names) <= defined_names(row.module)
 
 
-def test_a_name_that_is_not_there_is_found_out() -> None:
+def test_an_undefined_name_is_detected() -> None:
     assert "ProposalNumber" in defined_names("honeywharf/control/messages.py")
     assert "Ballot" not in defined_names("honeywharf/control/messages.py")
 
 
-def test_every_word_stands_once_in_its_table() -> None:
+def test_every_word_is_listed_once() -> None:
     assert len(ROWS) >= 100
     assert len({(row.word, row.names) for row in ROWS}) == len(ROWS)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -48,12 +48,12 @@
 
 
 def test_a_request_parses_the_same_at_once_and_byte_by_byte() -> None:
-    (whole,) = reader().feed(GOOD)
-    slow, split = reader(), []
+    (complete,) = reader().feed(GOOD)
+    incremental, split = reader(), []
     for i in range(len(GOOD)):
-        split += slow.feed(GOOD[i : i + 1])
-    (piece,) = split
-    for request in (whole, piece):
+        split += incremental.feed(GOOD[i : i + 1])
+    (rejoined,) = split
+    for request in (complete, rejoined):
         assert (request.method, request.target, request.body) == (b"POST", b"/api?x=1", b"abc")
         assert (request.id, request.class_name, request.account, request.session_id) == (
             "9b1f",
@@ -64,7 +64,7 @@
         assert (request.left_ms, request.work_hint_ms, request.repeat) == (480.0, 2.5, True)
         assert messages.parse_pairs(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
-    assert whole.head() == piece.head()
+    assert complete.head() == rejoined.head()
 
 
 def test_the_head_for_a_backend_contains_only_known_headers() -> None:
@@ -244,7 +244,7 @@
     assert request.work_hint_ms is None
 
 
-def test_an_idle_reader_holds_nothing_of_the_last_request() -> None:
+def test_an_idle_reader_keeps_nothing_of_the_last_request() -> None:
     parser = reader()
     parser.feed(GOOD)
     assert parser.request is http1.NO_REQUEST
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -8,7 +8,7 @@
 O = api.Outcome  # noqa: E741
 
 
-def test_a_hung_call_is_hedged_and_takes_no_room() -> None:
+def test_a_hung_call_is_hedged_and_uses_no_capacity() -> None:
     """Guards against limits used up, and requests lost, by calls that are never answered."""
 
     async def main() -> None:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The proxy's own lateness: measured by the driver, excluded by the module, and limited by load shedding."""
+"""The proxy's own lateness: recorded by the driver, excluded by the module, and limited by load shedding."""
 
 from __future__ import annotations
 
--- a/tests/test_mesh_codec.py
+++ b/tests/test_mesh_codec.py
@@ -149,10 +149,10 @@
 @pytest.mark.parametrize(("parse", "data"), [(read_requests, REQUESTS), (read_responses, RESPONSES)])
 def test_splitting_at_any_byte_yields_the_same_events(parse: object, data: bytes) -> None:
     assert callable(parse)
-    whole = parse(data).events
-    for at in range(1, len(data)):
-        assert parse(data[:at], data[at:]).events == whole, f"cut at {at}"
-    assert parse(*(data[n : n + 1] for n in range(len(data)))).events == whole
+    expected = parse(data).events
+    for position in range(1, len(data)):
+        assert parse(data[:position], data[position:]).events == expected, f"split at {position}"
+    assert parse(*(data[n : n + 1] for n in range(len(data)))).events == expected
 
 
 AMBIGUOUS = {
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -1,4 +1,4 @@
-"""The page for engineers on call names log lines, commands and modules that are there."""
+"""The page for engineers on call names existing log lines, commands and modules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("module", MODULES)
-def test_each_module_is_there(module: str) -> None:
+def test_each_module_exists(module: str) -> None:
     assert (ROOT / "honeywharf" / module).exists() or (ROOT / module).exists()
 
 
@@ -50,6 +50,6 @@
     assert ended.value.code == 0
 
 
-def test_the_page_has_what_it_is_for() -> None:
+def test_the_page_lists_enough_log_lines_and_modules() -> None:
     assert len(LOG_LINES) >= 15
     assert len(MODULES) >= 15
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -104,7 +104,7 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
         )
         assert self.process.stderr is not None
-        self.early: list[str] = []  # The lines of a store that connects before the listener is open.
+        self.early: list[str] = []  # The lines of a store that connects before the proxy listens.
         line = self.process.stderr.readline()
         while line.startswith("order_keys: "):
             self.early.append(line)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in README.md runs as it stands."""
+"""The example in README.md runs unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -151,12 +151,12 @@
     ]
     together = [a for line in run(*script).stdout.splitlines() for a in json.loads(line)["output"]]
     for who in (0, 1):
-        own = []
+        own_lines = []
         for line in script:
             message = json.loads(line)
             message["arrivals"] = [
                 e for e in message["arrivals"] if next(iter(e.values())).get("who", who) == who
             ]
-            own.append(json.dumps(message))
-        alone = [a for line in run(*own).stdout.splitlines() for a in json.loads(line)["output"]]
+            own_lines.append(json.dumps(message))
+        alone = [a for line in run(*own_lines).stdout.splitlines() for a in json.loads(line)["output"]]
         assert alone == [a for a in together if next(iter(a.values()))["who"] == who]
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -424,7 +424,7 @@
         assert pool.early_close_ms == 400.0  # the second shortest, less a margin
         for opened in (4, 5):
             call = RecordedCall(b"%d" % opened)
-            call.endpoint = "d"  # its idle time is unknown
+            call.endpoint = "d"  # the idle time of this backend is unknown
             pool.start(call)
             await soon(call.outcome.wait())
             assert (backend.connections, call.outcomes) == (opened, [O.OK])
@@ -442,14 +442,14 @@
         backend = await Backend().start()
         backend.default_reply = None
         body = os.urandom(400_000)
-        whole = reply(200, body)
+        response = reply(200, body)
         async with running_proxy([backend.row("b")]) as w:
             client = await Client.to(w.port)
             client.send()
             await soon(backend.request_received.wait())
             (writer,) = backend.writers
-            for start in range(0, len(whole), 50_000):
-                writer.write(whole[start : start + 50_000])
+            for start in range(0, len(response), 50_000):
+                writer.write(response[start : start + 50_000])
                 await writer.drain()
                 await asyncio.sleep(0.3)  # in total longer than the stall time-out
             assert (await client.answer())[2] == body
--- a/tests/test_verdict.py
+++ b/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""Verdicts: what they prove, and the status that the client gets."""
+"""Verdicts determine whether a request may be retried, and the status that the client gets."""
 
 from __future__ import annotations
 
@@ -52,5 +52,5 @@
         Verdict(ran, why)
 
 
-def test_repr_tells_the_verdict_in_words() -> None:
+def test_repr_describes_the_verdict_in_words() -> None:
     assert repr(Verdict(MAY_HAVE_RUN, TIMED_OUT, True)) == "Verdict(may have run, timed out, arrived)"
