--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -65,8 +65,8 @@
 
     def lines(self) -> list[str]:
         """Returns the lines to print at the end of a run: each listed test, and whether it passed."""
-        lines = []
+        output = []
         for failure in self.known.values():
             passed = "; it PASSED, take it off the list" if failure.test in self.passed_known else ""
-            lines.append(f"KNOWN-RED {failure.test}: {failure.cause} ({failure.issue}){passed}")
-        return lines
+            output.append(f"KNOWN-RED {failure.test}: {failure.cause} ({failure.issue}){passed}")
+        return output
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -508,7 +508,7 @@
 
 
 def test_a_refusal_gives_a_retry_time_within_the_sites_bound() -> None:
-    for allowed, max_retry_after_ms in (
+    for allowed, bound_ms in (
         (api.Limits(retry_after=True, max_retry_after_ms=2000.0), 600.0),
         (api.Limits(retry_after=True, max_retry_after_ms=100.0), 100.0),
         (api.Limits(), 0.0),
@@ -516,7 +516,7 @@
         driver = Driver(make_settings(limits=allowed))
         (refusal,) = driver.request()
         assert isinstance(refusal, api.Refuse)
-        assert min(max_retry_after_ms, 200.0) <= refusal.retry_after_ms <= max_retry_after_ms
+        assert min(bound_ms, 200.0) <= refusal.retry_after_ms <= bound_ms
 
 
 def test_a_rejected_hedged_request_is_sent_again_and_ends_no_request() -> None:
