--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -27,16 +27,16 @@
 CALL_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.05
 NO_ZONES: Zones = frozenset()
-ORDER_S = 1.0  # Time-out of one request to a control machine.
+REQUEST_TIMEOUT_S = 1.0
 RETRY_INTERVAL_S = 0.1
 
 
 class FleetError(Exception):
-    """The fleet did not reach the condition `what` within `seconds`."""
+    """The fleet did not reach the condition within `seconds`."""
 
-    def __init__(self, what: str, seconds: float) -> None:
-        super().__init__(f"{what}: not within {seconds:g} s")
-        self.what, self.seconds = what, seconds
+    def __init__(self, condition: str, seconds: float) -> None:
+        super().__init__(f"{condition}: not within {seconds:g} s")
+        self.condition, self.seconds = condition, seconds
 
 
 class Fleet:
@@ -102,15 +102,15 @@
 
     # Calls to the processes.
 
-    def wait(self, what: str, seconds: float, until: Callable[[], bool]) -> float:
-        """Polls until a condition holds; returns the seconds it took.
+    def wait(self, condition: str, seconds: float, until: Callable[[], bool]) -> float:
+        """Polls until a condition holds; returns the elapsed seconds.
 
         FleetError if the condition does not hold within `seconds`.
         """
         started_at = time.monotonic()
         while not until():
             if time.monotonic() - started_at > seconds:
-                raise FleetError(what, seconds)
+                raise FleetError(condition, seconds)
             self.pause(POLL_INTERVAL_S)
         return time.monotonic() - started_at
 
@@ -121,7 +121,7 @@
         self.loop.run()
 
     def _answers(self, method: str, calls: list[tuple[Spawned, Any]]) -> dict[int, Any]:
-        """Returns the answers by the rank of the call; None where none arrived."""
+        """Returns the answers by the rank of the call; None if none arrived."""
         answers: dict[int, Any] = {}
         if not calls:
             return answers
@@ -145,7 +145,7 @@
     def call_all(self, method: str, args: Iterable[tuple[Spawned, Any]]) -> list[Any]:
         """Calls a method of several processes at once; returns their answers in order.
 
-        FleetError where one does not answer.
+        FleetError if one does not answer.
         """
         calls = list(args)
         answers = self._answers(method, calls)
@@ -215,9 +215,9 @@
         started_at = time.monotonic()
         for attempt in range(60):
             ip = self.plan.control_ip((first + attempt) % self.plan.controls)
-            at = f"{ip}:{self.plan.port(deployment.CONTROL)}"
+            address = f"{ip}:{self.plan.port(deployment.CONTROL)}"
             try:
-                status, _ = call(at, "POST", "/api/configuration/replace", text, ORDER_S)
+                status, _ = call(address, "POST", "/api/configuration/replace", text, REQUEST_TIMEOUT_S)
             except MeshCallError:
                 status = 0
             if status == 200:
@@ -228,7 +228,7 @@
     def application_times(self, version: int) -> list[float]:
         """Returns when each running hollow node applied a version; 0 for those that have not."""
         answers = self.call_all(messages.APPLIED, [(process, version) for process in self.hollow])
-        return [at for answer in answers for at in answer]
+        return [applied_at for answer in answers for applied_at in answer]
 
     def process_application_times(self, version: int) -> list[float]:
         """Returns when each running sidecar process applied a version; 0 if it has not."""
@@ -237,6 +237,9 @@
     def is_ready(self, ip: str, port: int) -> bool:
         """Returns whether a machine reports that it is ready."""
         try:
-            return call(f"{ip}:{self.plan.port(port)}", "GET", "/api/readiness", b"", ORDER_S)[0] == 200
+            return (
+                call(f"{ip}:{self.plan.port(port)}", "GET", "/api/readiness", b"", REQUEST_TIMEOUT_S)[0]
+                == 200
+            )
         except MeshCallError:
             return False
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -152,7 +152,7 @@
             fleet.wait(f"r{version} is in force everywhere", APPLY_TIMEOUT_S, applied_everywhere)
         except FleetError as error:
             behind = hollow.count(0.0) + processes.count(0.0)
-            raise FleetError(f"{error.what} ({behind} nodes are behind)", error.seconds) from None
+            raise FleetError(f"{error.condition} ({behind} nodes are behind)", error.seconds) from None
         self.acknowledgements.append(acknowledged - sent)
         self.hollow += [max(0.0, at - acknowledged) for at in hollow]
         self.processes += [max(0.0, at - acknowledged) for at in processes]
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -13,7 +13,7 @@
 from honeywharf.simulation import deployment
 from honeywharf.standins.meshdemo import find_free_subnet
 
-#: Zone and region; two regions of three and two zones.
+#: Each zone with its region; the regions have three and two zones.
 ZONES = (
     ("north-a", "north"),
     ("north-b", "north"),
@@ -21,7 +21,7 @@
     ("south-a", "south"),
     ("south-b", "south"),
 )
-#: The sides of the two partitions: two zones, and the two regions.
+#: The two sides of a partition between zones, and of one between regions.
 PARTITIONED_ZONES = (frozenset({"north-b"}), frozenset({"north-c"}))
 PARTITIONED_REGIONS = (
     frozenset(zone for zone, region in ZONES if region == "north"),
@@ -62,13 +62,13 @@
 
     @staticmethod
     def on_free_ports(nodes: int, controls: int, services: int) -> Plan:
-        """A plan whose ports nobody uses. OSError where there is none."""
+        """Returns a plan whose ports are free. OSError if there is none."""
         subnet, shift = find_free_subnet()
         octet = min(HIGHEST_OCTET, int(subnet.split(".")[1]))
         return Plan(nodes, controls, services, octet, shift)
 
     def port(self, number: int) -> int:
-        """Returns the port that stands for one of `deployment`, or for `MANAGEMENT`."""
+        """Returns the port in this fleet for a port of `deployment`, or for `MANAGEMENT`."""
         return number + self.shift
 
     def node(self, index: int) -> Node:
@@ -130,6 +130,6 @@
         settings["internal-port-range"] = [first, first + 15]
         bounds = settings["bounds"]
         assert isinstance(bounds, list)
-        kept = [line for line in bounds if line.partition("=")[0] not in BOUND_OVERRIDES]
-        settings["bounds"] = kept + [f"{name}={value}" for name, value in BOUND_OVERRIDES.items()]
+        remaining_bounds = [line for line in bounds if line.partition("=")[0] not in BOUND_OVERRIDES]
+        settings["bounds"] = remaining_bounds + [f"{name}={value}" for name, value in BOUND_OVERRIDES.items()]
         return settings
