--- a/bench/tiers.py
+++ b/bench/tiers.py
@@ -4,9 +4,9 @@
 
 Stand-in nodes call the next tier through proxies (honeywharf.standins.tiers). An entry proxy is killed
 halfway and restarts, another's clock is 2 s off, one node drops the trace's header, and notes are lost. A
-request is bad where its client or any node below saw no 200, or anything was sent twice; each hop and each
-attempt of it must be kept. Missing ones count by recorded cause; status 1 where one is unknown. Also prints
-how many bad requests head sampling of as many spans would keep.
+request is bad where its client or any node below got no 200, or anything was sent twice; each hop and each
+attempt of it must be kept. Missing ones are counted by recorded cause; the exit status is 1 if a cause is
+unknown. Also prints how many bad requests head sampling of as many spans would keep.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Part:
+class HopRequest:
     """One request at one hop, as clients and nodes recorded it."""
 
     hop: str
@@ -37,125 +37,140 @@
     proxy: str
     status: int
     attempts: list[ServedRequest]
-    split: bool  # a node above dropped the header
+    header_dropped: bool  # A node above dropped the header.
 
 
 @dataclass
-class Verdict:
-    """The counts of a day."""
+class CompletenessCounts:
+    """Counts of bad requests, hops and attempts, and how many of them are kept."""
 
     requests: int = 0
     bad: int = 0
-    whole: int = 0  # Bad requests with every hop and attempt kept.
-    parts: int = 0  # Parts of bad requests.
-    kept_parts: int = 0
+    complete: int = 0  # Bad requests with every hop and attempt kept.
+    hop_requests: int = 0  # Hops of bad requests.
+    kept_hop_requests: int = 0
     attempts: int = 0
     kept_attempts: int = 0
-    missing: Counter[str] = field(default_factory=Counter)  # Parts and attempts, by cause.
+    missing: Counter[str] = field(default_factory=Counter)  # Missing hops and attempts, by cause.
     unexplained: list[str] = field(default_factory=list)
     spans: int = 0  # All kept hops.
-    of_spans: int = 0  # All hops.
-    head: int = 0  # Bad requests that head sampling keeps with as many spans.
-
-
-def parts(asked: ClientRequest, by_id: dict[tuple[int, str], list[ServedRequest]]) -> Iterator[Part]:
-    """All parts of a client's request."""
-    waiting = [(0, asked.id, asked.proxy, asked.status, False)]
-    while waiting:
-        tier, name, proxy, status, split = waiting.pop()
-        found = by_id.get((tier, name), [])
-        yield Part(TIERS[tier], name, proxy, status, found, split)
-        for seen in found:
-            waiting += [
-                (tier + 1, call, f"p-{seen.node}", got, split or seen.dropped) for call, got in seen.calls
+    total_spans: int = 0  # All hops.
+    head_sampled: int = 0  # Bad requests that head sampling keeps with as many spans.
+
+
+def hop_requests(
+    client_request: ClientRequest, by_id: dict[tuple[int, str], list[ServedRequest]]
+) -> Iterator[HopRequest]:
+    """Yields the client's request at each hop."""
+    pending = [(0, client_request.id, client_request.proxy, client_request.status, False)]
+    while pending:
+        tier, name, proxy, status, header_dropped = pending.pop()
+        attempts = by_id.get((tier, name), [])
+        yield HopRequest(TIERS[tier], name, proxy, status, attempts, header_dropped)
+        for served in attempts:
+            pending += [
+                (tier + 1, call, f"p-{served.node}", call_status, header_dropped or served.dropped)
+                for call, call_status in served.calls
             ]
 
 
-def checked(
-    all_asked: list[ClientRequest],
-    all_seen: list[ServedRequest],
+def check_traces(
+    client_requests: list[ClientRequest],
+    served_requests: list[ServedRequest],
     files: list[Path],
     killed: dict[str, float],
     network: NotesNetwork,
     seed: int = 1,
-) -> Verdict:
+) -> CompletenessCounts:
     """Compares the kept traces with the record."""
-    all_asked = [a for a in all_asked if a.status >= 0]  # what no proxy took has no trace
-    made = Verdict(requests=len(all_asked))
+    client_requests = [
+        a for a in client_requests if a.status >= 0
+    ]  # A request that no proxy accepted has no trace.
+    counts = CompletenessCounts(requests=len(client_requests))
     by_id: dict[tuple[int, str], list[ServedRequest]] = defaultdict(list)
-    for seen in all_seen:
-        by_id[seen.tier, seen.id].append(seen)
+    for served in served_requests:
+        by_id[served.tier, served.id].append(served)
     kept: dict[tuple[str, str], set[str]] = defaultdict(set)
     hops, _ = store.read(files)
     for hop in hops:
         kept[hop["hop"], hop["request"]].update(a["span_id"] for a in hop["attempts"])
-    made.spans, bad = len(hops), []
-    for asked in all_asked:
-        tree = list(parts(asked, by_id))
-        made.of_spans += len(tree)
-        if any(map(is_bad, tree)):
-            bad.append((asked, tree))
-    made.bad = len(bad)
+    counts.spans, bad = len(hops), []
+    for client_request in client_requests:
+        hops_of_request = list(hop_requests(client_request, by_id))
+        counts.total_spans += len(hops_of_request)
+        if any(map(is_bad, hops_of_request)):
+            bad.append((client_request, hops_of_request))
+    counts.bad = len(bad)
     rng = random.Random(seed)
-    made.head = sum(rng.random() < made.spans / max(1, made.of_spans) for _ in bad)
-    for asked, tree in bad:
-        is_killed = asked.proxy in killed and asked.status == 0
-        seen_above = any(not p.split and is_bad(p) for p in tree)
-        traces = {s.trace_id for p in tree if not p.split for s in p.attempts}
+    counts.head_sampled = sum(rng.random() < counts.spans / max(1, counts.total_spans) for _ in bad)
+    for client_request, hops_of_request in bad:
+        is_killed = client_request.proxy in killed and client_request.status == 0
+        visible_above = any(not p.header_dropped and is_bad(p) for p in hops_of_request)
+        traces = {s.trace_id for p in hops_of_request if not p.header_dropped for s in p.attempts}
         is_complete = True
-        for part in tree:
-            spans = kept.get((part.hop, part.id))
-            made.parts += 1
-            made.kept_parts += spans is not None
-            missing_attempts = [s for s in part.attempts if s.span_id not in (spans or ())]
-            if part.split and part.attempts and spans is None:
-                missing_attempts = []  # The part is counted, and its attempts are not.
-            made.attempts += len(part.attempts)
-            made.kept_attempts += len(part.attempts) - len(
-                [s for s in part.attempts if s.span_id not in (spans or ())]
+        for hop_request in hops_of_request:
+            spans = kept.get((hop_request.hop, hop_request.id))
+            counts.hop_requests += 1
+            counts.kept_hop_requests += spans is not None
+            missing_attempts = [s for s in hop_request.attempts if s.span_id not in (spans or ())]
+            if hop_request.header_dropped and hop_request.attempts and spans is None:
+                missing_attempts = []  # The hop is counted, and its attempts are not.
+            counts.attempts += len(hop_request.attempts)
+            counts.kept_attempts += len(hop_request.attempts) - len(
+                [s for s in hop_request.attempts if s.span_id not in (spans or ())]
             )
             if spans is not None and not missing_attempts:
                 continue
             is_complete = False
-            cause = recorded_cause(part, is_killed, seen_above, traces, asked, killed, network)
-            made.missing[cause or "unexplained"] += 1
+            cause = recorded_cause(
+                hop_request, is_killed, visible_above, traces, client_request, killed, network
+            )
+            counts.missing[cause or "unexplained"] += 1
             if cause is None:
-                made.unexplained.append(
-                    f"{asked.id}, answered {asked.status}: {part.hop} {part.id} by {part.proxy}, attempts"
-                    f" {[(s.node, s.status) for s in part.attempts]}, kept {spans}"
+                counts.unexplained.append(
+                    f"{client_request.id}, answered {client_request.status}: {hop_request.hop}"
+                    f" {hop_request.id} by {hop_request.proxy}, attempts"
+                    f" {[(s.node, s.status) for s in hop_request.attempts]}, kept {spans}"
                 )
-        made.whole += is_complete
-    return made
+        counts.complete += is_complete
+    return counts
 
 
-def is_bad(part: Part) -> bool:
-    """Returns whether a part by itself shows a failure or a repeat."""
-    return part.status != 200 or len(part.attempts) > 1 or any(s.status != 200 for s in part.attempts)
+def is_bad(hop_request: HopRequest) -> bool:
+    """Returns whether a hop by itself shows a failure or a repeat."""
+    return (
+        hop_request.status != 200
+        or len(hop_request.attempts) > 1
+        or any(s.status != 200 for s in hop_request.attempts)
+    )
 
 
 def recorded_cause(
-    part: Part,
-    cut: bool,
-    seen_above: bool,
+    hop_request: HopRequest,
+    is_killed: bool,
+    visible_above: bool,
     traces: set[str],
-    asked: ClientRequest,
+    client_request: ClientRequest,
     killed: dict[str, float],
     network: NotesNetwork,
 ) -> str | None:
-    """Returns the recorded cause of a missing part; None where there is none."""
-    if cut or (part.proxy in killed and asked.begun_s <= killed[part.proxy]):
+    """Returns the recorded cause of a missing hop; None if there is none."""
+    if is_killed or (hop_request.proxy in killed and client_request.begun_s <= killed[hop_request.proxy]):
         return "the killed proxy"
-    if part.split or not seen_above:  # The dropped header split the request into two traces.
+    # The dropped header splits the request into two traces.
+    if hop_request.header_dropped or not visible_above:
         return "the dropped header"
-    if any(network.missed[part.proxy, t] and not network.received[part.proxy, t] for t in traces):
+    if any(
+        network.missed[hop_request.proxy, t] and not network.received[hop_request.proxy, t] for t in traces
+    ):
         return "notes lost twice"
     return None
 
 
-async def play(args: argparse.Namespace, folder: Path) -> Verdict:
+async def run_day(args: argparse.Namespace, folder: Path) -> CompletenessCounts:
     """Runs a day and checks it."""
     compiled = HERE / ".venv" / "bin" / "python"
-    house = TieredFleet(
+    fleet = TieredFleet(
         folder,
         seed=args.seed,
         errors=args.errors,
@@ -165,20 +180,20 @@
         command=[str(compiled), "-P"] if (HERE / ".venv" / "honeywharf.sources").exists() else None,
     )
     try:
-        await house.start()
-        work = asyncio.create_task(house.send_requests(args.requests, args.rate))
+        await fleet.start()
+        load = asyncio.create_task(fleet.send_requests(args.requests, args.rate))
         if not args.no_trouble:
             await asyncio.sleep(0.5 * args.requests / args.rate)
-            await house.kill("entry-0", 2.0)
-        await work
+            await fleet.kill("entry-0", 2.0)
+        await load
         await asyncio.sleep(1.0)  # Notes are sent twice, and files are written at intervals.
     finally:
-        await house.stop()
-    assert house.network is not None
-    network = house.network
+        await fleet.stop()
+    assert fleet.network is not None
+    network = fleet.network
     print(f"notes: {network.delivered} datagrams carried, {network.lost} lost")
-    return checked(
-        house.client_requests, house.served_requests(), house.trace_files(), house.killed, network, args.seed
+    return check_traces(
+        fleet.client_requests, fleet.served_requests(), fleet.trace_files(), fleet.killed, network, args.seed
     )
 
 
@@ -193,20 +208,21 @@
     parser.add_argument("--no-trouble", action="store_true")
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        made = uvloop.run(play(args, Path(folder)))
+        counts = uvloop.run(run_day(args, Path(folder)))
     print(
-        f"{made.requests} requests, {made.bad} of them went wrong: {made.whole} kept whole,"
-        f" {made.kept_parts} of {made.parts} hops, {made.kept_attempts} of {made.attempts} attempts"
+        f"{counts.requests} requests, {counts.bad} of them went wrong: {counts.complete} kept whole,"
+        f" {counts.kept_hop_requests} of {counts.hop_requests} hops,"
+        f" {counts.kept_attempts} of {counts.attempts} attempts"
     )
-    for cause, number in made.missing.most_common():
+    for cause, number in counts.missing.most_common():
         print(f"  {number} missing for {cause}")
-    for line in made.unexplained[:10]:
+    for line in counts.unexplained[:10]:
         print(f"  unexplained: {line}")
     print(
-        f"{made.spans} of {made.of_spans} hops kept in all; head sampling that keeps as many keeps"
-        f" {made.head} of the {made.bad}"
+        f"{counts.spans} of {counts.total_spans} hops kept in all; head sampling that keeps as many keeps"
+        f" {counts.head_sampled} of the {counts.bad}"
     )
-    return 1 if made.unexplained else 0
+    return 1 if counts.unexplained else 0
 
 
 if __name__ == "__main__":
--- a/tests/traces/test_tiers.py
+++ b/tests/traces/test_tiers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.tiers import checked
+from bench.tiers import check_traces
 from honeywharf.standins.tiers import TIERS, ClientRequest, NotesNetwork, ServedRequest, TieredFleet
 from tests.loopback import run
 
@@ -22,17 +22,17 @@
         finally:
             await house.stop()
         assert house.network is not None
-        verdict = checked(
+        verdict = check_traces(
             house.client_requests, house.served_requests(), house.trace_files(), {}, house.network
         )
         assert verdict.bad > 10
         assert verdict.unexplained == []
-        assert (verdict.whole, verdict.kept_parts, verdict.kept_attempts) == (
+        assert (verdict.complete, verdict.kept_hop_requests, verdict.kept_attempts) == (
             verdict.bad,
-            verdict.parts,
+            verdict.hop_requests,
             verdict.attempts,
         )
-        assert verdict.spans < 0.5 * verdict.of_spans  # Most other traces are not kept.
+        assert verdict.spans < 0.5 * verdict.total_spans  # Most other traces are not kept.
 
     run(main(), 120.0)
 
@@ -58,7 +58,7 @@
         .replace("%s", "ab" * 16, 1)
         .replace("%s", TIERS[0], 1)
     )
-    verdict = checked([ClientRequest("c", "entry-0", 200, 0.0)], record, [file], {}, network)
-    assert (verdict.bad, verdict.whole, verdict.parts, verdict.kept_parts) == (1, 0, 2, 1)
+    verdict = check_traces([ClientRequest("c", "entry-0", 200, 0.0)], record, [file], {}, network)
+    assert (verdict.bad, verdict.complete, verdict.hop_requests, verdict.kept_hop_requests) == (1, 0, 2, 1)
     assert dict(verdict.missing) == {explained: 1}
     assert len(verdict.unexplained) == (not lost)
