--- a/bench/coap_orders.py
+++ b/bench/coap_orders.py
@@ -5,8 +5,8 @@
 One proxy process serves four racks of two nodes on loopback, which fall silent and die. Each key is sent up
 to five times, by HTTP or by one of 32 CoAP clients, whose datagrams are lost (30 % each way), duplicated
 (10 %) and delayed by up to 0.2 s. Prints, without and with order keys: charged keys, keys charged twice,
-final answers by status (408: a client gave up), datagrams, and the violations of the history. Status 1 where
-order keys are on and there is one.
+final answers by status (408: a client gave up), datagrams, and the violations of the history. The exit status
+is 1 if order keys are on and there is one.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
     program, broken = tuple(command(HERE)), False
     for name, features in (("off", ""), ("on", PROCESS_STORE))[args.on :]:
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(
+            results = asyncio.run(
                 coap_scenario.run_scenario(features, args.keys, args.seed, Path(folder), program)
             )
-        histories = found.pop("of these")
-        print(f"{name:>4}", *(f"{k}: {v}" for k, v in found.items()), sep="  ", flush=True)
-        broken = any(found["faults"].values())
-        for rule, rows in histories.items() if args.histories else ():
-            print(f"      {rule}:", *rows, sep="\n        ", flush=True)
+        histories = results.pop("of these")
+        print(f"{name:>4}", *(f"{k}: {v}" for k, v in results.items()), sep="  ", flush=True)
+        broken = any(results["faults"].values())
+        for rule, key_histories in histories.items() if args.histories else ():
+            print(f"      {rule}:", *key_histories, sep="\n        ", flush=True)
     return 1 if broken else 0
 
 
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -35,14 +35,14 @@
     """Returns lines with the uploads of each gateway over time, as the rounded mean of each column."""
     if not samples:
         return []
-    first_at, span = samples[0][0], max(1e-9, samples[-1][0] - samples[0][0])
+    first_time_s, span = samples[0][0], max(1e-9, samples[-1][0] - samples[0][0])
     cells: list[list[list[int]]] = [[[] for _ in range(COLUMNS)] for _ in names]
     marks = [" "] * COLUMNS
-    for at, counts in samples:
+    for time_s, counts in samples:
         for row, count in zip(cells, counts, strict=True):
-            row[min(COLUMNS - 1, int((at - first_at) / span * COLUMNS))].append(count)
-    for at in fault_times:
-        marks[max(0, min(COLUMNS - 1, int((at - first_at) / span * COLUMNS)))] = "v"
+            row[min(COLUMNS - 1, int((time_s - first_time_s) / span * COLUMNS))].append(count)
+    for time_s in fault_times:
+        marks[max(0, min(COLUMNS - 1, int((time_s - first_time_s) / span * COLUMNS)))] = "v"
     lines = [f"{'':18}{''.join(marks)}"]
     for name, row in zip(names, cells, strict=True):
         means: list[float] = []
@@ -63,11 +63,15 @@
 
     figure = Figure(figsize=(10, 3.5))
     axes = figure.subplots()
-    first_at = samples[0][0]
+    first_time_s = samples[0][0]
     for number, name in enumerate(names):
-        axes.step([at - first_at for at, _ in samples], [counts[number] for _, counts in samples], label=name)
-    for at in fault_times:
-        axes.axvline(at - first_at, color="grey", linewidth=0.5)
+        axes.step(
+            [time_s - first_time_s for time_s, _ in samples],
+            [counts[number] for _, counts in samples],
+            label=name,
+        )
+    for time_s in fault_times:
+        axes.axvline(time_s - first_time_s, color="grey", linewidth=0.5)
     axes.set(xlabel="seconds", ylabel="uploads by gateway", title=title)
     axes.legend()
     path = Path(folder) / f"{title.replace(' ', '-').replace(',', '')}.svg"
@@ -75,43 +79,47 @@
     figure.savefig(path)
 
 
-def loopback(chosen: argparse.Namespace) -> None:
+def loopback(args: argparse.Namespace) -> None:
     """Runs real processes and prints the figures."""
     print(f"{os.cpu_count()} processors, load {os.getloadavg()[0]:.1f} at the start")
     for name in ("on", "off"):
-        if chosen.sessions not in (name, "both"):
+        if args.sessions not in (name, "both"):
             continue
         days: list[gatewaydemo.GatewayDemo] = []
         figures = gatewaydemo.run(
-            chosen.drains,
-            chosen.kills,
-            chosen.rate,
-            chosen.seed,
+            args.drains,
+            args.kills,
+            args.rate,
+            args.seed,
             name == "on",
             lambda line: None,
             before_close=days.append,
         )
         load = os.getloadavg()[0]
-        print(f"sessions {name}: {chosen.drains} drains, {chosen.kills} kills, load {load:.1f}")
+        print(f"sessions {name}: {args.drains} drains, {args.kills} kills, load {load:.1f}")
         for key, value in sorted(figures.items()):
             print(f"  {key}: {value}")
         for day in days:
-            told = ([*day.session_client.paths], day.samples, [at for at, _ in day.fault_times])
-            print("\n".join(chart(*told)))
-            plot(chosen.plot, f"loopback, sessions {name}", *told)
+            chart_arguments = (
+                [*day.session_client.paths],
+                day.samples,
+                [time_s for time_s, _ in day.fault_times],
+            )
+            print("\n".join(chart(*chart_arguments)))
+            plot(args.plot, f"loopback, sessions {name}", *chart_arguments)
 
 
-def simulation(chosen: argparse.Namespace) -> None:
+def simulation(args: argparse.Namespace) -> None:
     """Runs working days in virtual time and prints the figures."""
-    plan = ScenarioPlan(tomllib.loads(Path(chosen.plan).read_text("utf-8")))
+    plan = ScenarioPlan(tomllib.loads(Path(args.plan).read_text("utf-8")))
     for fault_kind in ("drain", "kill"):
         variants = [("", True, True), (", lanes off", True, False), (", sessions off", False, True)]
-        for title, sessions, lanes in variants if chosen.compare else variants[:1]:
+        for title, sessions, lanes in variants if args.compare else variants[:1]:
             days = [
                 GatewayScenario(seed, plan, fault_kind, sessions, lanes).run_scenario()
-                for seed in range(chosen.seed, chosen.seed + chosen.days)
+                for seed in range(args.seed, args.seed + args.days)
             ]
-            report(f"{fault_kind}{title}", days, chosen.plot)
+            report(f"{fault_kind}{title}", days, args.plot)
 
 
 def report(title: str, days: list[GatewayScenario], folder: str) -> None:
@@ -120,7 +128,8 @@
     print(f"{title}: {len(days)} days, {fault_count} troubles")
     for name in ("inner", "manifest", "tile"):
         durations_by_window = {
-            window: [t for day in days for t in day.durations_s(name)[window]] for window, _, _ in WINDOWS
+            window: [call_s for day in days for call_s in day.durations_s(name)[window]]
+            for window, _, _ in WINDOWS
         }
         p99 = {window: quantile(values, 0.99) for window, values in durations_by_window.items()}
         windows_text = ", ".join(
@@ -173,8 +182,8 @@
     parser.add_argument("--compare", action="store_true", help="also without lanes and without sessions")
     parser.add_argument("--plan", default="bench/days/gateway.toml")
     parser.add_argument("--plot", default="", help="a folder for SVG files")
-    chosen = parser.parse_args()
-    (simulation if chosen.simulation else loopback)(chosen)
+    args = parser.parse_args()
+    (simulation if args.simulation else loopback)(args)
 
 
 if __name__ == "__main__":
--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -4,8 +4,8 @@
 
 Each limiter runs the same days (kinds x seeds). Prints for each kind and over all: goodput (share answered
 within the latency target) as mean, spread over seeds and minimum; refusals per 100 first attempts while 30 of
-100 cores were idle; and the 99th percentile of the latency in ms (mean over days). Status 1 where a rule
-broke with the default limiter.
+100 cores were idle; and the 99th percentile of the latency in ms (mean over days). The exit status is
+1 if a rule was broken with the default limiter.
 """
 
 from __future__ import annotations
@@ -20,22 +20,21 @@
 from honeywharf.lab import days
 from honeywharf.lab.simulator import play
 
-Row = tuple[
-    str, str, float, float, float, int
-]  # Limiter, kind, goodput, refusals with idle cores, p99, broken rules.
+#: Limiter, kind, goodput, refusals with idle cores, p99 in ms, and broken rules.
+Row = tuple[str, str, float, float, float, int]
 
 
 def run_day(task: tuple[str, str, int]) -> Row:
     """Runs one day."""
     limiter, kind, seed = task
-    got = play(replace(days.KINDS[kind](seed), limiter=limiter))
-    broken = got.fell + got.double_charges + got.late_drains
+    result = play(replace(days.KINDS[kind](seed), limiter=limiter))
+    broken = result.fell + result.double_charges + result.late_drains
     return (
         limiter,
         kind,
-        got.good / max(1, got.requests),
-        100.0 * got.refused_with_spare_capacity / max(1, got.requests),
-        got.quantile(0.99),
+        result.good / max(1, result.requests),
+        100.0 * result.refused_with_spare_capacity / max(1, result.requests),
+        result.quantile(0.99),
         broken,
     )
 
--- a/bench/orderkeys.py
+++ b/bench/orderkeys.py
@@ -6,7 +6,8 @@
 some with too little remaining time, while nodes fall silent and die, proxies are killed and restarted, and a
 shared Redis pauses for up to 3 s. A rack drops a repeat that it knows; another rack charges it. Prints,
 without and with the feature: charged keys, keys charged twice, final answers by status (0: the proxy died),
-and the violations of the history by rule. Status 1 where the feature is on and there is one.
+and the violations of the history by rule. The exit status is 1 if the feature is
+on and there is one.
 """
 
 from __future__ import annotations
@@ -39,16 +40,20 @@
     broken = False
     for name, (features, redis) in {"off": ("", None), args.store: feature}.items():
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(
+            results = asyncio.run(
                 order_key_scenario.run_scenario(
                     features, redis, args.keys, args.seed, Path(folder), args.proxies, program
                 )
             )
-        histories = found.pop("of these")
-        print(f"{name:>7}", *(f"{k}: {v}" for k, v in found.items()), sep="  ", flush=True)
-        broken = any(found["faults"].values())
+        histories = results.pop("of these")
+        print(f"{name:>7}", *(f"{k}: {v}" for k, v in results.items()), sep="  ", flush=True)
+        broken = any(results["faults"].values())
         if broken and features:
-            print(*(f"        {rule}: {rows}" for rule, rows in histories.items()), sep="\n", flush=True)
+            print(
+                *(f"        {rule}: {key_histories}" for rule, key_histories in histories.items()),
+                sep="\n",
+                flush=True,
+            )
     return 1 if broken else 0
 
 
--- a/bench/orderkeys_cost.py
+++ b/bench/orderkeys_cost.py
@@ -69,15 +69,15 @@
 
 
 def request_duration_ms(connection: socket.socket, name: str) -> float:
-    """Ask for a new key; what it took in ms. RuntimeError where it was not served."""
+    """Requests a new key; returns the duration in ms. RuntimeError if it was not served."""
     request = REQUEST_FORMAT % (name.encode(), 1400, name.encode(), b"")
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     connection.sendall(request)
     answer = connection.recv(65536)
-    took = (time.perf_counter() - begun) * 1000.0
+    duration_ms = (time.perf_counter() - started_at) * 1000.0
     if not answer.startswith(b"HTTP/1.1 200") or not answer.endswith(b"tile"):
         raise RuntimeError(f"answer: expected a tile, got {answer[:60]!r}")
-    return took
+    return duration_ms
 
 
 def new_key_durations_ms(ports: list[int], number: int, name: str) -> list[list[float]]:
@@ -144,7 +144,7 @@
         print(line, flush=True)
 
 
-class Neighbour:
+class InMemoryTransport:
     """The driver's transport and its requests' caller; keeps the call that was started last."""
 
     def __init__(self) -> None:
@@ -179,9 +179,9 @@
 
 async def phase_durations_us(keys: bool, number: int = 20_000) -> list[float]:
     """Returns us (p50) for a new key's arrival, the decision on it and its answer, without sockets."""
-    loop, clock, near = asyncio.get_running_loop(), Clock(), Neighbour()
+    loop, clock, transport = asyncio.get_running_loop(), Clock(), InMemoryTransport()
     settings = wire.settings(node.settings([ORDER_CLASS]))
-    driver = Driver(settings, Balancer(settings, 1), near, loop, clock)
+    driver = Driver(settings, Balancer(settings, 1), transport, loop, clock)
     if keys:
         driver.hooks.request_deduplicator = KeyDeduplicator(
             driver, Table(number, 32 * 1024 * 1024, 16384), {"order": KEY_RETENTION_MS}
@@ -199,19 +199,19 @@
         request.method, request.target, request.body = b"POST", b"/api/order", b"x"
         request.id, request.class_name, request.left_ms = f"p{i}", "order", 1400.0
         request.idempotency_key, request.read_ms = b"p%d" % i, clock.now()
-        laps = [time.perf_counter()]
-        driver.accept(request, near)
-        laps.append(time.perf_counter())
+        timestamps = [time.perf_counter()]
+        driver.accept(request, transport)
+        timestamps.append(time.perf_counter())
         await asyncio.sleep(0)  # The decision is made in the next turn of the loop.
-        laps.append(time.perf_counter())
-        assert near.call is not None
-        near.call.ended(api.Outcome.OK, response)
-        laps.append(time.perf_counter())
-        for times, begun, ended in zip(durations_us, laps, laps[1:], strict=False):
-            times.append((ended - begun) * 1e6)
+        timestamps.append(time.perf_counter())
+        assert transport.call is not None
+        transport.call.ended(api.Outcome.OK, response)
+        timestamps.append(time.perf_counter())
+        for times, started_at, ended in zip(durations_us, timestamps, timestamps[1:], strict=False):
+            times.append((ended - started_at) * 1e6)
         await asyncio.sleep(0)
-    if near.answered != number:
-        raise RuntimeError(f"answers: expected {number}, got {near.answered}")
+    if transport.answered != number:
+        raise RuntimeError(f"answers: expected {number}, got {transport.answered}")
     return [statistics.median(times) for times in durations_us]
 
 
@@ -233,10 +233,10 @@
 
 
 class ClaimLoad:
-    """Claims and ends new keys in a shared store, with up to `most` outstanding."""
+    """Claims and ends new keys in a shared store, with up to `max_pending` at once."""
 
-    def __init__(self, store: RedisLink, number: int, most: int) -> None:
-        self.store, self.remaining, self.max_outstanding = store, number, most
+    def __init__(self, store: RedisLink, number: int, max_pending: int) -> None:
+        self.store, self.remaining, self.max_outstanding = store, number, max_pending
         self.outstanding, self.done = 0, asyncio.get_running_loop().create_future()
         self.serial = 0
         self.refused: Counter[str] = Counter()
@@ -249,21 +249,23 @@
                 self.outstanding + 1,
                 self.serial + 1,
             )
-            one = Claiming(self, b"%016d" % self.serial)
-            if not self.store.shared.claim(one.name, "tenant", b"p" * 16, 1000.0, KEY_RETENTION_MS, 0.0, one):
-                one.claimed(Claim(Verdict.STORE_UNAVAILABLE))
+            key_claim = KeyClaim(self, b"%016d" % self.serial)
+            if not self.store.shared.claim(
+                key_claim.name, "tenant", b"p" * 16, 1000.0, KEY_RETENTION_MS, 0.0, key_claim
+            ):
+                key_claim.claimed(Claim(Verdict.STORE_UNAVAILABLE))
         if not self.remaining and not self.outstanding and not self.done.done():
             self.done.set_result(None)
 
 
-class Claiming:
-    """The claim of one key."""
+class KeyClaim:
+    """Claims one key and ends its claim."""
 
     def __init__(self, owner: ClaimLoad, name: bytes) -> None:
         self.owner, self.name = owner, name
 
     def claimed(self, claim: Claim) -> None:
-        """Records a place and ends the claim with a short answer."""
+        """Records the server and ends the claim with a short answer."""
         owner, place = self.owner, api.Earlier("z", 1, time.time() * 1000.0)
         owner.outstanding -= 1
         if claim.verdict is Verdict.RUN:
@@ -286,18 +288,18 @@
         "bench",
         StoreRules(10 * number, 10**9, 16384, wait_ms=1000.0, trust_empty=True),
         lambda: time.time() * 1000.0,
-        lambda what: None,
+        lambda message: None,
     )
     try:
         store.start()
         while not store.shared.available():
             await asyncio.sleep(0.01)
-        claimer, begun = ClaimLoad(store, number, 64), time.perf_counter()
+        claimer, started_at = ClaimLoad(store, number, 64), time.perf_counter()
         claimer.fill()
         await claimer.done
         while store.shared.unconfirmed_ends:
             await asyncio.sleep(0.001)
-        return number / (time.perf_counter() - begun), claimer.refused
+        return number / (time.perf_counter() - started_at), claimer.refused
     finally:
         server.kill()
 
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -6,7 +6,7 @@
 are dead from 10 to 16 s and then cold for 8 s. Prints, without and with reports: the share answered within
 the latency target while nodes are dead and after, the recovery time to 0.95, and the swing of the waiting
 calls per node; the same for stale, noisy and false reports; a fluid-queue model; and a report's cost in us.
-Status 1 where stale or false reports lose more than 0.03 of the answers in time.
+Exit status 1 if stale or false reports lose more than 0.03 of the answers in time.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class DayResult:
     """The result of one day: shares of first attempts in time, seconds, waiting calls per node."""
 
     dead: float
@@ -47,7 +47,7 @@
 
 def day(proxies: int, on: bool, load: Reporting, seed: int) -> Day:
     """Returns the day."""
-    made = Day(
+    unloaded_day = Day(
         "reports",
         seed,
         100.0,
@@ -63,34 +63,35 @@
         load=load,
         faults=(Fault(10_000.0, "crash", part=0.4, for_ms=6000.0),),
     )
-    return days.load(made, 0.75)
+    return days.load(unloaded_day, 0.75)
 
 
-def play(what: tuple[int, bool, Reporting, int]) -> Play:
+def run_day(task: tuple[int, bool, Reporting, int]) -> DayResult:
     """Runs a day and samples the waiting calls every 100 ms before the nodes die."""
-    proxies, on, load, seed = what
-    shape = day(proxies, on, load, seed)
-    simulation, waits = Simulation(shape), list[float]()
+    proxies, on, load, seed = task
+    simulated_day = day(proxies, on, load, seed)
+    simulation, waits = Simulation(simulated_day), list[float]()
 
-    def look() -> None:
+    def sample() -> None:
         waits.append(statistics.fmean(len(n.waiting) for n in simulation.nodes.values()))
         if simulation.now < 9900.0:
-            simulation.call_at(simulation.now + 100.0, look)
+            simulation.call_at(simulation.now + 100.0, sample)
 
-    simulation.call_at(4000.0, look)
-    figures = measures.figures_of(shape, simulation.play())
-    return Play(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
+    simulation.call_at(4000.0, sample)
+    figures = measures.figures_of(simulated_day, simulation.play())
+    return DayResult(figures["dead"], figures["after"], figures["recovery_s"], max(waits) - min(waits))
 
 
-def format_row(name: str, plays: list[Play]) -> str:
-    """One line: means, and each recovery."""
-    back = ", ".join(
-        "never" if p.recovery_s >= measures.NOT_RECOVERED_S else f"{p.recovery_s:.1f}" for p in plays
+def format_row(name: str, results: list[DayResult]) -> str:
+    """Returns one line with the means and each recovery time."""
+    recoveries = ", ".join(
+        "never" if result.recovery_s >= measures.NOT_RECOVERED_S else f"{result.recovery_s:.1f}"
+        for result in results
     )
     return (
-        f"{name:<34}{statistics.fmean(p.dead for p in plays):>7.3f}"
-        f"{statistics.fmean(p.after for p in plays):>7.3f}"
-        f"{statistics.fmean(p.swing for p in plays):>7.2f}  {back}"
+        f"{name:<34}{statistics.fmean(result.dead for result in results):>7.3f}"
+        f"{statistics.fmean(result.after for result in results):>7.3f}"
+        f"{statistics.fmean(result.swing for result in results):>7.2f}  {recoveries}"
     )
 
 
@@ -99,7 +100,7 @@
 from honeywharf.policy import Balancer, interface as api
 from honeywharf.reports import LoadReports
 
-def play(on, number):
+def duration_us(on, number):
     settings = api.Settings(
         zone="a", classes=(api.RequestClass("read", 1000.0, 2000.0),), zones=3, balancers=30,
         limits=api.Limits(max_attempts=3), report_fields=("queue",))
@@ -109,16 +110,16 @@
     balancer.handle(0.0, api.Started())
     balancer.handle(0.0, api.EndpointsListed(api.ListKind.FULL, tuple(
         api.Endpoint(f"{z}{i}", z) for z in "abc" for i in range(14))))
-    begun = time.process_time()
+    started_at = time.process_time()
     for i in range(number):
         now, name = i * 2.0, f"r{i}"
         for action in balancer.handle(now, api.RequestArrived(name, "read", 2000.0)):
             if isinstance(action, api.Send):
                 balancer.handle(now + 1.0, api.AttemptEnded(
                     name, 0, api.Outcome.OK, 50.0, True, (float(i % 3),), action.endpoint))
-    return (time.process_time() - begun) / number * 1e6
+    return (time.process_time() - started_at) / number * 1e6
 
-print(min(play(True, 60_000) for _ in range(3)) - min(play(False, 60_000) for _ in range(3)))
+print(min(duration_us(True, 60_000) for _ in range(3)) - min(duration_us(False, 60_000) for _ in range(3)))
 """
 
 
@@ -149,36 +150,37 @@
     if not args.quick:
         stale = [
             (
-                f"{late:g} ms late, noise {noise:g}",
+                f"{delay_ms:g} ms late, noise {noise:g}",
                 proxy_count,
                 True,
-                replace(Reporting(), late_ms=late, noise=noise),
+                replace(Reporting(), late_ms=delay_ms, noise=noise),
             )
-            for late in (0.0, 450.0, 2000.0)
+            for delay_ms in (0.0, 450.0, 2000.0)
             for noise in (0.0, 0.5)
         ]
         stale += [(name, proxy_count, True, load) for name, load in FALSE_REPORTS.items()]
     jobs = [(n, on, load, seed) for _, n, on, load in table + stale for seed in seeds]
     with ProcessPoolExecutor(args.jobs) as pool:
-        plays = list(pool.map(play, jobs))
+        results = list(pool.map(run_day, jobs))
     print(f"{'':<34}{'dead':>7}{'after':>7}{'swing':>7}  back after, s")
-    plays_by_name: dict[str, list[Play]] = {}
+    results_by_name: dict[str, list[DayResult]] = {}
     for i, (name, *_) in enumerate(table + stale):
         if i == len(table):
             print(f"behind {proxy_count} proxies, by what is reported:")
-        plays_by_name[name] = plays[i * args.seeds : (i + 1) * args.seeds]
-        print(format_row(name, plays_by_name[name]))
+        results_by_name[name] = results[i * args.seeds : (i + 1) * args.seeds]
+        print(format_row(name, results_by_name[name]))
     for delay in (0.0, 200.0, 500.0, 1000.0, 2000.0):
         mean, swing = loop(delay, 31)
         print(f"the loop by itself, reports {delay:g} ms old: wait {mean:.2f}, swing {swing:.1f} references")
     print(f"a report costs {cost():.2f} us of a request's decisions")
     share_without_reports = statistics.fmean(
-        p.after for p in plays_by_name[f"{proxy_count} proxies, reports off"]
+        result.after for result in results_by_name[f"{proxy_count} proxies, reports off"]
     )
     return (
         1
         if any(
-            statistics.fmean(p.after for p in plays_by_name[name]) < share_without_reports - MAX_LOSS
+            statistics.fmean(result.after for result in results_by_name[name])
+            < share_without_reports - MAX_LOSS
             for name, *_ in stale
         )
         else 0
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -45,7 +45,7 @@
         min_us = float("inf")
         for _ in range(3):
             lines: list[bytes] = []
-            made, now = make_recorder(lines, 0.01), 0.0
+            recorder, now = make_recorder(lines, 0.01), 0.0
             rng = random.Random(2)
             durations_ms = [rng.lognormvariate(3.0, 0.3) for _ in range(1000)]
             started_at = time.perf_counter()
@@ -57,7 +57,7 @@
                     durations_ms[i % 1000],
                 )
                 if with_recorder:
-                    hop_trace = made.begin(request, now)
+                    hop_trace = recorder.begin(request, now)
                     hop_trace.sending(0, action, now)
                     hop_trace.ended(0, api.Outcome.OK, response, now + duration_ms)
                     hop_trace.answered("served", "", None, now + duration_ms)
@@ -71,32 +71,33 @@
     """Prints the bytes of a sampler when empty and when full."""
     tracemalloc.start()
     initial_bytes = tracemalloc.get_traced_memory()[0]
-    made, lines = make_recorder([], 1e-9), 0
-    rest = tracemalloc.get_traced_memory()[0] - initial_bytes
+    recorder, request_count = make_recorder([], 1e-9), 0
+    empty_bytes = tracemalloc.get_traced_memory()[0] - initial_bytes
     request = Request()
     request.id, request.class_name = "id", "read"
     for _ in range(10_000):
-        hop_trace = made.begin(request, 0.0)
+        hop_trace = recorder.begin(request, 0.0)
         action = api.Send("id", "s", 100.0, "tallinn", why=api.Why(0, 4, 4, 12.0, 3, 5.0))
         hop_trace.sending(0, action, 0.0)
         hop_trace.ended(0, api.Outcome.OK, None, 5.0)
         hop_trace.answered("served", "", None, 5.0)
         hop_trace.settled(5.0)
         del hop_trace
-        lines += 1
-    full = tracemalloc.get_traced_memory()[0] - initial_bytes
+        request_count += 1
+    full_bytes = tracemalloc.get_traced_memory()[0] - initial_bytes
     tracemalloc.stop()
-    held = made.sampler
+    full_sampler = recorder.sampler
     print(
-        f"memory: {rest} bytes at rest, {full} full ({len(held.pending)} held, counted with"
-        f" {held.pending_bytes}; {held.counts['no room']} of {lines} went for want of room)"
+        f"memory: {empty_bytes} bytes at rest, {full_bytes} full ({len(full_sampler.pending)} held,"
+        f" counted with {full_sampler.pending_bytes}; {full_sampler.counts['no room']} of {request_count}"
+        " went for want of room)"
     )
 
 
 def measure_completeness(requests: int) -> None:
     """Runs three tiers with a recorder each; headers and answers propagate the trace context."""
     files: dict[str, list[bytes]] = {tier: [] for tier in TIERS}
-    made = {tier: make_recorder(files[tier], 0.01, tier, tier != "front") for tier in TIERS}
+    recorders = {tier: make_recorder(files[tier], 0.01, tier, tier != "front") for tier in TIERS}
     rng, bad, ordinary, kept_by_head_sampling, now = random.Random(7), 0, 0, 0, 0.0
     bad_ids: set[str] = set()
     for _ in range(requests):
@@ -108,7 +109,7 @@
             request = Request()
             request.id, request.class_name = "id", "read"
             request.trace_parents, request.trace_states = parents, states
-            hop_trace = made[tier].begin(request, now)
+            hop_trace = recorders[tier].begin(request, now)
             action = api.Send("id", f"{tier}-{rng.randrange(6)}", 100.0, "tallinn")
             lines = (hop_trace.sending(0, action, now) or b"").split(b"\r\n")
             parents = [line[13:] for line in lines if line.startswith(b"traceparent: ")]
@@ -129,7 +130,7 @@
         if is_failed:
             bad += 1
             bad_ids.add(trace_id)
-            kept_by_head_sampling += made["front"].sampler.ordinary(trace_id[-14:])
+            kept_by_head_sampling += recorders["front"].sampler.ordinary(trace_id[-14:])
         else:
             ordinary += 1
     hop_counts = dict.fromkeys(bad_ids, 0)
@@ -163,11 +164,11 @@
 
 
 def reported_causes(hops: list[dict[str, object]]) -> list[causes.Cause]:
-    """What is named of a day's failed and slow traces."""
+    """Returns the causes reported for the failed and slow traces of a day."""
     rows = list(store.rows_by_trace(hops))
     bad = [r for r in rows if r["failed"] or r["slow"]]
-    found = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])
-    return [c for some in found.values() for c in some]
+    causes_by_kind = causes.by_kind(bad, [r for r in rows if r["kept"] == {"ordinary"}])
+    return [c for causes_of_kind in causes_by_kind.values() for c in causes_of_kind]
 
 
 def main() -> None:
