--- a/honeywharf/admission/admission_queue.py
+++ b/honeywharf/admission/admission_queue.py
@@ -27,7 +27,7 @@
 RESERVED_PART = 0.5  # a larger part of the slots that short requests used leaves too many idle
 SHORT_TARGET_PART = 0.5
 SLOTS_PER_NEXT = 4  # one waiting request per this many slots counts as next to run
-HELD_MEAN_S = 1.0  # the time over which the slots of short requests are averaged
+SHORT_SLOTS_MEAN_S = 1.0  # the time over which the slots of short requests are averaged
 LONGEST_DECAY = 0.999  # the factor on the longest target at each request, as routes change
 MAX_REMOVED = 32  # removed entries that may stay in the heap until it is rebuilt
 
@@ -61,7 +61,7 @@
     def __init__(self, slots: int) -> None:
         self.slots = slots
         self.running = self.short = 0  # all running requests, and the short ones among them
-        self.short_held = 0.0  # the mean number of slots that short requests have recently held
+        self.short_slots = 0.0  # the mean number of slots that short requests have recently used
         self.averaged_at = 0.0
         self.longest_s = 0.0
         self.mean_s = INITIAL_MEAN_S
@@ -82,12 +82,12 @@
     def _has_slot(self, short: bool) -> bool:
         if short or not self.running:
             return self.running < self.slots
-        reserved = RESERVED_PART * self.short_held
+        reserved = RESERVED_PART * self.short_slots
         return self.running - self.short + max(self.short, reserved) + 1 <= self.slots
 
     def _average(self, now: float) -> None:
-        part = min(1.0, (now - self.averaged_at) / HELD_MEAN_S)
-        self.short_held += (self.short - self.short_held) * part
+        part = min(1.0, (now - self.averaged_at) / SHORT_SLOTS_MEAN_S)
+        self.short_slots += (self.short - self.short_slots) * part
         self.averaged_at = now
 
     def expected_wait_s(self, rank: tuple[int, float]) -> float:
@@ -129,13 +129,13 @@
                 self.queue = [entry for entry in self.queue if entry[2].queued]
                 self.queue.sort()
 
-    def finish(self, now: float, short: bool, took_s: float | None) -> None:
-        """Frees a slot; `took_s`: the service time, if it shows the backend's speed."""
+    def finish(self, now: float, short: bool, service_time_s: float | None) -> None:
+        """Frees a slot; `service_time_s`: the service time, if it shows the backend's speed."""
         self._average(now)
         self.running -= 1
         self.short -= short
-        if took_s is not None:
-            self.mean_s += (took_s - self.mean_s) / MEAN_SAMPLES
+        if service_time_s is not None:
+            self.mean_s += (service_time_s - self.mean_s) / MEAN_SAMPLES
 
     def pop_next(self, now: float) -> Waiter | None:
         """Removes and returns the next request to run, if a slot is free for it; it is not started yet."""
--- a/honeywharf/admission/cold_start.py
+++ b/honeywharf/admission/cold_start.py
@@ -46,7 +46,7 @@
     def record(self, now: float) -> None:
         """Records a request that was sent, also while the backend is not known to be cold.
 
-        News that a backend is cold may be late, and the window then covers the requests sent before.
+        The report that a backend is cold may be late, and the window then covers the requests sent before.
         """
         self.sent.append(now)
         while self.sent[0] <= now - WINDOW_S or len(self.sent) > MAX_KEPT:
--- a/honeywharf/core/components.py
+++ b/honeywharf/core/components.py
@@ -34,7 +34,7 @@
     driver: Driver
     balancer: Balancer
     transport: Transport  # to the backends; a feature may add others beside it
-    address_books: dict[str, AddressBook]  # by the scheme of endpoints: receives their addresses
+    address_books: dict[str, AddressBook]  # address books by the scheme of the endpoints
 
     @property
     def front(self) -> Listener:
@@ -65,7 +65,7 @@
 
 
 class MutatingCommand:
-    """A command that changes something: it needs a confirmation, and the log records who sent it."""
+    """A command that changes something: it needs a confirmation, and the log records its sender."""
 
     def __init__(self, command: OperatorCommand) -> None:
         self.command = command
@@ -98,7 +98,7 @@
         return {}
 
     def operator_commands(self) -> Mapping[str, OperatorCommand]:
-        """Returns its commands by name; those that change something are a `MutatingCommand`."""
+        """Returns the feature's commands by name; those that change something are a `MutatingCommand`."""
         return {}
 
     def settings_changed(self) -> None:
--- a/honeywharf/core/driver.py
+++ b/honeywharf/core/driver.py
@@ -1,8 +1,8 @@
 """The driver hands events to the decision module one at a time and carries out its actions in order.
 
-It owns the clock, the timers and the table of requests, but no sockets: clients and backends are behind
-`Caller` and `Transport`. It makes no balancing decisions. Other parts observe a request through the hooks
-(`core.hooks`); bodies are streamed through the `pipe` of a request or response.
+The driver owns the clock, the timers and the table of requests, but no sockets: clients and backends are
+behind `Caller` and `Transport`. It makes no balancing decisions. Other parts observe a request through the
+hooks (`core.hooks`); bodies are streamed through the `pipe` of a request or response.
 """
 
 from __future__ import annotations
@@ -281,7 +281,7 @@
         self._abort(attempt, api.Outcome.TIMEOUT)
 
     def _abort(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Aborts an attempt whose answer nobody waits for any more."""
+        """Aborts an attempt whose answer is not needed."""
         if attempt.live:
             self.transport.abort(attempt)
             self.attempt_ended(attempt, outcome, None)
@@ -433,7 +433,7 @@
             self.transport.start(attempt)
 
     def release_attempt(self, request: str, number: int, may_send: bool) -> None:
-        """Sends an attempt that an observer held back, or ends it as not sent if `may_send` is False."""
+        """Sends an attempt that an observer delayed, or ends it as not sent if `may_send` is False."""
         attempt = self._attempt(request, number)
         if attempt is not None and attempt.live:
             if (
--- a/honeywharf/core/exchange.py
+++ b/honeywharf/core/exchange.py
@@ -59,7 +59,7 @@
     # Calls of the observers.
 
     def sending(self, attempt: Attempt, action: api.Send, now: float) -> bool:
-        """Notifies observers before a send. Returns False if one holds the attempt back."""
+        """Notifies observers before a send. Returns False if one delays the attempt."""
         send_now = True
         for observer in self.observers:
             header_lines = observer.sending(attempt.number, action, now)
@@ -75,7 +75,7 @@
             observer.ended(number, outcome, response, now)
 
     def finished(self, how: str, reason: str, why: api.Why | None, now: float) -> None:
-        """Notifies observers before the final answer is written, or when nobody waits for it any more."""
+        """Notifies observers before the final answer is written, or when the client has disconnected."""
         for observer in self.observers:
             header_lines = observer.answered(how, reason, why, now)
             if header_lines:
--- a/honeywharf/core/hooks.py
+++ b/honeywharf/core/hooks.py
@@ -2,7 +2,7 @@
 
 1. Arrival: `Hooks.tracer` begins a trace; `Hooks.request_deduplicator` may keep a request of a known
    idempotency key out of the driver, and later admits it with an observer of its own (`Driver.admit`).
-2. Before a send: each observer may add header lines, or hold the attempt until `Driver.release_attempt`.
+2. Before a send: each observer may add header lines, or delay the attempt until `Driver.release_attempt`.
 3. Bodies: the `pipe` of a request or response that is streamed; an observer that `needs_complete_answer`
    gets no pipe.
 4. End of an attempt: observers are notified of its single outcome, before the client is answered with it.
@@ -30,9 +30,9 @@
         """Whether answers have to be read to their end before they are passed on."""
 
     def sending(self, number: int, action: api.Send, now_ms: float) -> bytes | None:
-        """Returns header lines for attempt `number` before it is sent, or None to hold it back.
+        """Returns header lines for attempt `number` before it is sent, or None to delay it.
 
-        An attempt that is held back waits for `Driver.release_attempt`.
+        A delayed attempt waits for `Driver.release_attempt`.
         """
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now_ms: float) -> None:
@@ -98,13 +98,13 @@
         self,
         request: Request,
         how: str,
-        took_ms: float,
+        elapsed_ms: float,
         now_ms: float,
         trace: RequestTrace | None,
     ) -> None:
         """Calls all callbacks for a final answer."""
         for callback in self.answer_callbacks:
-            callback(request.class_name, how, took_ms, now_ms, trace)
+            callback(request.class_name, how, elapsed_ms, now_ms, trace)
 
     def answered_without_decision(self, request: Request, how: str, reason: str, now_ms: float) -> None:
         """Ends the trace of a request that the decision module has not seen, before its answer is written."""
--- a/honeywharf/core/messages.py
+++ b/honeywharf/core/messages.py
@@ -40,7 +40,7 @@
 
 
 def whole_seconds(ms: float, chance: float) -> int:
-    """Rounds a delay up or down at random to whole seconds, so that the mean stays the same.
+    """Rounds a delay up or down at random to full seconds, so that the mean stays the same.
 
     `chance`: evenly distributed in 0 to 1. A delay above 0 becomes 1 s at least, because 0 s would mean an
     immediate retry.
@@ -115,7 +115,7 @@
         self.read_ms = 0.0  # when it was read to its end, on the proxy's clock
         self.waited_ms = 0.0  # wait for the proxy to accept its connection, after `read_ms`
         self.trace: RequestTrace | None = None  # from its arrival, if traces are recorded
-        self.pipe: Pipe | None = None  # its body, if it is streamed
+        self.pipe: Pipe | None = None  # the body, if it is streamed
 
     @property
     def streams(self) -> bool:
@@ -134,15 +134,15 @@
 
     def __init__(self) -> None:
         self.load: bytes | None = None
-        self.trace = b""  # the trace context that it returned
+        self.trace = b""  # the trace context that the backend returned
         self.kind = b""
         self.body = b""
-        self.pipe: Pipe | None = None  # its body, if it is streamed; `body` is empty then
+        self.pipe: Pipe | None = None  # the body, if it is streamed; `body` is empty then
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class RequestTrace:
-    """Records the trace of one request: a `core.hooks.RequestObserver` that is also told of waits."""
+    """Records the trace of one request: a `core.hooks.RequestObserver` that is also notified of waits."""
 
     __slots__ = ()
 
--- a/honeywharf/core/probes.py
+++ b/honeywharf/core/probes.py
@@ -51,7 +51,7 @@
         )
 
     def start(self, endpoint: str, reports: bool) -> None:
-        """Starts a health check of an endpoint; `reports` asks for its load report too."""
+        """Starts a health check of an endpoint; `reports`: also requests its load report."""
         if not self.transport.known(endpoint):
             self.enqueue(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0.0))
             return
--- a/honeywharf/core/transport.py
+++ b/honeywharf/core/transport.py
@@ -100,7 +100,7 @@
 class UpstreamRequest:
     """A request to a backend. The transport calls `ended` exactly once, unless the request is aborted.
 
-    Without a client's request it is a health check; `report` asks for the backend's load report.
+    Without a client's request it is a health check; `report`: it also requests the backend's load report.
     """
 
     __slots__ = (
@@ -156,7 +156,7 @@
         """Sets the address of an endpoint."""
 
     def forget(self, endpoint: str) -> None:
-        """Removes an endpoint that is gone; nothing can be sent there any more."""
+        """Removes an endpoint that has left; nothing can be sent there afterwards."""
 
 
 class Registry(Protocol):
--- a/honeywharf/core/transport_router.py
+++ b/honeywharf/core/transport_router.py
@@ -1,4 +1,4 @@
-"""Several protocols' transports behind one: each call goes to the transport that knows its endpoint."""
+"""A transport that passes each call to the protocol's transport that knows its endpoint."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         transport.start(call)
 
     def abort(self, call: UpstreamRequest) -> None:
-        """Aborts the call. Its endpoint may be gone, so each transport is asked; one of them has the call."""
+        """Aborts the call at every transport, as discovery may have removed its endpoint by now."""
         for transport in self.transports:
             transport.abort(call)
 
--- a/honeywharf/core/turns.py
+++ b/honeywharf/core/turns.py
@@ -8,7 +8,7 @@
 
 from honeywharf.core.transport import Clock
 
-REPORT_INTERVAL_MS = 100.0  # how often the shortest turn since the last report is reported
+REPORT_INTERVAL_MS = 100.0  # the interval at which the shortest turn since the last report is reported
 MIN_IO_WAIT_MS = 0.5  # Shorter waits for I/O count as none, because the loop's time has a resolution of 1 ms.
 NOTHING_TO_REPORT = -1.0
 
@@ -51,7 +51,7 @@
         """Notes the end of a turn. Returns the shortest turn in ms when a report is due, otherwise -1."""
         before, self.io_wait_began_ms = self.io_wait_began_ms, self.clock.now()
         if not self.had_arrival:
-            return NOTHING_TO_REPORT  # without input the start of the turn is not known
+            return NOTHING_TO_REPORT  # the start of a turn is known only if there was input
         self.had_arrival = False
         self.shortest_turn_ms = min(
             self.shortest_turn_ms, self.io_wait_began_ms - max(before, self.turn_began_ms)
--- a/honeywharf/core/validation.py
+++ b/honeywharf/core/validation.py
@@ -5,8 +5,8 @@
 from honeywharf.core.messages import Request
 from honeywharf.policy import interface as api
 
-# The final answer must be on its way before the client gives up. The client's time limit runs from its send,
-# so part of it has passed when the request is read, and the proxy's timer may fire late.
+# The final answer must be on its way before the client gives up. Part of the client's time limit has passed
+# when the request is read, as it runs from the send, and the proxy's timer may fire late.
 ANSWER_MARGIN_MS = 10.0
 
 
--- a/honeywharf/discovery/watch.py
+++ b/honeywharf/discovery/watch.py
@@ -14,14 +14,13 @@
 from honeywharf.policy import interface as api
 
 PATH = "/registry/instances"
-WAIT_MS = 5000  # of one watch call; bounds the time until a cut connection is noticed
-TIMEOUT_MS = 1000.0  # to connect, and for an answer after its call's wait
+WAIT_MS = 5000  # the wait of one watch call; bounds the time until a lost connection is detected
+TIMEOUT_MS = 1000.0  # the time to connect, and to answer after the wait of the call
 # A call whose answer has begun and stalls for this long is repeated. The time doubles with each failure.
 STALL_TIMEOUT_S = 0.25
-MIN_CALL_INTERVAL_S = (
-    0.05  # after an empty answer that came at once; has to stay under 0.2 s, which ends a watch
-)
-RETRY_RANGE_S = (0.02, 0.1)  # of the first retry, drawn at random; doubles with each failure
+# The interval after an empty answer that came at once. It has to stay under 0.2 s, which ends a watch.
+MIN_CALL_INTERVAL_S = 0.05
+RETRY_RANGE_S = (0.02, 0.1)  # range of the random delay of the first retry; doubles with each failure
 MAX_RETRY_S = 1.0
 MAX_LIST_BYTES = 16 * 1024 * 1024
 LIFECYCLES = {
@@ -59,14 +58,14 @@
 
 
 class Directory:
-    """The endpoint list as this proxy holds it, for the decision module and the pool."""
+    """The current endpoint list of this proxy, for the decision module and the pool."""
 
     def __init__(self, address_books: dict[str, AddressBook]) -> None:
-        self.address_books = address_books  # by scheme; entries without one have the first
+        self.address_books = address_books  # the key is the scheme; the first one is the default
         self.default_scheme = next(iter(address_books))
         self.generation = 0
-        self.rows: dict[str, ListedEndpoint] = {}  # by id
-        # Excluded by an operator: in no address book, even if they are listed.
+        self.rows: dict[str, ListedEndpoint] = {}  # listed endpoints; the key is the id
+        # Endpoints excluded by an operator are in no address book, even if they are listed.
         self.excluded: frozenset[str] = frozenset()
 
     def take(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
@@ -150,7 +149,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to discovery. Its events count only while the watch holds it.
+    """One connection to discovery. Its events count only while it is the watch's current one.
 
     Guards against late bytes or the loss of an abandoned connection that affect its successor.
     """
@@ -167,12 +166,12 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Passes data to the watch if it still holds this connection."""
+        """Passes data to the watch if this is still its connection."""
         if self.watch.connection is self:
             self.watch.received(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports the loss to the watch if it still holds this connection."""
+        """Reports the loss to the watch if this is still its connection."""
         if self.watch.connection is self:
             self.watch.lost()
 
@@ -202,9 +201,9 @@
             directory,
             notify,
         )
-        self.polled = polled  # the decision module asks for each watch, and is told of failures
+        self.polled = polled  # the decision module requests each watch, and is notified of failures
         self.changes_wanted = self.full_wanted = False
-        # Until the new address has sent a full list, as generations of two addresses do not compare.
+        # True until the new address has sent a full list, as generations of two addresses do not compare.
         self.address_changed = False
         self.up = False  # the first call has been answered or has timed out
         self.failures = 0
@@ -216,17 +215,17 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def watch(self) -> None:
-        """Starts to ask for changes."""
+        """Starts to watch for changes."""
         self.changes_wanted = True
         self._call_if_needed()
 
     def fetch(self) -> None:
-        """Asks for the full list once."""
+        """Fetches the full list once."""
         self.full_wanted = True
         self._call_if_needed()
 
     def move(self, host_port: Address) -> None:
-        """Moves to another address at once, during a call as well; the list held stays in use."""
+        """Moves to another address at once, during a call as well; the current list stays in use."""
         if host_port == self.host_port:
             return
         self.host_port, self.address_changed, self.failures = host_port, True, 0
@@ -320,7 +319,7 @@
             self._failed()
 
     def _timed_out(self) -> None:
-        """Handles a time-out. The watch counts as up, with the list held last.
+        """Handles a time-out. The watch counts as up, with its last list.
 
         Guards against a proxy that stays out of service while discovery accepts calls without answering.
         """
@@ -333,7 +332,7 @@
         self._failed()
 
     def _failed(self) -> None:
-        """Retries after a random delay; a decision module that asks for watches is told instead."""
+        """Retries after a random delay; a decision module that requests watches is notified instead."""
         self.call_pending = self.full_wanted = False
         self._close()
         if self.polled:
--- a/honeywharf/drift/aggregator.py
+++ b/honeywharf/drift/aggregator.py
@@ -1,6 +1,6 @@
 """The drift aggregator of a control node: history, the sidecars' drift reports, and the operator's view.
 
-`GET /api/drift` asks every sidecar in the membership for its view, `MAX_CALLS_IN_FLIGHT` at a time. The
+`GET /api/drift` fetches the view of every sidecar in the membership, `MAX_CALLS_IN_FLIGHT` at a time. The
 response holds the views, the sidecars that did not answer, and this machine's history.
 `GET /api/drift/between/r7/r12` lists the changes between two versions. If a disk returns an acceptor state
 that is older than the one that its machine's history or a peer knows, this member has no vote until it is
@@ -30,8 +30,8 @@
 MAX_CALLS_IN_FLIGHT = 16
 CALL_TIMEOUT_S = 0.8
 MAX_NODES = 2000
-MAX_PEERS = 64  # Whose highest accepted proposal is stored.
-PROGRESS_INTERVAL_S = 1.0  # Between records of this machine's own progress.
+MAX_PEERS = 64  # The highest accepted proposal is stored for this many peers.
+PROGRESS_INTERVAL_S = 1.0  # The interval between records of this machine's own progress.
 
 
 class DriftAggregator:
@@ -40,7 +40,9 @@
     def __init__(self, program: ControlProgram) -> None:
         self.program, self.host, self.replica = program, program.host, program.replica
         self.history = History(program.host)
-        self.highest_accepted: dict[MemberId, tuple[Any, ...]] = {}  # As each has reported.
+        self.highest_accepted: dict[
+            MemberId, tuple[Any, ...]
+        ] = {}  # The highest reported proposal of each peer.
         self.acceptor_regressions = 0
         tree = program.operator.routes
         tree.add("GET", "/api/drift", self._send_views)
@@ -54,7 +56,7 @@
         self.history.load()
         state = self.replica.state
         if self.history.has_regressed(state.disk, state.promised, state.accepted):
-            self._give_up_vote("its history")
+            self._discard_vote("its history")
         self._record_progress()
 
     def _record_progress(self) -> None:
@@ -84,10 +86,10 @@
         self.check_accepted(heartbeat.sender, heartbeat.accepted)
 
     def check_accepted(self, member: MemberId, accepted: tuple[Any, ...]) -> None:
-        """Compares a peer's accepted proposal with its highest one. If it is lower, asks the peer to check.
+        """Compares a peer's accepted proposal with its highest one. If it is lower, calls the peer to check.
 
         Heartbeats may arrive out of order, so a lower one proves nothing: the peer checks its own state. The
-        question is repeated with each such heartbeat.
+        call is repeated with each such heartbeat.
         """
         if member not in self.highest_accepted and len(self.highest_accepted) >= MAX_PEERS:
             self.highest_accepted.pop(next(iter(self.highest_accepted)))
@@ -102,9 +104,9 @@
                 partial(self._on_regression_answer, member),
             )
 
-    def _on_regression_answer(self, member: MemberId, gave_up_vote: Any) -> None:
-        """Handles a peer's answer, which is True if it has given up its vote."""
-        if gave_up_vote is True:
+    def _on_regression_answer(self, member: MemberId, has_discarded_vote: Any) -> None:
+        """Handles a peer's answer, which is True if the peer has discarded its vote."""
+        if has_discarded_vote is True:
             self.host.log(f"drift monitor: the register of {member[0]} is older than it had reported")
             self.history.add_drift_report(member[0], "peer", "its register is older than it had told", 0)
 
@@ -119,10 +121,10 @@
         state = self.replica.state
         is_older = disk == state.disk and state.accepted < tuple(accepted)
         if is_older:
-            self._give_up_vote(peer[0])
+            self._discard_vote(peer[0])
         reply(is_older)
 
-    def _give_up_vote(self, source: str) -> None:
+    def _discard_vote(self, source: str) -> None:
         self.acceptor_regressions += 1
         self.host.log(
             f"drift monitor: the disk returned an older acceptor state, by {source}: the vote is given up"
--- a/honeywharf/drift/destination_check.py
+++ b/honeywharf/drift/destination_check.py
@@ -2,7 +2,7 @@
 
     same rule, whatever the revision       RUN: equal rules have equal digests, so a rollout is no drift
     another rule, the source is older      SOURCE_STALE: does not run; the source updates its configuration
-    another rule, the source is newer      VERIFY_FIRST: this node may be stale and asks before it runs
+    another rule, the source is newer      VERIFY_FIRST: this node may be stale, and verifies before it runs
     another rule, the same revision        CONFLICT: does not run; both scan themselves, a majority decides
     same rule, but another decision        CONFLICT: the kind differs, or the rule does not name the service
 
@@ -18,7 +18,7 @@
 
 RUN, SOURCE_STALE, VERIFY_FIRST, CONFLICT = range(4)
 OUTCOME_NAMES = ("run", "stale", "ask", "conflict")
-READ_SAMPLE_INTERVAL = 8  # One of so many read_only requests is checked.
+READ_SAMPLE_INTERVAL = 8  # One in this many read_only requests is checked.
 
 
 def kind_number(route: Route) -> int:
--- a/honeywharf/drift/digests.py
+++ b/honeywharf/drift/digests.py
@@ -82,9 +82,9 @@
     return int.from_bytes(digest(b"%b\0%b" % (host, prefix)), "big")
 
 
-def branch(leaves: Iterable[bytes]) -> bytes:
+def branch(leaf_digests: Iterable[bytes]) -> bytes:
     """Returns the digest of a branch from those of its leaves."""
-    return digest(b"".join(sorted(leaves)))
+    return digest(b"".join(sorted(leaf_digests)))
 
 
 def root(branches: dict[str, bytes]) -> bytes:
--- a/honeywharf/drift/history.py
+++ b/honeywharf/drift/history.py
@@ -27,9 +27,9 @@
 FILE, NEW_FILE, TEXT_PREFIX = "drift-history", "drift-history.new", "drift-text-"
 MAGIC = b"hwa1"
 MAX_REVISIONS, MAX_DRIFT_REPORTS = 64, 256
-MAX_TEXTS, MAX_TEXT_BYTES = 8, 1 << 20  # Of stored configurations, compressed.
+MAX_TEXTS, MAX_TEXT_BYTES = 8, 1 << 20  # Bounds on the stored configuration texts, compressed.
 MAX_CAUSE_LENGTH = 200
-WRITE_DELAY_S = 0.7  # Between a change and the write.
+WRITE_DELAY_S = 0.7  # The delay between a change and the write.
 MAX_DIFF_LINES = 2000
 
 
@@ -40,7 +40,7 @@
         self.host = host
         self.revisions: list[list[Any]] = []  # Wall time, revision, version, digest, evacuated zones.
         self.drift_reports: list[list[Any]] = []  # Wall time, node, method, cause, revision.
-        self.acceptor_progress: list[Any] = []  # Of this machine: disk, promised, accepted.
+        self.acceptor_progress: list[Any] = []  # This machine's disk, promised and accepted proposals.
         self.texts: list[list[Any]] = []  # Version, digest, size in bytes.
         self.unwritten_texts: list[tuple[MeshState, bytes]] = []  # Not yet on disk.
         self.write_pending = False
--- a/honeywharf/drift/monitor.py
+++ b/honeywharf/drift/monitor.py
@@ -27,9 +27,9 @@
     from honeywharf.sidecar.outbound_request import OutboundRequest
     from honeywharf.transport.host import Address
 
-FETCH_RETRY_S = 0.03  # Between attempts after a failed fetch.
+FETCH_RETRY_S = 0.03  # The delay of the next attempt after a failed fetch.
 MAX_WAITING = 256
-# So many peers that disagree on a rule within the window are believed; one alone is not.
+# A disagreement on a rule counts if at least this many peers report it within the window.
 MIN_DISAGREEING_PEERS, DISAGREEMENT_WINDOW_S = 2, 5.0
 
 
@@ -44,9 +44,9 @@
         super().__init__(sidecar)
         self.check_count = self.sample_count = 0
         self.fetching = False
-        self.fetch_count, self.fetch_started_at = 0, self.host.now()  # Of the last fetch.
-        self.waiting_courses: list[OutboundRequest] = []  # Decide again after the fetch.
-        self.waiting_jobs: list[InboundRequest] = []  # Wait for a state from another node.
+        self.fetch_count, self.fetch_started_at = 0, self.host.now()  # Number and start of the last fetch.
+        self.waiting_outbound_requests: list[OutboundRequest] = []  # These are routed again after the fetch.
+        self.waiting_inbound_requests: list[InboundRequest] = []  # These wait for a state from another node.
         self.disagreeing_peers: dict[str, tuple[bytes, float]] = {}  # The rule that each rejected, and when.
 
     # At the source.
@@ -107,20 +107,20 @@
         """Returns the digest of the rule that decided, which is sent with the request."""
         return self.digest_cache.digest_of(route)
 
-    def refresh_and_retry(self, course: OutboundRequest, peer: str) -> None:
-        """After a peer's refusal by its own rule, fetches its state; then the course decides again."""
-        source_revision = course.revision
+    def refresh_and_retry(self, outbound_request: OutboundRequest, peer: str) -> None:
+        """After a peer's refusal by its own rule, fetches its state and then routes the request again."""
+        source_revision = outbound_request.revision
         if (
-            len(self.waiting_courses) >= MAX_WAITING
+            len(self.waiting_outbound_requests) >= MAX_WAITING
             or peer == self.sidecar.settings.ip
             or source_revision < self.configuration.revision
         ):
-            self.host.after(0.0, course.reroute)
+            self.host.after(0.0, outbound_request.reroute)
             return
-        self.waiting_courses.append(course)
+        self.waiting_outbound_requests.append(outbound_request)
         if not self.fetching:
             self._begin_fetch()
-            rule = self.digest_cache.digest_of(course.route)
+            rule = self.digest_cache.digest_of(outbound_request.route)
             self._fetch(
                 (peer, self.sidecar.settings.internal_ports[0]),
                 lambda value: self._on_peer_state(peer, source_revision, rule, value),
@@ -150,7 +150,7 @@
     def _record_disagreement(self, peer: str, rule: bytes) -> None:
         """Records that a peer uses another rule while a scan of this node has found nothing.
 
-        `MIN_DISAGREEING_PEERS` such peers are believed, a single one is not. A quarantined peer is ignored,
+        It counts as drift if `MIN_DISAGREEING_PEERS` such peers report it. A quarantined peer is ignored,
         and a disagreement counts only until another peer runs a request by the rule (`confirm_rule`).
         """
         now, entry = self.host.now(), self.sidecar.membership.entries().get(peer)
@@ -175,114 +175,130 @@
         if now - self.fetch_started_at < STALL_S:
             self.is_unconfirmed, self.last_alive_at = False, now
         self.fetching = False
-        courses, self.waiting_courses = self.waiting_courses, []
-        for course in courses:
-            course.reroute()
-        jobs, self.waiting_jobs = self.waiting_jobs, []
-        for job in jobs:
-            if not job.is_over and self._check_job(job, True):
-                job.admit_or_reject()
+        outbound_requests, self.waiting_outbound_requests = self.waiting_outbound_requests, []
+        for outbound_request in outbound_requests:
+            outbound_request.reroute()
+        inbound_requests, self.waiting_inbound_requests = self.waiting_inbound_requests, []
+        for inbound_request in inbound_requests:
+            if not inbound_request.is_over and self._check_request(inbound_request, True):
+                inbound_request.admit_or_reject()
 
     # At the destination.
 
-    def admits(self, job: InboundRequest) -> bool:
+    def admits(self, inbound_request: InboundRequest) -> bool:
         """Whether a request may go on to the gate. Otherwise it is refused, or waits for a fetched state."""
-        return self._check_job(job, False)
+        return self._check_request(inbound_request, False)
 
-    def _check_job(self, job: InboundRequest, verified: bool) -> bool:
-        ask, now = job.forwarded, self.host.now()
-        host, path = destination_check.host_of(ask.fields), ask.target.partition(b"?")[0]
+    def _check_request(self, inbound_request: InboundRequest, verified: bool) -> bool:
+        forwarded_request, now = inbound_request.forwarded, self.host.now()
+        host, path = (
+            destination_check.host_of(forwarded_request.fields),
+            forwarded_request.target.partition(b"?")[0],
+        )
         route = self.configuration.find(host, path)
-        strict = ask.kind != 0 or (route is not None and not route.is_idempotent)
+        strict = forwarded_request.kind != 0 or (route is not None and not route.is_idempotent)
         if strict and self.quarantine_active and self._may_refuse():
-            return self._refuse_job(job, self.state.retry_delay_s())
+            return self._refuse_request(inbound_request, self.state.retry_delay_s())
         if strict and self.judging and not verified and now - self.last_alive_at > STALL_S:
-            return self._hold(job, None)
+            return self._hold(inbound_request, None)
         if strict and self.scanning and (fault := scan.small_parts(self.sidecar)):
             self.report_drift("scan", fault)
-        if not ask.peer:
+        if not forwarded_request.peer:
             if strict and self.judging and self.is_unconfirmed and not verified:
                 # No other sidecar checks this request, so a control node has to confirm the state first.
-                return self._hold(job, None)
-            return self._check_local_job(job, host, path)
+                return self._hold(inbound_request, None)
+            return self._check_local_request(inbound_request, host, path)
         if not self.judging or (not strict and self._is_unsampled()):
             return True
-        outcome = self._outcome(job, route)
+        outcome = self._outcome(inbound_request, route)
         if outcome == destination_check.CONFLICT and self.scan_if_due(
-            "judge", f"{ask.peer} decides otherwise"
+            "judge", f"{forwarded_request.peer} decides otherwise"
         ):
-            outcome = self._outcome(job, self.configuration.find(host, path))
+            outcome = self._outcome(inbound_request, self.configuration.find(host, path))
         if outcome == destination_check.RUN:
             return True
         if outcome == destination_check.VERIFY_FIRST and not verified:
-            return self._hold(job, (ask.peer, self.sidecar.settings.internal_ports[0]))
-        return self._refuse_job(job, 0.0 if outcome != destination_check.VERIFY_FIRST else 0.05)
+            return self._hold(
+                inbound_request, (forwarded_request.peer, self.sidecar.settings.internal_ports[0])
+            )
+        return self._refuse_request(
+            inbound_request, 0.0 if outcome != destination_check.VERIFY_FIRST else 0.05
+        )
 
-    def admits_after_wait(self, job: InboundRequest) -> bool:
+    def admits_after_wait(self, inbound_request: InboundRequest) -> bool:
         """Whether a request that has waited may go on. Otherwise it is refused."""
-        ask = job.forwarded
-        if not ask.kind or not self.judging:
+        forwarded_request = inbound_request.forwarded
+        if not forwarded_request.kind or not self.judging:
             return True
         if self.host.now() - self.last_alive_at > STALL_S:
-            return self._refuse_job(job, 0.0)
-        host, path = destination_check.host_of(ask.fields), ask.target.partition(b"?")[0]
-        if not ask.peer:
-            return self._check_local_job(job, host, path)
+            return self._refuse_request(inbound_request, 0.0)
+        host, path = (
+            destination_check.host_of(forwarded_request.fields),
+            forwarded_request.target.partition(b"?")[0],
+        )
+        if not forwarded_request.peer:
+            return self._check_local_request(inbound_request, host, path)
         return self._outcome(
-            job, self.configuration.find(host, path)
-        ) == destination_check.RUN or self._refuse_job(job, 0.0)
+            inbound_request, self.configuration.find(host, path)
+        ) == destination_check.RUN or self._refuse_request(inbound_request, 0.0)
 
     def _is_unsampled(self) -> bool:
         self.check_count += 1
         return bool(self.check_count % destination_check.READ_SAMPLE_INTERVAL)
 
-    def _outcome(self, job: InboundRequest, route: Route | None) -> int:
-        ask = job.forwarded
+    def _outcome(self, inbound_request: InboundRequest, route: Route | None) -> int:
+        forwarded_request = inbound_request.forwarded
         own = b"" if route is None else self.digest_cache.digest_of(route)
         return destination_check.check(
-            (ask.revision, ask.rule, ask.kind, ask.service), self.configuration.revision, route, own
+            (
+                forwarded_request.revision,
+                forwarded_request.rule,
+                forwarded_request.kind,
+                forwarded_request.service,
+            ),
+            self.configuration.revision,
+            route,
+            own,
         )
 
-    def _check_local_job(self, job: InboundRequest, host: bytes, path: bytes) -> bool:
+    def _check_local_request(self, inbound_request: InboundRequest, host: bytes, path: bytes) -> bool:
         """Checks a request from this machine, for which the reference parser is the only check."""
-        reference, ask = self.reference, job.forwarded
+        reference, forwarded_request = self.reference, inbound_request.forwarded
         if not self.reading or reference is None:
             return True
         expected_rule, kind = reference.find_rule(host, path)
         route = self.configuration.find(host, path)
         if (
-            expected_rule == ask.rule
-            and kind == ask.kind
+            expected_rule == forwarded_request.rule
+            and kind == forwarded_request.kind
             and route is not None
-            and any(name == ask.service for name, _ in route.split)
+            and any(name == forwarded_request.service for name, _ in route.split)
         ):
             return True
-        if ask.revision == self.configuration.revision:
+        if forwarded_request.revision == self.configuration.revision:
             self.report_drift("reading", f"{_printable(host, path)} would run by another rule")
-        return self._refuse_job(job, 0.0)
+        return self._refuse_request(inbound_request, 0.0)
 
-    def _refuse_job(self, job: InboundRequest, retry_delay_s: float) -> bool:
+    def _refuse_request(self, inbound_request: InboundRequest, retry_delay_s: float) -> bool:
         self.refused_requests += 1
-        job.reject(DRIFT, retry_delay_s)
+        inbound_request.reject(DRIFT, retry_delay_s)
         return False
 
-    def _hold(self, job: InboundRequest, holder: Address | None) -> bool:
+    def _hold(self, inbound_request: InboundRequest, node: Address | None) -> bool:
         """Holds a request until a state has been fetched, or refuses it if too many are waiting."""
-        if len(self.waiting_jobs) >= MAX_WAITING:
-            return self._refuse_job(job, 0.05)
-        self.waiting_jobs.append(job)
+        if len(self.waiting_inbound_requests) >= MAX_WAITING:
+            return self._refuse_request(inbound_request, 0.05)
+        self.waiting_inbound_requests.append(inbound_request)
         if not self.fetching:
             self._begin_fetch()
-            self._fetch_state(holder)
+            self._fetch_state(node)
         return False
 
-    def _fetch_state(self, holder: Address | None) -> None:
+    def _fetch_state(self, node: Address | None) -> None:
         candidates = self.sidecar.control_nodes()
-        if holder is not None or candidates:
-            self.control_node_turn += 1
-            self._fetch(
-                holder or candidates[self.control_node_turn % len(candidates)], self._on_fetched_state
-            )
+        if node is not None or candidates:
+            self.next_control_node += 1
+            self._fetch(node or candidates[self.next_control_node % len(candidates)], self._on_fetched_state)
 
     def _begin_fetch(self) -> None:
         """Starts a fetch, for which requests wait at most `HOLD_TIMEOUT_S`."""
--- a/honeywharf/drift/periodic_scan.py
+++ b/honeywharf/drift/periodic_scan.py
@@ -22,7 +22,7 @@
 SCAN_STEP_S = 0.25
 STEPS_PER_ROUND = 16  # A round takes 4 s.
 MIN_ROUTES_PER_STEP, MAX_ROUTES_PER_STEP = 16, 100  # A step takes at most 1 ms: 0.4 % of a CPU core.
-STALL_S = 0.9  # Without a step for so long, a request that must not run twice waits for a confirmation.
+STALL_S = 0.9  # After this long without a step, a request that must not run twice waits for a confirmation.
 CONFIRM_INTERVAL_S = 4.0
 HOLD_TIMEOUT_S = 0.3  # The longest wait of a request for a state from another node.
 
@@ -116,13 +116,13 @@
                 renew=True,
             )
 
-    def _fetch(self, holder: Address, done: Any) -> None:
-        """Asks a node for its state and adopts it if it is newer."""
+    def _fetch(self, node: Address, done: Any) -> None:
+        """Fetches a node's state and adopts it if it is newer."""
         started_at = self.host.now()
 
         def on_state(value: Any) -> None:
             if isinstance(value, dict) and value.get("digest"):
-                self.configuration.offer(holder, value)
+                self.configuration.offer(node, value)
             done(value if self.host.now() - started_at < STALL_S else None)  # A stall makes the answer stale.
 
-        self.sidecar.caller.call(holder, rpc_methods.KNOWN_STATE, None, HOLD_TIMEOUT_S, on_state)
+        self.sidecar.caller.call(node, rpc_methods.KNOWN_STATE, None, HOLD_TIMEOUT_S, on_state)
--- a/honeywharf/drift/reference_parser.py
+++ b/honeywharf/drift/reference_parser.py
@@ -20,7 +20,7 @@
     from typing import Any
 
 KINDS = {"read_only": 0, "mutating": 1, "upload": 2}
-WEIGHT_TOLERANCE = 1e-9  # As a fraction of the total weight: the rounding of sums depends on their order.
+WEIGHT_TOLERANCE = 1e-9  # A fraction of the total weight: the rounding of sums depends on their order.
 
 
 def _seconds(text: str) -> float:
@@ -104,7 +104,8 @@
         host, _, _, rule_digest = _parse_rule(route)
         hosts.setdefault(host, []).append(rule_digest)
     branches = {
-        digests.ROUTE_BRANCH_PREFIX + host.decode(): digests.branch(leaves) for host, leaves in hosts.items()
+        digests.ROUTE_BRANCH_PREFIX + host.decode(): digests.branch(leaf_digests)
+        for host, leaf_digests in hosts.items()
     }
     branches["services"] = digests.branch(map(_service_digest, document["services"]))
     branches["limits"] = _limits_digest(document.get("limits") or {})
--- a/honeywharf/drift/remediation.py
+++ b/honeywharf/drift/remediation.py
@@ -31,15 +31,15 @@
     from honeywharf.transport.host import Address
     from honeywharf.transport.rpc_server import Reply
 
-FULL_SCAN_INTERVAL_S = 0.25  # Between full scans that peers or requests trigger.
+FULL_SCAN_INTERVAL_S = 0.25  # The least interval of full scans that peers or requests trigger.
 MAX_RELAPSE_PENALTY = 16
-MAX_RELAPSES = 3  # Drift found in the healed state so often means that a rebuild does not help.
-REPORT_INTERVAL_S, MAX_REPORT_RECEIVERS = 0.25, 7  # Between reports to control nodes; receivers of each.
-MAX_DRIFT_REPORTS = 16  # In a view.
+MAX_RELAPSES = 3  # Drift found this often in the healed state means that a rebuild does not help.
+REPORT_INTERVAL_S, MAX_REPORT_RECEIVERS = 0.25, 7  # The least interval of reports, and their receivers.
+MAX_DRIFT_REPORTS = 16  # The number of reports in a view.
 MAX_TEXT_BYTES = 80 << 20
 MAX_CAUSE_LENGTH = 160  # Characters.
-LEASE_RETRY_S = 5.0  # Between requests for a lease after a denial.
-MAX_LEASE_SLOTS = 8  # Tried in the zone, and as many of the whole mesh.
+LEASE_RETRY_S = 5.0  # The interval of requests for a lease after a denial.
+MAX_LEASE_SLOTS = 8  # The slots tried in the zone, and as many in the mesh.
 
 
 def unpack_text(packed: bytes, digest: str) -> bytes:
@@ -62,7 +62,7 @@
     """Repairs one sidecar.
 
     `judging` (at the destination), `reading` (by the reference parser) and `scanning` switch the three ways
-    of detection, so that each can be measured alone.
+    of detection, so that each can be tested alone.
     """
 
     def __init__(self, sidecar: Sidecar) -> None:
@@ -76,7 +76,9 @@
         self.reference_digest = ""
         self.scan_iterator: Any = None
         self.scanned_table: RoutingTable | None = None
-        self.applied_limits: tuple[object, ...] = ()  # As the configuration in force set them at the backend.
+        self.applied_limits: tuple[
+            object, ...
+        ] = ()  # The limits at the backend by the current configuration.
         self.full_scan_at = now - FULL_SCAN_INTERVAL_S
         self.relapses = 0
         self.rebuilding = self.renewal_in_flight = self.quarantine_active = False
@@ -86,14 +88,14 @@
         self.detections: dict[str, int] = {}
         self.refused_requests = 0
         self.drift_reports: list[list[object]] = []
-        self.control_node_turn = 0
+        self.next_control_node = 0
         self.reported_at = now - REPORT_INTERVAL_S  # When the last report was sent to control nodes.
         self.relapse_penalty = 1  # Further renewals that count as failed after the next relapse.
 
     # Detection and repair.
 
     def scan_if_due(self, method: str, reason: str) -> bool:
-        """Scans the whole node unless it has just been scanned. Returns whether drift was found."""
+        """Scans all of the node unless it has just been scanned. Returns whether drift was found."""
         now = self.host.now()
         if now - self.full_scan_at < FULL_SCAN_INTERVAL_S or self.reference is None:
             return False
@@ -172,7 +174,7 @@
         from honeywharf.lease.grantor import QUARANTINE, Role
 
         def slots(scope: str, count: int) -> list[Role]:
-            """Returns the slots to try, from a random one on: nodes that ask at once try different ones."""
+            """Returns the slots to try, from a random one on, so that nodes rarely try the same one."""
             first = self.host.random(1)[0] % count
             return [
                 Role(QUARANTINE, scope, (first + offset) % count)
@@ -289,8 +291,8 @@
                 self._schedule_renewal()
             return
         self.renewal_in_flight = True
-        self.control_node_turn += 1
-        control_node = candidates[self.control_node_turn % len(candidates)]
+        self.next_control_node += 1
+        control_node = candidates[self.next_control_node % len(candidates)]
         self.sidecar.caller.call(
             control_node,
             rpc_methods.READ_STATE,
--- a/honeywharf/drift/scan.py
+++ b/honeywharf/drift/scan.py
@@ -45,7 +45,7 @@
 def routes(
     table: RoutingTable, reference: ReferenceTable, digest_cache: digests.RuleDigestCache
 ) -> Iterator[str]:
-    """Yields a fault or "" for each route, then for the whole table. RuntimeError: the table was changed."""
+    """Yields a fault or "" for each route, then for the table. RuntimeError: the table was changed."""
     route_count = 0
     for host, host_routes in table._hosts.items():
         longest_prefix = 0
--- a/honeywharf/drift/states.py
+++ b/honeywharf/drift/states.py
@@ -11,11 +11,11 @@
 
 `*` Only after `MAX_FAILED_RENEWALS` and only if there is capacity: at most `MAX_QUARANTINED_FRACTION` of a
 zone's proxies, and fewer than half of all, are quarantined at once. A majority of the control nodes grants a
-lease for each (`lease/`), so that two nodes do not take the last place at once. Without capacity a node stays
-doubted and refuses only the requests for which its two parsers disagree. While its lease is requested or
-held, a doubted node refuses `mutating` and `upload` requests with a time to retry, and serves reads on which
-both parsers agree; a quarantined node also reports that it is not ready. An event that is not in a state's
-row raises ValueError.
+lease for each (`lease/`), so that two nodes do not use the last capacity at once. Without capacity a node
+stays doubted and refuses only the requests for which its two parsers disagree. While its lease is requested
+or held, a doubted node refuses `mutating` and `upload` requests with a time to retry, and serves reads on
+which both parsers agree; a quarantined node also reports that it is not ready. An event that is not in a
+state's row raises ValueError.
 """
 
 from __future__ import annotations
@@ -45,9 +45,9 @@
     },
     HEALED: {ANNOUNCED: HEALED, APPLIED: APPLYING, SCAN_PASSED: HEALED, DRIFT_FOUND: DOUBTED, STABLE: AGREED},
 }
-MAX_QUARANTINED_FRACTION = 0.25  # Of a zone's proxies; one may always be quarantined.
-STABLE_S = 5.0  # Time without drift after which a healed node becomes agreed.
-MAX_FAILED_RENEWALS = 3  # Failed renewals after which a node counts as unable to heal.
+MAX_QUARANTINED_FRACTION = 0.25  # A fraction of a zone's proxies; one may always be quarantined.
+STABLE_S = 5.0  # A healed node becomes agreed after this time without drift.
+MAX_FAILED_RENEWALS = 3  # A node counts as unable to heal after this many failed renewals.
 RENEWAL_BACKOFF_S = (0.1, 5.0)  # Initial and maximum delay before the next renewal.
 
 
--- a/honeywharf/limits/__init__.py
+++ b/honeywharf/limits/__init__.py
@@ -9,7 +9,8 @@
 Every limiter here may rely on these conditions:
 
 - `latency_ms` is the servers' own time: the caller has subtracted the time that the proxy's event loop added.
-- `base_ms` is the answer time of unloaded servers, and `target_ms` the part of the aim that answers may take.
+- `base_ms` is the answer time of unloaded servers, and `target_ms` the part of the latency target that
+  answers may take.
 - A limit is bounded below (`Limiter.min_limit`) by Little's law: a server that answers in `base_ms` when
   alone answers `target_ms / base_ms` calls one after the other within the target, so that many in flight are
   safe as long as nothing but `base_ms` is known of it; and above by `MAX_LIMIT`.
--- a/honeywharf/limits/base.py
+++ b/honeywharf/limits/base.py
@@ -9,8 +9,8 @@
 def littles_law(target_ms: float, base_ms: float) -> float:
     """Returns how many calls in flight one server can still answer within `target_ms`; at least 1.
 
-    Little (1961): in flight = rate x time. A server of which only the unloaded answer time is known completes
-    at least one call per `base_ms`, so the last of `target_ms / base_ms` calls is in time.
+    Little (1961): in flight = rate x time. A server with a known unloaded answer time completes at least one
+    call per `base_ms`, so the last of `target_ms / base_ms` calls is in time.
     """
     return max(1.0, target_ms / base_ms) if base_ms > 0 else MAX_LIMIT
 
--- a/honeywharf/limits/event_loop.py
+++ b/honeywharf/limits/event_loop.py
@@ -7,7 +7,7 @@
 BACKOFF = 0.85  # factor on the accepted share, for each interval over the target
 RECOVERY = 0.05  # added to the accepted share, for each interval under the target
 MIN_SHARE = 0.1  # some arrivals are always accepted, so that the end of an overload shows
-TARGET_PART = 0.05  # a request waits for several turns, and the servers need most of its aim
+TARGET_PART = 0.05  # a request waits for several turns, and the servers need most of its latency target
 
 
 class LoopLimiter:
--- a/honeywharf/limits/gradient.py
+++ b/honeywharf/limits/gradient.py
@@ -47,7 +47,7 @@
         if self.long_ms > 2.0 * self.short_ms:
             self.long_ms *= 0.95
         if in_flight < self.limit / 2.0:
-            return  # the limit is not in use, so the answers tell nothing of it
+            return  # the limit is not in use, so the answers say nothing about it
         gradient = max(MIN_GRADIENT, min(1.0, TOLERANCE * self.long_ms / max(self.short_ms, 1e-6)))
         target = self.limit * gradient + math.sqrt(self.limit)
         self.set_limit(self.limit + (target - self.limit) * SMOOTHING, 0.25 * self.first_limit)
--- a/honeywharf/limits/key_order.py
+++ b/honeywharf/limits/key_order.py
@@ -26,7 +26,7 @@
     """The requests of ordered classes that share a key, in order of arrival; the first one may run."""
 
     requests: deque[OrderedRequest] = field(default_factory=deque)
-    held_until: float = 0.0  # the endpoint may be at work on an ended attempt until then
+    held_until: float = 0.0  # the end of the hold, in which the endpoint may still execute an attempt
 
 
 class KeyOrder:
@@ -49,12 +49,12 @@
         return False
 
     def leave(self, request: OrderedRequest) -> None:
-        """Removes a request that is over; the next one of its key may be ready to run."""
+        """Removes a request that has ended; the next one of its key may be ready to run."""
         self.queues[request.key].requests.remove(request)
         self.ready_keys.append(request.key)
 
     def next_ready(self, now: float, key: str) -> OrderedRequest | None:
-        """Returns the request that may run and was not sent before; None while the key is held or idle."""
+        """Returns the request that may run and was not sent before; None while the key is blocked or idle."""
         key_queue = self.queues.get(key)
         if key_queue is None or key_queue.held_until > now:
             return None  # the timer at the end of the hold tries again
@@ -64,7 +64,7 @@
         return None if key_queue.requests[0].attempts else key_queue.requests[0]
 
     def hold(self, now: float, key: str) -> float:
-        """Holds the key, as the endpoint may still be at work on it; returns until when."""
+        """Holds the key, as the endpoint may still execute an attempt; returns the end of the hold in ms."""
         until = self.queues[key].held_until = now + self.turn_gap_ms
         self.holds.append((until, key))
         return until
--- a/honeywharf/limits/lateness.py
+++ b/honeywharf/limits/lateness.py
@@ -1,7 +1,7 @@
 """The default limiter: lowered by the mean lateness of answers, raised slowly while it is in use.
 
 An answer is on time up to `ON_TIME_BASES` base times, but never late within `MIN_ON_TIME_PART` of the target:
-so far within the aim it shows no congestion, however it compares with the fastest answers seen. Beyond the
+so far within the target it shows no congestion, however it compares with the fastest answers seen. Beyond the
 target it is late, unless unloaded servers take longer than that.
 
 A proxy that has the servers to itself starts open, as all their load is its own. The first answer sets the
@@ -26,13 +26,13 @@
 ADAPT_BASE_TIMES = 1.5  # a limit that moves faster than its answers arrive oscillates
 GROWTH_SLOWDOWN = 5.0
 SLOW_START_SPEEDUP = 4.0  # growth is faster below the first value, which is known to be safe
-MIN_UTILIZATION_TO_GROW = 0.8  # answers tell nothing about a limit that is not in use
+MIN_UTILIZATION_TO_GROW = 0.8  # answers say nothing about a limit that is not in use
 LATENESS_WEIGHT = 0.3  # single answers are late by chance
 MAX_LATENESS = 3.0  # the most that a single answer counts as
 MIN_ON_TIME_MS = 1e-3  # guards the division where no base time is known
 MAX_SPAN_MS = 250.0  # the longest time that one answer stands for
 OPEN_LIMIT = 64.0  # calls per unit of capacity before the first answer, too few for lasting overload
-MAX_ON_TIME_TARGETS = 1.75  # targets; unloaded servers slower than that cannot meet the aim
+MAX_ON_TIME_TARGETS = 1.75  # in targets; unloaded servers slower than that cannot meet the latency target
 IN_FLIGHT_MEAN_MS = 1000.0  # the time constant of the mean of the calls that are needed in flight
 # The limit goes no lower than this part of that mean; a queue can drain, as it is below 1.
 MIN_IN_FLIGHT_PART = 0.9
@@ -102,7 +102,7 @@
         per_call: float = 0.0,
         dropped: bool = False,
     ) -> None:
-        """Adjusts the limit by one answer, for each request, so it compares in place of min and max."""
+        """Adjusts the limit by one answer; compares in place of `min` and `max`, which are slower."""
         late_ms, on_time_ms = target_ms, ON_TIME_BASES * base_ms
         if self.use_littles_law:
             if on_time_ms > target_ms:
--- a/honeywharf/limits/load_control.py
+++ b/honeywharf/limits/load_control.py
@@ -9,27 +9,27 @@
     """Bounds the calls in flight by the nodes' load reports (`honeywharf.reports`)."""
 
     def listed(self, started: dict[str, float | None]) -> None:
-        """Takes the listed endpoints with their start times; the reports of others are forgotten."""
+        """Takes the listed endpoints with their start times; the reports of others are dropped."""
 
-    def heard(
+    def record_report(
         self,
         now: float,
         endpoint: str,
         zone: str,
         report: tuple[float, ...],
-        took_ms: float,
+        elapsed_ms: float,
         base_ms: float,
         target_ms: float,
     ) -> None:
-        """Records a report; `took_ms`: the time of the answer that it came with, negative without one."""
+        """Records a report; `elapsed_ms`: the time of the answer that it came with, negative without one."""
 
     def note_limited(self, zone: str, binds: bool) -> None:
-        """Notes whether the zone's bound has held a call back since the last note."""
+        """Notes whether the zone's bound has rejected a call since the last note."""
 
     def admitted_factor(self, now: float, zone: str, away: bool) -> float:
         """Returns the factor on `hold` for calls of the own zone, or of others if `away`.
 
-        Negative where nothing is known.
+        The factor is negative where nothing is known.
         """
 
     def hold(self) -> float:
--- a/honeywharf/limits/response_times.py
+++ b/honeywharf/limits/response_times.py
@@ -40,12 +40,12 @@
         late = elapsed_ms > SLOW_MULTIPLE * self.typical_ms.get(name, 0.0)
         return not late and self.samples.get(name, 0) >= TYPICAL_SAMPLES
 
-    def too_short(self, name: str, given_ms: float) -> bool:
-        """Whether `given_ms` is less than answers usually take, so that a failure is not the server's.
+    def too_short(self, name: str, available_ms: float) -> bool:
+        """Whether `available_ms` is less than answers usually take, so that a failure is not the server's.
 
         Guards against ejecting healthy servers of this tier for callers with short deadlines, for retries
         sent late, or for time used up in the tiers above; an error then comes from a call to the next tier
         that ran out of time. Where all callers have short deadlines, failing servers are detected only by
         refused, broken or reset connections.
         """
-        return given_ms < SLOW_MULTIPLE * self.typical_ms.get(name, 0.0)
+        return available_ms < SLOW_MULTIPLE * self.typical_ms.get(name, 0.0)
--- a/honeywharf/limits/storm_control.py
+++ b/honeywharf/limits/storm_control.py
@@ -27,11 +27,11 @@
     def admits(self, now: float, tenant: str, coming: Coming) -> bool:
         """Whether the budget for repeats admits the request."""
 
-    def room(self, coming: Coming) -> float:
-        """Returns the part of the room open to first requests that is open to a request of this kind."""
+    def limit_factor(self, coming: Coming) -> float:
+        """Returns the factor on the part of a limit that is open to a first request."""
 
     def refused(self, now: float, code: int, coming: Coming, short: bool) -> float:
-        """Records a refusal, `short` if for lack of room; returns the ms after which to return."""
+        """Records a refusal, `short` if for lack of capacity; returns the ms after which to return."""
 
     def words(self) -> str:
         """Returns the state and its reason, for the operator."""
--- a/honeywharf/limits/zone.py
+++ b/honeywharf/limits/zone.py
@@ -1,4 +1,4 @@
-"""The calls of one balancer in one zone: the bounds by its limiter and by load reports, and the learning."""
+"""The calls of one balancer in one zone, bounded by its limiter and by load reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 MAX_OVERAGE_PER_SERVER = 0.5
 REMOTE_PART = 0.25  # the part of the calls per server that a balancer may have in flight in each other zone
 BURST_STD_DEVIATIONS = 1.0  # the calls in flight may exceed their mean by this many standard deviations
-WORTH_POWER = 0.4  # a request may use a part of the limit: its worth over the mean worth, to this power
+WORTH_POWER = 0.4  # a request may use this power of its value over the mean value as a part of the limit
 
 
 @dataclass(slots=True, eq=False)
@@ -30,12 +30,12 @@
     # The factor on `calls_per_server` for calls of other zones; negative if unknown.
     remote_factor: float = -1.0
     calls_per_server: float = 0.0  # calls in flight per unit of capacity, by load reports
-    reports_limited: bool = False  # the bound by load reports has held a call back since it was last read
+    reports_limited: bool = False  # the bound by load reports has rejected a call since it was last read
 
     def has_room(self, part: float, fraction: float, remote: bool = False) -> bool:
         """Whether one more call fits into the part of the limit that is open to it.
 
-        `fraction`: a uniform random number from 0 to 1, which rounds the limit to whole calls at random.
+        `fraction`: a uniform random number from 0 to 1, which rounds the limit to an integer at random.
         """
         held = self.in_flight + self.handover_in_flight + fraction
         factor, per_server = (
@@ -68,7 +68,7 @@
         rejected: bool,
         reached: bool,
     ) -> None:
-        """Adjusts the limit by the end of one call, if that tells of the servers.
+        """Adjusts the limit by the end of one call, if that says something about the servers.
 
         `reached`: the call was sent to a server. `base_ms` is the answer time of unloaded servers,
         `target_ms` the longest answer time without congestion.
--- a/honeywharf/orderkeys/__init__.py
+++ b/honeywharf/orderkeys/__init__.py
@@ -10,8 +10,8 @@
 
 `deduplicator` stands between the clients' connections and the driver: it claims a key before anything is
 sent, joins repeats, and releases the claim once no attempt of the request is in flight. A repeat of an
-uncertain key is a new request to the decision module, which is told of the earlier attempt and applies its
-rules on cells and windows to both as if they were one request.
+uncertain key is a new request to the decision module, which is notified of the earlier attempt and applies
+its rules on cells and windows to both as if they were one request.
 
 Keys that proxies share are stored in Redis: `scripts` has the rules as Redis executes them, `shared_store`
 one proxy's side of the protocol without I/O (claims, unconfirmed ends, circuit breaker), and `redis` the
--- a/honeywharf/orderkeys/deduplicator.py
+++ b/honeywharf/orderkeys/deduplicator.py
@@ -3,7 +3,7 @@
 The request that holds a key's claim passes through the driver and the decision module like any other. Its
 answer is given to every waiting repeat. If it ends without an answer, the claim is released only when none of
 its attempts is in flight. Then the repeat that has waited longest claims the key with its own remaining time,
-and the decision module is told of the attempt that may have run.
+and the decision module is notified of the attempt that may have run.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     def __init__(self, name: bytes, payload: bytes) -> None:
         self.name, self.payload = name, payload
         self.joined: list[WaitingRequest] = []
-        self.answer_kept: Answer | None = None  # its answer, if the key is done while attempts are in flight
+        self.answer_kept: Answer | None = None  # the answer, if the key is done while attempts are in flight
 
 
 class RemoteRun(KeyRun):
@@ -87,14 +87,14 @@
         return True
 
     def sending(self, number: int, action: api.Send, now_ms: float) -> bytes | None:
-        """Records where an attempt goes. Returns None to hold it until a shared store has the note."""
+        """Records where an attempt goes. Returns None to delay it until a shared store has the note."""
         place = self.places[number] = api.Earlier(action.zone, action.cell, now_ms)
         return b"" if not self.uses_store or self.deduplicator.note_place(self, number, place) else None
 
     def ended(self, number: int, outcome: api.Outcome, response: Response | None, now_ms: float) -> None:
         """Drops the record of an attempt that never ran, and keeps the first answer for the repeats.
 
-        This includes an answer that comes after the client has disconnected or was told of a failure.
+        This includes an answer that comes after the client has disconnected or was answered with a failure.
         """
         if outcome in api.NEVER_RAN:
             self.places.pop(number, None)
@@ -264,7 +264,7 @@
         caller.answer(status)
 
     def _refuse(self, request: Request, caller: Caller, reason: str) -> None:
-        """Refuses a request of which nothing has run."""
+        """Refuses a request that has not run at all."""
         limits = self.driver.settings.limits
         self.driver.close_without_decision(request, "refused", reason)
         caller.answer(Status.REFUSED, retry_after_ms=limits.max_retry_after_ms if limits.retry_after else 0.0)
@@ -352,8 +352,8 @@
     def note_place(self, run: LocalRun, number: int, place: api.Earlier) -> bool:
         """Notes in the store where an attempt goes. Returns False if the attempt has to wait for the reply.
 
-        Guards a key whose proxy dies: it may be sent again only to the cell that is noted, so no attempt goes
-        to another cell before the store has the new note. A key without a note is not sent again.
+        Guards a key whose proxy dies: its request may be retried only at the noted cell, so no attempt goes
+        to another cell before the store has the new note. A key without a note is not retried.
         """
         shared, noted = self.shared, run.noted_place
         assert shared is not None
--- a/honeywharf/orderkeys/operator_commands.py
+++ b/honeywharf/orderkeys/operator_commands.py
@@ -1,7 +1,7 @@
 """Operators' commands that show order keys and remove them. No sockets.
 
 A key is identified as its client names it: by tenant, class, and the value of `Idempotency-Key`. A removed
-key is no longer protected: a repeat runs, and may have its effect again. A running key is never removed.
+key is not protected any more: a repeat runs, and may have its effect again. A running key is never removed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from honeywharf.orderkeys.table import Entry, State, key_name
 from honeywharf.policy import interface as api
 
-MAX_TENANTS = 20  # in the overview, those with the most keys
+MAX_TENANTS = 20  # the overview lists the tenants with the most keys
 STATE_NAMES = {b"R": State.RUNNING.value, b"D": State.DONE.value, b"U": State.UNCERTAIN.value}
 
 
--- a/honeywharf/orderkeys/scripts.py
+++ b/honeywharf/orderkeys/scripts.py
@@ -76,9 +76,9 @@
 """
 )
 
-# Claims a key. Arguments: name, tenant, payload, holder, lease ms, keep ms, how long a new store waits, the
-# proxy, the limit on entries, the limit on bytes, bytes of an entry, the latest time for the claim, the limit
-# on proxies that wait for one key. Reply: the verdict, the time, and the verdict's data.
+# Claims a key. Arguments: name, tenant, payload, holder, lease ms, keep ms, the wait of a new store in ms,
+# the proxy, the limit on entries, the limit on bytes, bytes of an entry, the latest time for the claim, the
+# limit on proxies that wait for one key. Reply: the verdict, the time, and the verdict's data.
 CLAIM = (
     """#!lua
 """
@@ -209,8 +209,8 @@
 """
 )
 
-# Shows a key to an operator, or counts of all keys for an empty name. Reply: 'none'; or the state, how long
-# it lasts, tenant, zone, cell, bytes and whether there is an answer; or counts and tenants.
+# Shows a key to an operator, or counts of all keys for an empty name. Reply: 'none'; or the state, its
+# remaining time, tenant, zone, cell, bytes and whether there is an answer; or counts and tenants.
 SHOW = """#!lua flags=no-writes
 local P = KEYS[1]
 local clock = redis.call('TIME')
--- a/honeywharf/orderkeys/shared_store.py
+++ b/honeywharf/orderkeys/shared_store.py
@@ -23,7 +23,7 @@
 
 LEASE_MARGIN_MS = 250.0  # added to the holder's deadline, because its timers may fire late
 LATE_CLAIM_MS = 500.0  # the store ignores a claim that arrives this long after its proxy stopped waiting
-# The place of an attempt that may have run nobody knows where: no retry window is open for it.
+# The place of an attempt that may have run at an unknown place: no retry window is open for it.
 UNKNOWN_PLACE = api.Earlier("", -1, float("-inf"))
 MAX_OPEN_CLAIMS = 4096  # claims without an answer
 # Ends that the store has not confirmed. Beyond either limit the oldest are dropped, and their keys become
@@ -315,7 +315,7 @@
             self.count("keys:store lost")
         for command in unanswered:
             if command.requester is not None:
-                self._give_back(command)
+                self._return_claim(command)
             elif command.on_confirmed is not None:
                 command.on_confirmed(False)
             elif command.on_reply is not None:
@@ -365,7 +365,7 @@
         return self.store_time_ms + local_ms - self.store_time_read_ms
 
     def _place(self, place: api.Earlier) -> tuple[object, ...]:
-        """Encodes a place for the store; its time is rather too early than too late."""
+        """Encodes a place for the store; its time may be too early, but not too late."""
         return place.zone.encode(), place.cell, int(self._store_time_ms(place.sent_ms))
 
     def _drop_end(self, key: tuple[bytes, int]) -> None:
@@ -377,7 +377,7 @@
             if not self.unconfirmed_runs[key[0]]:
                 del self.unconfirmed_runs[key[0]]
 
-    def _give_back(self, command: Command) -> None:
+    def _return_claim(self, command: Command) -> None:
         """Gives back a granted claim that nobody waits for; nothing was sent for it."""
         self.end(command.name, command.fence, "", b"", None, None, 0.0)
 
@@ -393,7 +393,7 @@
         was_waiting, command.requester_waits = command.requester_waits, False
         if not was_waiting:
             if not isinstance(reply, str) and reply[0] == b"run":
-                self._give_back(command)
+                self._return_claim(command)
             return
         self.waiting_claims -= 1
         assert command.requester is not None
--- a/honeywharf/orderkeys/table.py
+++ b/honeywharf/orderkeys/table.py
@@ -1,8 +1,7 @@
 """The table of known idempotency keys: their states, limits and claims. No I/O, no clock.
 
-All times are ms on the caller's clock, which never goes back. A claim is held under a fencing token that
-grows with each claim: calls with an older token change nothing (Lamport's fencing, as in Chubby's sequencers,
-Burrows 2006, section 2.4).
+All times are ms on the caller's clock, which never goes back. Each claim has a fencing token greater than
+those before: calls with an older token change nothing (as Chubby's sequencers do, Burrows 2006, section 2.4).
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 
 from honeywharf.policy import interface as api
 
-ENTRY_BYTES = 700  # memory of a key with its places in the tables, without its answer's body
-MAX_UNSETTLED_SHARE = 0.5  # of all entries, the share one tenant may hold as running or uncertain
+ENTRY_BYTES = 700  # memory of a key with its entries in the tables, without its answer's body
+MAX_UNSETTLED_SHARE = 0.5  # one tenant's running and uncertain keys may be this share of all entries
 
 
 class State(Enum):
@@ -34,7 +33,7 @@
     ANSWER = "answer"  # the key is done and its answer is known
     OTHER_PAYLOAD = "other payload"  # the key was used for another request
     FULL = "full"  # no room for a new key; this request has not run
-    BUSY = "busy"  # as JOIN, but too many requests wait already
+    BUSY = "busy"  # another request holds the claim, and too many requests wait already
     STORE_UNAVAILABLE = "away"  # a shared store doesn't answer or has lost its keys: this request has not run
 
 
@@ -142,7 +141,7 @@
             self._remove(name, entry)
             entry = None
         if entry is None:
-            if not self._make_room(tenant, ENTRY_BYTES + len(tenant), now_ms):
+            if not self._ensure_capacity(tenant, ENTRY_BYTES + len(tenant), now_ms):
                 return Claim(Verdict.FULL)
             self.fence += 1
             entry = self.entries[name] = Entry(tenant, payload, self.fence)
@@ -247,7 +246,7 @@
         entry = self.entries.get(name)
         return entry if entry is not None and entry.state is State.RUNNING and entry.fence == fence else None
 
-    def _make_room(self, tenant: str, size: int, now_ms: float) -> bool:
+    def _ensure_capacity(self, tenant: str, size: int, now_ms: float) -> bool:
         """Drops keys that may be dropped. Returns whether there is room for one more key of the tenant."""
         if self.unsettled.get(tenant, 0) >= max(1, int(self.max_entries * MAX_UNSETTLED_SHARE)):
             return False
--- a/honeywharf/policy/__init__.py
+++ b/honeywharf/policy/__init__.py
@@ -13,9 +13,9 @@
     requests    the attempts of a request, and what they prove of its effect
     health      outlier detection: which servers are ejected
     choice      an even random choice in the first level that has a usable server with room
-    admission   load shedding: limits of zones (`honeywharf.limits`) and of this proxy, quotas, worth
+    admission   load shedding: limits of zones (`honeywharf.limits`) and of this proxy, quotas, values
     retry       the cost of further attempts, and hung calls
-    balancer    the course of a request through all of these
+    balancer    the processing of a request by all of these
 
     levels      the sidecar's choice of a backend; it uses none of the others
 
@@ -23,10 +23,10 @@
 
 - A request gets one final answer: only `balancer` appends `Refuse` or `Fail`, and closes the request with it.
 - No effect twice: `Request.may_send_to` is asked before each further attempt, and `Request.may_refuse` before
-  each refusal, which tells the client that a repeat is harmless.
+  each refusal, which promises the client that a repeat is harmless.
 - A server that discovery has not listed as ready is in no level, so no new call is sent to it.
 - Ejection never empties a fleet: with no server usable, all ready servers count as usable.
 - A cold server's part of the calls never exceeds its part of capacity.
 
-Impossible events (for an attempt that never was, or that has ended) change nothing.
+Impossible events (for an unknown attempt, or one that has ended) change nothing.
 """
--- a/honeywharf/policy/admission.py
+++ b/honeywharf/policy/admission.py
@@ -1,4 +1,4 @@
-"""Load shedding: limits of zones and of this proxy, tenants' quotas, and the worth of a request."""
+"""Load shedding by limits of zones and of this proxy, tenants' quotas, and requests' values (`worth`)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from honeywharf.policy import interface as api
 from honeywharf.policy.requests import Request
 
-#: Outcomes of calls that never reached a server: they are no load, and tell nothing of the server's health.
+#: Outcomes of calls that never reached a server: they are no load, and show nothing of the server's health.
 UNDELIVERED = frozenset({api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.CANCELLED})
-TARGET_PART = 0.4  # an answer that takes longer than this part of its aim is late; the rest is for variance
+# An answer that takes longer than this part of its latency target is late; the rest is for variance.
+TARGET_PART = 0.4
 SAFE_FIRST_CALLS = 1.0  # calls that any server can take, for its own tier and for each tier below it
-OVER_QUOTA_ROOM = 0.25  # tenants over their quota may use this part of a limit; the rest is kept for others
+OVER_QUOTA_LIMIT_SHARE = 0.25  # tenants over their quota may use this part of a limit
 
 
 class Admission:
@@ -28,7 +29,7 @@
         self.loop = limits.LoopLimiter(min(c.aim_ms for c in settings.classes))
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Takes new settings over; tenants whose quota changed begin with a full bucket."""
+        """Applies new settings; tenants whose quota changed begin with a full bucket."""
         before, self.settings = self.tenants, settings
         self.tenants = {t.name: t for t in settings.tenants}
         self.buckets = {n: b for n, b in self.buckets.items() if self.tenants.get(n) == before.get(n)}
@@ -44,15 +45,15 @@
         return self.loop.share < 1.0 and not self.loop.accepts(self.random.random())
 
     def assess(self, now: float, request: Request, tenant: str) -> None:
-        """Sets the request's worth, and how much of a zone's limit is open to it."""
-        request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
+        """Sets the request's value (`worth`), and how much of a zone's limit is open to it."""
+        request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
         bucket = self.buckets.get(tenant)
         if bucket is None and tenant in self.tenants:
             quota = self.tenants[tenant].quota_per_s / self.settings.balancers
             bucket = self.buckets[tenant] = TokenBucket(quota / 1000.0, quota, now)
         if bucket is not None and not bucket.take(now):
             request.worth *= self.settings.over_share_worth
-            request.room *= OVER_QUOTA_ROOM
+            request.limit_share *= OVER_QUOTA_LIMIT_SHARE
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
 
     def learn(
--- a/honeywharf/policy/balancer.py
+++ b/honeywharf/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The course of a request: takes events, and returns the actions that the other modules decided on."""
+"""The processing of a request: takes events, and returns the actions that the other modules decided on."""
 
 from __future__ import annotations
 
@@ -154,13 +154,13 @@
                     attempt.server.calls[attempt] = None
 
     def _admitted_in_storm(self, storms: StormControl, request: Request, event: api.RequestArrived) -> bool:
-        """Whether storm control admits the request; less room is open to some repeats."""
+        """Whether storm control admits the request; a smaller part of a limit is open to some repeats."""
         request.coming, request.code, changed = storms.arrived(
             self.now, event.name, event.tenant, event.is_retry
         )
         if changed:
             self._storm_state_changed(storms)
-        request.room *= storms.room(request.coming)
+        request.limit_share *= storms.limit_factor(request.coming)
         return storms.admits(self.now, event.tenant, request.coming)
 
     def _storm_state_changed(self, storms: StormControl) -> None:
@@ -204,7 +204,7 @@
             sum(z.limiter.limit * z.capacity for z in zones),
             sum(z.in_flight for z in zones) - any(a.pending for a in request.attempts),
             self.budget.tokens,
-            request.room,
+            request.limit_share,
         )
 
     def _load_reported(
@@ -219,8 +219,10 @@
         base = self.times.base_ms.get(cls.name)
         if loads is not None and base is not None:
             answer = event is not None and event.outcome is api.Outcome.OK
-            took = event.elapsed_ms - event.proxy_ms if answer and event is not None else -1.0
-            loads.heard(self.now, server.endpoint.id, zone, report, took, base, TARGET_PART * cls.aim_ms)
+            answer_ms = event.elapsed_ms - event.proxy_ms if answer and event is not None else -1.0
+            loads.record_report(
+                self.now, server.endpoint.id, zone, report, answer_ms, base, TARGET_PART * cls.aim_ms
+            )
             self.choice.apply_reports(self.now)
 
     def _give_up(self, request: Request, reason: api.Reason) -> None:
@@ -259,7 +261,7 @@
         attempt.server.calls.pop(attempt, None)
         attempt.release()
         cls = request.cls
-        if attempt.ejections == attempt.server.ejections and not attempt.hung:  # others are accounted for
+        if attempt.ejections == attempt.server.ejections and not attempt.hung:  # others are already counted
             self.admission.learn(self.now, attempt.zone, cls, event, self.times.base_ms.get(cls.name))
             self.outliers.record(self.now, attempt.server, request, event)
         if event.report is not None:
@@ -282,7 +284,7 @@
         typical = self.times.typical_ms.get(request.cls.name, 0.0)
         if allowed and self.budget.spend(retry_cost(event.outcome, event.elapsed_ms, typical)):
             self._send_next_attempt(request)
-        else:  # an attempt that found no connection to use failed for this proxy's own limits
+        else:  # an attempt that got no connection failed by this proxy's own limits
             own = event.outcome is api.Outcome.NOT_SENT
             self._give_up(request, api.Reason.PROXY if own else api.Reason.BUDGET)
 
--- a/honeywharf/policy/choice.py
+++ b/honeywharf/policy/choice.py
@@ -10,7 +10,7 @@
 from honeywharf.policy.endpoints import Endpoints, Server
 from honeywharf.policy.requests import Request
 
-FEW_CALLS = 2  # with more calls at a server one is late by chance, and outlier detection judges it
+FEW_CALLS = 2  # with more calls in flight at a server, one is late by chance
 OVERDUE_SHARE = 0.1  # a server with an overdue answer keeps this part of its calls, so that recovery shows
 MAX_PICKS = 8  # this many random picks find a half-usable level 255 times in 256
 
@@ -38,7 +38,7 @@
         endpoints.end_open_start(now)
         home, chance = endpoints.zones.get(self.settings.zone), self.random.random()
         for depth, level in enumerate(endpoints.levels):
-            full = home is not None and not home.has_room(request.room, chance)
+            full = home is not None and not home.has_room(request.limit_share, chance)
             if depth == 0 and full and self.settings.tier == 0:
                 continue  # in deeper tiers a refusal would only become a retry in the tier above
             server = self._pick(now, level, depth, request, chance)
@@ -78,7 +78,7 @@
             if (server is tried and len(level) > 1) or (server.cold and now < server.next_send_ms):
                 continue
             if limited and not zones[server.endpoint.zone].has_room(
-                request.room, chance, server.endpoint.zone != self.settings.zone
+                request.limit_share, chance, server.endpoint.zone != self.settings.zone
             ):
                 continue
             if depth < 2 and not accepts(now, server, request):
--- a/honeywharf/policy/endpoints.py
+++ b/honeywharf/policy/endpoints.py
@@ -36,7 +36,7 @@
     cold: bool = False
     next_send_ms: float = 0.0  # the earliest time of the next call while the server is cold
     weight: float = 1.0  # factor on the even choice; below 1 for slow servers and during slow start
-    reinstated_ms: float = 0.0  # when an operator reinstated it, unless it restarted meanwhile
+    reinstated_ms: float = 0.0  # when an operator reinstated the server, unless it restarted meanwhile
 
 
 @dataclass(slots=True, eq=False)
@@ -108,7 +108,7 @@
         self.refresh(now)
 
     def discount_attempts(self, server: Server) -> None:
-        """Stops counting the server's calls: they take no room from others, and their ends are ignored."""
+        """Stops counting the server's calls: they use no part of a limit, and their ends are ignored."""
         server.ejections += 1
         for call in server.calls:
             call.release()
@@ -177,7 +177,7 @@
     def may_eject(self, server: Server) -> bool:
         """Whether two thirds of the server's zone stay usable; if more are slow, the cause lies elsewhere.
 
-        For a zone of one or two servers, the whole fleet is considered, as their calls spill over to it.
+        For a zone of one or two servers, the entire fleet is considered, as their calls spill over to it.
         """
         zone = self.zones[server.endpoint.zone]
         return zone.ejection_headroom >= 3 or (
--- a/honeywharf/policy/health.py
+++ b/honeywharf/policy/health.py
@@ -17,7 +17,7 @@
 SUSPICION_TO_EJECT_SMALL_ZONE = 12.0  # an ejection takes at least half of a zone of one or two servers
 EJECTION_MS = 2500.0  # long enough for an overloaded server to drain; repeated ones take up to 4 times that
 RELATIVE_LATENCY_SAMPLES = 6  # the number of answers in the running mean
-UNRESPONSIVE_MS = 10000.0  # a class that timed out at a server avoids it, as each trial may cost a request
+UNRESPONSIVE_MS = 10000.0  # a class that timed out at a server avoids it, as each attempt may cost a request
 FULL_EJECTION_MS = 1000.0  # a full server needs that long to work off its queue
 
 
@@ -31,8 +31,8 @@
         """Whether the attempt failed as its caller had too little time left (`ResponseTimes.too_short`)."""
         if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.ERROR):
             return False
-        given = request.deadline - request.attempts[event.attempt].sent_ms
-        return self.times.too_short(request.cls.name, given)
+        available_ms = request.deadline - request.attempts[event.attempt].sent_ms
+        return self.times.too_short(request.cls.name, available_ms)
 
     def record(self, now: float, server: Server, request: Request, event: api.AttemptEnded) -> None:
         """Updates a server's health by one outcome, and ejects the server where that is called for."""
@@ -78,7 +78,7 @@
             self._eject(now, server, EJECTION_MS, "failures in a row" if dead else "late or failing answers")
 
     def _eject(self, now: float, server: Server, ms: float, why: str) -> None:
-        """Ejects the server for a while; the first calls after that are trials, one at a time."""
+        """Ejects the server for a while; afterwards it gets single calls until one succeeds."""
         server.ejected_until = now + ms * 2 ** min(server.eject_streak, 2) * self.random.uniform(0.75, 1.25)
         server.ejection_reason = why
         self.endpoints.discount_attempts(server)
--- a/honeywharf/policy/interface.py
+++ b/honeywharf/policy/interface.py
@@ -53,7 +53,7 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    __hash__ = object.__hash__  # Enum's own is interpreted, and each answer looks outcomes up
+    __hash__ = object.__hash__  # Enum's own is slower, and each answer looks outcomes up
 
     OK = "ok"
     ERROR = "error"
@@ -132,7 +132,8 @@
     work_hint_ms: float | None = None
     earlier: Earlier | None = None
     name: bytes = b""
-    arriving: bool = False  # its body is incomplete; its time, and that of attempts, starts with RequestWhole
+    # The body is incomplete; the time limits of the request and its attempts start with `RequestWhole`.
+    arriving: bool = False
 
 
 @dataclass(slots=True)
@@ -176,7 +177,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The single outcome of an attempt. `request_over`: the request needs no final answer any more.
+    """The single outcome of an attempt. `request_over`: the request does not need a final answer.
 
     `proxy_ms`: the part of `elapsed_ms` for which the outcome may have waited in the proxy itself.
     """
@@ -194,7 +195,7 @@
 
 @dataclass(slots=True)
 class RequestExpired:
-    """The client has left, and the request needs no answer any more."""
+    """The client has disconnected, so the request does not need an answer."""
 
     request: str
 
--- a/honeywharf/policy/levels.py
+++ b/honeywharf/policy/levels.py
@@ -1,4 +1,4 @@
-"""The sidecar's choice of a backend: own zone first, then every zone; even and random within a level.
+"""The sidecar's choice of a backend: own zone first, then every zone; evenly at random within a level.
 
 Theory of operation. There is one `Levels` for each service. It is updated from the list (`update`, `remove`)
 and by the result of each call (`record_success`, `record_failure`, `record_refusal`), and queried by `pick`.
@@ -6,7 +6,7 @@
 only saves refused attempts, and may be stale. Times are seconds on the caller's monotonic clock; no I/O.
 
 Ejection: after failures in a row (one refused connection, or two of any other kind) a backend is ejected for
-a time that doubles up to `MAX_EJECTION_S`; then one trial call goes there, and one success reinstates it. A
+a time that doubles up to `MAX_EJECTION_S`; then a single call probes it, and one success reinstates it. A
 level whose members are all ejected or excluded is empty. So is the own zone for a request that
 `MAX_OWN_ZONE_REFUSALS` of its backends have refused: traffic and backends are not spread alike over the
 zones, and a full zone must not use up all attempts of a request. Source: DESIGN and SYSTEM, "The design".
@@ -21,7 +21,7 @@
 FAILURES_TO_EJECT = 2  # the number of consecutive failures
 FIRST_EJECTION_S, MAX_EJECTION_S = 0.4, 4.0
 MIN_FULL_S, MAX_FULL_S = 0.02, 0.3  # bounds on the announced wait, after which a full backend is tried again
-MAX_OWN_ZONE_REFUSALS = 3  # a request that so many backends of its zone refused is sent to other zones
+MAX_OWN_ZONE_REFUSALS = 3  # after this many refusals in its own zone a request is sent to other zones
 MAX_BACKENDS = 8192  # the bound holds for each service
 
 
@@ -69,7 +69,7 @@
         target.usable = usable
 
     def remove(self, key: str) -> None:
-        """Removes a backend that is no longer listed."""
+        """Removes a backend that left the list."""
         self.targets.pop(key, None)
 
     def pick(self, now: float, excluded: Container[str] = ()) -> str | None:
@@ -141,7 +141,7 @@
             target.trial_pending = False
 
     def record_abandoned(self, key: str) -> None:
-        """Records a call that ended without telling anything of the backend, as its client left."""
+        """Records a call that ended without a result, as its client disconnected."""
         target = self.targets.get(key)
         if target is not None:
             target.trial_pending = False
--- a/honeywharf/policy/requests.py
+++ b/honeywharf/policy/requests.py
@@ -17,13 +17,13 @@
     key: str  # the order key; empty where order does not matter
     deadline: float
     worth: float
-    room: float = 1.0  # the part of a zone's limit that is open to it
+    limit_share: float = 1.0  # the part of a zone's limit that is open to the request
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     coming: api.Coming = api.Coming.FIRST
-    code: int = 0  # a code for the name that its repeats share, where retry storms are watched
+    code: int = 0  # a code for the name that all repeats share, where retry storms are watched
     arriving: bool = False  # the body is not complete yet
-    earlier: api.Earlier | None = None  # an attempt of another request of its key that may have run
+    earlier: api.Earlier | None = None  # an attempt of another request of the same key that may have run
 
     def first_possible_run(self) -> api.Earlier | None:
         """Returns the first attempt that is not proven never to have run, or None."""
@@ -46,7 +46,7 @@
         )
 
     def may_refuse(self) -> bool:
-        """Whether a refusal, which tells the client that a repeat is harmless, would be true."""
+        """Whether the request may be refused, which promises the client that a repeat is harmless."""
         cls = self.cls
         if self.earlier is not None:
             return False  # guards against a promise about an attempt whose end this request does not know
--- a/honeywharf/policy/retry.py
+++ b/honeywharf/policy/retry.py
@@ -44,10 +44,10 @@
 ) -> list[tuple[Attempt, Request]]:
     """Returns the hung calls: far past the typical time, at a server that has answered a later one.
 
-    Guards against calls that were lost on the way or forgotten by the server: each would hold a place in its
-    zone until its time-out, and its request would fail. This covers connections that were cut off silently
-    beside live ones; a server that answers nothing, or late, is left to outlier detection. Where work differs
-    much within a class, long calls may run twice.
+    Guards against calls that were lost in transit or dropped by the server: each would count against its
+    zone's limit until its time-out, and its request would fail. This covers connections that were lost
+    silently while others of the server work; a server that answers nothing, or late, is left to outlier
+    detection. Where work differs much within a class, long calls may run twice.
     """
     found: list[tuple[Attempt, Request]] = []
     for call in answered.server.calls:
--- a/honeywharf/reports/__init__.py
+++ b/honeywharf/reports/__init__.py
@@ -15,10 +15,10 @@
 proxies fill the same gap at once (Mitzenmacher 2000, Dahlin 1999). A proportional and an integral term on the
 wait change the factor, as in PIE's drop probability (RFC 8033, 4.2).
 
-Reports only bound. They never rank servers, and never admit calls that a limit learned from answers refuses:
-nodes whose reports are seconds late would be overloaded (docs/design/reports.md). The servers of a level are
-chosen evenly at random, as without reports. If answer times contradict the reports, or no reports come, the
-factor is negative and the decision module works as without reports.
+Reports only lower limits. They never rank servers, and never admit calls that a limit learned from answers
+refuses: nodes whose reports are seconds late would be overloaded (docs/design/reports.md). The servers of a
+level are picked evenly at random, as without reports. If answer times contradict the reports, or no reports
+come, the factor is negative and the decision module works as without reports.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
         self.loads = loads
 
     def counts(self) -> Mapping[str, int]:
-        """Returns counts of reports received, without a figure, distrusted and late."""
+        """Returns counts of the reports that were received, that showed no load, were distrusted, or late."""
         return {f"reports:{k}": v for k, v in self.loads.counts.items()}
 
 
 def attach(proxy: ProxyContext) -> Component:
-    """Attaches load control to the proxy's decision module; ValueError if no report field tells of load."""
+    """Attaches load control to the proxy's decision module; ValueError if no report field shows load."""
     settings = proxy.driver.settings
     loads = LoadReports(settings)
     if not loads.reader.useful:
--- a/honeywharf/reports/fields.py
+++ b/honeywharf/reports/fields.py
@@ -1,9 +1,9 @@
 """Interprets the fields of a load report as a call's wait at the node. Without I/O.
 
 Six fields are known (`policy.interface`, Settings.report_fields): `queue` counts the waiting calls;
-`in_flight` counts waiting and running calls, and with `served_per_s` gives a time by Little's law (held =
-rate x time); `service_ms` is the time of recent answers; `utilization` alone says only that no call waits,
-if it is under `FULL_UTILIZATION`; `errors_per_s` says nothing of a wait.
+`in_flight` counts waiting and running calls, and with `served_per_s` gives a time by Little's law (calls in
+flight = rate x time); `service_ms` is the time of recent answers; `utilization` alone shows only that no call
+waits, if it is under `FULL_UTILIZATION`; `errors_per_s` shows nothing of a wait.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 class ReportedLoad:
     """The load in one report: waiting calls, or the ms that a call takes; -1 where not reported."""
 
-    __slots__ = ("took_ms", "waiting")
+    __slots__ = ("call_ms", "waiting")
 
-    def __init__(self, waiting: float = -1.0, took_ms: float = -1.0) -> None:
-        self.waiting, self.took_ms = waiting, took_ms
+    def __init__(self, waiting: float = -1.0, call_ms: float = -1.0) -> None:
+        self.waiting, self.call_ms = waiting, call_ms
 
     @property
     def informative(self) -> bool:
-        """Whether the report tells anything of load."""
-        return self.waiting >= 0.0 or self.took_ms >= 0.0
+        """Whether the report shows the load."""
+        return self.waiting >= 0.0 or self.call_ms >= 0.0
 
 
 class ReportReader:
-    """Reads reports with the given fields; `useful` is False if none of them tells of a wait."""
+    """Reads reports with the given fields; `useful` is False if none of them shows a wait."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
         place = {name: i for i, name in enumerate(fields)}
@@ -54,10 +54,10 @@
         if self.in_flight >= 0:
             held = report[self.in_flight]
             if self.rate >= 0 and report[self.rate] >= MIN_RATE_PER_S and held > 0.0:
-                return ReportedLoad(took_ms=1000.0 * held / report[self.rate])
+                return ReportedLoad(call_ms=1000.0 * held / report[self.rate])
             return ReportedLoad(max(0.0, held - cores))
         if self.service >= 0:
-            return ReportedLoad(took_ms=report[self.service])
+            return ReportedLoad(call_ms=report[self.service])
         if self.utilization >= 0 and report[self.utilization] < FULL_UTILIZATION:
             return ReportedLoad(0.0)
         return ReportedLoad()
--- a/honeywharf/reports/node.py
+++ b/honeywharf/reports/node.py
@@ -22,8 +22,8 @@
 MAX_REPORT_AGE_MS = 3.0 * DECAY_MS
 STUCK_MS = 5000.0
 STUCK_REPORTS = 8
-MAX_RATIO = 2.5  # of an answer's time to the time expected by the report, or the inverse
-ANSWER_WEIGHT = 0.2  # in the moving average of explained answers
+MAX_RATIO = 2.5  # bounds the ratio of an answer's time to the time expected by the report, and its inverse
+ANSWER_WEIGHT = 0.2  # the weight of one answer in the moving average of explained answers
 TRUST_ABOVE, DISTRUST_BELOW = 0.5, 0.35  # shares of explained answers; the gap guards against flapping
 
 
@@ -46,7 +46,7 @@
         self.last_value, self.same_count, self.same_since_ms = -1.0, 0, 0.0
         self.explained_share, self.trusted = 1.0, True
 
-    def heard(self, now: float, value: float, wait_ms: float) -> None:
+    def record_report(self, now: float, value: float, wait_ms: float) -> None:
         """Records a report: its value, and the wait that the value amounts to."""
         gap = now - self.at_ms
         weight = 1.0 - math.exp(-gap / SMOOTHING_MS) if gap < MAX_REPORT_AGE_MS else 1.0
--- a/honeywharf/reports/reports.py
+++ b/honeywharf/reports/reports.py
@@ -14,18 +14,19 @@
 from honeywharf.reports.node import NodeReports
 from honeywharf.reports.zone_load import ZoneLoad
 
-INITIAL_CORES = 2.0  # of a node, until it is learned from answers
+INITIAL_CORES = 2.0  # a node's assumed cores until their number is learned from answers
 MAX_CORES = 64.0
-MIN_SAMPLE_WEIGHT = 0.02  # of one answer in `wait_per_call_ms`
+MIN_SAMPLE_WEIGHT = 0.02  # the least weight of one answer in `wait_per_call_ms`
 PRIOR_SAMPLES = 3  # the weight of the initial estimate, in answers
 MIN_WAITING = 1.0  # waiting calls from which an answer gives a sample of `wait_per_call_ms`
-HOLD_MARGIN = 1.0  # times the even share of the calls that a proxy may hold
+HOLD_MARGIN = 1.0  # factor on a proxy's even share of the calls in flight
 # Answers averaged for the service time, and answers over which the base time rises.
 SERVICE_SAMPLES, BASE_RISE_SAMPLES = 30, 300.0
-IDLE_WAIT_PART = 0.25  # of `wait_per_call_ms`; a node with a shorter wait counts as idle
+IDLE_WAIT_PART = 0.25  # a node counts as idle if its wait is under this part of `wait_per_call_ms`
 MAX_WAIT_AGE_MS = 4000.0  # an older wait of a node does not reduce its share
 MIN_SHARE = 0.1
-EASE, AIM_LEAST = 1.35, 0.3  # the answer time without overload, in base times and in targets
+# The answer time without overload, in base times and in latency targets.
+UNLOADED_BASE_TIMES, MIN_TARGET_PART = 1.35, 0.3
 MIN_REFERENCE_MS = 5.0
 
 
@@ -44,22 +45,22 @@
         self.counts = {"heard": 0, "no figure": 0, "doubted": 0, "late": 0}
 
     def listed(self, started: dict[str, float | None]) -> None:
-        """Forgets endpoints that left the list or have restarted; `started`: start times by endpoint."""
+        """Drops endpoints that left the list or have restarted; `started`: start times by endpoint."""
         for name in [n for n in self.nodes if n not in started or started[n] != self.started.get(n)]:
             del self.nodes[name]
         self.started = started
 
-    def heard(
+    def record_report(
         self,
         now: float,
         endpoint: str,
         zone: str,
         report: tuple[float, ...],
-        took_ms: float,
+        elapsed_ms: float,
         base_ms: float,
         target_ms: float,
     ) -> None:
-        """Records a report; `took_ms`: the time of the answer that it came with, negative without one.
+        """Records a report; `elapsed_ms`: the time of the answer that it came with, negative without one.
 
         `base_ms`: the answer time of unloaded servers; `target_ms`: the time that a zone's answers may take.
         """
@@ -70,49 +71,51 @@
         if self.service_samples < SERVICE_SAMPLES:
             self.base_ms = base_ms
         base_ms = self.base_ms
-        self.reference_ms = max(MIN_REFERENCE_MS, EASE * base_ms - base_ms, AIM_LEAST * target_ms - base_ms)
+        self.reference_ms = max(
+            MIN_REFERENCE_MS, UNLOADED_BASE_TIMES * base_ms - base_ms, MIN_TARGET_PART * target_ms - base_ms
+        )
         load = self.reader.read(report, base_ms / self.wait_per_call_ms)
         if not load.informative:
             self.counts["no figure"] += 1
             return
         self.counts["heard"] += 1
-        value = load.waiting if load.waiting >= 0.0 else load.took_ms
+        value = load.waiting if load.waiting >= 0.0 else load.call_ms
         wait = load.waiting * self.wait_per_call_ms if load.waiting >= 0.0 else max(0.0, value - base_ms)
         node = self.nodes.get(endpoint)
         if node is None:
             node = self.nodes[endpoint] = NodeReports()
-        if took_ms >= 0.0 and value == 0.0 and node.wait_ms < IDLE_WAIT_PART * self.wait_per_call_ms:
+        if elapsed_ms >= 0.0 and value == 0.0 and node.wait_ms < IDLE_WAIT_PART * self.wait_per_call_ms:
             # The answer time of an idle node is the service time.
             self.service_samples += 1
-            self.service_ms += (took_ms - self.service_ms) / min(SERVICE_SAMPLES, self.service_samples)
+            self.service_ms += (elapsed_ms - self.service_ms) / min(SERVICE_SAMPLES, self.service_samples)
             if self.service_samples == SERVICE_SAMPLES:
                 self.base_ms = self.service_ms
             elif self.service_samples > SERVICE_SAMPLES:
                 risen = self.base_ms + (self.service_ms - self.base_ms) / BASE_RISE_SAMPLES
                 self.base_ms = min(self.service_ms, risen)
-        if took_ms >= 0.0:
+        if elapsed_ms >= 0.0:
             # The call met an earlier queue than the reported one: the mean of both waits is expected.
             before = node.wait_ms if node.weight(now) > 0.0 else wait
-            node.compare(took_ms / (base_ms + 0.5 * (before + wait)))
+            node.compare(elapsed_ms / (base_ms + 0.5 * (before + wait)))
             if load.waiting >= MIN_WAITING and node.trusted:
-                sample_ms = min(base_ms, max(base_ms / MAX_CORES, (took_ms - base_ms) / load.waiting))
+                sample_ms = min(base_ms, max(base_ms / MAX_CORES, (elapsed_ms - base_ms) / load.waiting))
                 self.wait_samples += 1
                 self.wait_per_call_ms += (sample_ms - self.wait_per_call_ms) * max(
                     MIN_SAMPLE_WEIGHT, 1.0 / (self.wait_samples + PRIOR_SAMPLES)
                 )
-        node.heard(now, value, wait)
+        node.record_report(now, value, wait)
         zone_load = self.zone_loads.get(zone)
         if zone_load is None:
             zone_load = self.zone_loads[zone] = ZoneLoad(self.proxy_share)
-        if took_ms >= 0.0:
-            zone_load.age.add(now, max(0.0, took_ms - base_ms), wait, self.reference_ms)
+        if elapsed_ms >= 0.0:
+            zone_load.age.add(now, max(0.0, elapsed_ms - base_ms), wait, self.reference_ms)
         weight = node.weight(now)
         self.counts["late"] += zone_load.age.late
         self.counts["doubted"] += weight == 0.0
-        zone_load.heard(now, wait, self.reference_ms, weight)
+        zone_load.record_report(now, wait, self.reference_ms, weight)
 
     def note_limited(self, zone: str, binds: bool) -> None:
-        """Notes whether the zone's bound has held a call back since the last note."""
+        """Notes whether the zone's bound has rejected a call since the last note."""
         zone_load = self.zone_loads.get(zone)
         if zone_load is not None and binds:
             zone_load.binds = True
@@ -120,7 +123,7 @@
     def admitted_factor(self, now: float, zone: str, away: bool) -> float:
         """Returns the factor on `hold` for calls of the own zone, or of others if `away`.
 
-        Negative where nothing is known of the zone.
+        The factor is negative where nothing is known of the zone.
         """
         zone_load = self.zone_loads.get(zone)
         if zone_load is None or not zone_load.known(now):
--- a/honeywharf/reports/zone_load.py
+++ b/honeywharf/reports/zone_load.py
@@ -5,8 +5,8 @@
 
 The factor multiplies the calls that a proxy may hold in the zone, and every proxy changes it alike. The terms
 are proportional and integral, as in PIE (RFC 8033, 4.2), and act on the logarithm of the factor, which a
-queue's rate of change follows whatever the demand. The factor grows past 1 only while it holds calls back;
-`docs/design/reports.md` has the swing of the loop over delays from 0 to 2 s.
+queue's rate of change follows whatever the demand. The factor grows past 1 only while it rejects calls;
+`docs/design/reports.md` shows the loop's oscillation at delays from 0 to 2 s.
 
 The first report of a zone sets its factor at once by the wait. Calls of other zones are admitted only up to a
 shorter wait than the zone's own (`AWAY_REFERENCE_PART`): spill-over leaves room for the zone's own traffic,
@@ -21,8 +21,8 @@
 
 # In e-folds: for a change of the error by one reference, and per second at an error of one reference.
 PROPORTIONAL_GAIN, INTEGRAL_RATE = 0.25, 0.6
-OVERLOAD_RATE_FACTOR = 2.0  # on the integral rate, from one reference over
-MAX_ERROR = 3.0  # references over; an error under -1 is impossible
+OVERLOAD_RATE_FACTOR = 2.0  # factor on the integral rate while the wait exceeds twice its reference
+MAX_ERROR = 3.0  # in references; an error under -1 is impossible
 MAX_FACTOR = 32.0  # nodes may hold more calls at once than the waits show
 UNUSED_DECAY_PER_S = 0.2  # e-folds by which an unused factor over 1 falls
 MIN_SHARES, MIN_FACTOR = 2.0, 0.3  # guards against a zone that gets no calls and so sends no reports
@@ -47,7 +47,7 @@
         self.value = max(self.minimum, 1.0 / (1.0 + max(0.0, error)))
 
     def update(self, error: float, dt_s: float, part: float, binds: bool) -> None:
-        """Updates the factor; `error`: in references; `part`: of the gains; `binds`: it holds calls back."""
+        """Updates the factor by `error`, in references; `part` scales the gains; `binds`: it limits calls."""
         if self.value >= 1.0 and error <= 0.0 and not binds:
             # An unused factor is not validated (RFC 7661): it falls back to 1, which is known to fit.
             self.value, self.error = max(1.0, self.value * math.exp(-UNUSED_DECAY_PER_S * dt_s)), error
@@ -69,14 +69,14 @@
         self.gap_ms = 0.0  # moving average of the gap between reports
         self.age = ReportAge()
         minimum = min(MIN_FACTOR, MIN_SHARES * part)
-        self.binds = False  # the factor has held calls back since the last report
+        self.binds = False  # the factor has rejected calls since the last report
         self.own, self.away = AdmissionFactor(minimum), AdmissionFactor(minimum)
 
     def known(self, now: float) -> bool:
         """Whether the zone's reports are recent enough to act on."""
         return now - self.at_ms < MAX_ZONE_AGE_MS and not self.age.late
 
-    def heard(self, now: float, wait_ms: float, reference_ms: float, weight: float) -> None:
+    def record_report(self, now: float, wait_ms: float, reference_ms: float, weight: float) -> None:
         """Records a wait reported by a node of the zone; `weight`: how far it is trusted, 0 to 1."""
         if weight <= 0.0:
             return
--- a/honeywharf/sidecar/backend.py
+++ b/honeywharf/sidecar/backend.py
@@ -3,9 +3,10 @@
 Theory of operation. An idle connection is reused only if less time has passed than the backend keeps it open
 (`Keep-Alive`, less a margin); the one used last is taken first, so the rest age out. An answer belongs to a
 request only if it echoes its attempt id; any other is skipped, and the connection is closed afterwards. So is
-a connection that received bytes while no request was out, one whose answer came before all of its request
-was written, and one that carried a rejection, as a rejected request may come back under the id it had. On a
-new connection the request is written once it is up, so a connection that is refused proves that nothing ran.
+a connection that received bytes while no request was in flight, one whose answer came before all of its
+request was written, and one that carried a rejection, as a rejected request may come back under the id it
+had. On a new connection the request is written once it is up, so a connection that is refused proves that
+nothing ran.
 
 A backend may have dropped an idle connection, which shows only by a reset of what is sent next. So one that
 was idle for more than `MAX_IDLE_UNPROBED_S` is probed: the bytes of the method are sent alone, which no
@@ -62,7 +63,7 @@
 KEEP_ALIVE_MARGIN_S = 1.0  # an idle connection is not used any more this long before the backend closes it
 DEFAULT_KEEP_ALIVE_S = 2.0  # where the backend sends no Keep-Alive header
 CONNECT_TIMEOUT_S = 0.6
-MAX_IDLE_UNPROBED_S = 0.1  # a connection idle for longer is probed before a whole request is sent on it
+MAX_IDLE_UNPROBED_S = 0.1  # a connection idle for longer is probed before its next request
 PROBE_WAIT_S = 0.002  # enough for a reset to come back on the same machine
 
 
@@ -91,7 +92,7 @@
         self.user: ConnectionUser | None = user
         self.sent_ahead = b""  # bytes of the request that were sent as a probe
         self.is_probing = False  # while the probe may still be answered by a reset
-        self.request_complete = False  # whether the user has written its whole request
+        self.request_complete = False  # whether the user has written all of its request
         self.is_up = self.sent = self.must_close = self.skipping_answer = self.answering = False
         self.idle_since = self.max_idle_s = 0.0
         self.reader = ResponseReader(self, MAX_ANSWER_BYTES)
@@ -151,7 +152,7 @@
         return self.connection.unsent
 
     def release(self) -> None:
-        """Closes the connection, which tells the backend that the request is given up."""
+        """Closes the connection, which cancels the request at the backend."""
         self.user = None
         self.pool.discard(self)
         self.connection.abort()
@@ -258,7 +259,7 @@
 
 
 class BackendConnectionPool:
-    """The connections to one backend: at most `most` at once, as configured."""
+    """The connections to one backend; at most `most` of them are open at once, as configured."""
 
     def __init__(self, host: Host, address: Address, made: Callable[[], None]) -> None:
         self.host, self.address, self.on_connect = host, address, made
@@ -268,9 +269,9 @@
         self.stale_found = 0  # connections closed by the backend, found by a probe
 
     def take(self, user: ConnectionUser, fresh: bool = False) -> BackendConnection | None:
-        """Returns a connection for one request; None where no more may be open.
+        """Returns a connection for one request; None if the number of connections is at its limit.
 
-        `user.ready` is called when it may be written to.
+        `user.ready` is called once the connection may be written to.
 
         `fresh`: the connection is new or was used recently, as a request that must not run twice should not
         be sent on one that the backend is about to close.
@@ -300,7 +301,7 @@
             self.idle.pop(0).release()
 
     def discard(self, connection: BackendConnection) -> None:
-        """Forgets a connection that is not used any more."""
+        """Removes a connection that is not used any more."""
         self.open_connections.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
--- a/honeywharf/sidecar/client_connection.py
+++ b/honeywharf/sidecar/client_connection.py
@@ -1,7 +1,7 @@
 """One client's connection: requests are read and routed, and their answers written in order.
 
 Theory of operation. Each request on a connection is an `Exchange`. Several may be under way (pipelining); the
-first one's answer is written, the others' answers are held, which the windows of their requests bound.
+first one's answer is written, the others' answers are buffered, bounded by the windows of their requests.
 Reading stops while `MAX_PIPELINED` requests are under way, or while more of a body than `MAX_HELD_BODY_BYTES`
 waits to be sent. A request that breaks the protocol or a configured limit is answered (400, 408, 413, 431)
 after the answers due before it, and ends the connection. A client that sends a FIN is probed (`disconnects`).
@@ -46,13 +46,13 @@
 
 MAX_PIPELINED = 16
 NO_CONFIGURATION_RETRY_S = 0.2  # Retry-After of a sidecar that has no configuration yet
-MAX_HELD_BODY_BYTES = 64 * 1024  # bounds the part of a body that waits to be sent
+MAX_HELD_BODY_BYTES = 64 * 1024  # bounds the received part of a body that waits to be forwarded
 MAX_DISCARDED_BODY_BYTES = 4 << 20  # a longer body is not read to its end once its request is answered
 SLOW_BODY = b"the body was too slow"
 
 
 class LocalAnswer:
-    """An answer of the mesh's own. `retry_after_s`: 0 for an answer without Retry-After."""
+    """An answer that the mesh itself gives. `retry_after_s`: 0 for an answer without Retry-After."""
 
     __slots__ = ("retry_after_s", "status", "text")
 
@@ -175,7 +175,7 @@
         self.exchanges.append(exchange)
         if self.closing or follows_last:
             exchange.closes = True
-            return  # a request that follows the last one counts as not read
+            return  # a request behind the one that closes the connection counts as not read
         if not exchange.keep:
             exchange.closes = True
         self.exchange = exchange
@@ -266,7 +266,7 @@
         elif exchange.request is not None and not exchange.request.is_over:
             request = exchange.request
             if status == 408 and (request.may_have_run or request.bytes_sent):
-                status = 502  # 408 promises that nothing has run, but a part of the request was sent on
+                status = 502  # 408 promises that nothing has run, but a part of the request was forwarded
             request.cancel()
             if request.answering:  # no second answer may follow one that has begun
                 self.broken(exchange)
@@ -283,7 +283,7 @@
     # Answers.
 
     def answer_locally(self, exchange: Exchange, answer: LocalAnswer) -> None:
-        """Writes an answer of the mesh's own."""
+        """Writes an answer that the mesh itself gives."""
         if exchange.done:
             return
         if self._is_last_answer(exchange) or (not exchange.request_complete and exchange.has_long_body):
@@ -467,7 +467,7 @@
         self.client, self.exchange = client, exchange
 
     def final(self, request: OutboundRequest, status: int, retry_after_s: float, text: bytes) -> None:
-        """Passes on an answer of the mesh's own."""
+        """Passes on an answer that the mesh itself gives."""
         self.client.answer_locally(self.exchange, LocalAnswer(status, retry_after_s, text))
 
     def answer(
--- a/honeywharf/sidecar/delegation.py
+++ b/honeywharf/sidecar/delegation.py
@@ -1,7 +1,7 @@
 """Requests delegated by a sidecar that suspects its own rules of drift, decided here in its place.
 
 Theory of operation. A sidecar that can't repair its rules must not decide, but its clients should get their
-answers: it sends each request, whole, as a stream of the kind `DELEGATED` to a healthy sidecar of its zone.
+answers: it sends each complete request as a stream of the kind `DELEGATED` to a healthy sidecar of its zone.
 Here the request becomes an `OutboundRequest` as if a client had sent it: this sidecar's rules, its draw, its
 second reading and its retry budget apply, and gates treat it like any other. The attempt id and the header
 lines are the client's; the calling service is that of the machine where the request began. A rejection sent
@@ -13,9 +13,9 @@
     502, 504; the link was lost             answers the same; 502
     any other answer                        answers the same
 
-Bounds: `MAX_DELEGATED` at once, `READ_AHEAD_BYTES` of a body held. A sidecar whose mesh state is older than
-that of the sidecar that asks rejects, and a delegated request is not delegated again. This module is loaded
-when it is first needed.
+Bounds: `MAX_DELEGATED` requests at once, and `READ_AHEAD_BYTES` buffered of each body. A sidecar rejects
+requests of one whose mesh state is newer than its own, and a delegated request is not delegated again. This
+module is loaded when it is first needed.
 """
 
 from __future__ import annotations
@@ -80,13 +80,13 @@
         self.source.accepted_delegations.pop(self, None)
 
     def cancel(self) -> None:
-        """Gives the request up: the delegating sidecar wants no answer any more."""
+        """Cancels the request: the delegating sidecar wants no answer any more."""
         self._finish()
         if self.request is not None:
             self.request.cancel()
 
     def final(self, request: OutboundRequest, status: int, retry_after_s: float, text: bytes) -> None:
-        """Passes on an answer of the mesh's own.
+        """Passes on an answer that the mesh itself gives.
 
         A 503 is sent as a rejection: nothing has run, or the request may run twice.
         """
@@ -109,7 +109,7 @@
         self.responder.answer(status, fields, length, NO_LOAD, body)
 
     def broken(self, request: OutboundRequest) -> None:
-        """Tells that an answer that has begun can't be completed."""
+        """Reports that an answer that has begun can't be completed."""
         self._finish()
         self.responder.fail(Verdict(MAY_HAVE_RUN, CONNECTION_BROKEN, True), NO_LOAD)
 
@@ -118,7 +118,7 @@
         self.responder.data(data)
 
     def whole(self, request: OutboundRequest) -> None:
-        """Tells that the answer is complete."""
+        """Reports that the answer is complete."""
         self._finish()
         self.responder.complete()
 
--- a/honeywharf/sidecar/disconnects.py
+++ b/honeywharf/sidecar/disconnects.py
@@ -1,10 +1,10 @@
 """Detection of clients that disconnect while requests of theirs are under way, with counters.
 
 Theory of operation. A client's FIN means that it has closed its connection, or only its sending half and
-still waits for answers. What comes back tells these apart: an interim response, which every client has to
-skip (RFC 9110, 15.2), is answered by a reset where the client has closed; the connection is then lost, and
-its requests are cancelled. So a client that has sent a FIN is sent an interim response at once, and again
-until it has its answers, as it may close fully later.
+still waits for answers. An interim response, which every client has to skip (RFC 9110, 15.2), distinguishes
+these cases: where the client has closed, it is answered by a reset; the connection is then lost, and its
+requests are cancelled. A client that has sent a FIN is sent an interim response at once, and again until it
+has its answers, as it may close fully later.
 
 No interim response can be sent once an answer has begun, or to HTTP/1.0: there the next bytes of the answer
 detect the disconnect.
@@ -29,7 +29,7 @@
 class DisconnectProbe:
     """Sends interim responses to a client that has sent a FIN, to learn whether it still waits.
 
-    `may_probe` tells whether the next bytes on the connection may be an interim response. Where the client
+    `may_probe` returns whether the next bytes on the connection may be an interim response. Where the client
     has closed, the connection is reset, and its handler is called.
     """
 
@@ -57,7 +57,7 @@
 class DisconnectCounters:
     """Counts how clients' connections ended with requests under way, and how many requests were cancelled.
 
-    The counters tell three faults apart that look alike from outside, as backends work for clients that left:
+    The counters distinguish three faults with the same symptom, backends that work for disconnected clients:
 
     - a FIN is not taken for a disconnect: `cancelled` stays behind `requests`
     - the FIN is not read: `paused` rises, `requests` does not
--- a/honeywharf/sidecar/gate.py
+++ b/honeywharf/sidecar/gate.py
@@ -1,19 +1,19 @@
 """The gate before one backend: rejects what must not run there, before the backend has seen a byte.
 
-Theory of operation. Every request reaches the backend through this process, so the gate knows its state at
-first hand. Each start of the backend has an id of its own (`instance`), which heartbeats and health answers
-tell. States:
+Theory of operation. Every request reaches the backend through this process, so the gate knows its state
+directly. Each start of the backend has an id of its own (`instance`), which heartbeats and health answers
+carry. States:
 
-    UNKNOWN   nothing heard of it since this process started, or it did not take a connection
+    UNKNOWN   no message from it since this process started, or it did not take a connection
     READY     it takes requests
     DRAINING  it shuts down: no further request from the moment at which its heartbeat is acknowledged
     ENDED     it has deregistered
 
 An instance that has ended never returns: late heartbeats of it change nothing. Until `cold_until` the backend
 is cold (caches not filled), and slow start bounds its requests. `cold_unknown` is set where it may be cold
-without having told so: after an evacuation, for a new instance, and when this process starts. Slow start then
-applies until a later heartbeat or health answer tells. Source: RULES (DRAIN, ROUTE, EVAC, FAILBACK), PROTOCOL
-("Backends", "Which backends there are"). Times are in seconds on the steady clock.
+without having reported it: after an evacuation, for a new instance, and when this process starts. Slow start
+then applies until a later heartbeat or health answer reports it. Source: RULES (DRAIN, ROUTE, EVAC,
+FAILBACK), PROTOCOL ("Backends", "Which backends there are"). Times are in seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 MIN_RESTART_S = (
     0.3  # shortest time from the end of one process of this program to the next one's first request
 )
-COLD_MARGIN_S = 0.25  # added to the announced cold time, for the time that the message took
+COLD_MARGIN_S = 0.25  # added to the announced cold time, to cover the delay of the message
 
 
 class Gate:
@@ -58,7 +58,7 @@
         self.cold_unknown = True
         self.evacuated = False
         self.restored_at = 0.0  # end of the last evacuation of the zone
-        self.heard_at = 0.0  # last heartbeat or health answer
+        self.last_report_at = 0.0  # when the last heartbeat or health answer came; 0 before the first
         self.changes = 0
 
     # Changes of state.
@@ -76,7 +76,7 @@
         if instance in self.ended_instances or (instance == self.instance and sequence <= self.sequence):
             return False
         self._set_instance(now, instance)
-        self.sequence, self.heard_at = sequence, now
+        self.sequence, self.last_report_at = sequence, now
         if slots > 0:
             self.admission.slots = slots
         self._set_cold(now, cold_s)
@@ -90,19 +90,19 @@
         is_healthy: bool,
         slots: int,
         cold_s: float | None,
-        asked_at: float,
+        sent_at: float,
     ) -> None:
-        """Takes the answer to a health check that began at `asked_at`.
+        """Takes the answer to a health check that began at `sent_at`.
 
         A heartbeat's draining state stays in force.
         """
         if not instance or instance in self.ended_instances:
             return
         self._set_instance(now, instance)
-        self.heard_at = now
+        self.last_report_at = now
         if slots > 0:
             self.admission.slots = slots
-        if asked_at >= self.restored_at:
+        if sent_at >= self.restored_at:
             self._set_cold(now, cold_s or 0.0)
         if self.state == UNKNOWN and is_healthy:
             self._set_state(READY)
@@ -167,14 +167,14 @@
     def rejection(self, now: float, service: str, expected: str = "") -> tuple[int, float] | None:
         """Returns why a request must not run here now, and after how many seconds a retry may succeed.
 
-        None where it may run.
+        Returns None where the request may run.
         """
         if service != self.service:
             return OTHER_SERVICE, 0.0
         if self.state == DRAINING or self.state == ENDED:
             return IS_DRAINING, 0.0
         if self.state == UNKNOWN or not self.instance:
-            return (NO_BACKEND if self.heard_at else NOT_READY), 0.0
+            return (NO_BACKEND if self.last_report_at else NOT_READY), 0.0
         if self.evacuated:
             return EVACUATED, 0.0
         if self.is_cold(now):
@@ -193,5 +193,5 @@
         return admission.running, admission.waiting, admission.slots
 
     def gossip_attributes(self) -> dict[str, object]:
-        """Returns the backend's state as gossip tells it to other nodes."""
+        """Returns the backend's state as gossip sends it to other nodes."""
         return {"s": self.service, "b": self.instance, "st": self.state, "sl": self.admission.slots}
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -1,20 +1,20 @@
 """The destination's side of a request: admitted by the gate, given a slot, sent to the backend, answered.
 
-Theory of operation. `begin` asks the gate at once, and again when a queued request gets a slot. An admitted
-request holds its slot until it is over. Its head is written to the backend only when its body has begun to
-arrive, or is complete where it is short: a source that has sent no byte of a body knows that nothing has run.
-Where that took longer than `RECHECK_AFTER_S`, the gate is asked again, as a request that was admitted earlier
-may be forbidden by now. An answer up to `MAX_WHOLE_ANSWER_BYTES` is forwarded only when it is complete, so
-that a connection that breaks earlier has shown the client nothing.
+Theory of operation. `begin` queries the gate at once, and again when a queued request gets a slot. An
+admitted request holds its slot until it is over. Its head is written to the backend only when its body has
+begun to arrive, or is complete where it is short: a source that has sent no byte of a body knows that nothing
+has run. Where that took longer than `RECHECK_AFTER_S`, the gate is queried again, as a request that was
+admitted earlier may be forbidden by now. An answer up to `MAX_WHOLE_ANSWER_BYTES` is forwarded only when it
+is complete, so that the client has seen nothing of it if the connection breaks earlier.
 
     begun -> receiving -> queued -> started -> sent -> answering -> over
       \\________\\__________\\________ rejected (not run)   \\_______ failed (may have run)
 
 A body over `MAX_SHORT_BODY_BYTES` and up to `MAX_HELD_BODY_BYTES` is received before a slot is taken: over a
-slow link it takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how much of it
-is asked for at a time. A longer body takes its slot first and is forwarded as it arrives.
+slow link it takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how
+much of it is requested at a time. A longer body takes its slot first and is forwarded as it arrives.
 
-Each `InboundRequest` reports its end once. `_release` is the only place that gives slot and connection back.
+Each `InboundRequest` reports its end once. Only `_release` gives the slot and the connection back.
 """
 
 from __future__ import annotations
@@ -70,15 +70,15 @@
             """Sends a part of the answer's body."""
 
         def complete(self) -> None:
-            """Tells that the answer is complete."""
+            """Reports that the answer is complete."""
 
         def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-            """Tells that no answer comes, or none further."""
+            """Reports that no answer comes, or that the rest of it does not."""
 
 
-MAX_SHORT_BODY_BYTES = INITIAL_WINDOW  # received whole before the head is sent to the backend
-MAX_WHOLE_ANSWER_BYTES = 64 * 1024  # forwarded only when it is complete
-MAX_HELD_BODY_BYTES = 512 * 1024  # received before a slot is taken
+MAX_SHORT_BODY_BYTES = INITIAL_WINDOW  # up to this size a body is received before the head is written
+MAX_WHOLE_ANSWER_BYTES = 64 * 1024  # an answer up to this size is forwarded only when it is complete
+MAX_HELD_BODY_BYTES = 512 * 1024  # a body up to this size is received before a slot is taken
 # Shares of the request's latency target.
 MAX_BACKLOG_SHARE = 0.3  # wait of a body's first byte for the link
 MAX_SLOT_WAIT_SHARE = 0.5  # wait for a slot once the body is received
@@ -115,7 +115,7 @@
         "inbound",
         "is_admitted",
         "is_over",
-        "place",
+        "pending_body",
         "receiving",
         "responder",
         "short",
@@ -132,8 +132,8 @@
         self.deadline = inbound.host.now() + forwarded.remaining_s
         self.waiter: Waiter | None = None
         self.slow_start_timer: Timer | None = None  # set while it waits for a cold backend
-        self.place: PendingBody | None = None  # place of the body in the intake
-        # Whether the body is received before a slot is taken, and whether the source was told to send it.
+        self.pending_body: PendingBody | None = None  # the entry of the body in the intake
+        # Whether the body is received before a slot is taken, and whether the source may send it.
         self.receiving = self.is_admitted = False
         self.backend_connection: BackendConnection | None = None
         self.deadline_timer: Timer | None = None
@@ -200,15 +200,15 @@
             if not self.is_over:
                 self.responder.window(WINDOW_SIZE - INITIAL_WINDOW)
         else:
-            backlog, place = inbound.intake.backlog_s(), None
+            backlog, pending_body = inbound.intake.backlog_s(), None
             if backlog <= MAX_BACKLOG_SHARE * forwarded.latency_target_s:
-                place = inbound.intake.add(now, forwarded.length, self._ask_for_bytes)
-            if place is None:
+                pending_body = inbound.intake.add(now, forwarded.length, self._request_bytes)
+            if pending_body is None:
                 self.reject(LINK_SATURATED, max(0.02, backlog))
                 return
-            self.receiving, self.place = True, place
+            self.receiving, self.pending_body = True, pending_body
             inbound.receiving += 1
-            inbound.pump_intake()
+            inbound.request_body_bytes()
         if self.receiving and not self.is_over:
             self._start_deadline_timer(now)
 
@@ -218,7 +218,7 @@
                 self.deadline - now + DEADLINE_GRACE_S, self._deadline_passed
             )
 
-    def _ask_for_bytes(self, size: int) -> None:
+    def _request_bytes(self, size: int) -> None:
         """Lets the source send `size` further bytes of the body, as the link has room for them."""
         if not self.is_admitted:
             self.is_admitted = True
@@ -237,21 +237,21 @@
             )
             if self._passes_gate(now):
                 self._take_slot(now)
-        elif self.place is None:
+        elif self.pending_body is None:
             self.responder.window(size)
         else:
-            inbound.intake.record_received(now, self.place, size)
-            inbound.pump_intake()
+            inbound.intake.record_received(now, self.pending_body, size)
+            inbound.request_body_bytes()
 
     def _stop_receiving(self, now: float) -> None:
-        """Gives up the body's place in the intake: it is complete, or is not wanted any more."""
+        """Removes the body from the intake: it is complete, or is not wanted any more."""
         if self.receiving:
             self.receiving = False
             self.inbound.receiving -= 1
-        if self.place is not None:
-            self.inbound.intake.discard(self.place)
-            self.place = None
-            self.inbound.pump_intake()
+        if self.pending_body is not None:
+            self.inbound.intake.discard(self.pending_body)
+            self.pending_body = None
+            self.inbound.request_body_bytes()
 
     def _passes_gate(self, now: float) -> bool:
         inbound, forwarded = self.inbound, self.forwarded
@@ -346,7 +346,7 @@
             self.drained()
 
     def _passes_gate_again(self) -> bool:
-        """Asks the gate again where its admission is old, as the body or the connection was slow."""
+        """Queries the gate again where its admission is old, as the body or the connection was slow."""
         now = self.inbound.host.now()
         if now - self.checked_at <= RECHECK_AFTER_S:
             return True
@@ -431,7 +431,7 @@
             self._release()
 
     def finish(self) -> None:
-        """Reports what is known of the request because this process ends; a lost link would tell less."""
+        """Reports what is known of the request because this process ends; a lost link would report less."""
         if self.is_over:
             return
         if self.head_written:
@@ -470,7 +470,7 @@
             head = self.head
             assert head is not None
             if not self._may_reach_client():
-                self._discard_answer(head)  # now, so that no more of the body is held
+                self._discard_answer(head)  # now, so that no more of the body is buffered
                 return
             self.streaming = True
             self.responder.answer(head.status, b"".join(head.fields), head.length, self.gate.load(), None)
@@ -608,7 +608,7 @@
         self.link_bytes_s = float("inf")  # rate of this machine's network link, in bytes a second
         self.intake = Intake()
         self.receiving = 0  # requests whose bodies are received before they have a slot
-        self.intake_due: Timer | None = None
+        self.stall_timer: Timer | None = None
         self.expiry_timer: Timer | None = None
         self.expiry_at = 0.0
         self.start_scheduled = False
@@ -641,7 +641,7 @@
         self.intake.set_link_rate(self.link_bytes_s)
 
     def expected_s(self, request: InboundRequest) -> float:
-        """Returns the expected wait for a slot, behind the requests whose bodies are being received."""
+        """Returns the expected wait for a slot in s, behind requests whose bodies are being received."""
         admission, now = self.gate.admission, self.host.now()
         if admission.can_start(now, request.short) and admission.running + self.receiving < admission.slots:
             return 0.0
@@ -649,17 +649,17 @@
             self.receiving * admission.mean_s / max(1, admission.slots)
         )
 
-    def pump_intake(self) -> None:
-        """Asks for bytes of bodies, and again after `STALL_S` where a stalled body may hold others up."""
-        if self.intake.request_more(self.host.now()) and self.intake_due is None:
-            self.intake_due = self.host.after(STALL_S, self._pump_intake)
+    def request_body_bytes(self) -> None:
+        """Requests bytes of bodies, and again after `STALL_S` where a stalled body may delay others."""
+        if self.intake.request_more(self.host.now()) and self.stall_timer is None:
+            self.stall_timer = self.host.after(STALL_S, self._stall_ended)
 
-    def _pump_intake(self) -> None:
-        self.intake_due = None
-        self.pump_intake()
+    def _stall_ended(self) -> None:
+        self.stall_timer = None
+        self.request_body_bytes()
 
     def update_slots(self, load: bytes) -> None:
-        """Takes over the number of slots from a load header: running, waiting, slots."""
+        """Takes the number of slots from a load header, which has the form `running,waiting,slots`."""
         figures = load.split(b",")
         if len(figures) == 3 and figures[2].strip().isdigit():
             slots = int(figures[2])
--- a/honeywharf/sidecar/mesh_state.py
+++ b/honeywharf/sidecar/mesh_state.py
@@ -2,10 +2,10 @@
 
 Theory of operation. A mesh state is `(revision, version, digest, evacuated zones)`; the configuration's text
 is fetched by its digest where it is another one. At the start a mesh state counts only if a control node has
-read it from a majority ("word.read"); after that, any higher revision that any node holds ("word.known") is
-taken, as control nodes announce only settled ones. Each holder gives its mesh state to others, so control
-nodes need not serve all. Without a majority, a sidecar that starts stays not ready, however long: the state
-of a control node that is cut off may be old, and no node can tell. Source: RULES, CONFIG and EVAC.
+read it from a majority ("word.read"); after that, any higher revision of any node ("word.known") is taken, as
+control nodes announce only committed ones. Each node gives its mesh state to others, so control nodes need
+not serve all. Without a majority, a sidecar that starts stays not ready, however long: the state of a control
+node that is partitioned off may be old, and no node can detect that. Source: RULES, CONFIG and EVAC.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     from honeywharf.transport.rpc_server import Reply
 
 CALL_TIMEOUT_S = 0.7
-TEXT_TIMEOUTS_S = (0.8, 6.0)  # first and longest; doubled after each failure, as a text may be long
+# The first and the longest time-out for a text; doubled after each failure, as a text may be long.
+TEXT_TIMEOUTS_S = (0.8, 6.0)
 RETRY_S = 0.15
 MIN_FETCH_S = 0.25  # a fetch gets this long before an announcement starts another one
 MAX_TEXT_BYTES = 80 << 20
@@ -59,7 +60,7 @@
         self.packed = b""  # the configuration's text, compressed
         self.ready = False
         self.newest = 0  # the highest revision announced
-        self.fetch_number = 0  # number of the fetch under way; 0 without one
+        self.fetch_number = 0  # the number of the fetch under way; 0 without one
         self.fetches = 0
         self.fetched_at = 0.0
         self.failed_fetches = 0  # fetches in a row that got no text
@@ -77,7 +78,7 @@
         """Returns the limits on clients' requests: sizes and times."""
         return self._limits if self.table is None else self.table.limits
 
-    # Taking a mesh state over.
+    # Adopting a mesh state.
 
     def start(self) -> None:
         """Asks control nodes until one has read the mesh state from a majority."""
@@ -103,18 +104,18 @@
         if not self.ready and not self.fetch_number:
             self.host.after(RETRY_S, self.start)
 
-    def revision_announced(self, revision: int, holder: Address) -> None:
-        """Fetches an announced revision if it is newer, even if a fetch of an older one is late."""
+    def revision_announced(self, revision: int, peer: Address) -> None:
+        """Fetches an announced revision if it is newer, also while a fetch of an older one is late."""
         self.newest = max(self.newest, revision)
         busy = self.fetch_number and self.host.now() - self.fetched_at < MIN_FETCH_S
         if revision > self.revision and self.ready and not busy:
             fetch = self._begin_fetch()
             self.rpc_client.call(
-                holder,
+                peer,
                 rpc_methods.KNOWN_STATE,
                 None,
                 CALL_TIMEOUT_S,
-                lambda value: self._holder_answered(fetch, holder, value),
+                lambda value: self._peer_answered(fetch, peer, value),
             )
 
     def _begin_fetch(self) -> int:
@@ -122,15 +123,15 @@
         self.fetch_number, self.fetched_at = self.fetches, self.host.now()
         return self.fetch_number
 
-    def _holder_answered(self, fetch: int, holder: Address, value: Any) -> None:
+    def _peer_answered(self, fetch: int, peer: Address, value: Any) -> None:
         if self.fetch_number == fetch:
             self.fetch_number = 0
         if isinstance(value, dict) and value.get("digest"):
-            self._adopt(holder, value)
+            self._adopt(peer, value)
         else:
-            self._fetch_again()
+            self._retry_fetch()
 
-    def _fetch_again(self) -> None:
+    def _retry_fetch(self) -> None:
         """Asks a control node after `RETRY_S`, as long as a newer revision was announced."""
         if self.newest > self.revision and self.ready:
             control_nodes = self.control_nodes()
@@ -140,16 +141,16 @@
                 self.host.after(RETRY_S, lambda: self.revision_announced(self.newest, control_node))
 
     def restore(self, value: dict[str, Any], table: RoutingTable, packed: bytes) -> None:
-        """Takes a mesh state read from a majority over, even an older one; used only to repair drift."""
+        """Applies a mesh state read from a majority, even an older one; used only to repair drift."""
         self.newest = value["rev"]
         self._apply(value, table, packed)
 
-    def offer(self, holder: Address, value: dict[str, Any]) -> None:
-        """Takes a peer's mesh state over if it is newer and this node has had one before."""
+    def offer(self, peer: Address, value: dict[str, Any]) -> None:
+        """Adopts a peer's mesh state if it is newer and this node has had one before."""
         if self.ready:
-            self._adopt(holder, value)
+            self._adopt(peer, value)
 
-    def _adopt(self, holder: Address, value: dict[str, Any]) -> None:
+    def _adopt(self, peer: Address, value: dict[str, Any]) -> None:
         if value["rev"] <= self.revision:
             return
         if value["digest"] == self.digest:
@@ -159,14 +160,14 @@
         first_s, longest_s = TEXT_TIMEOUTS_S
         timeout_s = min(longest_s, first_s * 2 ** min(self.failed_fetches, 4))
         self.rpc_client.call(
-            holder,
+            peer,
             rpc_methods.CONFIGURATION_TEXT,
             value["digest"],
             timeout_s,
-            lambda packed: self._text_received(fetch, holder, value, packed),
+            lambda packed: self._text_received(fetch, peer, value, packed),
         )
 
-    def _text_received(self, fetch: int, holder: Address, value: dict[str, Any], packed: Any) -> None:
+    def _text_received(self, fetch: int, peer: Address, value: dict[str, Any], packed: Any) -> None:
         if self.fetch_number == fetch:
             self.fetch_number = 0
         table = None
@@ -177,13 +178,13 @@
                     raise ValueError(f"text: expected digest {value['digest']}, got another")
                 table = RoutingTable(text)
             except (ValueError, KeyError, TypeError, zlib.error) as fault:
-                self.host.log(f"configuration r{value['version']} from {holder[0]} can't be read: {fault}")
+                self.host.log(f"configuration r{value['version']} from {peer[0]} can't be read: {fault}")
         self.failed_fetches = 0 if table is not None else self.failed_fetches + 1
         if table is not None and value["rev"] > self.revision:
             self._apply(value, table, packed)
         elif not self.ready:
             self.host.after(RETRY_S, self.start)
-        self._fetch_again()
+        self._retry_fetch()
 
     def _apply(self, value: dict[str, Any], table: RoutingTable | None, packed: bytes) -> None:
         if table is not None:
@@ -196,7 +197,7 @@
         self.host.log(f"mesh state {self.revision}: configuration r{self.version}, evacuated {evacuated}")
         self.changed()
 
-    # Giving it to others.
+    # Serving the mesh state to others.
 
     def methods(self) -> dict[str, Callable[[Any, Reply, Address], None]]:
         """Returns the RPC methods by which others fetch the mesh state and the text."""
--- a/honeywharf/sidecar/outbound_request.py
+++ b/honeywharf/sidecar/outbound_request.py
@@ -13,7 +13,7 @@
     may have run                another, by the budget     502, 504
     (no gate left)              503 with Retry-After       503 with Retry-After, only where nothing has run
 
-A sidecar that suspects its own rules of drift does not decide: it delegates the whole request, with
+A sidecar that suspects its own rules of drift does not decide: it delegates the request, with
 `DELEGATED_ROUTE`, to a healthy sidecar (`delegation`), which handles it as an `OutboundRequest` of its own.
 At most `MAX_DELEGATES` are tried, and none after one that may have run the request.
 
@@ -303,7 +303,7 @@
         self._try_next_gate()
 
     def delegate(self) -> None:
-        """Has another sidecar decide in this one's place; nothing has run."""
+        """Delegates the request to another sidecar, which decides in this one's place; nothing has run."""
         self._apply_route(DELEGATED_ROUTE)
         self._try_next_gate()
 
@@ -329,7 +329,7 @@
         return max(0.02, self.route.latency_target_s * (low + (high - low) * self.source.draw()))
 
     def _give_up(self, retry_after_s: float) -> None:
-        """Gives the final answer of a request that is not tried again."""
+        """Gives the final answer of a request that is not retried."""
         if self.may_have_run and self.kind != 0:
             self._answer_locally(
                 504 if self.source.host.now() >= self.deadline - 2 * ANSWER_MARGIN_S else 502, 0.0
@@ -360,7 +360,7 @@
         if self.is_over:
             return
         channel, self.channel = self.channel, None
-        # 503 promises that nothing has run; a request that a gate has received whole may have run there.
+        # 503 promises that nothing has run; a request that a gate has received completely may have run there.
         unproven = self.may_have_run or (channel is not None and (self.is_admitted or self.head.length == 0))
         if channel is not None:
             channel.cancel()
@@ -398,7 +398,7 @@
         self._send_body()
 
     def end(self) -> None:
-        """Notes that the client has sent the whole body."""
+        """Notes that the client has sent all of the body."""
         self.body_complete = True
         if not self.is_over:
             self._send_body()
@@ -491,7 +491,7 @@
             self.channel.window(size)
 
     def failed(self, verdict: Verdict) -> None:
-        """Ends an attempt that gets no answer, or none further."""
+        """Ends an attempt that gets no answer, or no more of it."""
         self.channel = None
         if self.is_over:
             return
@@ -524,7 +524,7 @@
     def _resolve_drift(self) -> bool:
         """Looks the route up again after a gate decided by another rule, or delegates as a last resort.
 
-        False where neither is possible.
+        Returns False where neither is possible.
         """
         source, drift_monitor, may_reroute = (
             self.source,
@@ -534,7 +534,7 @@
         if drift_monitor is None or self.body_dropped or not (may_reroute or self._may_delegate()):
             return False
         source.attempt_abandoned(self.service, self.gate)
-        self.attempts += 1  # shows `_send_to` that a gate in this process has rejected from within
+        self.attempts += 1  # shows `_send_to` that a gate in this process has rejected it from within `open`
         if may_reroute:
             drift_monitor.refresh_and_retry(self, self.gate)
         else:
@@ -551,7 +551,7 @@
         )
 
     def _delegate_rejected(self, verdict: Verdict) -> None:
-        """Handles a delegate's proof that nothing ran: its final answer, or it can't decide either."""
+        """Handles a delegate's rejection, which proves that nothing ran: a 503, or it can't decide either."""
         if verdict.why == FULL:
             self._answer_locally(503, verdict.retry_after_s)
         elif self.body_dropped:
--- a/honeywharf/sidecar/probe.py
+++ b/honeywharf/sidecar/probe.py
@@ -1,4 +1,4 @@
-"""Health checks of the backend, sent only where no heartbeat tells its state, as each one costs time there.
+"""Health checks of the backend, sent only where no heartbeat reports its state, as each costs time there.
 
 Theory of operation. A check is sent when the gate does not know the backend's state (this process is new, a
 connection was refused) or whether it is cold (its zone's evacuation has ended). A heartbeat often comes
@@ -37,7 +37,7 @@
         self.sent = 0
 
     def is_wanted(self) -> bool:
-        """Whether the gate lacks what a health check tells."""
+        """Whether the gate lacks the state that a health check returns."""
         gate = self.gate
         return self.path is not None and (
             gate.state == UNKNOWN or (gate.cold_unknown and gate.state == READY)
@@ -56,8 +56,8 @@
         self.sent += 1
         _HealthCheck(self)
 
-    def answered(self, answer: ResponseHead | None, asked_at: float) -> None:
-        """Takes the answer of a check that was sent at `asked_at`; None where none came."""
+    def answered(self, answer: ResponseHead | None, sent_at: float) -> None:
+        """Takes the answer of a check that was sent at `sent_at`; None where none came."""
         self.is_scheduled = False
         if answer is not None:
             load = answer.load.split(b",")
@@ -68,7 +68,7 @@
                 answer.status == 200,
                 slots,
                 answer.cold_s,
-                asked_at,
+                sent_at,
             )
         self.delay_s = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, 2 * self.delay_s))
         self.gate_changed()
@@ -79,7 +79,7 @@
     """One health check."""
 
     def __init__(self, probe: Probe) -> None:
-        self.probe, self.asked_at = probe, probe.host.now()
+        self.probe, self.sent_at = probe, probe.host.now()
         self.answered: ResponseHead | None = None
         self.is_over = False
         self.reader = ResponseReader(self, MAX_ANSWER_BYTES)
@@ -105,7 +105,7 @@
             self._end()
 
     def answer(self, answer: ResponseHead) -> None:
-        """Ends the check: the head tells all that is wanted."""
+        """Ends the check: the head has all that is needed."""
         self.answered = answer
         self._end()
 
@@ -132,4 +132,4 @@
             self.timer.cancel()
             self.connection.abort()
             answered = self.answered
-            self.probe.host.after(0.0, lambda: self.probe.answered(answered, self.asked_at))
+            self.probe.host.after(0.0, lambda: self.probe.answered(answered, self.sent_at))
--- a/honeywharf/sidecar/shutdown.py
+++ b/honeywharf/sidecar/shutdown.py
@@ -68,13 +68,13 @@
 QUIET_AFTER_S = 2.6  # from SIGTERM until the platform has noticed and sends no new clients
 GATE_CLOSES_BEFORE_S = 0.8  # the gate closes this long before the platform has noticed
 END_MARGIN_S = 0.4  # the last requests are answered this long before the end of `grace-period`
-MAX_END_MARGIN_SHARE = 0.2  # of `grace-period`
+MAX_END_MARGIN_SHARE = 0.2  # the margin is at most this share of `grace-period`
 CHECK_S = 0.1
 EXIT_DELAY_S = 0.02  # between the last answers and the exit, so that the written bytes are sent
 
 
 class Shutdown:
-    """The planned end of one process; `gate_closed()` and then `ended()` are called once each."""
+    """The graceful shutdown of one process; `gate_closed()` and then `ended()` are called once each."""
 
     def __init__(
         self,
--- a/honeywharf/sidecar/source.py
+++ b/honeywharf/sidecar/source.py
@@ -75,7 +75,7 @@
         self.request.whole()
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-        """Passes on that no answer comes, or none further."""
+        """Passes on that no answer comes, or that the rest of it does not."""
         self.is_over = True
         self.request.failed(verdict)
 
@@ -136,7 +136,7 @@
     # Known backends.
 
     def update_backend(self, node: str, attributes: dict[str, object] | None, zone: str) -> None:
-        """Takes a sidecar's gossip attributes over; None when it has left.
+        """Applies a sidecar's gossip attributes; None when it has left.
 
         A sidecar that has left is not suspected any more, so that it is usable once it returns.
         """
@@ -178,7 +178,7 @@
             self._update_usable(node, False)
 
     def set_suspected(self, node: str, down: bool) -> None:
-        """Notes that the failure detector takes a sidecar for down, or for up again."""
+        """Notes that the failure detector considers a sidecar down, or up again."""
         (self.suspected.add if down else self.suspected.discard)(node)
         self._update_usable(node, not down)
 
@@ -236,22 +236,22 @@
         """Whether the budget allows a retry of a request that has reached a backend; takes it if so."""
         return self.budget(service).spend(self.host.now(), self.count_sidecars())
 
-    def open(self, key: str, ask: ForwardedRequest, request: OutboundRequest) -> Channel | None:
+    def open(self, key: str, forwarded: ForwardedRequest, request: OutboundRequest) -> Channel | None:
         """Sends a request to a gate; the gate in this process may call back from within.
 
-        None where the link has no room.
+        Returns None where the link has no room.
         """
         if key == self.me:
-            return self.inbound.begin(ask, LocalResponder(request))
+            return self.inbound.begin(forwarded, LocalResponder(request))
         if (
             self.remote_regions is not None
             and key in self.backends
             and self.remote_regions.is_remote(self.backends[key].zone)
         ):
             return self.remote_regions.open(
-                key, ask, _RemoteResponseHandler(request), request.route.allowed_regions
+                key, forwarded, _RemoteResponseHandler(request), request.route.allowed_regions
             )
-        return self.links.link_to(key).open(ask, _RemoteResponseHandler(request))
+        return self.links.link_to(key).open(forwarded, _RemoteResponseHandler(request))
 
     def backend_answered(self, service: str, key: str, status: int) -> None:
         """Notes that a backend answered."""
@@ -279,7 +279,7 @@
         return set(self.saturated_until)
 
     def attempt_abandoned(self, service: str, key: str) -> None:
-        """Notes that an attempt was given up without an outcome."""
+        """Notes that an attempt was abandoned without an outcome."""
         self.levels_of(service).record_abandoned(key)
 
     def count_answer(self, status: int) -> None:
--- a/honeywharf/simulation/actors.py
+++ b/honeywharf/simulation/actors.py
@@ -53,7 +53,7 @@
         return complete
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Called when a message begins."""
         self.message, self.begun = Message(), True
 
     def on_url(self, part: bytes) -> None:
@@ -119,17 +119,17 @@
         self.connection.abort()
 
     def leave(self) -> None:
-        """Closes the connection without a reset, as a client that loses interest does."""
+        """Closes the connection without a reset, as a client that disconnects does."""
         self.is_open = False
         self.waiting.clear()
         self.connection.close()
 
     def opened(self) -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
         self.is_connected = True
 
     def drained(self) -> None:
-        """All buffered bytes were sent."""
+        """Called when all buffered bytes were sent."""
 
     def received(self, data: bytes) -> None:
         """Parses bytes of answers."""
@@ -152,11 +152,11 @@
                 return
 
     def ended(self) -> None:
-        """The peer has closed its direction."""
+        """Called when the peer has closed its sending half."""
         self._cut()
 
     def closed(self, why: str) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
         self._cut()
 
     def _cut(self) -> None:
@@ -372,7 +372,7 @@
         """Not called, since the connection was accepted."""
 
     def drained(self) -> None:
-        """All buffered bytes were sent."""
+        """Called when all buffered bytes were sent."""
 
     def received(self, data: bytes) -> None:
         """Parses bytes of requests."""
@@ -407,11 +407,11 @@
             self.connection.abort()
 
     def ended(self) -> None:
-        """The client has closed its direction: its requests are cancelled."""
+        """Cancels the requests: the client has closed its sending half."""
         self.connection.close()
 
     def closed(self, why: str) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
         self.is_open = False
         self.backend.connection_closed(self)
 
@@ -531,24 +531,24 @@
         }
         if self.state != "ready" or rng.random() < 0.01:
             headers["Connection"] = "close"
-        luck = rng.random()
+        draw = rng.random()
         if attempt is not None:
             attempt.answers[seal] = (status, body)
             attempt.answer_corrupted = (
-                attempt.answer_corrupted or luck < self.lose + self.garble or luck > 1 - self.unsealed
+                attempt.answer_corrupted or draw < self.lose + self.garble or draw > 1 - self.unsealed
             )
-        if luck > 1 - self.unsealed:
+        if draw > 1 - self.unsealed:
             del headers["X-Honeywharf-Server-Seal"]
         complete = text(f"HTTP/1.1 {status} {REASONS[status]}", headers, body)
-        if luck < self.lose:
+        if draw < self.lose:
             wire.abort()
-        elif luck < self.lose + self.garble:
+        elif draw < self.lose + self.garble:
             half = rng.randint(1, len(complete) - 1)
             wire.send(complete[:half] if rng.random() < 0.5 else b"\x00garbled " + complete)
             wire.close()
         else:
             request.connection.answer(status, headers, body)
-            if luck > 1 - self.extra:  # The copy arrives where the next answer is due.
+            if draw > 1 - self.extra:  # The copy arrives where the next answer is due.
                 self.host.after(rng.choice((0.0, 0.01, 0.1)), lambda: wire.send(complete))
             if "Connection" in headers:
                 wire.close()
--- a/honeywharf/simulation/disk.py
+++ b/honeywharf/simulation/disk.py
@@ -4,9 +4,8 @@
 
 import random
 
-NAME_LOSS_PROBABILITY = (
-    0.5  # The probability that a power loss removes a new file whose directory was not synced.
-)
+# The probability that a power loss removes a new file whose directory was not synced.
+NAME_LOSS_PROBABILITY = 0.5
 
 
 class Operation:
@@ -49,9 +48,8 @@
         self.stalled_until = 0.0  # No operation begins before this time.
         self.slowdown = 1.0  # The factor by which all operations take longer.
         self.full = False  # Whether writes fail with ENOSPC.
-        self.names_durable_at: dict[
-            str, float
-        ] = {}  # By new file, the time of the next sync of the directory.
+        # The time of the next sync of the directory, for each new file.
+        self.names_durable_at: dict[str, float] = {}
         self.operations = 0  # The number of operations so far, to crash at one of them.
         self.crash_at: tuple[int, str] | None = None  # The operation and "before", "torn" or "after".
 
@@ -60,8 +58,10 @@
         folder = kind in ("rename", "sync")  # These operations sync the directory.
         slow = 1.0 + self.spread * (hash((self.operations, round(now * 1e6))) % 997) / 997
         begun = max(now, self.stalled_until)
-        takes = 0.0 if kind == "remove" else (self.sync * slow + len(data) * self.per_byte) * self.slowdown
-        done_at = begun + takes
+        elapsed_s = (
+            0.0 if kind == "remove" else (self.sync * slow + len(data) * self.per_byte) * self.slowdown
+        )
+        done_at = begun + elapsed_s
         operation = Operation(kind, name, data, to, now, float("inf") if kind == "remove" else done_at)
         # A rename syncs the directory; a write syncs the file and its own name.
         for earlier in self.pending:
@@ -89,7 +89,7 @@
         self.pending = [operation for operation in self.pending if operation.done > now]
 
     def crash(self, now: float, power: bool, rng: random.Random) -> None:
-        """The process ended at `now`; at a power loss, pending operations are kept, lost or torn."""
+        """Ends the operations at `now`; at a power loss, pending ones are kept, lost or torn."""
         self.settle(now)
         self.files = dict(self.durable)
         loses_all = power and rng.random() < 0.25  # Some power losses drop all pending operations.
@@ -97,14 +97,14 @@
         for operation in self.pending:
             if operation.start > now or loses_all:
                 continue
-            luck = rng.random()
+            draw = rng.random()
             if not power and operation.done == float("inf"):
-                luck = 0.0  # Without a power loss, a finished removal stays.
-            if luck < 0.4:
+                draw = 0.0  # A finished removal is lost only by a power loss.
+            if draw < 0.4:
                 apply(self.files, operation)
                 operation.done = float("inf")
                 surviving.append(operation)
-            elif luck < 0.7:
+            elif draw < 0.7:
                 apply_partly(self.files, operation, rng)
                 operation.data, operation.done = self.files.get(operation.name, b""), float("inf")
                 surviving += [operation] * (operation.kind == "write")
--- a/honeywharf/simulation/fault_schedule.py
+++ b/honeywharf/simulation/fault_schedule.py
@@ -96,7 +96,7 @@
             deployment.world,
             deployment.invariant_checker,
         )
-        self.leaving: set[SidecarNode] = set()  # Nodes that are being removed or were removed.
+        self.departing_nodes: set[SidecarNode] = set()  # Nodes that are being removed or were removed.
         self.serialized_until = 0.0  # The end of the serialized fault that is active.
         self.traffic_splits: dict[str, dict[str, int]] = {}
         self.injected: Counter[str] = Counter()  # Injected faults by kind; a storm counts its changes.
@@ -200,7 +200,7 @@
         self._schedule(self.invariant_checker.bounds["seed-lag"], self.deployment.replace_core, old, new)
 
     def zone_loss(self, fault: Fault, rng: random.Random) -> None:
-        """Takes the power of a zone away for a while."""
+        """Cuts the power of a zone for a while."""
         zone = rng.choice(ZONES)
         for process in self.deployment.mesh_processes():
             if process.machine.zone == zone:
@@ -234,7 +234,7 @@
     def roll_term(self, fault: Fault, rng: random.Random) -> None:
         """Sends some proxies SIGTERM one after the other, and SIGKILL after `grace-period`.
 
-        With "busy", so many proxies of a zone end at a time that the platform keeps sending them clients.
+        With "busy", enough proxies of a zone end at a time that the platform keeps sending them clients.
         """
         busy = fault.how == "busy"
         for n, sidecar_node in enumerate(self._choose_nodes(rng, 0.45)):
@@ -295,7 +295,7 @@
         sidecar_node = self._choose_nodes(rng, 0.1)[0]
         backend = sidecar_node.live_backend()
         if backend is not None and backend.state == "ready" and self._has_other_instance(sidecar_node):
-            self.leaving.add(sidecar_node)
+            self.departing_nodes.add(sidecar_node)
             backend.leave(lambda: self._remove_node(sidecar_node))
 
     def _has_other_instance(self, sidecar_node: SidecarNode) -> bool:
@@ -303,7 +303,7 @@
         return any(
             other.service == sidecar_node.service
             for other in self.deployment.sidecar_nodes
-            if other is not sidecar_node and other not in self.leaving
+            if other is not sidecar_node and other not in self.departing_nodes
         )
 
     def _remove_node(self, sidecar_node: SidecarNode) -> None:
@@ -442,11 +442,11 @@
         self.deployment.operator.order(order)
 
     def after_ack_kill(self, fault: Fault, rng: random.Random) -> None:
-        """Takes the power of the control node that acknowledges a change."""
+        """Cuts the power of the control node that acknowledges a change."""
         self._run_after_ack(lambda core: self._kill(core, True))
 
     def after_ack_wipe(self, fault: Fault, rng: random.Random) -> None:
-        """Takes the power and the disk of the control node that acknowledges a change."""
+        """Cuts the power and wipes the disk of the control node that acknowledges a change."""
         self._run_after_ack(self._wipe_disk)
 
     def _wipe_disk(self, core: Process) -> None:
--- a/honeywharf/simulation/gateway_scenario.py
+++ b/honeywharf/simulation/gateway_scenario.py
@@ -86,7 +86,7 @@
         self,
         seed: int,
         plan: ScenarioPlan,
-        trouble: str,
+        fault_kind: str,
         sessions: bool = True,
         schedules_sending: bool = True,
     ) -> None:
@@ -102,7 +102,7 @@
             most_bytes=granted_bytes(MEMORY_MB, plan.mbps),
         )
         self.network.window = WIDE_WINDOW_BYTES
-        self.plan, self.fault, self.schedules_sending = plan, trouble, schedules_sending
+        self.plan, self.fault, self.schedules_sending = plan, fault_kind, schedules_sending
         self.refusal_share, self.work_range_s, self.client_delay_s = 0.0, (0.002, 0.01), 0.03
         self.fault_times: list[float] = []  # The times of faults.
         self.uploads_in_flight = 0
--- a/honeywharf/simulation/invariants.py
+++ b/honeywharf/simulation/invariants.py
@@ -247,16 +247,19 @@
 
     def reset(self) -> None:
         """Creates the table of draining backends with the times of the acknowledgements."""
-        self.leaving: dict[str, float] = {}
+        self.departing_backends: dict[str, float] = {}
 
     def heartbeat_acked(self, backend: Any, state: str) -> None:
         """A heartbeat of a backend was acknowledged."""
         if state != "ready" and self.invariant_checker.is_undisturbed(backend.machine, self.now):
-            self.leaving.setdefault(backend.id, self.now)
+            self.departing_backends.setdefault(backend.id, self.now)
 
     def arrived(self, backend: Any, id_: str) -> None:
         """A request arrived at a backend and was not refused with 421."""
-        attempt, since = self.invariant_checker.attempts.get(id_), self.leaving.get(backend.id, 1e9)
+        attempt, since = (
+            self.invariant_checker.attempts.get(id_),
+            self.departing_backends.get(backend.id, 1e9),
+        )
         if (
             attempt is not None
             and self.now > since + self.bound["drain-timeout"] + TRANSIT_S
--- a/honeywharf/simulation/machine.py
+++ b/honeywharf/simulation/machine.py
@@ -186,13 +186,13 @@
         """Resumes reading."""
         if self.paused:
             self.paused = False
-            self.process.world.at(self.process.now_here(), self.process.call, self.incarnation, self._read)
+            self.process.world.at(self.process.process_now(), self.process.call, self.incarnation, self._read)
 
     def watch_half_close(self, call: Callable[[], None]) -> None:
-        """Calls once if the peer closes its direction while reading is paused."""
+        """Calls once if the peer closes its sending half while reading is paused."""
         self.end_callback = call
         self.process.world.at(
-            self.process.now_here(), self.process.call, self.incarnation, self._notify_end_watcher
+            self.process.process_now(), self.process.call, self.incarnation, self._notify_end_watcher
         )
 
     # Delivery by the network.
@@ -212,10 +212,12 @@
         """Whether the peer is frozen or unreachable now."""
         if self.other is None:
             return False
-        here, there = self.process.machine, self.other.process
+        here, destination = self.process.machine, self.other.process
         network = here.network
-        return here is not there.machine and (
-            there.frozen or network.blocked(here, there.machine) or network.blocked(there.machine, here)
+        return here is not destination.machine and (
+            destination.frozen
+            or network.blocked(here, destination.machine)
+            or network.blocked(destination.machine, here)
         )
 
     def watch(self) -> None:
@@ -334,28 +336,30 @@
 
     def _transmit(self, item: bytes | int | str) -> None:
         assert self.other is not None
-        here, there = self.process.machine, self.other.process.machine
+        here, destination = self.process.machine, self.other.process.machine
         size = len(item) + 60 if isinstance(item, bytes) else 60
         self.last_arrival = max(
-            self.last_arrival + 1e-9, here.depart(size, there) + here.network.delay(here, there)
+            self.last_arrival + 1e-9, here.depart(size, destination) + here.network.delay(here, destination)
         )
         self.process.world.at(self.last_arrival, self._deliver, item)
 
     def _deliver(self, item: bytes | int | str) -> None:
         """Passes an item to the peer, or keeps it while the path is cut."""
         assert self.other is not None
-        here, there = self.process.machine, self.other.process.machine
-        if self.state == "lost" and here.network.blocked(here, there):
+        here, destination = self.process.machine, self.other.process.machine
+        if self.state == "lost" and here.network.blocked(here, destination):
             return
-        if self.undelivered or here.network.blocked(here, there):
+        if self.undelivered or here.network.blocked(here, destination):
             self.undelivered.append(item)
             here.network.add(self)
             self.watch()
             self.other.watch()
         elif self.other.state in ("closed", "lost"):
-            if (isinstance(item, bytes) or item == ESTABLISHED) and not here.network.blocked(there, here):
+            if (isinstance(item, bytes) or item == ESTABLISHED) and not here.network.blocked(
+                destination, here
+            ):
                 world = self.process.world
-                world.at(world.now + here.network.delay(there, here), self.receive, RESET)
+                world.at(world.now + here.network.delay(destination, here), self.receive, RESET)
         else:
             self.other.receive(item)
 
@@ -553,20 +557,20 @@
             self.world.record_crash(self.name, traceback.format_exc(limit=-4))
             self.status = 1
         if self.status is not None and self.alive:
-            self.world.at(self.now_here(), self._end_exited, self.incarnation)
+            self.world.at(self.process_now(), self._end_exited, self.incarnation)
 
     def _end_exited(self, incarnation: int) -> None:
         if incarnation == self.incarnation:
             self.kill()
 
-    def now_here(self) -> float:
+    def process_now(self) -> float:
         """Returns the virtual time of the process, after its disk operations."""
         now, disk_busy_until = self.world.now, self.disk_busy_until
         return disk_busy_until if disk_busy_until > now else now
 
     def after_disk(self, do: Callable[[], None]) -> None:
         """Runs a call now, or after the disk operation if the process still runs then."""
-        here = self.now_here()
+        here = self.process_now()
         if here <= self.world.now:
             do()
         else:
@@ -577,17 +581,19 @@
 
     def now(self) -> float:
         """Returns the monotonic time in seconds."""
-        return self.machine.clock_start_s + self.now_here()
+        return self.machine.clock_start_s + self.process_now()
 
     def wall_time(self) -> float:
         """Returns the time of day in seconds."""
-        return 1.7e9 + self.machine.clock_skew_s + self.now_here()
+        return 1.7e9 + self.machine.clock_skew_s + self.process_now()
 
     def after(self, seconds: float, call: Callable[[], None]) -> Event:
         """Calls once after the given time and a small random delay."""
         late = self.world.random.uniform(0.00005, 0.001)
         timer = Event(call)
-        self.world.at(self.now_here() + max(0.0, seconds) + late, self.call, self.incarnation, _fire, timer)
+        self.world.at(
+            self.process_now() + max(0.0, seconds) + late, self.call, self.incarnation, _fire, timer
+        )
         return timer
 
     def connect(self, to: Address, handler: Callable[[Connection], Handler], within: float = 1.0) -> End:
@@ -600,23 +606,23 @@
 
     def _send_syn(self, end: End, pause: float) -> None:
         """Sends the opening packet, with retries and backoff while the peer is unreachable."""
-        there = self.machine.network.machines.get(end.peer[0])
+        destination = self.machine.network.machines.get(end.peer[0])
         if end.state != "opening" or self.frozen:
             return
-        if there is None or self.machine.network.blocked(self.machine, there):
+        if destination is None or self.machine.network.blocked(self.machine, destination):
             self.world.at(self.world.now + pause, self._send_syn, end, 2 * pause)
             return
-        arrival = self.machine.depart(60, there) + self.machine.network.delay(self.machine, there)
-        self.world.at(arrival, self._answer_syn, end, there)
+        arrival = self.machine.depart(60, destination) + self.machine.network.delay(self.machine, destination)
+        self.world.at(arrival, self._answer_syn, end, destination)
 
-    def _answer_syn(self, end: End, there: Machine) -> None:
+    def _answer_syn(self, end: End, destination: Machine) -> None:
         network = self.machine.network
-        if network.blocked(self.machine, there):
+        if network.blocked(self.machine, destination):
             return
-        listener = there.listeners.get(end.peer[1])
+        listener = destination.listeners.get(end.peer[1])
         if listener is None:
-            if not network.blocked(there, self.machine):
-                self.world.at(self.world.now + network.delay(there, self.machine), end.receive, RESET)
+            if not network.blocked(destination, self.machine):
+                self.world.at(self.world.now + network.delay(destination, self.machine), end.receive, RESET)
             return
         process, accept = listener
         if process.frozen:
@@ -659,16 +665,22 @@
         self.after_disk(lambda: self._transmit_datagram(to, datagram_source, bytes(data)))
 
     def _transmit_datagram(self, to: Address, datagram_source: Address, data: bytes) -> None:
-        network, there = self.machine.network, self.machine.network.machines.get(to[0])
-        if there is not None:
-            arrival = self.machine.depart(len(data) + 28, there) + network.delay(self.machine, there)
+        network, destination = self.machine.network, self.machine.network.machines.get(to[0])
+        if destination is not None:
+            arrival = self.machine.depart(len(data) + 28, destination) + network.delay(
+                self.machine, destination
+            )
             if self.world.random.random() >= network.loss:
                 late = 0.004 if self.world.random.random() < 0.02 else 0.0
-                self.world.at(arrival + late, self._deliver_datagram, there, to[1], datagram_source, data)
+                self.world.at(
+                    arrival + late, self._deliver_datagram, destination, to[1], datagram_source, data
+                )
 
-    def _deliver_datagram(self, there: Machine, port: int, datagram_source: Address, data: bytes) -> None:
-        receiver = there.datagram_receivers.get(port)
-        if receiver is not None and not self.machine.network.blocked(self.machine, there):
+    def _deliver_datagram(
+        self, destination: Machine, port: int, datagram_source: Address, data: bytes
+    ) -> None:
+        receiver = destination.datagram_receivers.get(port)
+        if receiver is not None and not self.machine.network.blocked(self.machine, destination):
             if len(receiver[0].waiting) < MAX_PENDING_DATAGRAMS:
                 receiver[0].call(receiver[0].incarnation, receiver[1], datagram_source, data)
             else:
@@ -685,14 +697,14 @@
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC), name)
         disk.operations += 1
         crash = disk.crash_at if disk.crash_at is not None and disk.crash_at[0] == disk.operations else None
-        here = self.now_here()
+        here = self.process_now()
         disk.settle(self.world.now)
         if crash is None or crash[1] != "before":
             self.disk_busy_until = disk.run(kind, name, here, data, to)
         if crash is not None:
             when = self.disk_busy_until if crash[1] == "after" else here
             disk.crash_at, self.disk_busy_until = None, float("inf")
-            self.world.at(when, self.machine.power_off)  # What was sent before leaves first.
+            self.world.at(when, self.machine.power_off)  # Data sent before is transmitted first.
             raise ProcessDied
 
     def read(self, name: str) -> bytes | None:
@@ -700,7 +712,7 @@
         return self._disk().files.get(name)
 
     def write(self, name: str, data: bytes) -> None:
-        """Writes and syncs a whole file."""
+        """Writes and syncs a file."""
         self._operate("write", name, bytes(data))
 
     def sync_names(self) -> None:
@@ -740,7 +752,7 @@
 
     def soon(self, call: Callable[[], None]) -> None:
         """Calls once the current call has returned."""
-        self.world.at(self.now_here(), self.call, self.incarnation, call)
+        self.world.at(self.process_now(), self.call, self.incarnation, call)
 
 
 def _fire(timer: Event) -> None:
--- a/honeywharf/simulation/rare_faults.py
+++ b/honeywharf/simulation/rare_faults.py
@@ -1,7 +1,7 @@
 """Schedules of faults of every kind, including kinds that sites do not list.
 
 Each kind has a method of its name. A fault is marked at its machines for as long as the invariants must not
-hold them to their bounds. Faults that take control nodes away are injected one at a time.
+hold them to their bounds. Faults that remove control nodes are injected one at a time.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 CLOCK_STEPS_S = {"back": -2.0, "ahead": 2.0, "hour": 3600.0}
 BACKEND_IDLE_TIMEOUT_S = 0.3  # After this time a backend resets an idle connection.
 SLOWDOWN_FACTOR = 5
-FREEZE_S = 0.05  # A slow process is frozen for so long again and again.
+FREEZE_S = 0.05  # A slow process is repeatedly frozen for this long.
 RESTART_INTERVAL_S = 1.2  # The time between restarts of control nodes during a partition.
 RESET_SHARE = 0.5  # The share of a machine's connections that are reset.
 DISCONNECT_SHARE = 0.6  # The share of the requests whose clients disconnect early.
@@ -329,7 +329,7 @@
             self._stop_backend(sidecar_node, 4.0)
 
     def _stop_backend(self, sidecar_node: SidecarNode, seconds: float) -> None:
-        if sidecar_node not in self.leaving:
+        if sidecar_node not in self.departing_nodes:
             self._crash_backend(sidecar_node)
             self._schedule(seconds, self._start_backend, sidecar_node)
 
--- a/honeywharf/simulation/slips.py
+++ b/honeywharf/simulation/slips.py
@@ -235,13 +235,13 @@
         """The sidecar reports the right digest but decides differently, and its own check does not see it."""
         drift_monitor, source, node_state = sidecar.drift_monitor, sidecar.source, sidecar.mesh_state
         find = node_state.find
-        if rng.random() < 0.5:  # It chooses another service.
+        if rng.random() < 0.5:  # The sidecar chooses another service.
             source.draw_service = lambda route: (
                 SERVICES[0]
                 if route.prefix in NON_REPEATABLE_PREFIXES
                 else Route.service(route, source.draw())
             )
-        else:  # It uses another kind.
+        else:  # The sidecar uses another kind.
 
             def found(host: bytes, path: bytes) -> Route | None:
                 route = find(host, path)
@@ -371,20 +371,28 @@
             setattr(sidecar.drift_monitor, detector, detector in self.detectors)
         ip, drift_monitor = sidecar.settings.ip, sidecar.drift_monitor
 
-        def slip(by: str, what: str, renew: bool = False) -> None:
+        def injected_drift(by: str, what: str, renew: bool = False) -> None:
             self._noticed(ip, by, what)
             DriftMonitor.report_drift(drift_monitor, by, what, renew)
 
-        def refuse(job: InboundRequest, again_s: float) -> bool:
-            self._noticed(job.forwarded.peer or ip, "judge" if job.forwarded.peer else "reading", "refused")
-            return DriftMonitor._refuse_job(drift_monitor, job, again_s)
+        def refuse(inbound_request: InboundRequest, retry_delay_s: float) -> bool:
+            self._noticed(
+                inbound_request.forwarded.peer or ip,
+                "judge" if inbound_request.forwarded.peer else "reading",
+                "refused",
+            )
+            return DriftMonitor._refuse_request(drift_monitor, inbound_request, retry_delay_s)
 
-        def hold(job: InboundRequest, holder: Any) -> bool:
+        def hold(inbound_request: InboundRequest, node: Any) -> bool:
             if self.kind == "freeze":
                 self._noticed(ip, "judge", "asks first")
-            return DriftMonitor._hold(drift_monitor, job, holder)
+            return DriftMonitor._hold(drift_monitor, inbound_request, node)
 
-        drift_monitor.report_drift, drift_monitor._refuse_job, drift_monitor._hold = slip, refuse, hold
+        drift_monitor.report_drift, drift_monitor._refuse_request, drift_monitor._hold = (
+            injected_drift,
+            refuse,
+            hold,
+        )
         return sidecar
 
     def later(self, seconds: float, call: Callable[[], None]) -> None:
@@ -466,14 +474,19 @@
     # Observation.
 
     def _noticed(self, ip: str, by: str, what: str) -> None:
-        slip = self.injected_drifts[-1] if self.injected_drifts else None
-        if slip is None or slip.victim != ip or self.world.now > slip.at + self.period_s:
+        injected_drift = self.injected_drifts[-1] if self.injected_drifts else None
+        if (
+            injected_drift is None
+            or injected_drift.victim != ip
+            or self.world.now > injected_drift.at + self.period_s
+        ):
             if by != "judge" and what != "refused":  # A valid change also causes these.
                 self.alarms.append((self.world.now, ip, f"{by}: {what}"))
-        elif slip.requests_until_noticed < 0:
-            slip.noticed_by = by
-            slip.requests_until_noticed = sum(
-                ask.machine == ip and ask.sent >= slip.at for ask in self.invariant_checker.attempts.values()
+        elif injected_drift.requests_until_noticed < 0:
+            injected_drift.noticed_by = by
+            injected_drift.requests_until_noticed = sum(
+                attempt.machine == ip and attempt.sent >= injected_drift.at
+                for attempt in self.invariant_checker.attempts.values()
             )
 
     def _read(self, order: Order) -> reference_parser.ReferenceTable:
@@ -491,32 +504,36 @@
         floor = max((order.version for order in orders if order.acked <= bound), default=0)
         return [order for order in orders if order.version >= floor]
 
-    def ran(self, job: InboundRequest) -> None:
+    def ran(self, inbound_request: InboundRequest) -> None:
         """Checks a request whose head goes to a backend."""
-        ask = job.forwarded
-        sent = self.invariant_checker.attempts.get(ask.attempt_id.decode())
+        forwarded_request = inbound_request.forwarded
+        sent = self.invariant_checker.attempts.get(forwarded_request.attempt_id.decode())
         if sent is None or sent.repeatable:
             return
         self.non_repeatable["runs"] += 1
         for order in self._applicable_orders(sent):
             made, kind = self._read(order).find_rule(sent.host.encode(), sent.path.encode())
-            if made == ask.rule and kind == ask.kind and ask.service in order.services(sent.host, sent.path):
+            if (
+                made == forwarded_request.rule
+                and kind == forwarded_request.kind
+                and forwarded_request.service in order.services(sent.host, sent.path)
+            ):
                 return
         self.non_repeatable["slipped"] += 1
         if self.injected_drifts:
             self.injected_drifts[-1].ran += 1
         self.wrong.append(
-            f"{self.world.now:.3f} {sent.id} {sent.path} of {sent.machine} at {ask.service}, "
-            f"kind {ask.kind}, from {ask.peer or 'home'}"
+            f"{self.world.now:.3f} {sent.id} {sent.path} of {sent.machine} at {forwarded_request.service}, "
+            f"kind {forwarded_request.kind}, from {forwarded_request.peer or 'home'}"
         )
 
     def play(self, until: float = 0.0) -> Trial:
-        """Runs the trial completely, or until a time."""
+        """Runs all of the simulated time, or until a time."""
         plain = InboundRequest._encode_head
 
-        def heads(job: InboundRequest) -> bytes:
-            self.ran(job)
-            return plain(job)
+        def heads(inbound_request: InboundRequest) -> bytes:
+            self.ran(inbound_request)
+            return plain(inbound_request)
 
         cast(Any, InboundRequest)._encode_head = heads
         try:
@@ -529,6 +546,6 @@
     def statuses(self) -> dict[int, int]:
         """Counts the final statuses of all attempts; 0 and 1 are no answer."""
         found: dict[int, int] = {}
-        for ask in self.invariant_checker.attempts.values():
-            found[ask.status] = found.get(ask.status, 0) + 1
+        for attempt in self.invariant_checker.attempts.values():
+            found[attempt.status] = found.get(attempt.status, 0) + 1
         return found
--- a/honeywharf/simulation/world.py
+++ b/honeywharf/simulation/world.py
@@ -60,9 +60,9 @@
         self.record(*what)
         self.event_lines.append(self.trace_lines[-1])
 
-    def record_crash(self, who: str, trace: str) -> None:
+    def record_crash(self, process: str, trace: str) -> None:
         """Records an exception that ended a program."""
-        self.crashes.append((self.now, who, trace))
+        self.crashes.append((self.now, process, trace))
         self.halted = self.halted or self.strict
 
     def run(self, until: float) -> None:
--- a/honeywharf/storms/__init__.py
+++ b/honeywharf/storms/__init__.py
@@ -7,8 +7,8 @@
                       keyed Bloom filters of a fixed size, whatever the number of clients
     detector          compares the last window with the baseline for the hour; the state machine
     budget            how many repeats are admitted, as a ratio of first attempts, for each tenant
-    return_schedule   when refused clients are told to return, bounded by slot
-    storms            joins these parts for the decision module, which asks for each request
+    return_schedule   the return times announced to refused clients, bounded by slot
+    storms            joins these parts for the decision module, which queries them for each request
 
     CALM -> RISING -> STORM -> EBBING -> CALM    the states; `detector.TRANSITIONS` has every transition
 
@@ -18,9 +18,9 @@
 - In a storm the admitted repeats stay within `ratio` of first attempts, for each tenant separately. One
   tenant's storm takes nothing from the others.
 - Repeats at their return time are served before those that come early or without one. An early repeat gains
-  nothing: it takes no other client's promised time and keeps its own.
+  nothing: it keeps its own promised time, and takes no other client's.
 - After a storm the budget is widened in steps, and the state falls back one step at a time.
-- A repeat is refused at once, with a time to return, never late.
+- A repeat is refused at once, with a time to return.
 
 Proxies share no state here: each draws its own return times, which keeps them out of step with each other.
 """
--- a/honeywharf/storms/detector.py
+++ b/honeywharf/storms/detector.py
@@ -11,13 +11,13 @@
 SLOT_MS = 250.0
 WINDOW_SLOTS = 8  # a window of 2 s: longer than a client's backoff and shorter than an outage
 HOUR_MS = 3_600_000.0
-MIN_REPEATS = 10  # in a window; fewer are taken for chance, whatever their ratio to first attempts
-MIN_CONNECTIONS = 40
+MIN_REPEATS = 10  # fewer in a window count as chance, whatever their ratio to first attempts
+MIN_CONNECTIONS = 40  # fewer in a window do not count as a mass reconnect
 BASELINE_SLOTS = 240  # the baseline of an hour averages over a minute of slots
 RISING_RATIO, STORM_RATIO, EBBING_RATIO = 0.2, 0.4, 0.15  # repeats for each first attempt
-RECONNECT_FACTOR = 4.0  # times the baseline of connections
-MIN_QUIET_MS = 1000.0  # without a sign before the state falls: guards against swings by chance
-EBBING_MS = 3000.0  # without a sign before an ebbing storm ends
+RECONNECT_FACTOR = 4.0  # a mass reconnect has this many times the baseline of connections
+MIN_QUIET_MS = 1000.0  # the state falls after this time without a sign of a storm; guards against flapping
+EBBING_MS = 3000.0  # an ebbing storm ends after this time without a sign of it
 
 
 class State(Enum):
@@ -36,10 +36,10 @@
     first: int = 0
     repeats: int = 0
     connections: int = 0
-    refused: int = 0  # for lack of room
+    refused: int = 0  # requests refused for lack of capacity
     baseline_ratio: float = 0.0
-    baseline_connections: float = float("inf")  # for each window; infinite while unknown
-    quiet_ms: float = 0.0  # since repeats or reconnects were last a sign
+    baseline_connections: float = float("inf")  # connections in a usual window; infinite while unknown
+    quiet_ms: float = 0.0  # time since the last sign of a storm
 
     @property
     def ratio(self) -> float:
@@ -82,7 +82,7 @@
 
 
 class Detector:
-    """Counts by slot, baselines by hour of the day (24 entries each), and the state."""
+    """Detects storms by counts for each slot, and by baselines for each hour of the day (24 entries each)."""
 
     def __init__(self) -> None:
         self.state, self.reason, self.since_ms = State.CALM, "start", 0.0
@@ -101,7 +101,7 @@
         return changed
 
     def advance(self, now: float) -> bool:
-        """Advances time; returns whether the state has changed. Evaluates once a slot, on whole slots."""
+        """Advances time; returns whether the state has changed. Evaluates once for each complete slot."""
         slot = int(now // SLOT_MS)
         if slot == self.slot:
             return False
--- a/honeywharf/storms/return_schedule.py
+++ b/honeywharf/storms/return_schedule.py
@@ -33,7 +33,7 @@
         self.random, self.max_return_ms = rng, max_return_ms
         self.capacity_horizon_ms = min(max_return_ms, max(MIN_RETURN_MS + SLOT_MS, capacity_horizon_ms))
         self.promises = Promises(SLOT_MS, max_return_ms, PROMISE_RETENTION_MS, max_per_slot)
-        self.past_horizon = 0  # clients told a time past the horizon because no slot before it was free
+        self.past_horizon = 0  # clients that got a time past the horizon, as no slot before it was free
 
     def assign(self, now: float, name: int, repeats_per_ms: float) -> float:
         """Returns the ms after which to return; `repeats_per_ms`: repeats that can be admitted per ms.
--- a/honeywharf/storms/sketch.py
+++ b/honeywharf/storms/sketch.py
@@ -1,8 +1,8 @@
-"""Records names in Bloom filters (Bloom, 1970) of a fixed size, and forgets them by age.
+"""Records names in Bloom filters (Bloom, 1970) of a fixed size, and drops them by age.
 
 All names pass a keyed hash (BLAKE2b, RFC 7693) under a secret of the process: without it, a client can make
-up names, but none that collide with another client's. A false positive takes a first attempt for a repeat:
-`FALSE_POSITIVE_RATE` of the look-ups in a full filter.
+up names, but none that collide with another client's. A false positive, which is `FALSE_POSITIVE_RATE` of the
+look-ups in a full filter, counts a first attempt as a repeat.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RecentNames:
-    """Names seen within `span_ms`, and up to twice that. Forgets sooner if more than `max_names` come.
+    """Names seen within `span_ms`, and up to twice that. Drops them sooner if more than `max_names` come.
 
     Two filters rotate: names are added to the current one and looked up in both.
     """
@@ -45,7 +45,7 @@
         return (self.current.size_in_bits + self.previous.size_in_bits) // 8
 
     def rotate(self, now: float) -> None:
-        """Forgets names that are too old. A clock that went back forgets nothing early."""
+        """Drops names that are too old. A clock that went back drops nothing early."""
         age = now - self.rotated_ms
         if age >= self.span_ms or self.added >= self.max_names:
             self.early_rotations += age < self.span_ms
@@ -106,7 +106,7 @@
             self.oldest_slot += 1
 
     def promise(self, now: float, name: int, due_ms: float) -> None:
-        """Records that the name was told to return at `due_ms`."""
+        """Records that the return time `due_ms` was announced to the name."""
         self._advance(now)
         place = int(due_ms // self.slot_ms) - self.oldest_slot
         if not 0 <= place < self.slot_count or self.counts[place] >= self.max_per_slot:
--- a/honeywharf/storms/storms.py
+++ b/honeywharf/storms/storms.py
@@ -12,11 +12,12 @@
 from honeywharf.storms.return_schedule import SLOT_MS, ReturnSchedule
 from honeywharf.storms.sketch import RecentNames, digest
 
-PACE_FACTOR, MIN_CONNECTIONS_PER_S = 2.0, 100.0  # the pace in a storm: times the baseline, and the least
+# The pace of new connections in a storm, in baselines, and its minimum.
+PACE_FACTOR, MIN_CONNECTIONS_PER_S = 2.0, 100.0
 USEFUL_PART_OF_TARGET = 0.4  # a client that returns later would be answered past the latency target
-SHORTAGE_MS = 500.0  # for this long after a refusal for lack of room, the budget limits repeats
-PROMISED_ROOM = 1.25  # times the room of a first attempt, for repeats at their return time: few, and promised
-REPEAT_ROOM = 0.5  # the part for all other repeats: first attempts go before them
+SHORTAGE_MS = 500.0  # the budget limits repeats for this long after a refusal for lack of capacity
+RETURN_TIME_LIMIT_FACTOR = 1.25  # applies to repeats at their return time, which are few and promised
+REPEAT_LIMIT_FACTOR = 0.5  # applies to all other repeats: first attempts go before them
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +45,7 @@
         self.detector = Detector()
         self.budget = RepeatBudget(rules.ratio)
         self.schedule = ReturnSchedule(rng, rules.max_return_ms, USEFUL_PART_OF_TARGET * rules.aim_ms)
-        self.last_shortage_ms = float("-inf")  # when a request was last refused for lack of room
+        self.last_shortage_ms = float("-inf")  # when a request was last refused for lack of capacity
         self.first_attempts = Rate(0.0)
         self.refused_repeats = self.kept_promises = self.broken_promises = 0
 
@@ -124,21 +125,21 @@
         self.broken_promises += coming is Coming.AS_TOLD
         return False
 
-    def room(self, coming: Coming) -> float:
-        """Returns the part of the room open to first attempts that is open to the request.
+    def limit_factor(self, coming: Coming) -> float:
+        """Returns the factor on the part of a limit that is open to a first attempt.
 
-        A repeat at its return time has a little more than a first attempt, and any other repeat less.
+        A repeat at its return time gets a little more than a first attempt, and any other repeat less.
         """
         if coming is Coming.AS_TOLD:
-            return PROMISED_ROOM
+            return RETURN_TIME_LIMIT_FACTOR
         storms = self.state in (State.STORM, State.EBBING)
-        return REPEAT_ROOM if storms and coming is not Coming.FIRST else 1.0
+        return REPEAT_LIMIT_FACTOR if storms and coming is not Coming.FIRST else 1.0
 
     def refused(self, now: float, code: int, coming: Coming, short: bool) -> float:
         """Records a refusal; returns the ms after which to return. An early repeat keeps its return time.
 
-        `short`: the refusal is for lack of room. Refusals by storm control itself are not counted, or a storm
-        would feed itself.
+        `short`: the refusal is for lack of capacity. Refusals by storm control itself are not counted, or a
+        storm would sustain itself.
         """
         if short:
             self.detector.count(now, detection.REFUSED)
