--- a/honeywharf/terms/site.py
+++ b/honeywharf/terms/site.py
@@ -69,11 +69,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """The worth of a class of requests, its latency target `aim_ms`, and how often a request may run.
+    """A class of requests: its value `worth`, its latency target `aim_ms`, and how often a request may run.
 
     `in_order`: requests of such classes that share a key run one at a time, in order of arrival.
-    `aim_stretch`: the aim grows by so many times the work of the request itself.
-    `late_value`: the part of the worth that an answer after the aim still has.
+    `aim_stretch`: the latency target grows by this many times the work of the request itself.
+    `late_value`: the part of the value that an answer after the latency target still has.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant, with its quota of requests per second over all balancers; requests above it lose worth."""
+    """A tenant, with its quota of requests per second over all balancers; requests above it lose value."""
 
     name: str
     quota_per_s: float
@@ -109,9 +109,9 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     peer_messages: bool = False
-    max_open: int = 0  # the bound on requests held at once; 0 for none
+    max_open: int = 0  # the bound on pending requests; 0 for none
     streams: int = 1  # the attempts that one connection carries at once
-    idle_ms: float = 0.0  # a connection that is idle for so long is closed
+    idle_ms: float = 0.0  # a connection is closed after being idle for this long
     connect_timeout_ms: float = 0.0
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
@@ -121,7 +121,7 @@
 class Rules:
     """The parameters of the rules on answers, draining, cold starts, polled discovery and order.
 
-    `turn_gap_ms`: how long a key is held after an attempt that may still run (0 where order is not kept).
+    `turn_gap_ms`: how long a key is blocked after an attempt that may still run (0 where order is not kept).
     """
 
     answer_grace_ms: float = 0.0
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """The points that each unit costs in the score of a run."""
+    """The points that each unit costs in the rating of a simulated run."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """The weights of the parts of a run's score."""
+    """The weights of the parts in the rating of a simulated run."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -167,7 +167,7 @@
 
     `balancers` is the number of balancers of its tier and `me` is this one's number among them; `tier` is the
     index in `tier_names` of the tier it sends to. `passes_deadline`: a call carries the time that its caller
-    has left, not the full deadline of its class. `by_work`: worth is counted by work, not by request.
+    has left, not the full deadline of its class. `by_work`: value is counted by work, not by request.
     """
 
     zone: str
--- a/tests/admission/test_admission_queue.py
+++ b/tests/admission/test_admission_queue.py
@@ -36,9 +36,9 @@
         """Starts one request."""
         self.admission.start(now, short)
 
-    def finish(self, took_s: float | None = None, now: float = 0.0, short: bool = False) -> None:
+    def finish(self, service_time_s: float | None = None, now: float = 0.0, short: bool = False) -> None:
         """Ends one request."""
-        self.admission.finish(now, short, took_s)
+        self.admission.finish(now, short, service_time_s)
 
     def start_ready(self, now: float) -> None:
         """Starts all requests that may run."""
@@ -138,7 +138,7 @@
         harness.finish(0.5)
     assert 0.49 < harness.admission.mean_s < 0.51
     harness.start_one()
-    harness.finish()  # without a service time
+    harness.finish()  # gives no service time
     assert 0.49 < harness.admission.mean_s < 0.51
 
 
@@ -171,7 +171,7 @@
     harness.admission.is_short(1.0)
     harness.start_one(0.0, short=True)
     harness.finish(now=0.9, short=True)
-    assert harness.admission.short_held > 0.1
+    assert harness.admission.short_slots > 0.1
     assert harness.admission.can_start(0.9, short=False)
 
 
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -31,7 +31,7 @@
 
 
 def ignore_announcements(side: SidecarNode) -> None:
-    """Makes a sidecar ignore announced revisions; it may still ask for a state."""
+    """Makes a sidecar ignore announced revisions; it may still fetch a state."""
     program(side).mesh_state.revision_announced = lambda revision, holder: None
 
 
@@ -81,7 +81,7 @@
 
     def change_instance() -> None:
         for side in trial.deployment.sidecar_nodes[:3]:
-            program(side).gate.instance = "i-other"  # Its backend answers 421 until its next heartbeat.
+            program(side).gate.instance = "i-other"  # The backend answers 421 until its next heartbeat.
 
     for n in range(24):
         trial.world.at(8.0 + n / 4, change_instance)
@@ -143,7 +143,7 @@
         for n in range(1000)
     ]
     trial.play(8.0)
-    order_change(trial)  # It changes the timeout of each route.
+    order_change(trial)  # The change sets another timeout for each route.
     sidecars = [program(side) for side in trial.deployment.sidecar_nodes]
     trial.play(8.6)
     assert {sidecar.mesh_state.version for sidecar in sidecars} == {trial.orders_sent[-1].version}
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -93,8 +93,8 @@
     assert sidecar.drift_monitor.refused_requests > 20
     assert sidecar.drift_monitor.state.transitions == len(lines) <= 20
     assert len(sidecar.drift_monitor.drift_reports) <= 16
-    assert len(sidecar.drift_monitor.waiting_courses) <= 256
-    assert len(sidecar.drift_monitor.waiting_jobs) <= 256
+    assert len(sidecar.drift_monitor.waiting_outbound_requests) <= 256
+    assert len(sidecar.drift_monitor.waiting_inbound_requests) <= 256
 
 
 def test_revisions_and_rules_in_client_headers_are_ignored() -> None:
--- a/tests/limits/test_days.py
+++ b/tests/limits/test_days.py
@@ -79,7 +79,7 @@
 
 
 def test_at_twice_the_capacity_servers_of_1000_ms_answer_in_time_once_the_start_is_over() -> None:
-    """Guards against a limit that moves faster than its answers arrive, and oscillates past the aim."""
+    """Guards against a limit that moves faster than its answers arrive, and oscillates past its target."""
     shares, late = [], []
     for seed in range(1, 4):
         day = days.twice(seed, 1000.0, 32, 20000.0, "open")
--- a/tests/limits/test_limiters.py
+++ b/tests/limits/test_limiters.py
@@ -44,11 +44,11 @@
 
 
 def test_an_answer_far_within_the_target_is_never_late() -> None:
-    """Guards against refusing most requests to servers without load (0.2 ms answers, aim 2000 ms)."""
+    """Guards against refusing most requests to servers without load (0.2 ms answers, target 2000 ms)."""
     strict, default = limits.base_time_only(1.0), after_first_answer(1.0)
     for limiter in (strict, default):
         teach(limiter, 10.0, 0.5, base_ms=0.2)
-    assert strict.limit == 0.25  # its minimum, as an answer of 0.5 ms counts as very late
+    assert strict.limit == 0.25  # the minimum, as an answer of 0.5 ms counts as very late
     assert default.limit >= 200.0 / 0.2
 
 
--- a/tests/orderkeys/explorer.py
+++ b/tests/orderkeys/explorer.py
@@ -50,7 +50,7 @@
 
 
 class World(NamedTuple):
-    """One state of the whole system."""
+    """One state of the system."""
 
     proxies: tuple[Proxy, ...]
     entry: model.Entry | None = None
@@ -280,7 +280,9 @@
             return what, replace_proxy(self._end(fresh, "none", "", 0, "failed"))
         if reply[0] == "answer":
             return what, replace_proxy(fresh._replace(phase="served", answer=reply[1]))
-        return what, replace_proxy(fresh._replace(phase="new"))  # it waits, and may claim again at any time
+        return what, replace_proxy(
+            fresh._replace(phase="new")
+        )  # the request waits, and may claim again at any time
 
     def _choose_cell(
         self, i: int, p: Proxy, cell: int, replace_proxy: Callable[..., World]
--- a/tests/orderkeys/test_kills.py
+++ b/tests/orderkeys/test_kills.py
@@ -193,7 +193,7 @@
                 for writer in list(backend.writers):
                     writer.write(reply(200, b"tile"))
                 assert await client.status() == 200
-                await asyncio.sleep(1.2)  # its lease of 850 ms has ended
+                await asyncio.sleep(1.2)  # the lease of 850 ms has ended
             finally:
                 redis.resume()
             await until(lambda: not store_of(w).shared.unconfirmed_ends and store_available(w))
--- a/tests/reports/model.py
+++ b/tests/reports/model.py
@@ -20,7 +20,7 @@
         for zone_load in zone_loads:
             if rng.random() < 0.2:
                 old = waits[max(0, len(waits) - 1 - int(delay_ms / 10.0))]
-                zone_load.heard(now, old * rng.lognormvariate(0.0, 0.15), reference, 1.0)
+                zone_load.record_report(now, old * rng.lognormvariate(0.0, 0.15), reference, 1.0)
         # The demand is `factor` times the capacity; calls admitted beyond the capacity wait.
         taken = factor * sum(min(1.0, zone_load.own.value) for zone_load in zone_loads) / proxies
         wait = max(0.0, wait + (taken - 1.0) * 10.0)
--- a/tests/reports/test_rules.py
+++ b/tests/reports/test_rules.py
@@ -1,4 +1,4 @@
-"""Load reports: what they tell, when they are trusted, and how many calls zones admit by them."""
+"""Load reports: how they are read, when they are trusted, and how many calls zones admit by them."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     took: float,
 ) -> None:
     load = ReportReader(fields).read(report, 2.0)
-    assert (load.waiting, load.took_ms) == (waiting, took)
+    assert (load.waiting, load.call_ms) == (waiting, took)
     assert load.informative == (waiting >= 0.0 or took >= 0.0)
 
 
@@ -68,19 +68,19 @@
 def test_no_report_gives_a_load_out_of_range(report: list[float], cores: float) -> None:
     load = ReportReader(FIELDS[: len(report)]).read(tuple(report), cores)
     assert load.waiting == -1.0 or 0.0 <= load.waiting <= MAX_VALUE
-    assert load.took_ms == -1.0 or 0.0 <= load.took_ms <= 1000.0 * MAX_VALUE / 0.1
+    assert load.call_ms == -1.0 or 0.0 <= load.call_ms <= 1000.0 * MAX_VALUE / 0.1
 
 
 def test_a_report_loses_its_weight_with_age_and_a_new_one_counts_at_once() -> None:
     node = NodeReports()
     assert node.weight(0.0) == 0.0
-    node.heard(0.0, 5.0, 250.0)
+    node.record_report(0.0, 5.0, 250.0)
     weights = [node.weight(t) for t in (0.0, 500.0, 1500.0, MAX_REPORT_AGE_MS)]
     assert weights == sorted(weights, reverse=True)
     assert (weights[0], weights[-1]) == (1.0, 0.0)
-    node.heard(10_000.0, 0.0, 0.0)
+    node.record_report(10_000.0, 0.0, 0.0)
     assert node.wait_ms == 0.0  # nothing is left of older reports
-    node.heard(10_010.0, 8.0, 400.0)
+    node.record_report(10_010.0, 8.0, 400.0)
     assert 0.0 < node.wait_ms < 100.0  # a report soon after another has little weight
 
 
@@ -89,7 +89,7 @@
     now = 0.0
     for _ in range(20):
         now += 50.0
-        node.heard(now, 0.0, 0.0)
+        node.record_report(now, 0.0, 0.0)
         node.compare(4.0)  # four times the expected time
     assert not node.trusted
     assert node.weight(now) == 0.0
@@ -110,11 +110,11 @@
     for value, stuck in ((7.0, True), (0.0, False)):
         node = NodeReports()
         for i in range(STUCK_REPORTS + 2):
-            node.heard(i * (STUCK_MS / STUCK_REPORTS), value, 50.0 * value)
+            node.record_report(i * (STUCK_MS / STUCK_REPORTS), value, 50.0 * value)
         at = (STUCK_REPORTS + 1) * (STUCK_MS / STUCK_REPORTS)
         assert node.stuck(at) is stuck
         assert (node.weight(at) == 0.0) is stuck
-    node.heard(at + 1.0, 6.0, 300.0)
+    node.record_report(at + 1.0, 6.0, 300.0)
     assert not node.stuck(at + 1.0)
 
 
@@ -124,13 +124,13 @@
 )
 @settings(deadline=None)
 def test_a_zones_factor_stays_in_its_bounds_and_is_forgotten(
-    heard: list[tuple[float, float, float]],
+    record_report: list[tuple[float, float, float]],
     part: float,
 ) -> None:
     zone_load, now = ZoneLoad(part), 0.0
-    for gap, wait, weight in heard:
+    for gap, wait, weight in record_report:
         now += gap
-        zone_load.heard(now, wait, 100.0, weight)
+        zone_load.record_report(now, wait, 100.0, weight)
         for admission in (zone_load.own, zone_load.away):
             assert min(MIN_FACTOR, 2.0 * part) <= admission.value <= MAX_FACTOR
         assert zone_load.known(now) or weight <= 0.0
@@ -141,7 +141,7 @@
 def test_the_first_report_of_a_zone_sets_its_factor_by_the_wait() -> None:
     for wait, least, most in ((0.0, 1.0, 1.0), (100.0, 1.0, 1.0), (200.0, 0.4, 0.6), (1e6, 0.2, 0.26)):
         zone_load = ZoneLoad(0.1)
-        zone_load.heard(0.0, wait, 100.0, 1.0)
+        zone_load.record_report(0.0, wait, 100.0, 1.0)
         assert least <= zone_load.own.value <= most
         assert zone_load.away.value <= zone_load.own.value
 
@@ -220,7 +220,7 @@
             continue
         late = action.endpoint == "a0"
         driver.end(api.Outcome.OK, after_ms=500.0 if late else 50.0, report=(20.0 if late else 0.0,))
-    at = loads.nodes["a0"].at_ms  # its last report: it is soon ejected for late answers
+    at = loads.nodes["a0"].at_ms  # the last report: the node is soon ejected for late answers
     shares = {f"a{i}": loads.share(at, f"a{i}") for i in range(4)}
     assert shares["a0"] < 0.5
     assert set(shares.values()) - {shares["a0"]} == {1.0}  # bounded, not ranked
--- a/tests/sidecar/order_model.py
+++ b/tests/sidecar/order_model.py
@@ -11,7 +11,7 @@
 
 `play` runs a schedule to its end and lists what is wrong:
 
-    TWICE    more than one whole request of the order reached a backend that runs it
+    TWICE    more than one complete request of the order reached a backend that runs it
     REFUSED  the client got 429, 503, 408 or 421 for an attempt that has run, or that ran later
     MIXED    an answer was not that of the request it was read for, or came where none was due
 """
--- a/tests/sidecar/order_mutants.py
+++ b/tests/sidecar/order_mutants.py
@@ -18,7 +18,7 @@
 
 
 def lost_link_proves(put: Patch) -> None:
-    """Requests sent on a link that is lost count as not run."""
+    """Requests on a lost link count as not run."""
 
     def lose(self: Link) -> None:
         self.is_up = False
--- a/tests/sidecar/test_delegation.py
+++ b/tests/sidecar/test_delegation.py
@@ -1,4 +1,4 @@
-"""Delegated requests at both ends: sent whole, delegated once, never run twice."""
+"""Delegated requests at both ends: sent complete, delegated once, never run twice."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -172,9 +172,9 @@
     gate.set_evacuated(12.0, on=False)
     assert gate.is_cold(50.0)
     assert gate.state == READY
-    gate.health_answer(12.1, "i-1", True, 8, 0.0, asked_at=11.9)
+    gate.health_answer(12.1, "i-1", True, 8, 0.0, sent_at=11.9)
     assert gate.is_cold(50.0)
-    gate.health_answer(12.2, "i-1", True, 8, 2.0, asked_at=12.05)
+    gate.health_answer(12.2, "i-1", True, 8, 2.0, sent_at=12.05)
     assert gate.is_cold(12.2 + 2.0)
     assert not gate.is_cold(12.2 + 2.0 + COLD_MARGIN_S)
     gate.set_evacuated(60.0, on=True)
--- a/tests/sidecar/test_leaving.py
+++ b/tests/sidecar/test_leaving.py
@@ -41,7 +41,7 @@
 
 
 def loaded_until_the_end(seed: int) -> Deployment:
-    """Rolls so many sidecars at a time that the platform sends clients to those that shut down."""
+    """Restarts enough sidecars at a time that the platform sends clients to those that shut down."""
     deployment = Deployment(seed, real_sidecar, real_control_node, until=17.0, per_s=6.0)
     FaultSchedule(deployment, [Fault(9.0, "roll_term", "busy", seed)])
     world = deployment.world
--- a/tests/sidecar/test_outbound.py
+++ b/tests/sidecar/test_outbound.py
@@ -438,7 +438,7 @@
     setup = OutboundSetup()
     caller = setup.call(request() + request(attempt=b"a2"))
     setup.outbound.drain()
-    give(setup, setup.channels[1], b"two")  # the answer is held, and closes the connection
+    give(setup, setup.channels[1], b"two")  # the answer is buffered, and closes the connection
     caller.send(request("mutating", b"a3") + request("mutating", b"a4", body=b"abc"))
     setup.run()
     assert len(setup.channels) == 2
--- a/tests/sidecar/test_outbound_request.py
+++ b/tests/sidecar/test_outbound_request.py
@@ -61,7 +61,7 @@
         self.source.active_requests[self.request] = None
 
     def start(self, body: bytes = b"") -> FakeChannel:
-        """Starts the request with its whole body; returns the first gate's channel."""
+        """Starts the request with its complete body; returns the first gate's channel."""
         self.request.start()
         if body:
             self.request.data(body)
@@ -254,7 +254,7 @@
     scenario.request.deadline = scenario.clock.now() + 0.5
     scenario.start(b"12345")
     assert scenario.asked == 1
-    scenario.clock.move(1.0)  # the deadline passes before the gate asks for the body
+    scenario.clock.move(1.0)  # the deadline passes before the gate requests the body
     assert scenario.request.is_over
     scenario.clock.move(60.0)
     assert levels.pick(scenario.clock.now()) == "10.1.0.20"
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -333,7 +333,7 @@
 
 
 def new_process_knows_no_cold(put: Patch) -> None:
-    """Treats a new incarnation as warm until it reports otherwise, and does not ask for its state."""
+    """Treats a new incarnation as warm until it reports otherwise, and does not fetch its state."""
 
     def life(self: Gate, now: float, instance: str) -> None:
         was(self, now, instance)
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -1,4 +1,4 @@
-"""The shape of a deployment: the machines of each kind in each zone, all of which serve."""
+"""The shape of a deployment: the machines of each kind in each zone, and that all of them serve."""
 
 from __future__ import annotations
 
--- a/tests/storms/test_rules.py
+++ b/tests/storms/test_rules.py
@@ -325,7 +325,7 @@
     s, now = storms_in_storm()
     coming, code, _ = s.arrived(now, b"new", "t", False)
     assert coming is Coming.FIRST
-    while (ms := s.refused(now, code, coming, True)) > 800.0:  # until the time is before the horizon
+    while (ms := s.refused(now, code, coming, True)) > 800.0:  # repeated until the time is before the horizon
         now += 100.0
     assert s.arrived(now + ms / 3, b"new", "t", False)[0] is Coming.EARLY
     assert s.arrived(now + ms + SLOT_MS, b"new", "t", False)[0] is Coming.AS_TOLD
@@ -347,7 +347,7 @@
         again = s.refused(now, code, early, True)
         assert abs(now + again - due) <= SLOT_MS
     assert s.schedule.promises.outstanding(now) <= promised
-    assert s.room(Coming.EARLY) < s.room(Coming.FIRST) < s.room(Coming.AS_TOLD)
+    assert s.limit_factor(Coming.EARLY) < s.limit_factor(Coming.FIRST) < s.limit_factor(Coming.AS_TOLD)
 
 
 def test_first_attempts_are_always_admitted_and_repeats_are_limited_while_room_is_short() -> None:
