--- a/honeywharf/failure_detector/detector.py
+++ b/honeywharf/failure_detector/detector.py
@@ -5,9 +5,9 @@
 Theory of operation. Each node sends a heartbeat of a few bytes to its watchers on the rings of live nodes
 (`ring`): to two in its zone every 0.4 s and to two in other zones every 0.8 s. A watcher that has received
 nothing from a node for 1 s (1.5 s across zones) probes it, and after 1.6 s (2.4 s) suspects it, under the
-version of the entry that it knows. A watcher in another zone also asks the node's other watcher outside the
-node's zone, and treats a contact which that watcher reports as its own contact at that time. When two zones
-lose contact with each other, nodes that a third zone can reach are therefore not suspected.
+version of the entry that it knows. A watcher in another zone also queries the node's other watcher outside
+the node's zone, and treats a contact which that watcher reports as its own contact at that time. When two
+zones lose contact with each other, nodes that a third zone can reach are therefore not suspected.
 
 A node publishes its suspicions as an attribute of its own gossip entry, so gossip spreads and repairs them,
 and they end with the node. A node is down when two live nodes suspect its current version, or when one does
@@ -24,31 +24,31 @@
 from __future__ import annotations
 
 from honeywharf.failure_detector.ring import Rings
-from honeywharf.gossip.entry import KEY_SIZE, is_number, key_of, node_of
+from honeywharf.gossip.entry import KEY_BYTES, is_number, key_of, node_of
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
     from honeywharf.gossip.entry import Entry
 
-    Version = tuple[int, int]  # Incarnation and sequence of an entry.
+    Version = tuple[int, int]  # The incarnation and sequence of an entry.
     Datagrams = list[tuple[str, bytes]]
 
-HEARTBEAT = b"t"  # The sender's revision, in as few bytes as possible (none for 0).
-PROBE = b"p"  # Answered with a heartbeat.
-CONTACT_QUERY = b"q"  # The key, 4 bytes, of a node from which the sender receives nothing.
-CONTACT_REPORT = b"v"  # The key, and the age in ms, 2 bytes, of the sender's last datagram from the node.
-SUSPICIONS = "doubts"  # The attribute, a list of [key, incarnation, sequence].
+HEARTBEAT = b"t"  # The body is the sender's revision, in as few bytes as possible (none for 0).
+PROBE = b"p"  # A probe is answered with a heartbeat.
+CONTACT_QUERY = b"q"  # The body is the key, 4 bytes, of a node that sends the sender nothing.
+CONTACT_REPORT = b"v"  # The body is the key, and the age in ms of the last datagram from the node.
+SUSPICIONS = "doubts"  # The attribute is a list of [key, incarnation, sequence].
 HEARTBEAT_INTERVAL_S = 0.4  # Watchers in other zones get every second heartbeat.
-PROBE_TIMEOUT_S, SUSPICION_TIMEOUT_S = 1.0, 1.6  # Time without contact.
+PROBE_TIMEOUT_S, SUSPICION_TIMEOUT_S = 1.0, 1.6  # Both are times without contact.
 CROSS_ZONE_TIMEOUT_FACTOR = 1.5
 LATE_TICK_S = 0.3  # A tick later than this means that this node itself was stalled.
 MIN_SUSPECTING_NODES = 2
 MAX_TIMEOUT_FACTOR = 16
-MAX_SUSPICIONS = 16  # Suspicions published by one node.
-MAX_HEARTBEAT = 8  # Bytes.
-AGE_SIZE = 2  # Bytes of the age in a contact report.
+MAX_SUSPICIONS = 16  # One node publishes at most this many suspicions.
+MAX_HEARTBEAT_BYTES = 8
+AGE_BYTES = 2  # This is the size of the age in a contact report.
 
 
 class FailureDetector:
@@ -71,19 +71,19 @@
         self._entries = entries
         self.rings = Rings()
         self.rings.add(local_node, zone)
-        self.down: dict[str, float] = {}  # Time at which each was marked down.
+        self.down: dict[str, float] = {}  # The time at which each was marked down.
         self.missing: dict[str, float] = {}  # Watched nodes that are overdue, and their last contact.
         self.on_down: Callable[[str], None] | None = None
         self.on_up: Callable[[str], None] | None = None
         self.on_suspected: Callable[[], None] | None = None
         self.on_suspicions: Callable[[list[tuple[int, int, int]]], None] | None = None
-        self.revision = 0  # Sent with each heartbeat.
+        self.revision = 0  # The revision is sent with each heartbeat.
         self._suspected_by: dict[str, dict[str, Version]] = {}  # Versions by suspected and suspecting node.
         self._suspicions: dict[str, Version] = {}  # Suspicions of this node.
         # The next three hold watched nodes only.
-        self._last_contact_at: dict[str, float] = {}  # From a datagram or a contact report.
-        self._direct_contact_at: dict[str, float] = {}  # From a datagram only.
-        self._timeout_factor: dict[str, int] = {}  # Above 1 after refuted suspicions.
+        self._last_contact_at: dict[str, float] = {}  # The source is a datagram or a contact report.
+        self._direct_contact_at: dict[str, float] = {}  # The source is a datagram only.
+        self._timeout_factor: dict[str, int] = {}  # The factor exceeds 1 after refuted suspicions.
         self._any_contact_at = 0.0
         self._due_at = 0.0
         self._is_odd_tick = False
@@ -104,19 +104,19 @@
     def answer_contact_query(self, now: float, requester: str, key: bytes) -> Datagrams:
         """Answers a contact query, unless this node has no recent contact either."""
         node = node_of(int.from_bytes(key, "big"))
-        if len(key) != KEY_SIZE or node not in self._direct_contact_at:
+        if len(key) != KEY_BYTES or node not in self._direct_contact_at:
             return []
         age = now - self._direct_contact_at[node]
         if age > PROBE_TIMEOUT_S * CROSS_ZONE_TIMEOUT_FACTOR:
             return []
-        return [(requester, CONTACT_REPORT + key + round(1000.0 * age).to_bytes(AGE_SIZE, "big"))]
+        return [(requester, CONTACT_REPORT + key + round(1000.0 * age).to_bytes(AGE_BYTES, "big"))]
 
     def receive_contact_report(self, now: float, contact_report: bytes) -> None:
         """Counts another watcher's contact as a contact at that time. Ignores a malformed report."""
-        if len(contact_report) != KEY_SIZE + AGE_SIZE:
+        if len(contact_report) != KEY_BYTES + AGE_BYTES:
             return
-        node = node_of(int.from_bytes(contact_report[:KEY_SIZE], "big"))
-        contact_at = now - int.from_bytes(contact_report[KEY_SIZE:], "big") / 1000.0
+        node = node_of(int.from_bytes(contact_report[:KEY_BYTES], "big"))
+        contact_at = now - int.from_bytes(contact_report[KEY_BYTES:], "big") / 1000.0
         if node in self._last_contact_at and node not in self.down:
             self._last_contact_at[node] = max(self._last_contact_at[node], contact_at)
 
@@ -146,7 +146,7 @@
         for node in overdue:
             zone = self._entries[node].zone
             if zone != self._zone:
-                contact_query = CONTACT_QUERY + key_of(node).to_bytes(KEY_SIZE, "big")
+                contact_query = CONTACT_QUERY + key_of(node).to_bytes(KEY_BYTES, "big")
                 other_watchers = self.rings.watchers(node, zone)[1]
                 out += [(watcher, contact_query) for watcher in other_watchers if watcher != self._local_node]
         return out
--- a/honeywharf/gossip/anti_entropy.py
+++ b/honeywharf/gossip/anti_entropy.py
@@ -15,7 +15,7 @@
     BUCKETS,
     DIGEST,
     ENTRY_REQUEST,
-    KEY_SIZE,
+    KEY_BYTES,
     REVISION_RUMOUR,
     RUMOUR,
     SUMMARY,
@@ -28,7 +28,7 @@
 )
 from honeywharf.gossip.table import NO_FORWARD_HOPS, REPAIR_HOPS
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
@@ -37,12 +37,12 @@
     from honeywharf.gossip.table import GossipTable
 
 DIGEST_INTERVAL_S = 0.5
-SAME_ZONE_FRACTION = 0.75  # Fraction of summaries that go to a peer in the same zone.
+SAME_ZONE_FRACTION = 0.75  # This fraction of the summaries goes to a peer in the same zone.
 MISSING_PEER_INTERVAL = 4  # Every fourth summary also goes to a missing node.
 MAX_DIGEST_NODES = 120  # A digest of this many nodes fits one datagram.
 MAX_DIGEST_BUCKETS = 24
-MAX_REPAIR_DATAGRAMS = 16  # Datagrams sent in answer to one datagram.
-MAX_REQUESTED = 300  # Entries in one request.
+MAX_REPAIR_DATAGRAMS = 16  # This limits the answer to one datagram.
+MAX_REQUESTED = 300  # One request asks for at most this many entries.
 RECENT_ENTRY_S = 2.0  # An entry received within this time is taken for the newer of two that differ.
 
 
@@ -106,7 +106,7 @@
         offered = self._table.offered()
         if len(offered) <= MAX_DIGEST_NODES:
             return [(sender, self._digest(None, offered))]
-        sums = b"".join([total.to_bytes(KEY_SIZE, "big") for total in _bucket_sums(offered)])
+        sums = b"".join([total.to_bytes(KEY_BYTES, "big") for total in _bucket_sums(offered)])
         return [(sender, BUCKET_SUMS + msgpack.packb((self._table.revision, sums)))]
 
     def _digest(self, buckets: bytes | None, entries: list[Entry]) -> bytes:
--- a/honeywharf/gossip/dissemination.py
+++ b/honeywharf/gossip/dissemination.py
@@ -12,7 +12,7 @@
 from honeywharf.gossip.entry import REVISION_RUMOUR, RUMOUR, key_of, pack_datagrams
 from honeywharf.gossip.table import MAX_NODES, NO_FORWARD_HOPS, REPAIR_HOPS
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from honeywharf.gossip.peers import LivePeers
     from honeywharf.gossip.table import GossipTable
@@ -111,7 +111,7 @@
     def __init__(self, peers: LivePeers) -> None:
         self._peers = peers
         self._rumour: tuple[int, str] | None = None  # Revision and a node that holds it.
-        self._at = 0.0  # Time at which it is due; 0 for the first time.
+        self._at = 0.0  # The time at which it is due; 0 for the first time.
         self.highest_revision = 0
 
     def add(self, revision: int, holder: str) -> bool:
--- a/honeywharf/gossip/entry.py
+++ b/honeywharf/gossip/entry.py
@@ -11,17 +11,18 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from typing import Any, TypeGuard
 
-MAX_DATAGRAM = 1400  # bytes
-MAX_ENTRY = 1200  # Bytes of one packed entry.
+MAX_DATAGRAM_BYTES = 1400
+MAX_ENTRY_BYTES = 1200  # The limit applies to one packed entry.
 MAX_NUMBER = 1 << 62  # Exclusive bound of incarnations, sequence numbers and revisions.
-KEY_SIZE = 4  # bytes
+KEY_BYTES = 4
 BUCKETS = 256
 
+# Each kind is shown with its body.
 RUMOUR = b"r"  # Array of entries.
 HELLO = b"h"  # Array of one entry, the sender's.
 SUMMARY = b"s"  # [revision, checksum of the table]
@@ -31,7 +32,7 @@
 REVISION_RUMOUR = b"w"  # [revision, key of a node that holds it]
 
 ARRAY_HEADER = b"\xdc"  # The msgpack header of an array with a 16-bit length.
-ARRAY_HEADER_SIZE = 4  # Bytes, including the datagram's kind.
+ARRAY_HEADER_BYTES = 4  # The size includes the datagram's kind.
 _stamp_record = struct.Struct(">II")
 
 
@@ -55,9 +56,9 @@
         self.sequence = sequence
         self.zone = zone
         self.attributes = attributes
-        self.received_at = 0.0  # Seconds on the steady clock.
-        self.inactive_since: float | None = None  # Time at which it left or was marked down.
-        self.is_hidden = False  # Inactive for so long that it is no longer sent to others.
+        self.received_at = 0.0  # The time of receipt on the steady clock, in seconds.
+        self.inactive_since: float | None = None  # The time at which the node left or was marked down.
+        self.is_hidden = False  # The entry is inactive and not sent to others.
         self.stamp = hash32(b"%d %d %d" % (key, incarnation, sequence))
 
     @property
@@ -89,10 +90,10 @@
     key = 0
     for part in parts:
         if not part.isdecimal() or int(part) > 255:
-            raise ValueError(f"not an IPv4 address: {node!r}")
+            raise ValueError(f"node: expected an IPv4 address, got {node!r}")
         key = key << 8 | int(part)
-    if len(parts) != KEY_SIZE:
-        raise ValueError(f"not an IPv4 address: {node!r}")
+    if len(parts) != KEY_BYTES:
+        raise ValueError(f"node: expected an IPv4 address, got {node!r}")
     return key
 
 
@@ -110,13 +111,13 @@
     """Packs elements into arrays of one datagram each. Elements beyond `limit` datagrams are left out."""
     datagrams: list[bytes] = []
     pending: list[bytes] = []
-    size = ARRAY_HEADER_SIZE
+    size = ARRAY_HEADER_BYTES
     for element in elements:
-        if size + len(element) > MAX_DATAGRAM:
+        if size + len(element) > MAX_DATAGRAM_BYTES:
             datagrams.append(_pack_array(kind, pending))
             if len(datagrams) == limit:
                 return datagrams
-            pending, size = [], ARRAY_HEADER_SIZE
+            pending, size = [], ARRAY_HEADER_BYTES
         pending.append(element)
         size += len(element)
     if pending:
@@ -142,14 +143,14 @@
 
 def pack_keys(keys: Iterable[int]) -> bytes:
     """Encodes each key in 4 bytes."""
-    return b"".join([key.to_bytes(KEY_SIZE, "big") for key in keys])
+    return b"".join([key.to_bytes(KEY_BYTES, "big") for key in keys])
 
 
 def unpack_keys(data: bytes) -> list[int]:
     """Decodes keys or sums of 4 bytes each. Raises ValueError if the size is not a multiple of 4."""
-    if len(data) % KEY_SIZE:
-        raise ValueError(f"keys: expected a multiple of {KEY_SIZE} bytes, got {len(data)}")
-    return [int.from_bytes(data[at : at + KEY_SIZE], "big") for at in range(0, len(data), KEY_SIZE)]
+    if len(data) % KEY_BYTES:
+        raise ValueError(f"keys: expected a multiple of {KEY_BYTES} bytes, got {len(data)}")
+    return [int.from_bytes(data[at : at + KEY_BYTES], "big") for at in range(0, len(data), KEY_BYTES)]
 
 
 def is_number(value: object) -> TypeGuard[int]:
--- a/honeywharf/gossip/gossip.py
+++ b/honeywharf/gossip/gossip.py
@@ -34,7 +34,7 @@
 from honeywharf.gossip.peers import LivePeers
 from honeywharf.gossip.table import NO_FORWARD_HOPS, REVISION, GossipTable, is_unsequenced, keep_revision
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
     from typing import Any
@@ -75,7 +75,7 @@
         self._rumours = EntryRumours(self.table, self._peers)
         self._revision_rumours = RevisionRumours(self._peers)
         self._anti_entropy = AntiEntropy(self.table, self._peers, random_source, self._seeds)
-        self._hello_at = self._sweep_at = 0.0  # Times at which each is due.
+        self._hello_at = self._sweep_at = 0.0  # The times at which each is due.
         self.table.put_own(0.0, incarnation, 1, attributes)
 
     # Publishing.
@@ -163,7 +163,7 @@
         if kind == REVISION_RUMOUR:
             revision, key = msgpack.unpackb(body)
             if not is_number(revision) or not is_number(key):
-                raise ValueError("revision rumour: expected a revision and a key")
+                raise ValueError("revision rumour: expected a revision and a key, got another value")
             return self._receive_revision(now, revision, node_of(key))
         if kind == SUMMARY:
             revision, checksum = msgpack.unpackb(body)
--- a/honeywharf/gossip/membership.py
+++ b/honeywharf/gossip/membership.py
@@ -6,14 +6,14 @@
     CONTACT_QUERY,
     CONTACT_REPORT,
     HEARTBEAT,
-    MAX_HEARTBEAT,
+    MAX_HEARTBEAT_BYTES,
     PROBE,
     SUSPICIONS,
     FailureDetector,
 )
 from honeywharf.gossip.gossip import Gossip
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
@@ -144,7 +144,7 @@
         if self.hints is not None and node in self.hints:
             self._send(self._hand_over(node))
         kind = data[:1]
-        if kind == HEARTBEAT and len(data) <= MAX_HEARTBEAT:
+        if kind == HEARTBEAT and len(data) <= MAX_HEARTBEAT_BYTES:
             self.gossip.note_revision(node, int.from_bytes(data[1:], "big"))
         elif kind == PROBE:
             self._send([(node, detector.heartbeat())])
--- a/honeywharf/gossip/table.py
+++ b/honeywharf/gossip/table.py
@@ -11,20 +11,20 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from honeywharf.gossip.entry import MAX_ENTRY, Entry, is_number, key_of, node_of
+from honeywharf.gossip.entry import MAX_ENTRY_BYTES, Entry, is_number, key_of, node_of
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
 
 MAX_NODES = 4096
-REVISION = "rev"  # The attribute whose changes keep the sequence number, see `is_unsequenced`.
+REVISION = "rev"  # Changes of this attribute keep the sequence number; see `is_unsequenced`.
 INACTIVE_OFFER_S = 15.0
 INACTIVE_RETENTION_S = 30.0
 DROPPED_RETENTION_S = 60.0
-REPAIR_HOPS = 14  # Hops of a repaired entry from another zone: it is forwarded within the zone.
-NO_FORWARD_HOPS = 15  # Hops of an entry that is not forwarded.
+REPAIR_HOPS = 14  # A repaired entry from another zone gets these hops and is forwarded within the zone.
+NO_FORWARD_HOPS = 15  # An entry with these hops is not forwarded.
 
 
 def is_unsequenced(name: str) -> bool:
@@ -54,7 +54,7 @@
         self.revision = 0  # Revision of the mesh state that this node publishes.
         self.rejected = 0  # Entries of new nodes rejected by a full table.
         self.has_local_node_left = False
-        self.dropped: dict[str, tuple[int, int, float]] = {}  # Incarnation, sequence and time.
+        self.dropped: dict[str, tuple[int, int, float]] = {}  # The values are incarnation, sequence and time.
         self.on_accepted: Callable[[float, str, int], None] = lambda now, node, hops: None
         self.on_dropped: Callable[[str], None] = lambda node: None
         self.on_peers_changed: Callable[[], None] = lambda: None
@@ -69,8 +69,10 @@
         """Replaces the own entry. Raises ValueError, without a change, if it is too large for a datagram."""
         attributes = msgpack.unpackb(msgpack.packb(attributes))  # Peers return a tuple as a list.
         entry = Entry(key_of(self.local_node), incarnation, sequence, self.zone, attributes)
-        if len(entry.pack(0)) > MAX_ENTRY:
-            raise ValueError(f"entry of {self.local_node} is over {MAX_ENTRY} bytes")
+        if len(entry.pack(0)) > MAX_ENTRY_BYTES:
+            raise ValueError(
+                f"entry of {self.local_node}: expected at most {MAX_ENTRY_BYTES} bytes, got more"
+            )
         self.revision = (attributes or {}).get(REVISION, 0) or self.revision
         self._put(now, self.local_node, entry, 0)
 
--- a/tests/failure_detector/test_detector.py
+++ b/tests/failure_detector/test_detector.py
@@ -145,7 +145,7 @@
     for node in nodes[1:]:
         local.entry_changed(0.0, node, table[node], None)
     local.record_contact(0.0, nodes[2])
-    local.tick(0.0)  # It watches both and has had no contact with either since.
+    local.tick(0.0)  # The local node watches both, and neither is in contact.
     key = key_of(nodes[1]).to_bytes(4, "big")
     assert local.answer_contact_query(0.2, nodes[2], key) == []
     local.record_contact(0.5, nodes[1])
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -111,7 +111,7 @@
 
 def test_a_too_large_entry_is_not_published() -> None:
     local = gossip(id="a")
-    with pytest.raises(ValueError, match="over 1200 bytes"):
+    with pytest.raises(ValueError, match="expected at most 1200 bytes"):
         local.publish(1.0, id="a" * 1300)
     assert local.table.entries[LOCAL_NODE].attributes == {"id": "a"}
     assert local.table.entries[LOCAL_NODE].sequence == 1
@@ -172,5 +172,5 @@
 def test_nodes_are_named_by_their_addresses() -> None:
     assert node_of(key_of("10.1.200.8")) == "10.1.200.8"
     for wrong in ("10.1.0", "10.1.0.256", "a.b.c.d", "", "1.2.3.4.5"):
-        with pytest.raises(ValueError, match="not an IPv4 address"):
+        with pytest.raises(ValueError, match="expected an IPv4 address"):
             key_of(wrong)
