--- a/honeywharf/flow/buffer_budget.py
+++ b/honeywharf/flow/buffer_budget.py
@@ -13,7 +13,7 @@
 
 from mypy_extensions import mypyc_attr
 
-# The most bytes of one read from a connection that carries a long body (`http.body_streams`).
+# The size limit of one read from a connection that carries a long body (`http.body_streams`).
 MAX_READ = 64 * 1024
 MIN_SHARE_BYTES, MAX_SHARE_BYTES = 16 * 1024, 256 * 1024
 MEMORY_SHARE = 0.3  # The part of the memory limit for all bodies; the rest is for the process and the kernel.
@@ -21,7 +21,7 @@
 
 @mypyc_attr(allow_interpreted_subclasses=True)
 class BufferBudget:
-    """The number of open pipes, and what each may buffer. `max_bytes`: bytes over all pipes."""
+    """The number of open pipes, and what each may buffer. `max_bytes` is the sum over all pipes."""
 
     def __init__(self, max_bytes: int) -> None:
         if max_bytes < MIN_SHARE_BYTES + MAX_READ:
@@ -29,13 +29,13 @@
         self.total_bytes = self.max_bytes = max_bytes
         self.max_pipes = max_bytes // (MIN_SHARE_BYTES + MAX_READ)
         self.open_pipes = 0
-        self.waiting: dict[int, Callable[[], None]] = {}  # Callbacks by ticket, in the order of arrival.
+        self.waiting: dict[int, Callable[[], None]] = {}  # The callbacks by ticket, in the order of arrival.
         self.last_ticket = 0
-        self.transferred_bytes = 0  # Forwarded since the start.
+        self.transferred_bytes = 0  # The number of bytes forwarded since the start.
         self.rejected = 0
 
     def share(self) -> int:
-        """Bytes that one pipe may buffer now, beyond one read."""
+        """The bytes that one pipe may buffer now, beyond one read."""
         return max(
             MIN_SHARE_BYTES, min(MAX_SHARE_BYTES, self.max_bytes // max(1, self.open_pipes) - MAX_READ)
         )
@@ -47,7 +47,7 @@
         self._grant_waiting()
 
     def acquire(self) -> bool:
-        """Takes a slot; False where none is free."""
+        """Takes a slot; returns False if none is free."""
         if self.open_pipes >= self.max_pipes:
             self.rejected += 1
             return False
--- a/honeywharf/flow/pipe.py
+++ b/honeywharf/flow/pipe.py
@@ -17,7 +17,7 @@
 
 from honeywharf.flow.buffer_budget import BufferBudget
 
-REPLAY_BYTES = 64 * 1024  # A body of up to this length is kept for a retry.
+REPLAY_BYTES = 64 * 1024  # A longer body is not kept for a retry.
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
@@ -29,7 +29,7 @@
         raise NotImplementedError
 
     def body_cancelled(self) -> None:
-        """The rest of the body is not wanted."""
+        """Called when the recipient needs no more of the body."""
         raise NotImplementedError
 
 
@@ -42,11 +42,11 @@
         raise NotImplementedError
 
     def completed(self) -> None:
-        """The body is complete."""
+        """Called when the body is complete."""
         raise NotImplementedError
 
     def aborted(self) -> None:
-        """The rest of the body will not arrive."""
+        """Called when the rest of the body will not arrive."""
         raise NotImplementedError
 
 
@@ -71,8 +71,8 @@
 
     def __init__(self, buffer_budget: BufferBudget, length: int | None, *, has_slot: bool) -> None:
         self.buffer_budget, self.length = buffer_budget, length
-        self.has_slot = has_slot  # In the buffer budget.
-        self.slot_ticket = 0  # While it waits for a slot.
+        self.has_slot = has_slot  # Whether the pipe has a slot in the buffer budget.
+        self.slot_ticket = 0  # The ticket of a pipe that waits for a slot, else 0.
         self.source: Source | None = None
         self.sink: Sink | None = None
         self.buffered: list[bytes] = []
@@ -151,7 +151,7 @@
             self.source.set_paused(True)
 
     def set_full(self, is_full: bool) -> None:
-        """The sink buffers too much, or has room again."""
+        """Pauses the source while the sink buffers too much, and resumes it afterwards."""
         if self.source is not None and not self.is_finished:
             self.source.set_paused(is_full)
 
--- a/tests/flow/test_sockets.py
+++ b/tests/flow/test_sockets.py
@@ -199,7 +199,7 @@
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await soon(client.reader.readexactly(len(body)))
                 await until(lambda w=w: any(isinstance(e, api.AnswerBroken) for e in w.events))  # type: ignore[misc]
-                assert len(backend.requests) == 1  # Its answer had begun, so that it is not retried.
+                assert len(backend.requests) == 1  # A request whose answer has begun is not retried.
                 assert w.proxy.buffer_budget.open_pipes == 0
             await backend.stop()
 
@@ -331,7 +331,7 @@
         one.port, two.port = port_of(bad), port_of(good)
         async with running_proxy([one.row("one"), two.row("two")]) as w:
             client = await Client.to(w.port)
-            for i in range(12):  # Until the bad backend has been tried.
+            for i in range(12):  # Some of these requests reach the bad backend first.
                 client.writer.write(
                     b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a%d\r\nX-Service-Class: pay\r\n"
                     b"X-Time-Left: 3000m\r\nContent-Length: 200000\r\n\r\n" % i + b"w" * 30_000
