--- a/honeywharf/transport/event_loop.py
+++ b/honeywharf/transport/event_loop.py
@@ -21,14 +21,14 @@
 from honeywharf.transport.signal_pipe import SignalPipe
 from honeywharf.transport.tcp_connection import TcpConnection
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from honeywharf.transport.host import Address, Connection, Handler
 
-READ_SIZE = 64 * 1024  # Bytes.
-MAX_READS_PER_EVENT = 4  # Bounds the reads of one connection before others are served.
+READ_BYTES = 64 * 1024
+MAX_READS_PER_EVENT = 4  # This bounds the reads of one connection before others are served.
 LISTEN_BACKLOG = 512
 USER_TIMEOUT_MS = 3000
 KEEPALIVE_INTERVAL_S = 1
@@ -206,7 +206,7 @@
             except BlockingIOError:
                 return
             except OSError as error:  # No free descriptor; the accept is retried on the next event.
-                self.log(f"a connection was not taken: {error}")
+                self.log(f"could not accept a connection: {error}")
                 return
             self._set_options(sock)
             connection = TcpConnection(self, sock, peer, connecting=False)
@@ -276,7 +276,7 @@
     def _read(self, connection: TcpConnection) -> None:
         for _ in range(MAX_READS_PER_EVENT):
             try:
-                data = connection.socket.recv(READ_SIZE)
+                data = connection.socket.recv(READ_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -292,7 +292,7 @@
                 return
             if not connection.is_closing:
                 connection.handler.received(data)
-            if len(data) < READ_SIZE or connection.is_paused or connection.handler is None:
+            if len(data) < READ_BYTES or connection.is_paused or connection.handler is None:
                 return
 
     def _datagrams_ready(self, number: int) -> None:
--- a/honeywharf/transport/framing.py
+++ b/honeywharf/transport/framing.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from typing import Any
 
-MAX_FRAME = 80 << 20  # Bytes of one body.
-LENGTH_SIZE = 4  # Bytes.
+MAX_FRAME = 80 << 20  # The limit of one body in bytes.
+LENGTH_BYTES = 4
 
 
 def encode_frame(obj: object) -> bytes:
@@ -21,7 +21,7 @@
     Raises TypeError or ValueError if msgpack cannot encode the object, OverflowError from 4 GiB on.
     """
     body: bytes = msgpack.packb(obj)
-    return len(body).to_bytes(LENGTH_SIZE, "big") + body
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode_body(body: bytes | bytearray | memoryview) -> Any:
@@ -41,8 +41,8 @@
 
     def __init__(self, max_size: int = MAX_FRAME) -> None:
         self.max_frame = max_size
-        self._buffer = bytearray()  # The start of an incomplete frame.
-        self._next_parse_size = LENGTH_SIZE  # Buffered bytes at which the next frame may be complete.
+        self._buffer = bytearray()  # The buffer holds the start of an incomplete frame.
+        self._next_parse_size = LENGTH_BYTES  # Buffered bytes at which the next frame may be complete.
 
     @property
     def buffered(self) -> int:
@@ -69,16 +69,16 @@
         """Returns the complete frames in `data` and the offset of the first incomplete one."""
         frames: list[Any] = []
         at, end, limit = 0, len(data), self.max_frame
-        self._next_parse_size = LENGTH_SIZE
+        self._next_parse_size = LENGTH_BYTES
         with memoryview(data) as view:
-            while end - at >= LENGTH_SIZE:
-                size = int.from_bytes(data[at : at + LENGTH_SIZE], "big")
+            while end - at >= LENGTH_BYTES:
+                size = int.from_bytes(data[at : at + LENGTH_BYTES], "big")
                 if size > limit:
                     raise ValueError(f"frame: expected at most {limit} bytes, got {size}")
-                if end - at - LENGTH_SIZE < size:
-                    self._next_parse_size = LENGTH_SIZE + size
+                if end - at - LENGTH_BYTES < size:
+                    self._next_parse_size = LENGTH_BYTES + size
                     break
-                with view[at + LENGTH_SIZE : at + LENGTH_SIZE + size] as body:
+                with view[at + LENGTH_BYTES : at + LENGTH_BYTES + size] as body:
                     frames.append(decode_body(body))
-                at += LENGTH_SIZE + size
+                at += LENGTH_BYTES + size
         return frames, at
--- a/honeywharf/transport/http_server.py
+++ b/honeywharf/transport/http_server.py
@@ -1,8 +1,8 @@
 """An HTTP/1.1 server for backends, operators and the platform, with complete requests and responses.
 
 Theory of operation. Each connection serves one request at a time; pipelined requests wait unread. To bound
-memory, the process reads one body over `MAX_SMALL_BODY` at a time, and connections with other large bodies
-are paused. A malformed request is answered with its error status after the pending responses, and the
+memory, the process reads one body over `MAX_SMALL_BODY_BYTES` at a time, and connections with other large
+bodies are paused. A malformed request is answered with its error status after the pending responses, and the
 connection is closed.
 """
 
@@ -18,10 +18,10 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-MAX_SMALL_BODY = 256 * 1024  # Bytes. Every connection may hold a body of this size.
+MAX_SMALL_BODY_BYTES = 256 * 1024  # Every connection may hold a body of this size.
 MAX_CONNECTIONS = 1024
 IDLE_TIMEOUT_S = 30.0  # A connection without a complete request for this time is closed.
-MAX_HEAD = 16 * 1024  # Bytes.
+MAX_HEAD_BYTES = 16 * 1024
 
 
 class HttpRequest:
@@ -63,7 +63,7 @@
 
     def __init__(self, server: HttpServer, connection: Connection) -> None:
         self.server, self.connection = server, connection
-        self.reader = RequestReader(_RequestSink(self), server.max_body, MAX_HEAD)
+        self.reader = RequestReader(_RequestSink(self), server.max_body, MAX_HEAD_BYTES)
         self.head: RequestHead | None = None  # Head of the request in progress.
         self.pending_head: RequestHead | None = None  # Head of the request that is being read.
         self.pipelined: list[
@@ -110,7 +110,7 @@
         """Takes a part of a request body."""
         self.body_parts.append(data)
         self.body_size += len(data)
-        if self.body_size > MAX_SMALL_BODY and not self.has_long_body:
+        if self.body_size > MAX_SMALL_BODY_BYTES and not self.has_long_body:
             self.has_long_body = True
             self.server.reserve_long_body(self)
 
--- a/honeywharf/transport/link.py
+++ b/honeywharf/transport/link.py
@@ -1,7 +1,7 @@
 """The source's end of links: streams to the sidecar beside a backend, with one connection per peer.
 
 A link is lost if nothing is received on it for `LINK_TIMEOUT_S` while streams are open. Its requests may have
-run, except those whose body the destination had not asked for. An idempotent request fails sooner, after
+run, except those whose body the destination had not requested. An idempotent request fails sooner, after
 `STREAM_TIMEOUT_S`. The frames are described in `stream`; the destination's end is `link_server`.
 """
 
@@ -26,7 +26,7 @@
 )
 from honeywharf.verdict import LINK_LOST, MAY_HAVE_RUN, NOT_RUN, Verdict
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
@@ -35,8 +35,8 @@
     from honeywharf.transport.stream import ForwardedRequest, ResponseHandler
 
 PING_INTERVAL_S = 0.25
-STREAM_TIMEOUT_S = 1.2  # Time without a received byte after which idempotent requests fail.
-# Time without a received byte. A congested link may carry little for more than a second.
+STREAM_TIMEOUT_S = 1.2  # Idempotent requests fail after this time without a received byte.
+# A link is lost after this time without a received byte. A congested link may carry little for a second.
 LINK_TIMEOUT_S = 2.6
 IDLE_TIMEOUT_S = 60.0  # A link without a stream for this time is closed.
 MAX_UNSENT_BYTES = 4 << 20  # No stream is opened on a link with more buffered bytes.
@@ -126,7 +126,8 @@
         if self.is_closed or len(self.streams) >= MAX_STREAMS or self.connection.unsent > MAX_UNSENT_BYTES:
             return None
         if not self.streams:
-            self.last_received_at = max(self.last_received_at, self.host.now())  # The time-out starts here.
+            # The time-out starts when a stream is opened.
+            self.last_received_at = max(self.last_received_at, self.host.now())
         self.number += 1
         now = self.host.now()
         stream = self.streams[self.number] = ClientStream(
@@ -178,7 +179,7 @@
         for stream in streams:
             stream.link = None
             # Guards against running a request twice: it has certainly not run only if its body was never
-            # asked for, or if the link was never established.
+            # requested, or if the link was never established.
             is_proven_not_run = not self.is_up or (stream.has_body and not stream.is_admitted)
             stream.handler.failed(Verdict(NOT_RUN if is_proven_not_run else MAY_HAVE_RUN, LINK_LOST))
 
--- a/honeywharf/transport/link_server.py
+++ b/honeywharf/transport/link_server.py
@@ -21,7 +21,7 @@
 )
 from honeywharf.verdict import NOT_RUN
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
@@ -125,7 +125,7 @@
         self.link.handlers.pop(self.number, None)
 
     def admit(self) -> None:
-        """Reports that the request is admitted, and asks for its body."""
+        """Reports that the request is admitted, and requests its body."""
         self.link.send([GO, self.number])
 
     def window(self, size: int) -> None:
--- a/honeywharf/transport/rpc_client.py
+++ b/honeywharf/transport/rpc_client.py
@@ -6,7 +6,7 @@
 connection per peer, opened on demand and closed after `IDLE_TIMEOUT_S` without a call. A call ends exactly
 once: with the peer's answer, or with None if it timed out, the connection was lost, the peer does not know
 the method, or a bound was reached. When a call times out on a connection without any progress, the connection
-is closed, so that later calls do not wait behind data that a partition has held up. The methods are named in
+is closed, so that later calls do not wait behind data that a partition delays. The methods are named in
 `rpc_methods`; the server is `rpc_server`.
 """
 
@@ -16,7 +16,7 @@
 
 from honeywharf.transport.framing import FrameReader, encode_frame
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
@@ -28,8 +28,8 @@
 CALLS_GREETING, STREAMS_GREETING = "calls", "streams"
 IDLE_TIMEOUT_S = 5.0
 MAX_PEERS = 64
-MAX_PENDING_CALLS = 512  # Calls on one connection.
-MAX_UNSENT_BYTES = 160 << 20  # Bytes buffered for one peer.
+MAX_PENDING_CALLS = 512  # One connection has at most this many calls in flight.
+MAX_UNSENT_BYTES = 160 << 20  # The limit applies to the buffered bytes of one peer.
 # A call that times out closes its connection if no byte moved in either direction for this time.
 STALL_TIMEOUT_S = 0.25
 CONNECT_TIMEOUT_S = 1.0
@@ -43,7 +43,7 @@
     def __init__(self, done: Done, sent_at: float, unsent: int) -> None:
         self.done = done
         self.sent_at = sent_at
-        self.unsent = unsent  # Bytes buffered when it had been sent.
+        self.unsent = unsent  # The bytes buffered right after this call was sent.
         self.timer: Timer | None = None
 
 
--- a/honeywharf/transport/rpc_server.py
+++ b/honeywharf/transport/rpc_server.py
@@ -5,7 +5,7 @@
 from honeywharf.transport.framing import MAX_FRAME, FrameReader, encode_frame
 from honeywharf.transport.rpc_client import CALLS_GREETING, MAX_UNSENT_BYTES, STREAMS_GREETING
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
--- a/honeywharf/transport/signal_pipe.py
+++ b/honeywharf/transport/signal_pipe.py
@@ -5,11 +5,11 @@
 import os
 import signal
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_PENDING = 64  # Signals read at once.
+MAX_PENDING = 64  # At most this many signals are read at once.
 
 
 class SignalPipe:
--- a/honeywharf/transport/stream.py
+++ b/honeywharf/transport/stream.py
@@ -13,7 +13,7 @@
     ANSWER  status, fields, length, load, complete body or nil (then the body follows)
     FAIL    reason, retry-after ms, whether the request arrived, load, whether it ran
     REFUSE  the same; proves that the request has not run
-    CANCEL  the source no longer wants the response
+    CANCEL  the source cancels the request
     PING    sent while streams are open and nothing has been received for a while
     PONG    the answer to a PING
 
@@ -25,7 +25,7 @@
 
 from honeywharf.transport.framing import encode_frame
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     from typing import Any, Protocol
 
@@ -68,16 +68,16 @@
             """Called when `size` further bytes of the response may be sent."""
 
         def cancel(self) -> None:
-            """Called when the source no longer wants the response."""
+            """Called when the source cancels the request."""
 
 
 #: Kinds of frames. Plain integers keep the dispatch of each frame cheap.
 OPEN, GO, DATA, END, WINDOW, ANSWER, REFUSE, FAIL, CANCEL, PING, PONG = range(11)
 DELEGATED = 3  # Kind of a request that the receiving sidecar routes by its own rules.
 WINDOW_SIZE = 64 * 1024
-INITIAL_WINDOW = 8 * 1024  # Bytes of a request body that GO asks for; WINDOW asks for more.
-MAX_CHUNK = 16 * 1024  # Bytes of one DATA frame, so that other streams can send in between.
-MAX_STREAMS = 2048  # Streams of one link.
+INITIAL_WINDOW = 8 * 1024  # GO requests this many bytes of a request body; WINDOW requests more.
+MAX_CHUNK = 16 * 1024  # The limit of one DATA frame in bytes, so that other streams can send in between.
+MAX_STREAMS = 2048  # One link has at most this many open streams.
 MAX_FRAME = 1 << 20
 
 
@@ -86,8 +86,8 @@
 
     `kind` is 0 for an idempotent request, `DELEGATED` for one that the receiver routes, and otherwise states
     how the request may run. `caller` is the service that sent it, `length` is as in `codecs.mesh.Head`,
-    `revision` is that of the mesh state used for the decision, and `rule` is the digest of the chosen route,
-    8 bytes.
+    `revision` is that of the mesh state used for the decision, and `rule` is the digest of the selected
+    route, 8 bytes.
     """
 
     __slots__ = (
--- a/honeywharf/transport/tcp_connection.py
+++ b/honeywharf/transport/tcp_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-TYPE_CHECKING = False  # `typing` is 1.3 MB in each process
+TYPE_CHECKING = False  # Importing `typing` costs 1.3 MB in each process.
 if TYPE_CHECKING:
     import socket
     from collections.abc import Callable
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -9,7 +9,7 @@
 from honeywharf.transport.http_server import (
     IDLE_TIMEOUT_S,
     MAX_CONNECTIONS,
-    MAX_SMALL_BODY,
+    MAX_SMALL_BODY_BYTES,
     HttpRequest,
     HttpServer,
 )
@@ -170,14 +170,14 @@
 
 def test_long_bodies_are_read_one_at_a_time() -> None:
     fixture = ServerFixture()
-    size = 8 * MAX_SMALL_BODY
+    size = 8 * MAX_SMALL_BODY_BYTES
     first = fixture.connect(post_request(body=b"a" * size)[:-1], seconds=0.5)
     second = fixture.connect(post_request(body=b"b" * size), seconds=0.5)
     third = fixture.connect(post_request(body=b"c" * size), seconds=0.5)
     assert not fixture.requests
     for waiting in (second, third):
-        assert waiting.connection.unsent > size - MAX_SMALL_BODY - 300_000
-    short = fixture.connect(post_request(body=b"s" * MAX_SMALL_BODY), seconds=0.5)
+        assert waiting.connection.unsent > size - MAX_SMALL_BODY_BYTES - 300_000
+    short = fixture.connect(post_request(body=b"s" * MAX_SMALL_BODY_BYTES), seconds=0.5)
     assert [request.body[:1] for request in fixture.requests] == [b"s"]
     fixture.requests.pop().answer(200)
     first.connection.send(b"a")
@@ -197,8 +197,8 @@
 
 def test_a_stalled_long_body_does_not_block_the_next_one() -> None:
     fixture = ServerFixture()
-    first = fixture.connect(post_request(body=b"a" * 4 * MAX_SMALL_BODY)[:-1], seconds=0.5)
-    second = fixture.connect(post_request(body=b"b" * 4 * MAX_SMALL_BODY), seconds=0.5)
+    first = fixture.connect(post_request(body=b"a" * 4 * MAX_SMALL_BODY_BYTES)[:-1], seconds=0.5)
+    second = fixture.connect(post_request(body=b"b" * 4 * MAX_SMALL_BODY_BYTES), seconds=0.5)
     fixture.run(IDLE_TIMEOUT_S + 1.0)
     assert first.close_reason is not None
     fixture.run(0.5)
@@ -229,7 +229,7 @@
 
 def test_an_answer_to_a_closed_connection_has_no_effect() -> None:
     fixture = ServerFixture()
-    client = fixture.connect(post_request(body=bytes(2 * MAX_SMALL_BODY)), seconds=0.5)
+    client = fixture.connect(post_request(body=bytes(2 * MAX_SMALL_BODY_BYTES)), seconds=0.5)
     client.connection.abort()
     fixture.run()
     fixture.requests[0].answer(200)
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -189,7 +189,7 @@
     network.run(0.5)
     replies[0]("late")
     assert answers == [("up", 0), ("first", None)]
-    assert client.peers == 0  # Without progress the connection was closed.
+    assert client.peers == 0  # The connection is closed for lack of progress.
     network.cuts.clear()
     client.call(SERVER_ADDRESS, "keep", None, 1.0, lambda answer: answers.append(("second", answer)))
     network.run(1.4)
