--- a/honeywharf/coap/blocks.py
+++ b/honeywharf/coap/blocks.py
@@ -25,7 +25,7 @@
 MAX_SZX = 6  # blocks of 2 ** (6 + 4) = 1024 bytes; 7 is reserved (RFC 7959, 2.2)
 TRANSFER_LIFETIME_MS = 247_000.0  # EXCHANGE_LIFETIME; RFC 7959, 2.4, leaves the time to the server
 ETAG = 4
-#: Options that differ between the requests of one transfer.
+#: The options that differ between the requests of one transfer.
 VARYING_OPTIONS = frozenset(
     (
         coap.BLOCK1,
@@ -144,7 +144,7 @@
             self.held_bytes -= len(stored[1])
 
     def stored_response(self, key: Key, now: float) -> tuple[bytes, list[tuple[int, bytes]]]:
-        """Returns a stored response and its options; OptionError 4.08 if it is no longer stored."""
+        """Returns a stored response and its options; OptionError 4.08 if it is not stored."""
         self._evict(now)
         stored = self.responses.get(key)
         if stored is None:
--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -8,14 +8,14 @@
     RESET        RST, and it was sent once: the node has not taken it. If it was retransmitted, an RST proves
                  nothing: the process that had the first may be gone, and the next does not know of it
     UNREACHABLE  ICMP, and it was all that the socket ever sent: it never arrived
-    LOST         any other RST or ICMP, or never acknowledged: it may have run. We are not told which datagram
-                 ICMP is about: a late one must not apply to a later request, which may have arrived
-    UNSENT       no room in the queue, or its time ended while it waited there
+    LOST         any other RST or ICMP, or never acknowledged: it may have run. ICMP does not identify the
+                 datagram: a late one must not apply to a later request, which may have arrived
+    UNSENT       the queue was full, or its time ended while it waited there
     PROBING      never sent: the node has been silent since a request was lost, and what has been sent to it
                  since has used up what PROBING_RATE allows (4.7)
 
-The caller cancels what takes too long. Times are in ms on the caller's clock. Bounds: `max_waiting` queued
-requests.
+The caller cancels requests that take too long. Times are in ms on the caller's clock. Bounds: `max_waiting`
+queued requests.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from honeywharf.codecs import coap
 
 NSTART = 1  # RFC 7252, 4.8
-PROBING_RATE = 1.0  # mean bytes per second to a node that does not respond; RFC 7252, 4.8
+PROBING_RATE = 1.0  # RFC 7252, 4.8: mean bytes per second to a node that does not respond
 MAX_WAITING = 256
-MAX_RECENT_CON_IDS = 64  # separate responses whose duplicates are acknowledged again
-UNSENT_MARGIN_MS = 5.0  # a queued request ends as UNSENT so long before its time-out
+MAX_RECENT_CON_IDS = 64  # duplicates of this many separate responses are acknowledged again
+UNSENT_MARGIN_MS = 5.0  # a queued request ends as UNSENT this long before its time-out
 
 
 class RequestEnd(Enum):
@@ -96,7 +96,7 @@
         # Random, so that a response to a request from before a restart does not match.
         self.next_token = self.random.getrandbits(32)
         self.paused = True  # True without a socket
-        self.datagrams_sent = 0  # count for the current socket
+        self.datagrams_sent = 0  # sent on the current socket
         self.waiting: deque[PendingRequest] = deque()
         self.in_flight: dict[bytes, PendingRequest] = {}  # sent, by token
         self.unacknowledged: dict[int, PendingRequest] = {}  # keyed by message id
--- a/honeywharf/coap/front.py
+++ b/honeywharf/coap/front.py
@@ -5,7 +5,7 @@
     failed    5.02                       bad            4.xx
 
 A peer's address is trusted only after it has proved that it receives there (RFC 9175, 2.4). Until then a
-request is answered 4.01 with an Echo value, before anything has run, so that nobody can direct our responses
+request is answered 4.01 with an Echo value, before anything has run, so that nobody can direct responses
 to a victim by forging its address. A 4.01 is no longer than three times the request.
 """
 
@@ -212,7 +212,7 @@
         )
 
     def _retry_after_options(self, ms: float) -> list[tuple[int, bytes]]:
-        """Returns Max-Age in whole seconds, and our own option with the time in ms."""
+        """Returns Max-Age in seconds, and the option RETRY_AFTER with the time in ms."""
         if ms <= 0.0:
             return [(coap.MAX_AGE, b"")]
         seconds = whole_seconds(ms, self.random.random())
--- a/honeywharf/coap/messages.py
+++ b/honeywharf/coap/messages.py
@@ -38,7 +38,8 @@
 Peer = tuple[str, int]
 Key = tuple[Peer, int]  # peer and message id
 
-ACK_TIMEOUT = 2000.0  # ms; RFC 7252, 4.8, and 4.8.2 for the derived times
+# The transmission parameters of RFC 7252, 4.8, and the times derived from them (4.8.2), in ms.
+ACK_TIMEOUT = 2000.0
 ACK_RANDOM_FACTOR = 1.5
 MAX_RETRANSMIT = 4
 MAX_LATENCY = 100_000.0
@@ -46,7 +47,7 @@
 EXCHANGE_LIFETIME = MAX_TRANSMIT_SPAN + 2 * MAX_LATENCY + ACK_TIMEOUT
 NON_LIFETIME = MAX_TRANSMIT_SPAN + MAX_LATENCY
 ACK_DELAY_MS = ACK_TIMEOUT / 4  # a later response is sent separately, after an empty ACK
-SEEN_GROUP_SPAN_MS = 30_000.0  # ms; seen ids expire in groups of this span
+SEEN_GROUP_SPAN_MS = 30_000.0  # seen ids expire in groups of this span
 NO_DEADLINE = float("inf")
 
 
@@ -205,8 +206,8 @@
         self.answered_bytes -= len(exchange.data)
         max_ids = self.max_seen_ids if exchange.may_have_run else self.max_seen_ids // 2
         if not exchange.is_safe and not self._remember_id(key, exchange.expires_ms, max_ids):
-            # More orders in 247 s than can be remembered. The client no longer retransmits this one, but the
-            # network may still deliver a duplicate.
+            # More ids in 247 s than can be remembered. The client has stopped retransmitting this one, but
+            # the network may still deliver a duplicate.
             self.count("coap:forgotten")
 
     # Responses.
--- a/honeywharf/coap/options.py
+++ b/honeywharf/coap/options.py
@@ -19,7 +19,7 @@
 REPEAT = 65016  # empty: X-Repeat: 1
 WEIGHT = 65020  # uint, us: X-Weight-Hint
 SID = 65024  # string: the cookie sid
-RETRY_AFTER = 65028  # in a response, uint, ms: the time that Max-Age gives in whole seconds
+RETRY_AFTER = 65028  # in a response, uint, ms: the time of Max-Age, which is in seconds
 UNPROCESSED = 65040  # in a response, empty: the request has not run
 LOAD = 65044  # in a response, string: X-Backend-Load
 # W3C trace context: version, trace-id, parent-id and flags as 26 bytes, and the state as text.
--- a/honeywharf/codecs/coap.py
+++ b/honeywharf/codecs/coap.py
@@ -16,7 +16,7 @@
 URI_HOST, URI_PORT, URI_PATH, CONTENT_FORMAT, MAX_AGE, URI_QUERY = 3, 7, 11, 12, 14, 15
 BLOCK2, BLOCK1, SIZE2, SIZE1, ECHO, REQUEST_TAG = 23, 27, 28, 60, 252, 292
 
-MAX_DATAGRAM = 2048  # bytes: a block of 1024 and room for the options
+MAX_DATAGRAM_BYTES = 2048  # bytes: a block of 1024 and room for the options
 MAX_OPTIONS = 48
 MAX_TOKEN = 8
 PAYLOAD_MARKER = 0xFF
@@ -86,8 +86,10 @@
     if first >> 6 != VERSION:
         # RFC 7252, 3: a message of another version is silently ignored.
         raise MalformedError(f"version: expected {VERSION}, got {first >> 6}")
-    if len(data) > MAX_DATAGRAM:
-        raise MalformedError(f"datagram: expected at most {MAX_DATAGRAM} bytes, got {len(data)}", mtype, mid)
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise MalformedError(
+            f"datagram: expected at most {MAX_DATAGRAM_BYTES} bytes, got {len(data)}", mtype, mid
+        )
     if size > MAX_TOKEN:
         raise MalformedError(f"token: expected at most {MAX_TOKEN} bytes, got {size}", mtype, mid)
     at = 4 + size
--- a/honeywharf/lease/grantor.py
+++ b/honeywharf/lease/grantor.py
@@ -26,10 +26,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MEMBER_REMOVAL, QUARANTINE = "upkeep", "aside"  # The kinds of roles, as sent on the wire.
+MEMBER_REMOVAL, QUARANTINE = "upkeep", "aside"  # These kinds of roles are sent on the wire.
 TERMS = {MEMBER_REMOVAL: 1.0, QUARANTINE: 3.0}  # The term of a vote in seconds, by kind.
 MAX_VOTES = 512  # A grantor has votes for at most this many roles.
-MAX_SCOPE = 128  # The maximum length of a scope in characters.
+MAX_SCOPE_LENGTH = 128  # The maximum length of a scope in characters.
 MAX_NUMBER = 1 << 62
 
 
@@ -42,7 +42,7 @@
 
 
 class VoteAnswer(StrEnum):
-    """A grantor's answer, as sent on the wire."""
+    """A grantor's answer. The values are sent on the wire."""
 
     GRANTED = "granted"
     HELD = "held"  # Another holder has the role.
@@ -96,7 +96,7 @@
         return answer, self.highest_number
 
     def _decide(self, now: float, role: Role, holder: str, number: int, epoch: int) -> VoteAnswer:
-        if role.kind not in TERMS or len(role.scope) > MAX_SCOPE or not 0 < number < MAX_NUMBER:
+        if role.kind not in TERMS or len(role.scope) > MAX_SCOPE_LENGTH or not 0 < number < MAX_NUMBER:
             return VoteAnswer.NO_SLOT
         if epoch != self.epoch or self.is_epoch_pending:
             return VoteAnswer.OTHER_EPOCH
--- a/tests/coap/test_codec.py
+++ b/tests/coap/test_codec.py
@@ -37,7 +37,7 @@
         (HEAD + b"\x13ab", "option: expected its end within the datagram"),
         (HEAD + b"\xe0\xff\xff\xe0\xff\xff", "option: expected its end within the datagram"),
         (HEAD + b"\x10" * (coap.MAX_OPTIONS + 1), "options: expected at most 48, got more"),
-        (HEAD + b"\xff" + b"x" * coap.MAX_DATAGRAM, "datagram: expected at most 2048 bytes"),
+        (HEAD + b"\xff" + b"x" * coap.MAX_DATAGRAM_BYTES, "datagram: expected at most 2048 bytes"),
     ],
 )
 def test_a_malformed_datagram_is_rejected_with_a_reason(data: bytes, words: str) -> None:
