--- a/honeywharf/sessions/body_quota.py
+++ b/honeywharf/sessions/body_quota.py
@@ -4,7 +4,7 @@
 
 
 class BodyQuota:
-    """The reserved bytes. `tenant_share`: the part of `max_bytes` that one tenant may reserve, 0 to 1."""
+    """The reserved bytes. `tenant_share` is the part of `max_bytes` that one tenant may reserve, 0 to 1."""
 
     __slots__ = ("by_tenant", "count", "max_bodies", "max_bytes", "reserved_bytes", "tenant_share")
 
@@ -16,14 +16,14 @@
         self.by_tenant: dict[str, int] = {}
 
     def fits(self, tenant: str, size: int) -> bool:
-        """Whether `size` more bytes fit the total and the tenant's share."""
+        """Returns whether `size` more bytes fit the total and the tenant's share."""
         of_tenant = self.by_tenant.get(tenant, 0) + size
         return (
             self.reserved_bytes + size <= self.max_bytes and of_tenant <= self.tenant_share * self.max_bytes
         )
 
     def reserve(self, tenant: str, size: int) -> bool:
-        """Reserves bytes for a new body; False where the quota is exhausted."""
+        """Reserves bytes for a new body; returns False if the quota is exhausted."""
         if self.count >= self.max_bodies or not self.fits(tenant, size):
             return False
         self.count += 1
@@ -31,14 +31,14 @@
         return True
 
     def extend(self, tenant: str, size: int) -> bool:
-        """Reserves more bytes for a body that has a reservation; False where the quota is exhausted."""
+        """Reserves more bytes for a body that has a reservation; returns False if the quota is exhausted."""
         if not self.fits(tenant, size):
             return False
         self._adjust(tenant, size)
         return True
 
     def release(self, tenant: str, size: int) -> None:
-        """Releases all that one body has reserved."""
+        """Releases the whole reservation of one body."""
         self.count -= 1
         self._adjust(tenant, -size)
 
--- a/honeywharf/sessions/choice.py
+++ b/honeywharf/sessions/choice.py
@@ -16,20 +16,20 @@
 
 
 class Gateway:
-    """A gateway as a source knows it. `load`: its number of sessions by its last STATE frame."""
+    """A gateway as a source knows it. `load` is its number of sessions by its last STATE frame."""
 
     __slots__ = ("is_advertised", "is_connected", "load", "node", "region", "suspect_until", "zone")
 
     def __init__(self, node: str, region: str, zone: str) -> None:
         self.node, self.region, self.zone = node, region, zone
         self.load = 0
-        self.is_connected = False  # A STATE frame has arrived on the present link.
+        self.is_connected = False  # True once a STATE frame has arrived on the present link.
         self.is_advertised = True
         self.suspect_until = 0.0
 
 
 def may_hold_body(region: str, origin: str, allowed_regions: Iterable[str]) -> bool:
-    """Whether a machine of a region may hold a body from a client in region `origin`."""
+    """Returns whether a machine of a region may hold a body from a client in region `origin`."""
     allowed_regions = tuple(allowed_regions)
     return not allowed_regions or region in allowed_regions or region == origin
 
@@ -49,9 +49,9 @@
     avoid: str,
     draw: Callable[[], float],
 ) -> Gateway | None:
-    """The gateway for a session's next path; None where the allowed regions leave none.
+    """Returns the gateway for a session's next path; None if the allowed regions exclude all.
 
-    `avoid` is the gateway just left: it is chosen again only where there is no other. Of the gateways of the
+    `avoid` is the gateway just left: it is used again only if there is no other. Of the gateways of the
     best rank two are drawn at random, and the one with less load is chosen. `draw` returns uniform random
     numbers in [0, 1).
     """
--- a/honeywharf/sessions/destination.py
+++ b/honeywharf/sessions/destination.py
@@ -30,10 +30,10 @@
         self.destination, self.receiver, self.is_finished = destination, receiver, False
 
     def admit(self) -> None:
-        """The request is admitted; its body is complete already."""
+        """Does nothing: the body of an admitted request is complete already."""
 
     def window(self, size: int) -> None:
-        """Bytes of the body were taken; nothing to do, as all of it is here."""
+        """Does nothing: the complete body has been received."""
 
     def answer(
         self,
@@ -43,7 +43,7 @@
         load: tuple[int, int, int],
         body: bytes | None,
     ) -> None:
-        """The answer's head, and its complete body, or None where that follows in parts."""
+        """Sends the answer's head, and its complete body; `body` is None if it follows in parts."""
         receivers = self.destination.receivers
         receivers.answer_started(self.receiver, status, fields, length)
         if body is not None:
@@ -53,16 +53,16 @@
             receivers.answer_completed(self.receiver)
 
     def data(self, data: bytes) -> None:
-        """A part of the answer's body."""
+        """Sends a part of the answer's body."""
         self.destination.receivers.answer_data(self.receiver, data)
 
     def complete(self) -> None:
-        """The answer is complete."""
+        """Ends the answer."""
         self.is_finished = True
         self.destination.receivers.answer_completed(self.receiver)
 
     def fail(self, verdict: Verdict, load: tuple[int, int, int]) -> None:
-        """The request failed."""
+        """Fails the request."""
         self.is_finished = True
         self.destination.receivers.failed(self.receiver, verdict)
 
@@ -142,7 +142,7 @@
             receiver.handler = None
 
     def _forwarded_request(self, receiver: Receiver, head: Any, length: int) -> ForwardedRequest:
-        """The request for the sidecar, from a head made by `session_client.request_head`."""
+        """Returns the request for the sidecar, from a head made by `session_client.request_head`."""
         (
             (service, kind, caller, method, target, fields),
             (max_queue_wait_ms, priority, latency_target_ms, revision, rule),
--- a/honeywharf/sessions/drain.py
+++ b/honeywharf/sessions/drain.py
@@ -29,7 +29,7 @@
 STATE_NAMES = ("serving", "warned", "announced", "closed", "moving", "last ones", "empty", "gone")
 ORDER, TERM, CANCEL = range(3)
 CONFIRMATION_S = 30.0  # A second order confirms the first within this time.
-ANNOUNCEMENT_S = 0.1  # Longer than the latency between regions, so that sources have heard of the drain.
+ANNOUNCEMENT_S = 0.1  # This exceeds the latency between regions, so that sources know of the drain.
 MOVES_PER_TICK = 32
 TICK_INTERVAL_S = 0.02
 REPEAT_LEAVE_S = 1.0  # A session still here is asked to move again after this time.
@@ -61,8 +61,8 @@
 
     def __init__(self) -> None:
         self.state, self.state_since = SERVING, 0.0
-        self.exits_when_empty = False  # SIGTERM was received.
-        self.deadline = 0.0  # After SIGTERM: the process exits then, whatever is left.
+        self.exits_when_empty = False  # True once SIGTERM was received.
+        self.deadline = 0.0  # After SIGTERM the process exits at this time, even with sessions left.
 
     @property
     def accepts_sessions(self) -> bool:
@@ -119,15 +119,15 @@
 
 
 def smallest_remainder_first(remaining_bytes: int, length: int, age: float) -> float:
-    """Sort key for moving sessions: fewest remaining bytes first."""
+    """Returns the sort key for moving sessions: fewest remaining bytes first."""
     return remaining_bytes if length >= 0 else float("inf")
 
 
 def largest_remainder_first(remaining_bytes: int, length: int, age: float) -> float:
-    """Sort key for moving sessions: unknown length first, then most remaining bytes."""
+    """Returns the sort key for moving sessions: unknown length first, then most remaining bytes."""
     return -remaining_bytes if length >= 0 else float("-inf")
 
 
 def oldest_first(remaining_bytes: int, length: int, age: float) -> float:
-    """Sort key for moving sessions: longest here first."""
+    """Returns the sort key for moving sessions: oldest first."""
     return -age
--- a/honeywharf/sessions/frames.py
+++ b/honeywharf/sessions/frames.py
@@ -55,12 +55,12 @@
 SOURCE_FRAMES = (OPEN, DATA, END, ACK, CLOSE, DROP)
 DESTINATION_FRAMES = (HAVE, HEAD, PART, WHOLE, VERDICT, UNKNOWN, FENCED)
 
-CHUNK_BYTES = 16 * 1024  # The most in one DATA or PART.
-WINDOW_BYTES = 256 * 1024  # Unacknowledged bytes of a body in flight.
-# Bytes that may follow an OPEN before any HAVE: a short body to a known incarnation.
+CHUNK_BYTES = 16 * 1024  # One DATA or PART carries at most this many bytes.
+WINDOW_BYTES = 256 * 1024  # This bounds the unacknowledged bytes of a body.
+# This many bytes may follow an OPEN before any HAVE: a short body to a known incarnation.
 INITIAL_BODY_BYTES = 32 * 1024
-INITIAL_ANSWER_BYTES = 1024  # Granted by a gateway with each OPEN that it accepts.
-ANSWER_WINDOW_BYTES = 128 * 1024  # Unacknowledged bytes of an answer in flight.
+INITIAL_ANSWER_BYTES = 1024  # A gateway grants this with each OPEN that it accepts.
+ANSWER_WINDOW_BYTES = 128 * 1024  # This bounds the unacknowledged bytes of an answer.
 SHORT_BODY_BYTES = INITIAL_BODY_BYTES  # Longer bodies use the BULK links.
 INTERACTIVE_LATENCY_TARGET_S = 0.2  # Reads with at most this latency target use the INTERACTIVE links.
 # Each class has links of its own, so that a long body does not delay a short request.
--- a/honeywharf/sessions/link.py
+++ b/honeywharf/sessions/link.py
@@ -22,7 +22,7 @@
 # A link that is not persistent is closed after this time without a frame other than PING and PONG.
 IDLE_TIMEOUT_S = 60.0
 MAX_FRAME_BYTES = 1 << 20
-MAX_UNSENT_BYTES = 128 << 20  # More than flow control grants: guards against a peer that does not read.
+MAX_UNSENT_BYTES = 128 << 20  # Flow control grants less; this guards against a peer that does not read.
 GATEWAY_GREETING, DESTINATION_GREETING = "passage", "landing"  # Both are part of the wire protocol.
 
 
@@ -62,7 +62,7 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that wait in the connection's send buffer."""
+        """The number of bytes in the connection's send buffer."""
         return self.connection.unsent
 
     def send(self, frame: list[Any]) -> int:
@@ -97,7 +97,7 @@
             self.on_lost(self)
 
     def opened(self) -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
         self.received_at = self.host.now()
 
     def received(self, data: bytes) -> None:
@@ -117,14 +117,14 @@
             self.drop()
 
     def ended(self) -> None:
-        """The peer has closed its side."""
+        """Called when the peer has closed its side."""
         self.drop()
 
     def drained(self) -> None:
-        """The send buffer is empty; nothing waits for that here."""
+        """Does nothing: no sender waits for an empty send buffer."""
 
     def closed(self, why: str) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
         self.drop()
 
 
@@ -151,7 +151,7 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that wait in the connection's send buffer."""
+        """The number of bytes in the connection's send buffer."""
         return self.connection.unsent
 
     def send(self, frame: list[Any]) -> int:
@@ -172,7 +172,7 @@
             self.on_lost(self)
 
     def opened(self) -> None:
-        """Not called for accepted connections."""
+        """Does nothing: the host calls it only for outgoing connections."""
 
     def received(self, data: bytes) -> None:
         """Handles received bytes; drops the link at a malformed frame."""
@@ -196,12 +196,12 @@
             self.on_frame(self, frame)
 
     def ended(self) -> None:
-        """The peer has closed its side."""
+        """Called when the peer has closed its side."""
         self.drop()
 
     def drained(self) -> None:
-        """The send buffer is empty; nothing waits for that here."""
+        """Does nothing: no sender waits for an empty send buffer."""
 
     def closed(self, why: str) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
         self.drop()
--- a/honeywharf/sessions/receiver.py
+++ b/honeywharf/sessions/receiver.py
@@ -14,7 +14,7 @@
     ANSWERING .              .              FINISHED   goes on             FINISHED (may have run)
     FINISHED  the outcome is sent again on request, until the entry is removed
 
-A session that brings an attempt already known joins the first one, if it asks for the same operation, and
+A session that brings an attempt already known joins the first one, if it requests the same operation, and
 gets the same verdict or answer. Bounds: `body_quota` for bodies; `MAX_SESSIONS`; `MAX_JOINED` for each
 attempt; `MAX_KEPT_ANSWER_BYTES` for acknowledged answers that are kept for a repeated attempt. The oldest
 answer is discarded first, and the outcome of its attempt is "may have run" from then on.
@@ -116,7 +116,7 @@
         self.link: Link | None = None
         self.body_parts: list[bytes] = []
         self.body_received = 0
-        self.reserved_bytes = -1  # In the quota; -1: there is no reservation.
+        self.reserved_bytes = -1  # The reservation in the quota; -1 if there is none.
         self.state = RECEIVING
         self.last_progress_at = 0.0
         self.verdict: Verdict | None = None
@@ -225,7 +225,7 @@
                 self._attach(now, receiver, epoch, link, received, window_end)
             elif (
                 epoch != receiver.epoch or link is not receiver.link
-            ):  # Otherwise it is a duplicate of the OPEN in use.
+            ):  # Any other OPEN is a duplicate of the one in use.
                 self.send(link, [FENCED, session_id, epoch])
             return
         if (incarnation and incarnation != self.incarnation) or heard:
@@ -239,7 +239,7 @@
         self._begin(now, link, new_receiver, epoch, window_end)
 
     def _rejection_reason(self, wall_ms: int, expires: int, allowed_regions: list[str]) -> int | None:
-        """Why a new session is rejected, or None."""
+        """Returns the reason to reject a new session, or None."""
         if wall_ms > expires + EXPIRY_TOLERANCE_S * 1000.0:
             return TOO_LATE
         if allowed_regions and self.region not in allowed_regions:
@@ -328,7 +328,7 @@
             self._resume_answer(receiver, received)
 
     def link_lost(self, now: float, link: Link) -> None:
-        """A link is lost: its sessions wait for a new path."""
+        """Handles the loss of a link: its sessions wait for a new path."""
         for receiver in self.sessions.values():
             if receiver.link is link:
                 receiver.link, receiver.last_progress_at = None, now
@@ -358,7 +358,7 @@
             )
 
     def _reserve_more(self, receiver: Receiver) -> None:
-        """Reserves a further window for a body of unknown length; without room its source waits."""
+        """Reserves a further window for a body of unknown length; without capacity its source waits."""
         additional = receiver.body_received + WINDOW_BYTES - receiver.reserved_bytes
         if additional > 0 and self.body_quota.extend(receiver.tenant, additional):
             receiver.reserved_bytes += additional
@@ -400,21 +400,21 @@
     # The answer, as the owner reports it.
 
     def answer_started(self, receiver: Receiver, status: int, fields: bytes, length: int) -> None:
-        """The head of the backend's answer has arrived."""
+        """Handles the head of the backend's answer."""
         if receiver.state == RUNNING:
             receiver.state, receiver.answer_head = ANSWERING, (status, fields, length)
             self._release_body(receiver)
             self._send_answer(receiver, 0)
 
     def answer_data(self, receiver: Receiver, data: bytes) -> None:
-        """A part of the answer's body; the owner sends no more than `consumed` allows."""
+        """Handles a part of the answer's body; the owner sends no more than `consumed` allows."""
         if receiver.state == ANSWERING:
             receiver.kept_answer += data
             receiver.answer_received += len(data)
             self._send_answer_data(receiver)
 
     def answer_completed(self, receiver: Receiver) -> None:
-        """The answer is complete."""
+        """Handles the end of the answer."""
         if receiver.state == ANSWERING:
             receiver.answer_complete, receiver.handler = True, None
             self._send_answer_data(receiver)
@@ -423,7 +423,7 @@
                     self._copy_answer(receiver, joined)
 
     def failed(self, receiver: Receiver, verdict: Verdict) -> None:
-        """The request was rejected before it ran, or the attempt failed."""
+        """Handles a request that was rejected before it ran, or an attempt that failed."""
         if receiver.state in (RUNNING, ANSWERING):
             self._finish(receiver, verdict)
 
@@ -482,7 +482,7 @@
             receiver.answer_start = received
 
     def _on_close(self, receiver: Receiver) -> None:
-        """The source has the complete answer: it is kept only for a repeated attempt."""
+        """Handles CLOSE: the source has the complete answer, which is kept only for a repeated attempt."""
         if receiver.state == ANSWERING and receiver.answer_complete:
             receiver.state = FINISHED
             receiver.link = None
@@ -571,5 +571,5 @@
 
 
 def _requested_operation(head: object) -> object:
-    """The first part of a head, the operation; the second holds what may differ between attempts."""
+    """Returns the first part of a head, the operation; the second holds what may differ between attempts."""
     return head[0] if isinstance(head, list) and head else head
--- a/honeywharf/sessions/relay.py
+++ b/honeywharf/sessions/relay.py
@@ -60,7 +60,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Bytes that may be in flight."""
+        """The number of bytes that may be in flight."""
         return max(0, self.granted - self.acked)
 
 
@@ -106,7 +106,7 @@
 
 
 class Relay:
-    """All sessions of one gateway. `send(link, frame)` sends a frame; `region`: of this gateway."""
+    """All sessions of one gateway. `send(link, frame)` sends a frame; `region` is the gateway's."""
 
     def __init__(
         self,
@@ -227,7 +227,7 @@
             frame = [HAVE, session_id, epoch, frame[3], frame[4], session.body.granted, frame[6]]
         elif kind == PART:
             self.bytes_down += len(frame[4])
-        if kind != FENCED:  # The source knows, as it has sent the newer epoch.
+        if kind != FENCED:  # After FENCED the source knows, as it has sent the newer epoch.
             self.send(session.source, frame)
         if kind in (VERDICT, UNKNOWN, FENCED):
             self.remove(session)
@@ -260,7 +260,7 @@
         self._serve_waiting(session.session_id)
 
     def _window_share(self) -> int:
-        """Bytes of one window if all sessions share the capacity for windows evenly."""
+        """Returns the bytes of one window if all sessions share the capacity for windows evenly."""
         return max(CHUNK_BYTES, int(WINDOW_SHARE * self.max_bytes) // max(1, len(self.relayed_sessions)))
 
     def _extend_grant(self, session: RelayedSession, flow_window: FlowWindow) -> bool:
@@ -324,7 +324,7 @@
         self.send(session.destination, [GONE, session.session_id, session.epoch, why])
 
     def link_lost(self, link: Link) -> None:
-        """A link is lost: notifies the other end of each of its sessions."""
+        """Handles the loss of a link: notifies the other end of each of its sessions."""
         for session in list(self.relayed_sessions.values()):
             if session.source is link or session.destination is link:
                 self.remove(session)
--- a/honeywharf/sessions/remote_regions.py
+++ b/honeywharf/sessions/remote_regions.py
@@ -22,7 +22,7 @@
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler, ResponseHandler
 
     class Settings(Protocol):
-        """The settings of a sidecar that are read here."""
+        """The settings of a sidecar that this module reads."""
 
         gateways: list[tuple[Address, str, str]]
         ip: str
@@ -68,7 +68,7 @@
         self.session_client = SessionClient(host, self.region, zone, gateways, draw, link_mbps=link_mbps)
 
     def is_remote(self, zone: str) -> bool:
-        """Whether a zone is in another region; an unknown zone counts as local."""
+        """Returns whether a zone is in another region; an unknown zone counts as local."""
         return self.zones.get(zone, self.region) != self.region
 
     def open(
--- a/honeywharf/sessions/send_scheduler.py
+++ b/honeywharf/sessions/send_scheduler.py
@@ -24,7 +24,7 @@
 
 LINK_MBPS = 1000.0  # The default rate of the link, in Mbit/s.
 BODY_SHARE = 0.9  # The part of the link's rate that bodies may use.
-# Bodies sent ahead of a short frame: the larger of this many bytes and seconds of the link.
+# Bodies sent ahead of a short frame take the larger of this many bytes and this time of the link.
 BURST_BYTES, BURST_S = 2 * CHUNK_BYTES, 0.002
 MIN_DELAY_S = 0.0005  # The shortest timer.
 BLOCKED_POLL_S = 0.005  # The timer where all queued connections have unsent bytes.
@@ -33,7 +33,7 @@
 
 
 class SendScheduler:
-    """The network link of one machine. `rate`: bytes/s; `after(seconds, call)` and `now()`: the host's."""
+    """The network link of one machine. `rate` is in bytes/s; `after` and `now` are methods of the host."""
 
     __slots__ = (
         "_is_scheduled",
@@ -80,7 +80,7 @@
 
     @staticmethod
     def _is_body(link: Any, frame: list[Any]) -> bool:
-        """Whether a frame is part of a long request body, or of an answer beyond its first chunk."""
+        """Returns whether a frame is part of a long request body, or of an answer beyond its first chunk."""
         return (frame[0] == DATA and not link.carries_short_bodies) or (
             frame[0] == PART and frame[3] >= CHUNK_BYTES
         )
--- a/honeywharf/sessions/sender.py
+++ b/honeywharf/sessions/sender.py
@@ -52,27 +52,27 @@
         """Receives the outcome; `failed`, `answer_completed` or `answered` with a body is the last call."""
 
         def body_requested(self) -> None:
-            """The body may be sent, `WINDOW_BYTES` bytes at first."""
+            """Called when the body may be sent; the first window is `WINDOW_BYTES`."""
 
         def window(self, size: int) -> None:
-            """`size` further bytes of the body may be sent."""
+            """Called when `size` further bytes of the body may be sent."""
 
         def answered(self, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-            """The answer's head, and its complete body, or None where that follows in parts."""
+            """Called with the answer's head, and its complete body, or None if it follows in parts."""
 
         def data(self, data: bytes) -> None:
-            """A part of the answer's body."""
+            """Called with a part of the answer's body."""
 
         def answer_completed(self) -> None:
-            """The answer is complete."""
+            """Called when the answer is complete."""
 
         def failed(self, verdict: Verdict) -> None:
-            """The request failed; no answer follows, or no more of it."""
+            """Called when the request failed; no answer follows, or no further part of it."""
 
 
 IDLE, OPENING, STREAMING, LEAVING, FINISHED = range(5)
 STATES = ("idle", "asking", "flowing", "leaving", "over")
-LEAVE_TIMEOUT_S = 1.5  # How long a path in LEAVING is kept for frames in flight and their acknowledgements.
+LEAVE_TIMEOUT_S = 1.5  # A path in LEAVING is kept this long for acknowledgements of frames in flight.
 
 
 class Request:
@@ -171,7 +171,7 @@
         self.body_complete = request.length == 0  # The client has sent all of the body.
         self.end_sent = False  # END was sent, on any path.
         self.end_sent_on_path = False  # END was sent on the present path.
-        self.sends_early = False  # The body follows OPEN without waiting for HAVE.
+        self.sends_early = False  # Whether the body follows OPEN without waiting for HAVE.
         self.end_sent_before = False  # END was sent on an earlier path.
         self.destination_replied = self.body_requested = False
         self.destination_done = False  # The destination has acknowledged END or sent a verdict.
@@ -226,32 +226,32 @@
             self._send_body()
 
     def detach(self) -> None:
-        """The present path is lost."""
+        """Handles the loss of the present path."""
         if self.state != FINISHED:
             self.state = IDLE
             self.outgoing = []
 
     def has_nothing_in_flight(self) -> bool:
-        """Whether a path that is to be left has no unacknowledged bytes of this session."""
+        """Returns whether a path that is to be left has no unacknowledged bytes of this session."""
         return self.state == LEAVING and self.body_sent == self.body_acked
 
     # The request's body.
 
     def data(self, data: bytes) -> None:
-        """The client has sent a part of the body."""
+        """Takes a part of the body from the client."""
         if self.state != FINISHED:
             self.unacked_body += data
             self.body_bytes += len(data)
             self._send_body()
 
     def end(self) -> None:
-        """The client has sent all of the body."""
+        """Ends the body: the client has sent all of it."""
         if self.state != FINISHED and not self.body_complete:
             self.body_complete = True
             self._send_body()
 
     def window(self, size: int) -> None:
-        """The client has taken `size` bytes of the answer; as many more may be sent."""
+        """Grants `size` further bytes of the answer, as many as the client has taken."""
         if self.state != FINISHED:
             self.answer_consumed += size
             self._acknowledge(0)
@@ -407,5 +407,5 @@
 
     @property
     def spare_bytes(self) -> int:
-        """Bytes that the client may still send."""
+        """The number of bytes that the client may still send."""
         return max(0, WINDOW_BYTES - len(self.unacked_body))
--- a/honeywharf/sessions/session_client.py
+++ b/honeywharf/sessions/session_client.py
@@ -50,16 +50,16 @@
 TICK_INTERVAL_S = 0.02
 # A path that owes an acknowledgement for this long is left. A full gateway can be silent for over a second.
 STALL_TIMEOUT_S = 2.5
-# Before the first, second, ... path in a row without an answer.
+# The delays before the first, second, ... path in a row without an answer.
 RETRY_BACKOFF_S = (0.0, 0.0, 0.05, 0.1, 0.2, 0.4)
-RECONNECT_S = 0.4  # Before a lost link to a gateway is opened again.
+RECONNECT_S = 0.4  # A lost link to a gateway is opened again after this time.
 MIN_UNREACHED_GATEWAYS = 3
 MAX_SESSIONS = 4096
-MAX_INCARNATIONS = 1024  # Destinations whose incarnation is remembered.
+MAX_INCARNATIONS = 1024  # The incarnations of at most this many destinations are remembered.
 
 
 def request_head(forwarded: ForwardedRequest) -> list[object]:
-    """The head of a session in two parts: the operation, and what may differ between attempts of it."""
+    """Returns the head of a session in two parts: the operation, and what may differ between attempts."""
     return [
         [
             forwarded.service,
@@ -80,7 +80,7 @@
 
 
 def priority_class_of(forwarded: ForwardedRequest) -> int:
-    """The priority class of a request, by its body length, its kind and its latency target."""
+    """Returns the priority class of a request, by its body length, its kind and its latency target."""
     if not 0 <= forwarded.length <= SHORT_BODY_BYTES:
         return BULK
     return (
@@ -122,8 +122,8 @@
         self.path: GatewayPath | None = None
         self.leaving_since = self.progress_at = self.next_attempt_at = 0.0
         self.frames_seen = -1  # The sender's `frames_received` at `progress_at`.
-        self.attempts_without_reply = 0  # Paths in a row on which the destination has not answered.
-        self.unreached_gateways = 0  # Gateways among these that could not reach the destination.
+        self.attempts_without_reply = 0  # This many paths in a row had no answer of the destination.
+        self.unreached_gateways = 0  # This many of their gateways could not reach the destination.
         self.last_reply_at = client.host.now()
 
     # The channel, as the request uses it.
@@ -134,12 +134,12 @@
         self.client.flush(self)
 
     def end(self) -> None:
-        """The body is complete."""
+        """Ends the body."""
         self.sender.end()
         self.client.flush(self)
 
     def window(self, size: int) -> None:
-        """The client has taken `size` bytes of the answer."""
+        """Grants `size` further bytes of the answer, as many as the client has taken."""
         self.sender.window(size)
         self.client.flush(self)
 
@@ -179,7 +179,7 @@
         self.sessions: dict[bytes, ClientSession] = {}
 
     def link(self, priority_class: int) -> OutgoingLink:
-        """The link of a priority class, opened where there is none."""
+        """Returns the link of a priority class; opens it if there is none."""
         link = self.links.get(priority_class)
         if link is None:
             link = self.links[priority_class] = OutgoingLink(
@@ -330,7 +330,7 @@
         self.flush(session)
 
     def _should_give_up(self, session: ClientSession, now: float) -> bool:
-        """Whether to fail the session with a lost destination, so that another destination may be tried.
+        """Returns whether to fail the session with a lost destination, so that another one may be tried.
 
         A request that may be repeated is given up once as many gateways as there are could not reach the
         destination. One whose body has arrived in part is tried for as long as the destination keeps that
@@ -351,7 +351,7 @@
             path.sessions.pop(session.sender.session_id, None)
 
     def path_lost(self, session: ClientSession) -> None:
-        """The path of a session is lost."""
+        """Handles the loss of a session's path."""
         self.lost_paths += 1
         sender = session.sender
         if sender.state == FINISHED:
--- a/tests/sessions/network.py
+++ b/tests/sessions/network.py
@@ -145,7 +145,7 @@
         self.queues[gateway_name, "over"].append("lost")
 
     def drain(self, gateway_name: str) -> None:
-        """A gateway accepts no more sessions and asks those it has to leave."""
+        """Makes a gateway reject new sessions and send LEAVE to the present ones."""
         relay = self.relays[gateway_name]
         relay.accepts_sessions = False
         for session in list(relay.relayed_sessions.values()):
--- a/tests/sessions/test_idempotency.py
+++ b/tests/sessions/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The table of outcomes in the design note: how often a request runs and what its client is told."""
+"""The table of outcomes in the design note: how often a request runs and which outcome its client gets."""
 
 from __future__ import annotations
 
