--- a/honeywharf/http/accept.py
+++ b/honeywharf/http/accept.py
@@ -12,10 +12,10 @@
 
 from honeywharf.core.transport import Address
 
-MAX_BURST_S = 0.05  # the token bucket holds the tokens of this time
+MAX_BURST_S = 0.05  # the token bucket holds the tokens for this time
 TCP_INFO_BYTES, CLOSE_WAIT = 60, 8  # Linux: size of struct tcp_info up to its times; TCP_CLOSE_WAIT
 LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv: ms since the last data, or since the connection
-MAX_ACCEPTS_PER_TURN = 64  # per turn of the event loop, which also serves other connections
+MAX_ACCEPTS_PER_TURN = 64  # the event loop serves other connections between its turns
 
 
 def queue_wait(connection: socket.socket) -> tuple[float, bool]:
--- a/honeywharf/http/backend.py
+++ b/honeywharf/http/backend.py
@@ -30,8 +30,8 @@
 # seconds.
 RESPONSE_STALL_TIMEOUT_S = 0.5
 RESPONSE_TIMEOUT_S = 5.0
-STREAM_STALL_TIMEOUT_S = 3.0  # between two reads of a streamed response
-MAX_RESPONSE_BYTES_IN_FLIGHT = 8 * 1024 * 1024  # buffered by all partly read responses
+STREAM_STALL_TIMEOUT_S = 3.0  # the time-out between two reads of a streamed response
+MAX_RESPONSE_BYTES_IN_FLIGHT = 8 * 1024 * 1024  # the limit of all partly read responses together
 LIVENESS_PATH, REPORT_PATH = b"/health/live", b"/stats"  # paths of health checks
 LOCAL_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
@@ -494,7 +494,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def abort(self, call: UpstreamRequest) -> None:
-        """Cancels the call and closes its connection, which tells the backend."""
+        """Cancels the call and closes its connection, so that the backend can stop."""
         connection = call.connection
         call.opening = False  # a connection still being opened is kept for another call
         if isinstance(connection, Connection):
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -25,19 +25,19 @@
 MAX_PIPELINED = 8  # pipelined requests per connection; clients usually send one at a time
 MAX_PIPELINED_BYTES = MAX_BUFFERED_BODY
 FIRST_REQUEST_TIMEOUT_MS = 2000.0  # a connection without any data is closed
-IDLE_TIMEOUT_MS = 6000.0  # after the last response
-CROWDED_IDLE_TIMEOUT_MS = 2000.0  # with more than half of the connections in use
+IDLE_TIMEOUT_MS = 6000.0  # an idle connection is closed this long after its last response
+CROWDED_IDLE_TIMEOUT_MS = 2000.0  # applies while more than half of the connections are in use
 MAX_REJECTED_CONNECTIONS = 32  # excess connections answered with 503; further ones are aborted
 MIN_AGE_TO_EVICT_MS = 250.0  # younger connections without a request are evicted last
 # Time after the last response until the socket is closed: closing with unread bytes causes a reset, by which
 # the client may lose the response.
 LINGER_S = 0.5
-MAX_LINGER_S = 3.0  # instead of LINGER_S while a part of the response is unsent
-MAX_LINGER_BYTES = 256 * 1024  # largest number of bytes read and discarded meanwhile
+MAX_LINGER_S = 3.0  # replaces LINGER_S while a part of the response is unsent
+MAX_LINGER_BYTES = 256 * 1024  # at most this many bytes are read and discarded meanwhile
 # Time to read and discard the rest of a streamed upload first: some clients read the response only after
 # writing the complete body.
 LINGER_BODY_S = 2.0
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # largest number of such bytes
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # at most this many bytes of the upload are discarded
 SWEEP_S = 0.2
 HANDOVER_RETRY_S = 0.005  # interval between attempts to hand over a connection
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -311,7 +311,7 @@
         self.set_paused(False)
 
     def body_aborted(self) -> None:
-        """Aborts the connection, which tells the client that a streamed response is truncated."""
+        """Aborts the connection, so that the client detects the truncated response."""
         self._download_ended()
         self.transport.abort()
 
