--- a/honeywharf/control/configuration_texts.py
+++ b/honeywharf/control/configuration_texts.py
@@ -23,7 +23,7 @@
 class ConfigurationTexts:
     """Provides compressed texts from this node or from a peer.
 
-    `sources` returns the addresses of peers that may have texts, in the order in which they are asked.
+    `sources` returns the addresses of peers that may have texts, in the order of the requests.
     """
 
     def __init__(self, host: Host, store: Store, caller: RpcClient, sources: Callable[[], list[str]]) -> None:
@@ -69,7 +69,7 @@
             self.host.log(f"replica: could not remove old configurations: {error}")
 
     def _fetch(self, digest: str, sources: list[str]) -> None:
-        """Asks one source after another."""
+        """Requests the text from one source after another."""
         if not sources:
             self._fetched(digest, None)
             return
--- a/honeywharf/control/contacts.py
+++ b/honeywharf/control/contacts.py
@@ -12,7 +12,7 @@
     from honeywharf.control.voter import Voter
     from honeywharf.transport.host import Host
 
-# The times without contact after which something happens.
+# The times without contact until each consequence.
 UNREACHABLE_AFTER_S = 1.0  # Another machine may replace the member.
 SUSPECT_AFTER_S = 0.45  # A joiner has to retry, because the member may be about to become unreachable.
 REMOVE_AFTER_S = 2.0  # The member is removed from a membership that is larger than its target size.
--- a/honeywharf/control/member_removal.py
+++ b/honeywharf/control/member_removal.py
@@ -25,7 +25,7 @@
     def begin(self, done: Callable[[bool], None]) -> None:
         """Requests the lease; `done` is called once, now or later.
 
-        It gets False at once if the lease is requested or held here already.
+        It gets False at once if this node has requested or holds the lease.
         """
 
     def holds(self) -> bool:
--- a/honeywharf/control/membership.py
+++ b/honeywharf/control/membership.py
@@ -125,7 +125,7 @@
         stall = now - self.last_heartbeat_at
         if stall > HEARTBEAT_INTERVAL_S + STALL_THRESHOLD_S:
             self.contacts.reset_after_stall(now)
-            self.host.log(f"replica: this process stood still for {stall:.1f} s")
+            self.host.log(f"replica: this process was stalled for {stall:.1f} s")
         self.last_heartbeat_at = now
 
     def _initiates_heartbeat(self, member: MemberId, is_member: bool) -> bool:
--- a/honeywharf/control/quorum.py
+++ b/honeywharf/control/quorum.py
@@ -8,7 +8,7 @@
 
 
 class Quorums:
-    """The memberships in each of which a majority is required."""
+    """A set of memberships; a quorum contains a majority of each."""
 
     __slots__ = ("memberships",)
 
@@ -18,7 +18,7 @@
             self.add(members)
 
     def add(self, members: Membership) -> bool:
-        """Requires one more membership; returns False where it is required already."""
+        """Requires one more membership; returns False if it is required already."""
         added = member_ids(members)
         if any(set(added) == set(required) for required in self.memberships):
             return False
--- a/honeywharf/control/repair.py
+++ b/honeywharf/control/repair.py
@@ -1,6 +1,6 @@
 """Inspection and repair of a control node's disk, for operators.
 
-`check` only reads; it may run beside a control node, because every file is replaced as a whole. `repair`
+`check` only reads; it may run beside a control node, because every file is replaced atomically. `repair`
 writes, and requires a stopped control node. Neither gives a vote to a disk that has lost its promises: a
 damaged register is renamed, and the machine requests its admission again. Backups are in `backup`.
 """
--- a/honeywharf/control/store.py
+++ b/honeywharf/control/store.py
@@ -24,9 +24,9 @@
 REGISTER, REGISTER_NEW, TEXT_PREFIX = "register", "register.new", "config-"
 DAMAGED_SUFFIX = ".bad"  # Damaged files are renamed with this suffix.
 MAGIC, FORMAT_VERSION = b"hwr", 1
-HEADER_SIZE = 8  # The magic, the version's digit and the checksum take 8 bytes.
+HEADER_BYTES = 8  # The magic, the version's digit and the checksum take 8 bytes.
 FORMAT_DIGITS = range(ord("1"), ord("9") + 1)  # The version of the format is one of these digits.
-MAX_DIGEST = 64  # A digest has at most this many characters.
+MAX_DIGEST_LENGTH = 64  # A digest has at most this many characters.
 MAX_UNREFERENCED_TEXTS = 2  # The last configurations that are no longer referenced are kept.
 
 
@@ -69,10 +69,10 @@
 
     Raises FormatError for a file of a later version.
     """
-    if data is None or len(data) < HEADER_SIZE or data[:3] != MAGIC or data[3] not in FORMAT_DIGITS:
+    if data is None or len(data) < HEADER_BYTES or data[:3] != MAGIC or data[3] not in FORMAT_DIGITS:
         return None
-    body = data[HEADER_SIZE:]
-    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEADER_SIZE]:
+    body = data[HEADER_BYTES:]
+    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEADER_BYTES]:
         return None
     version = data[3] - ord("0")
     if version > FORMAT_VERSION:
@@ -154,8 +154,10 @@
 
         The file's name is durable after the next `save` or `sync_names`.
         """
-        if not digest.isalnum() or len(digest) > MAX_DIGEST:
-            raise ValueError(f"digest: expected up to {MAX_DIGEST} letters and digits, got {digest[:80]!r}")
+        if not digest.isalnum() or len(digest) > MAX_DIGEST_LENGTH:
+            raise ValueError(
+                f"digest: expected up to {MAX_DIGEST_LENGTH} letters and digits, got {digest[:80]!r}"
+            )
         if digest not in self.digests:
             self.host.write(TEXT_PREFIX + digest, encode_file(compressed))
             self.digests.append(digest)
--- a/honeywharf/control/version_history.py
+++ b/honeywharf/control/version_history.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 
 MAX_VERSIONS = 2048  # The records take 48 KiB at 24 bytes each.
-PREFIX_SIZE = 16  # The first 16 hexadecimal digits of a digest are 64 bits.
-VERSION_SIZE = 8  # A version is stored big-endian.
-RECORD_SIZE = VERSION_SIZE + PREFIX_SIZE
+PREFIX_DIGITS = 16  # The first 16 hexadecimal digits of a digest are 64 bits.
+VERSION_BYTES = 8  # A version is stored big-endian.
+RECORD_SIZE = VERSION_BYTES + PREFIX_DIGITS
 
 
 def digest_prefix(digest: str) -> bytes:
     """Returns the part of a digest that is stored."""
-    return digest.encode()[:PREFIX_SIZE].ljust(PREFIX_SIZE, b"\0")
+    return digest.encode()[:PREFIX_DIGITS].ljust(PREFIX_DIGITS, b"\0")
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
     def _version_at(self, index: int) -> int:
         start = index * RECORD_SIZE
-        return int.from_bytes(self.records[start : start + VERSION_SIZE], "big")
+        return int.from_bytes(self.records[start : start + VERSION_BYTES], "big")
 
     def _index(self, version: int) -> int:
         """Returns the position of a version's record, or the position at which it would be inserted."""
@@ -51,12 +51,12 @@
         return low
 
     def confirmed_prefix(self, version: int) -> str:
-        """Returns the first digits of the digest that was confirmed under a version; empty where none was."""
+        """Returns the first digits of the digest that was confirmed under a version; empty if none was."""
         index = self._index(version)
         if index == len(self) or self._version_at(index) != version:
             return ""
-        start = index * RECORD_SIZE + VERSION_SIZE
-        return self.records[start : start + PREFIX_SIZE].rstrip(b"\0").decode()
+        start = index * RECORD_SIZE + VERSION_BYTES
+        return self.records[start : start + PREFIX_DIGITS].rstrip(b"\0").decode()
 
     def has(self, version: int, digest: str) -> bool:
         """Returns whether this content was confirmed under this version."""
@@ -73,7 +73,7 @@
         Above `MAX_VERSIONS` the lowest version is dropped.
         """
         start = self._index(version) * RECORD_SIZE
-        record = version.to_bytes(VERSION_SIZE, "big") + digest_prefix(digest)
+        record = version.to_bytes(VERSION_BYTES, "big") + digest_prefix(digest)
         extended = VersionHistory(self.records[:start] + record + self.records[start:], self.floor)
         if len(extended) <= MAX_VERSIONS:
             return extended
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -68,7 +68,7 @@
     cluster.run(0.001)
     cluster.run(0.2)
     assert cluster.programs["10.0.0.4"].replica.unreachable_members(contacts.UNREACHABLE_AFTER_S) == []
-    assert sum("stood still for 3." in line for line in cluster.network.machines["10.0.0.4"].lines) == 1
+    assert sum("was stalled for 3." in line for line in cluster.network.machines["10.0.0.4"].lines) == 1
     cluster.run(2.0)
     assert cluster.programs["10.0.0.1"].replica.unreachable_members(contacts.UNREACHABLE_AFTER_S) == []
     assert len(cluster.programs["10.0.0.1"].replica.state.members) == 5
