--- a/honeywharf/programs/control.py
+++ b/honeywharf/programs/control.py
@@ -25,14 +25,14 @@
     from honeywharf.mesh_config.settings import Settings
 
 DEFAULT_SETTINGS = "/etc/honeywharf/boot.yaml"
-MAX_BODY = 65 << 20  # Bytes of a configuration.
-SHUTDOWN_TIMEOUT_S = 0.9  # Time for pending calls after SIGTERM.
+MAX_BODY_BYTES = 65 << 20  # The largest body is a configuration.
+SHUTDOWN_TIMEOUT_S = 0.9  # Pending calls get this time after SIGTERM.
 # Time for a standby to take this machine's place; at most half of `grace-period` is used.
 HANDOVER_TIMEOUT_S = 2.0
 # The first requests after the start are answered before the preload.
 PRELOAD_DELAY_S = 0.5
-DISK_RETRY_INTERVAL_S = 0.2  # A disk that fails at the start is retried.
-EXIT_DELAY_S = 0.02  # Time for the last answers to be sent.
+DISK_RETRY_INTERVAL_S = 0.2  # A disk that fails at the start is retried at this interval.
+EXIT_DELAY_S = 0.02  # The last answers are sent in this time.
 
 
 class ControlNode:
@@ -83,11 +83,11 @@
         host.listen(self.local_address, RpcServer(self.replica.methods, log=host.log).accept)
         self.membership = self._start_gossip()
         control_plane = settings.listen_addresses["control-plane"]
-        self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY)
+        self.http_server = HttpServer(host, control_plane, self.operator.handle, MAX_BODY_BYTES)
         host.after(PRELOAD_DELAY_S, self.operator.preload)
         state = self.replica.state
         host.log(
-            f"control node: {settings.node_name} at {settings.ip}, disk {state.disk}, roster {state.epoch}"
+            f"control node: {settings.node_name} at {settings.ip}, disk {state.disk}, epoch {state.epoch}"
         )
 
     def _start_gossip(self) -> Membership:
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -27,9 +27,9 @@
     from honeywharf.transport.host import Address
     from honeywharf.transport.rpc_server import Reply
 
-HINT_REPLICAS = 2  # Members that keep hints for an unreachable member.
+HINT_REPLICAS = 2  # So many members keep hints for an unreachable member.
 CHECK_INTERVAL_S = 0.3
-STATE_HINT_BYTES = 512  # Approximate size of a state without its digest.
+STATE_HINT_BYTES = 512  # This approximates the size of a state without its digest.
 STATE_HINT = "word"  # The only hint: the state has changed.
 
 
@@ -79,7 +79,7 @@
             self.hints.add(STATE_HINT, STATE_HINT_BYTES + len(state.digest), addresses)
 
     def _restored(self, member: MemberId) -> None:
-        """Hands over to a member that is in contact again, before its own heartbeats ask."""
+        """Hands over to a member that is in contact again, before it requests the state itself."""
         state = self.replica.known_state
         if self.hints.take(member.address) and state is not None:
             self.program.caller.call(
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -21,8 +21,8 @@
     from honeywharf.transport.rpc_server import Reply
 
 REMOVAL_ROLE = Role(MEMBER_REMOVAL, "", 0)
-HOLDER_ID_BYTES = 6  # Random bytes in the name of this process as a lease holder.
-MAX_NAME_LENGTH = 200  # Characters of a name in a call.
+HOLDER_ID_BYTES = 6  # The name of this process as a lease holder has so many random bytes.
+MAX_NAME_LENGTH = 200  # A name in a call has at most this many characters.
 
 
 class ControlLeases:
@@ -120,7 +120,7 @@
         self.outcomes["lost"] += 1
 
     def holds(self) -> bool:
-        """Returns whether the lease is held now."""
+        """Returns whether this node holds the lease now."""
         return self.acquisition is not None and self.acquisition.holds()
 
     def end(self) -> None:
@@ -132,7 +132,7 @@
     # The operators' view.
 
     def view(self) -> dict[str, Any]:
-        """Votes that are out, rejections, and own acquisitions, as JSON. Source: docs/operators/duties.md."""
+        """Returns valid votes, rejections and own acquisitions as JSON. Source: docs/operators/duties.md."""
         now = self.host.now()
         waiting = [kind for kind in (MEMBER_REMOVAL, QUARANTINE) if self.grantor.must_wait(now, kind)]
         return {
--- a/honeywharf/programs/gateway.py
+++ b/honeywharf/programs/gateway.py
@@ -8,7 +8,7 @@
 import os
 import sys
 
-if __name__ == "__main__":  # run by its path: the folder above the package is where the package is found
+if __name__ == "__main__":  # Run by its path: the package is found in the directory above it.
     sys.path[0] = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from honeywharf.programs.start import load_settings
@@ -41,27 +41,27 @@
 
     from honeywharf.transport.host import Address, Connection, Handler, Host
 
-STATE_INTERVAL_S = 0.5  # Between two STATE frames to a source.
-MAX_QUEUE_S = 0.5  # Bytes in flight are limited to what its link carries in this time.
+STATE_INTERVAL_S = 0.5  # A source gets a STATE frame at this interval.
+MAX_QUEUE_S = 0.5  # Bytes in flight are limited to what the link carries in this time.
 UNREACHABLE_S = 0.5  # An unreachable destination is not tried again for this time.
-MIN_BUFFERED_BYTES = 4 << 20  # The limit of bytes in flight on the smallest machine.
+MIN_BUFFERED_BYTES = 4 << 20  # The limit of bytes in flight is never lower.
 SHORT_SESSIONS_S = 1.0  # A drain waits this long for short sessions before it asks them to move too.
 EXIT_MARGIN_S = 0.4  # The process exits this long before the end of `grace-period`.
 COUNTERS_INTERVAL_S = 10.0
 MAX_LINKS = 2048
-MAX_OPERATOR_BODY = 1 << 16  # In bytes.
+MAX_OPERATOR_BODY_BYTES = 1 << 16
 BYTES_PER_MEGABIT = 125_000.0
 BYTES_PER_QUARTER_MEGABYTE = 262_144.0
-RECONNECT_S = 0.4  # Before a lost link to another gateway is opened again.
+RECONNECT_S = 0.4  # A lost link to another gateway is opened again after this time.
 
 
 class GatewayOptions:
     """Options of a gateway.
 
-    `grace_s`: seconds from SIGTERM until it has to exit. `operator_address`: of its HTTP API, None for none.
-    `max_bytes`: the limit of bytes in flight. `order`: the sort key by which sessions are asked to move, from
-    remaining bytes, length, and seconds since the session opened. `link_mbps`: the rate of this machine's
-    link, in Mbit/s.
+    `grace_s`: seconds from SIGTERM until it has to exit. `operator_address`: the address of its HTTP API,
+    or None. `max_bytes`: the limit of bytes in flight. `order`: the sort key by which sessions are asked to
+    move, from remaining bytes, length, and seconds since the session opened. `link_mbps`: the rate of this
+    machine's link, in Mbit/s.
     """
 
     __slots__ = ("grace_s", "link_mbps", "max_bytes", "operator_address", "order")
@@ -112,7 +112,7 @@
         ]
         self.is_ticking = False
         if options.operator_address is not None:
-            HttpServer(host, options.operator_address, self._answer_operator, MAX_OPERATOR_BODY)
+            HttpServer(host, options.operator_address, self._answer_operator, MAX_OPERATOR_BODY_BYTES)
         host.listen(location.address, self._accept)
         host.after(STATE_INTERVAL_S, self._broadcast_periodically)
         host.after(COUNTERS_INTERVAL_S, self._log_counters_periodically)
@@ -139,7 +139,7 @@
         self.relay.link_lost(link)
 
     def _link_to(self, to: str, priority_class: int) -> OutgoingLink | None:
-        """The link of a priority class to a destination, opened where there is none; None if unreachable."""
+        """Returns the link of a priority class to a destination, opened if needed; None if unreachable."""
         link = self.destination_links.get((to, priority_class))
         if link is None:
             if len(self.destination_links) >= MAX_LINKS or self.host.now() < self.unreachable_until.get(
@@ -193,7 +193,7 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether no other gateway of the region is known to accept sessions."""
+        """Returns whether no other gateway of the region is known to accept sessions."""
         return not any(other.accepts_sessions for other in self.other_gateways)
 
     # The drain.
@@ -250,7 +250,7 @@
             self.host.after(TICK_INTERVAL_S, self._tick)
 
     def _sessions_to_move(self, now: float) -> list[RelayedSession]:
-        """Sessions to ask to move, in order; short ones only after `SHORT_SESSIONS_S`."""
+        """Returns the sessions to move next, in order; short ones only after `SHORT_SESSIONS_S`."""
         self.asked_to_leave_at = {
             session_id: at
             for session_id, at in self.asked_to_leave_at.items()
@@ -271,7 +271,7 @@
         return sessions
 
     def _answer_operator(self, call: HttpRequest) -> None:
-        """The operator's API: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
+        """Handles the operators' API: POST /api/gateway/drain, POST /api/gateway/back, GET /api/gateway."""
         if call.method == b"POST" and call.path == b"/api/gateway/drain":
             call.answer(200, STATE_NAMES[self.order_drain()].encode())
         elif call.method == b"POST" and call.path == b"/api/gateway/back":
@@ -284,7 +284,7 @@
     # Counters.
 
     def summary(self) -> str:
-        """One line with the state and the counters."""
+        """Returns one line with the state and the counters."""
         one = self.relay
         return (
             f"state={STATE_NAMES[self.drain.state].replace(' ', '-')} sessions={len(one.relayed_sessions)} "
@@ -330,10 +330,10 @@
 
 
 def granted_bytes(memory_mb: float, link_mbps: float) -> int:
-    """The limit of bytes in flight through a gateway.
+    """Returns the limit of bytes in flight through a gateway.
 
-    It is what the link carries in `MAX_QUEUE_S`, at most a quarter of the memory. More bytes would only
-    queue here, and delay the frame that asks a session to move.
+    The limit is what the link carries in `MAX_QUEUE_S`, at most a quarter of the memory. More bytes would
+    only queue here, and delay the frame that asks a session to move.
     """
     return max(
         MIN_BUFFERED_BYTES,
--- a/honeywharf/programs/sidecar.py
+++ b/honeywharf/programs/sidecar.py
@@ -41,9 +41,9 @@
     from honeywharf.transport.host import Address, Connection, Handler, Host
     from honeywharf.transport.stream import ForwardedRequest, RequestHandler
 
-COUNTERS_INTERVAL_S = 10.0  # Interval of the counters in the log.
+COUNTERS_INTERVAL_S = 10.0  # The counters are logged at this interval.
 DEFAULT_GRACE_PERIOD_S = 5.0
-MAX_HEARTBEAT_BODY, MAX_READINESS_BODY = 1 << 20, 1 << 16  # Bytes.
+MAX_HEARTBEAT_BODY_BYTES, MAX_READINESS_BODY_BYTES = 1 << 20, 1 << 16
 NO_APPLICATION = ("127.0.0.1", 0)
 SEED_BYTES = 8
 
@@ -79,7 +79,7 @@
         self.probe = Probe(host, application, self.gate, self._gate_changed)
         self.drift_monitor = self.source.drift_monitor = self.inbound.drift_monitor = DriftMonitor(self)
         self._listen_for_peers()
-        self.announced_changes = 0  # Number of the gate's last announced change.
+        self.announced_changes = 0  # The number of the gate's last announced change.
         self.logged_state = UNKNOWN
         self.heartbeats = HeartbeatApi(host, self.gate, self._gate_changed)
         self.http_servers = self._start_http_servers()
@@ -127,8 +127,10 @@
         """Starts the servers for the backend's heartbeats and the platform's readiness probe."""
         addresses = self.settings.listen_addresses
         return [
-            HttpServer(self.host, addresses["control-plane"], self.heartbeats.handle, MAX_HEARTBEAT_BODY),
-            HttpServer(self.host, addresses["readiness"], self._readiness, MAX_READINESS_BODY),
+            HttpServer(
+                self.host, addresses["control-plane"], self.heartbeats.handle, MAX_HEARTBEAT_BODY_BYTES
+            ),
+            HttpServer(self.host, addresses["readiness"], self._readiness, MAX_READINESS_BODY_BYTES),
         ]
 
     # Other nodes.
@@ -290,7 +292,7 @@
     loop = EventLoop(None)
     sidecar = Sidecar(loop, settings)
     loop.on_signal(SIGTERM, sidecar.terminate)
-    loop.on_signal(SIGHUP, lambda: loop.log("settings may have changed; they are read at the start"))
+    loop.on_signal(SIGHUP, lambda: loop.log("SIGHUP has no effect: settings are read only at the start"))
     return loop.run()
 
 
