--- a/bench/drift.py
+++ b/bench/drift.py
@@ -1,6 +1,6 @@
 """Injects drift of every kind into simulated sidecars, and runs days without drift.
 
-The ways of detection are on one by one, off one by one, or all on.
+Detection runs with each way alone, with each way off, or with all ways.
 
     python -m bench.drift [--each 200] [--days 80] [--first-day 3000] [--jobs 4] [--ways all,judging]
                           [--kinds stored,weights] [--into FILE]
@@ -30,7 +30,7 @@
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.slips import DETECTORS, FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, Trial
 
-INJECTIONS_PER_RUN = {False: 20, True: 10}  # For kinds that last short and long.
+INJECTIONS_PER_RUN = {False: 20, True: 10}  # The key says whether the kind takes long.
 FAULT_KINDS = (
     "node_cut",
     "node_freeze",
@@ -45,15 +45,16 @@
     "core_kill",
     "cold_return",
 )
-CHANGE_STORMS, OTHER_FAULTS, DAY_S = 16, 58, 60.0  # For one day without drift.
-TRAFFIC_FRACTION = 1 / 3  # Of a trial's traffic, on days without drift.
+# One day without drift has this many faults in this time.
+CHANGE_STORMS, OTHER_FAULTS, DAY_S = 16, 58, 60.0
+TRAFFIC_FRACTION = 1 / 3  # A day without drift has this fraction of the usual traffic.
 WAY_SETS = {
     "all": DETECTORS,
     **{f"{way} alone": (way,) for way in DETECTORS},
     **{f"{way} off": tuple(other for other in DETECTORS if other != way) for way in DETECTORS},
 }
 FIRST_SEED = 1000
-Task = tuple[str, str, int, int]  # Ways or "honest", kind, seed, number of injections.
+Task = tuple[str, str, int, int]  # The ways or "honest", the kind, the seed, and the number of injections.
 
 
 class Row:
@@ -81,7 +82,7 @@
 
     @classmethod
     def of(cls, fields: dict[str, Any]) -> Row:
-        """Returns the results from the fields of such a line."""
+        """Returns the results from the fields of a line."""
         row = cls()
         vars(row).update(fields)
         row.by = Counter(fields["by"])
@@ -102,20 +103,20 @@
 
 
 def run_with_drift(enabled: str, kind: str, seed: int, count: int) -> Row:
-    """Runs a trial with injected drift."""
+    """Runs one simulation with injected drift."""
     return _row(Trial(seed, kind, count, WAY_SETS[enabled]).play())
 
 
 def run_without_drift(seed: int) -> Row:
     """Runs a day of valid changes and faults; `by` holds how many of each kind occurred."""
-    trial, chance = Trial(seed, "none", 0), random.Random(seed)
+    trial, rng = Trial(seed, "none", 0), random.Random(seed)
     trial.deployment.until = FIRST_DRIFT_S + DAY_S + 4.0
     faults = [
-        Fault(FIRST_DRIFT_S + DAY_S * chance.random(), "config_storm", "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + DAY_S * rng.random(), "config_storm", "", rng.getrandbits(32))
         for _ in range(CHANGE_STORMS)
     ]
     faults += [
-        Fault(FIRST_DRIFT_S + DAY_S * chance.random(), chance.choice(FAULT_KINDS), "", chance.getrandbits(32))
+        Fault(FIRST_DRIFT_S + DAY_S * rng.random(), rng.choice(FAULT_KINDS), "", rng.getrandbits(32))
         for _ in range(OTHER_FAULTS)
     ]
     for flow in trial.deployment.flows:
@@ -125,7 +126,9 @@
     row = _row(trial)
     row.faults += [f"{seed}: {alarm}" for alarm in trial.alarms[:2]]
     running: list[Any] = [
-        side.proxy.program for side in trial.deployment.sidecar_nodes if side.proxy.program is not None
+        sidecar.proxy.program
+        for sidecar in trial.deployment.sidecar_nodes
+        if sidecar.proxy.program is not None
     ]
     row.alarms += sum(program.drift_monitor.state.is_suspect for program in running)
     row.by = day.injected
@@ -133,7 +136,7 @@
 
 
 def play(task: Task) -> tuple[Task, Row]:
-    """Does one run. The garbage collector is off until its end: it would take a third of the time."""
+    """Performs one run. The garbage collector is off until its end: it would take a third of the time."""
     enabled, kind, seed, count = task
     gc.disable()
     row = run_without_drift(seed) if enabled == "honest" else run_with_drift(enabled, kind, seed, count)
@@ -146,11 +149,11 @@
     caught = [after for after in row.after if after >= 0]
     share = len(caught) / max(1, len(row.after))
     middle = f"{median(caught):.0f} / {max(caught)}" if caught else "-"
-    told = " ".join(f"{status or 'cut'}:{count}" for status, count in sorted(row.statuses.items()))
-    by = " ".join(f"{who} {count}" for who, count in row.by.most_common())
+    status_counts = " ".join(f"{status or 'cut'}:{count}" for status, count in sorted(row.statuses.items()))
+    by = " ".join(f"{detector} {count}" for detector, count in row.by.most_common())
     return (
         f"{enabled:<15} {kind:<11} {len(row.after):>4} {share:>7.1%} {middle:>9} {row.slipped:>4} of "
-        f"{row.runs:<6} {by:<38} {told}"
+        f"{row.runs:<6} {by:<38} {status_counts}"
     )
 
 
@@ -200,21 +203,22 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--each", type=int, default=200)
     parser.add_argument("--days", type=int, default=80)
-    parser.add_argument("--first-day", type=int, default=3000, help="the seed of the first honest day")
+    parser.add_argument("--first-day", type=int, default=3000, help="the seed of the first day without drift")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--ways", default="all", help=f"of {', '.join(WAY_SETS)}")
     parser.add_argument("--kinds", default=",".join(KINDS))
     parser.add_argument("--into", default="", help="a file to which each run is added as a line")
-    parser.add_argument("--sum", nargs="+", default=[], help="files to print; nothing is played")
+    parser.add_argument("--sum", nargs="+", default=[], help="files to print; no run is started")
     args = parser.parse_args()
     if args.sum:
         return _print_summary(_sum_by_kind(_read_runs(args.sum)))
     tasks: list[Task] = []
     for enabled in args.ways.split(","):
         for kind in args.kinds.split(",") if args.each else ():
-            one = INJECTIONS_PER_RUN[kind in LONG_PERIODS_S]
+            per_run = INJECTIONS_PER_RUN[kind in LONG_PERIODS_S]
             tasks += [
-                (enabled, kind, FIRST_SEED + n, min(one, args.each - n)) for n in range(0, args.each, one)
+                (enabled, kind, FIRST_SEED + n, min(per_run, args.each - n))
+                for n in range(0, args.each, per_run)
             ]
     tasks += [("honest", "days", args.first_day + n, 0) for n in range(args.days)]
     runs = _read_runs([args.into] if args.into else [])
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -25,7 +25,7 @@
 from honeywharf.standins.meshdemo import READINESS_WAIT_S, ROUTES, Mesh, MeshDemo, Program, find_free_subnet
 
 KINDS = ("kind", "weights", "lost", "evacuation", "timeout")
-KIND_FILE_SUFFIX = ".slip"  # Of the file that names the kind of drift to inject.
+KIND_FILE_SUFFIX = ".slip"  # The file with this suffix names the kind of drift to inject.
 INTERVAL_S, POLL_INTERVAL_S = 3.0, 0.1
 
 
@@ -34,14 +34,14 @@
 
     def program(self, name: str, ip: str, zone: str, service: str = "") -> Program:
         """Returns a program with its settings."""
-        made = super().program(name, ip, zone, service)
+        sidecar_program = super().program(name, ip, zone, service)
         if service:
-            made.module = "honeywharf.standins.driftdemo"
-        return made
+            sidecar_program.module = "honeywharf.standins.driftdemo"
+        return sidecar_program
 
 
 class _InjectedDrift:
-    """One injected drift: node, kind, time, and how it was detected."""
+    """One injected drift: its node, kind and time, and its detection."""
 
     def __init__(self, ip: str, kind: str, at: float) -> None:
         self.ip, self.kind, self.at = ip, kind, at
@@ -51,8 +51,8 @@
 class _Run:
     """Injects drift and polls a control node until it is detected."""
 
-    def __init__(self, day: MeshDemo) -> None:
-        self.day, self.mesh = day, day.mesh
+    def __init__(self, demo: MeshDemo) -> None:
+        self.demo, self.mesh = demo, demo.mesh
         self.drifts: list[_InjectedDrift] = []
         self.before: dict[str, int] = {}
 
@@ -60,9 +60,9 @@
         """Runs the traffic and injects the kinds of drift one after the other."""
         mesh = self.mesh
         span = INTERVAL_S * len(KINDS) + 1.0
-        flows = [Flow(*row[:3], self.day.rate * row[4] / len(mesh.sidecars), *row[5:]) for row in ROUTES]
-        for side in mesh.sidecars:
-            side.start_clients(flows, mesh.world.now + READINESS_WAIT_S + span)
+        flows = [Flow(*row[:3], self.demo.rate * row[4] / len(mesh.sidecars), *row[5:]) for row in ROUTES]
+        for sidecar in mesh.sidecars:
+            sidecar.start_clients(flows, mesh.world.now + READINESS_WAIT_S + span)
         mesh.wait(READINESS_WAIT_S + 0.5)
         for n, kind in enumerate(KINDS):
             mesh.loop.after(
@@ -74,14 +74,16 @@
         drift = _InjectedDrift(proxy.ip, kind, self.mesh.world.now)
         self.drifts.append(drift)
         Path(f"{proxy.file}{KIND_FILE_SUFFIX}").write_text(kind)
-        self.day.say(f"  {kind}: put into {proxy.ip}")
+        self.demo.say(f"  {kind}: put into {proxy.ip}")
         proxy.send(signal.SIGUSR1)
         self._poll(drift)
 
     def _poll(self, drift: _InjectedDrift) -> None:
-        core = self.mesh.control_nodes[0]
+        control_node = self.mesh.control_nodes[0]
         self.mesh.fetch(
-            (core.ip, self.mesh.port(deployment.CONTROL)), "/api/drift", partial(self._on_views, drift)
+            (control_node.ip, self.mesh.port(deployment.CONTROL)),
+            "/api/drift",
+            partial(self._on_views, drift),
         )
 
     def _on_views(self, drift: _InjectedDrift, message: Message | None) -> None:
@@ -91,10 +93,10 @@
             drift.detected_s, drift.state = self.mesh.world.now - drift.at, view["state"]
             drift.by = ", ".join(sorted(view["caught"]))
             drift.sent = sum(
-                ask.machine == drift.ip and drift.at <= ask.sent <= self.mesh.world.now
-                for ask in self.mesh.invariant_checker.attempts.values()
+                attempt.machine == drift.ip and drift.at <= attempt.sent <= self.mesh.world.now
+                for attempt in self.mesh.invariant_checker.attempts.values()
             )
-            self.day.say(f"  {drift.kind}: caught by {drift.by}, {drift.state}: {view['slips'][-1][2]}")
+            self.demo.say(f"  {drift.kind}: caught by {drift.by}, {drift.state}: {view['slips'][-1][2]}")
         elif self.mesh.world.now < drift.at + INTERVAL_S - POLL_INTERVAL_S:
             self.mesh.loop.after(POLL_INTERVAL_S, partial(self._poll, drift))
 
@@ -103,30 +105,30 @@
         attempts = list(self.mesh.invariant_checker.attempts.values())
         figures = {
             "requests run twice that may not be": sum(
-                not ask.repeatable and len(ask.runs) > 1 for ask in attempts
+                not attempt.repeatable and len(attempt.runs) > 1 for attempt in attempts
             ),
             "requests run by a service that no rule names": sum(
-                name != at.service
-                for ask in attempts
-                for _, at in ask.runs
-                for name in self.day.first.services(ask.host, ask.path)
+                name != run.service
+                for attempt in attempts
+                for _, run in attempt.runs
+                for name in self.demo.first.services(attempt.host, attempt.path)
             ),
-            "requests refused though their rule is there": sum(ask.status == 404 for ask in attempts),
+            "requests refused though their rule is there": sum(attempt.status == 404 for attempt in attempts),
             "slips not caught": sum(drift.detected_s < 0 for drift in self.drifts),
             "slips not healed": sum(drift.state not in ("healed", "agreed") for drift in self.drifts),
         }
-        self.day.say(f"{'slip':<12} {'at':<14} {'seen after':>10} {'requests there':>15}  by, state")
+        self.demo.say(f"{'slip':<12} {'at':<14} {'seen after':>10} {'requests there':>15}  by, state")
         for drift in self.drifts:
-            self.day.say(
+            self.demo.say(
                 f"{drift.kind:<12} {drift.ip:<14} {drift.detected_s:>8.2f} s {drift.sent:>15}  "
                 f"{drift.by or 'nobody'}, {drift.state}"
             )
-        served = sum(200 <= ask.status < 300 for ask in attempts)
-        self.day.say(f"{served} of {len(attempts)} requests served")
+        served = sum(200 <= attempt.status < 300 for attempt in attempts)
+        self.demo.say(f"{served} of {len(attempts)} requests served")
         for title, number in figures.items():
-            self.day.say(f"{number:>8}  {title}")
-        for rule, when, what in self.mesh.invariant_checker.violations:
-            self.day.say(f"  BROKEN: {rule} at {when:.1f} s: {what}")
+            self.demo.say(f"{number:>8}  {title}")
+        for rule, at, description in self.mesh.invariant_checker.violations:
+            self.demo.say(f"  BROKEN: {rule} at {at:.1f} s: {description}")
         return (
             1
             if any(figures.values())
@@ -137,22 +139,22 @@
 
 
 def play(seconds: float, rate: float, seed: int, say: Callable[[str], None]) -> int:
-    """Runs the demo and returns its exit status. `seconds` is not used: each kind has a fixed time."""
+    """Runs the demo and returns its exit status. `seconds` has no effect: each kind has a fixed time."""
     subnet, shift = find_free_subnet()
     with tempfile.TemporaryDirectory() as name:
         mesh = _MeshWithDrift(Path(name), subnet, shift, seed)
-        day = MeshDemo(mesh, seconds, rate, say)
+        demo = MeshDemo(mesh, seconds, rate, say)
         say(
             f"{len(mesh.sidecars)} sidecars at {subnet}.x, {rate:g} requests/s, {len(KINDS)} slips, "
             f"seed {seed}"
         )
         try:
-            if not day.bring_up():
+            if not demo.bring_up():
                 say("not all proxies became ready")
                 return 1
-            demo_run = _Run(day)
+            demo_run = _Run(demo)
             demo_run.run()
-            day.shut_down()
+            demo.shut_down()
             return demo_run.print_summary()
         finally:
             mesh.stop()
--- a/honeywharf/standins/gatewaydemo.py
+++ b/honeywharf/standins/gatewaydemo.py
@@ -2,9 +2,9 @@
 
 Theory of operation. Gateways and destinations are processes of their own; the source of region a, its clients
 and the operator share one event loop in this process. The backend of a destination counts the runs of each
-attempt and writes the counts to a file at its end, where they are compared with what the clients were told.
-No delay is added between the regions: the figures show what processes and kernels cost (`simulation` has
-delays).
+attempt and writes the counts to a file at its end, where they are compared with the outcomes that the clients
+received. No delay is added between the regions: the figures show what processes and kernels cost
+(`simulation` has delays).
 """
 
 from __future__ import annotations
@@ -115,11 +115,11 @@
             self.end()
 
     def data(self, data: bytes) -> None:
-        """A part of the body."""
+        """Counts a part of the body."""
         self.size += len(data)
 
     def end(self) -> None:
-        """The body is complete: the request runs."""
+        """Runs the request, whose body is complete."""
         attempt = self.request.attempt_id.hex()
         self.backend.runs[attempt] += 1
         self.backend.sizes[attempt] = self.size
@@ -130,10 +130,10 @@
         self.answers.answer(200, b"", size, REPORTED_LOAD, bytes(size))
 
     def window(self, size: int) -> None:
-        """Not used: answers are sent in one piece."""
+        """Does nothing: answers are sent in one piece."""
 
     def cancel(self) -> None:
-        """Not used: the request has run already."""
+        """Does nothing: the request has run already."""
 
 
 class Client:
@@ -175,11 +175,11 @@
         )
 
     def admitted(self) -> None:
-        """The body may be sent."""
+        """Starts to send the body."""
         self.window(64 * 1024)
 
     def window(self, size: int) -> None:
-        """`size` further bytes of the body may be sent."""
+        """Sends up to `size` further bytes of the body."""
         self.credit += size
         if not self.is_pacing:
             self._send()
@@ -199,20 +199,20 @@
                 self.channel.end()
 
     def answered(self, status: int, fields: bytes, length: int, body: bytes | None) -> None:
-        """The answer, which is short and complete."""
+        """Ends with the answer, which is short and complete."""
         self._finish("done")
 
     def data(self, data: bytes) -> None:
-        """Not used."""
+        """Does nothing."""
 
     def completed(self) -> None:
-        """Not used."""
+        """Does nothing."""
 
     def load(self, load: tuple[int, int, int]) -> None:
-        """Not used."""
+        """Does nothing."""
 
     def failed(self, verdict: Verdict) -> None:
-        """The request failed: retries it if it has not run, and reads in any case."""
+        """Retries a failed request if it has not run, and a read in any case."""
         now = self.demo.loop.now()
         if (
             (verdict.ran == NOT_RUN or self.kind == READ)
@@ -256,9 +256,9 @@
         ]
         self.clients: list[Client] = []
         self.windows: dict[str, list[tuple[str, float]]] = {"drain": [], "kill": []}
-        self.fault_times: list[tuple[float, str]] = []  # Time and kind of each drain and kill.
+        self.fault_times: list[tuple[float, str]] = []  # The time and kind of each drain and kill.
         self.drain_durations_s: list[float] = []
-        self.samples: list[tuple[float, list[int]]] = []  # Time, and uploads by gateway.
+        self.samples: list[tuple[float, list[int]]] = []  # Each time, and the number of uploads by gateway.
         self.repeated_outcomes, self.stopping = 0, False
         self.warnings = 0  # Drain orders rejected by a gateway that considered itself the last of its region.
         for child in (*self.gateways.values(), *self.destination_processes):
@@ -308,7 +308,7 @@
         self.run_until(lambda: self.loop.now() >= end, seconds + 1.0)
 
     def gateways_are_up(self) -> bool:
-        """Whether all gateways are connected and advertised."""
+        """Returns whether all gateways are connected and advertised."""
         return all(
             path.gateway.is_connected and path.gateway.is_advertised
             for path in self.session_client.paths.values()
@@ -355,11 +355,11 @@
     # Faults.
 
     def busiest(self) -> str:
-        """The gateway with the most sessions of this source."""
+        """Returns the gateway with the most sessions of this source."""
         return max(self.session_client.paths, key=lambda node: len(self.session_client.paths[node].sessions))
 
     def call_operator(self, node: str, what: str) -> str:
-        """Calls a gateway's operator API; returns the last line of the answer, "" after two seconds."""
+        """Calls a gateway's operator API; returns the answer's last line, "" after two seconds."""
         path = f"POST /api/gateway/{what} HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n".encode()
         call = _Call(self.loop, (node.rpartition(":")[0], self.operator_port), path)
         self.run_until(lambda: bool(call.answer), 2.0)
@@ -454,7 +454,7 @@
         return dict(found)
 
     def _latencies(self) -> dict[str, Any]:
-        """p50 and p99 of inner calls in ms, in a second before a fault, from it, and from 1.5 s after it."""
+        """Returns p50 and p99 of inner calls in ms, for one second before, at, and 1.5 s after a fault."""
         found: dict[str, Any] = {}
         for what in ("drain", "kill"):
             at = [when for when, kind in self.fault_times if kind == what]
@@ -478,7 +478,7 @@
 
 
 class _Call:
-    """One HTTP call; `answer`: the bytes received."""
+    """One HTTP call; `answer` holds the received bytes."""
 
     def __init__(self, loop: EventLoop, to: tuple[str, int], text: bytes) -> None:
         self.text, self.answer = text, b""
@@ -489,23 +489,23 @@
         return self
 
     def opened(self) -> None:
-        """The connection is established."""
+        """Sends the call once the connection is established."""
         self.connection.send(self.text)
 
     def received(self, data: bytes) -> None:
-        """The answer, which is short."""
+        """Takes the answer, which is short."""
         self.answer += data
         self.connection.close()
 
     def ended(self) -> None:
-        """The peer has closed its side."""
+        """Closes the connection after the peer's half-close."""
         self.connection.close()
 
     def drained(self) -> None:
-        """Not used."""
+        """Does nothing."""
 
     def closed(self, why: str) -> None:
-        """Not used."""
+        """Does nothing."""
 
 
 #: Figures that must be 0.
@@ -566,7 +566,7 @@
 
 
 def play(seed: int, report: Callable[[str], None], rate: float = 80.0, sessions: bool = True) -> int:
-    """Three drains and two kills; returns 0 if every upload finished and every order was recorded once."""
+    """Runs three drains and two kills; returns 0 if all uploads finish and each order is recorded once."""
     report("two regions on loopback, two gateways each; uploads, orders, deletions, tiles, inner calls")
     figures = run(3, 2, rate, seed, sessions, report)
     for name, value in sorted(figures.items()):
