--- a/honeywharf/coap/client.py
+++ b/honeywharf/coap/client.py
@@ -96,7 +96,7 @@
         # Random, so that a response to a request from before a restart does not match.
         self.next_token = self.random.getrandbits(32)
         self.paused = True  # True without a socket
-        self.datagrams_sent = 0  # sent on the current socket
+        self.datagrams_sent = 0  # the count for the current socket
         self.waiting: deque[PendingRequest] = deque()
         self.in_flight: dict[bytes, PendingRequest] = {}  # sent, by token
         self.unacknowledged: dict[int, PendingRequest] = {}  # keyed by message id
--- a/honeywharf/control/joining.py
+++ b/honeywharf/control/joining.py
@@ -47,7 +47,7 @@
 class Joining:
     """Both sides of an admission.
 
-    `zone` is this machine's zone; `is_initial_start` is set when the whole system starts for the first time;
+    `zone` is this machine's zone; `is_initial_start` is set when the system starts for the first time;
     `other_addresses` returns the addresses of other control nodes, "ip:port"; `text_digest` returns the
     digest of the newest configuration whose text is on this disk, or an empty string.
     """
--- a/honeywharf/control/mesh_state.py
+++ b/honeywharf/control/mesh_state.py
@@ -18,7 +18,7 @@
 MAX_MEMBERS = 15
 MAX_ZONES = 256  # The number of zones whose evacuation is stored is bounded.
 NO_VERSION = -1  # The version before the first configuration.
-INITIAL_DISK = "first"  # The disk name of a seed at the first start of the whole system.
+INITIAL_DISK = "first"  # The disk name of a seed at the first start of the system.
 
 
 class MemberId(NamedTuple):
--- a/honeywharf/control/replica.py
+++ b/honeywharf/control/replica.py
@@ -41,7 +41,7 @@
     """The settings of this control node.
 
     `address` is its internal address; `seeds` are the addresses of the first members; `is_initial_start` is
-    set when the whole system starts for the first time, so that a seed with an empty disk has a vote.
+    set when the system starts for the first time, so that a seed with an empty disk has a vote.
     """
 
     address: Address
--- a/honeywharf/control/store.py
+++ b/honeywharf/control/store.py
@@ -27,7 +27,7 @@
 HEADER_BYTES = 8  # The magic, the version's digit and the checksum take 8 bytes.
 FORMAT_DIGITS = range(ord("1"), ord("9") + 1)  # The version of the format is one of these digits.
 MAX_DIGEST_LENGTH = 64  # A digest has at most this many characters.
-MAX_UNREFERENCED_TEXTS = 2  # The last configurations that are no longer referenced are kept.
+MAX_UNREFERENCED_TEXTS = 2  # The last unreferenced configurations are kept.
 
 
 class Disk(Protocol):
--- a/honeywharf/control/version_history.py
+++ b/honeywharf/control/version_history.py
@@ -2,8 +2,8 @@
 
 The history keeps the highest `MAX_VERSIONS` versions that were confirmed, each with the first digits of its
 digest. The records have a fixed size and are stored in one byte string, because the history is copied with
-every message of the register and searched without being unpacked. Versions up to the floor are no longer
-known, and none of them is confirmed any more.
+every message of the register and searched without being unpacked. Versions up to the floor are
+unknown, and none of them is confirmed again.
 """
 
 from __future__ import annotations
--- a/honeywharf/flow/transfer_rate.py
+++ b/honeywharf/flow/transfer_rate.py
@@ -1,4 +1,4 @@
-"""Detects slow peers by their average rate over a whole body, rather than by one pause.
+"""Detects slow peers by their average rate over a complete body, rather than by one pause.
 
 Time in which this side paused the peer does not count. Times are ms.
 """
--- a/honeywharf/gossip/anti_entropy.py
+++ b/honeywharf/gossip/anti_entropy.py
@@ -42,7 +42,7 @@
 MAX_DIGEST_NODES = 120  # A digest of this many nodes fits one datagram.
 MAX_DIGEST_BUCKETS = 24
 MAX_REPAIR_DATAGRAMS = 16  # This limits the answer to one datagram.
-MAX_REQUESTED = 300  # One request asks for at most this many entries.
+MAX_REQUESTED = 300  # One request names at most this many entries.
 RECENT_ENTRY_S = 2.0  # An entry received within this time is taken for the newer of two that differ.
 
 
@@ -102,7 +102,7 @@
         return [] if checksum == self._table.checksum else self.digest_for(sender)
 
     def digest_for(self, sender: str) -> Datagrams:
-        """Returns a digest of the whole table, or sums by bucket if the table is too large."""
+        """Returns a digest of all entries, or sums by bucket if the table is too large."""
         offered = self._table.offered()
         if len(offered) <= MAX_DIGEST_NODES:
             return [(sender, self._digest(None, offered))]
--- a/honeywharf/http/front.py
+++ b/honeywharf/http/front.py
@@ -41,7 +41,7 @@
 SWEEP_S = 0.2
 HANDOVER_RETRY_S = 0.005  # interval between attempts to hand over a connection
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# First and longest interval of checks whether a half-closed client has reset the connection.
+# The first and the longest interval of checks whether a half-closed client has reset the connection.
 RESET_POLL_S, MAX_RESET_POLL_S = 0.02, 0.5
 STATUSES = {
     Status.SERVED: 200,
--- a/honeywharf/lease/acquisition.py
+++ b/honeywharf/lease/acquisition.py
@@ -169,7 +169,7 @@
         if done is not None:
             done(True)
 
-    # Renewal, while the leases are held.
+    # Renewal of granted leases.
 
     def _renewal_interval(self) -> float:
         return min(lease.renewal_interval() for lease in self.leases)
--- a/honeywharf/lease/grantor.py
+++ b/honeywharf/lease/grantor.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MEMBER_REMOVAL, QUARANTINE = "upkeep", "aside"  # These kinds of roles are sent on the wire.
+MEMBER_REMOVAL, QUARANTINE = "upkeep", "aside"  # The kinds of roles; part of the wire protocol.
 TERMS = {MEMBER_REMOVAL: 1.0, QUARANTINE: 3.0}  # The term of a vote in seconds, by kind.
 MAX_VOTES = 512  # A grantor has votes for at most this many roles.
 MAX_SCOPE_LENGTH = 128  # The maximum length of a scope in characters.
@@ -42,7 +42,7 @@
 
 
 class VoteAnswer(StrEnum):
-    """A grantor's answer. The values are sent on the wire."""
+    """A grantor's answer. The values are part of the wire protocol."""
 
     GRANTED = "granted"
     HELD = "held"  # Another holder has the role.
--- a/honeywharf/programs/control_handoff.py
+++ b/honeywharf/programs/control_handoff.py
@@ -27,7 +27,7 @@
     from honeywharf.transport.host import Address
     from honeywharf.transport.rpc_server import Reply
 
-HINT_REPLICAS = 2  # So many members keep hints for an unreachable member.
+HINT_REPLICAS = 2  # This number of members keep hints for an unreachable one.
 CHECK_INTERVAL_S = 0.3
 STATE_HINT_BYTES = 512  # This approximates the size of a state without its digest.
 STATE_HINT = "word"  # The only hint: the state has changed.
--- a/honeywharf/programs/control_leases.py
+++ b/honeywharf/programs/control_leases.py
@@ -21,7 +21,7 @@
     from honeywharf.transport.rpc_server import Reply
 
 REMOVAL_ROLE = Role(MEMBER_REMOVAL, "", 0)
-HOLDER_ID_BYTES = 6  # The name of this process as a lease holder has so many random bytes.
+HOLDER_ID_BYTES = 6  # The name of this process as a lease holder ends with these random bytes.
 MAX_NAME_LENGTH = 200  # A name in a call has at most this many characters.
 
 
--- a/honeywharf/sessions/body_quota.py
+++ b/honeywharf/sessions/body_quota.py
@@ -38,7 +38,7 @@
         return True
 
     def release(self, tenant: str, size: int) -> None:
-        """Releases the whole reservation of one body."""
+        """Releases the reservation of one body."""
         self.count -= 1
         self._adjust(tenant, -size)
 
--- a/honeywharf/sessions/choice.py
+++ b/honeywharf/sessions/choice.py
@@ -1,8 +1,8 @@
 """Selects the gateway for a session.
 
-Gateways of regions that may not hold the body are left out. Of the others, those that are advertised,
-connected and near are preferred, and of two alike the one with less load. A request with allowed regions may
-be held only by machines of those regions and of the client's own region.
+Gateways of regions that may not store the body are excluded. Of the others, those that are advertised,
+connected and near are preferred, and of two equal ones the one with less load. Only machines of the allowed
+regions of a request, if it has any, and of the client's own region may store its body.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     """Returns the gateway for a session's next path; None if the allowed regions exclude all.
 
     `avoid` is the gateway just left: it is used again only if there is no other. Of the gateways of the
-    best rank two are drawn at random, and the one with less load is chosen. `draw` returns uniform random
+    best rank two are drawn at random, and the one with less load is returned. `draw` returns uniform random
     numbers in [0, 1).
     """
     usable = [each for each in gateways if may_hold_body(each.region, region, allowed_regions)]
--- a/honeywharf/sessions/drain.py
+++ b/honeywharf/sessions/drain.py
@@ -1,11 +1,11 @@
 """The drain of a gateway as a state machine. It has no clock: times are arguments, in seconds.
 
-Theory of operation. An operator's order or SIGTERM begins a drain. From ANNOUNCED on, sources are told not to
-choose this gateway; from CLOSED on, no new session is accepted; in MOVING, long sessions are asked to move to
-another gateway; FINISHING waits for the short ones; EMPTY reports that none is left, and after SIGTERM the
-process exits from there. The last gateway of a region only becomes WARNED by a first order; a second order
-starts the drain, and so does SIGTERM when little of `grace-period` is left. A kill is safe in any state: it
-costs each session its path.
+Theory of operation. An operator's order or SIGTERM begins a drain. From ANNOUNCED on, sources are notified
+not to choose this gateway; from CLOSED on, no new session is accepted; in MOVING, long sessions are asked to
+move to another gateway; FINISHING waits for the short ones; EMPTY reports that none is left, and after
+SIGTERM the process exits from there. The last gateway of a region only becomes WARNED by a first order; a
+second order starts the drain, and so does SIGTERM when little of `grace-period` is left. A kill is safe in
+any state: it costs each session its path.
 
     state      order      term       cancel    tick                           on entering
     SERVING    ANNOUNCED  ANNOUNCED  .         .                              accepts sessions
--- a/honeywharf/sessions/frames.py
+++ b/honeywharf/sessions/frames.py
@@ -1,7 +1,7 @@
 """Frames of a session between regions, and the bounds that its endpoints and the gateways share.
 
 Each frame is a list `[kind, session, epoch, ...]`. A session is one request between two sidecars; its id is
-16 random bytes chosen by the source. The epoch counts the paths that the session has taken: a frame of an
+16 random bytes drawn by the source. The epoch counts the paths that the session has taken: a frame of an
 older epoch is fenced.
 
     source to destination
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -456,7 +456,7 @@
     fixture.request_handlers[0].responder.answer(200, b"", 1 << 20, LOAD, None)
     fixture.request_handlers[0].responder.data(
         bytes(WINDOW_SIZE)
-    )  # The whole window, which the source does not extend.
+    )  # The complete window, which the source does not extend.
     for _ in range(20):
         begun = fixture.world.now
         _, response = fixture.open()
