--- a/honeywharf/sessions/relay.py
+++ b/honeywharf/sessions/relay.py
@@ -60,7 +60,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Bytes that may be in flight."""
+        """The number of bytes that may be in flight."""
         return max(0, self.granted - self.acked)
 
 
@@ -106,7 +106,7 @@
 
 
 class Relay:
-    """All sessions of one gateway. `send(link, frame)` sends a frame; `region`: of this gateway."""
+    """All sessions of one gateway. `send(link, frame)` sends a frame; `region` is the gateway's."""
 
     def __init__(
         self,
@@ -151,11 +151,11 @@
         if old is not None:
             self.remove(old)
         first = INITIAL_BODY_BYTES if incarnation and 0 <= length <= SHORT_BODY_BYTES else 0
-        why = self._rejection_reason(origin, allowed_regions, first + INITIAL_ANSWER_BYTES)
-        destination = link_to(to, priority_class) if why is None else None
+        reason = self._rejection_reason(origin, allowed_regions, first + INITIAL_ANSWER_BYTES)
+        destination = link_to(to, priority_class) if reason is None else None
         if destination is None:
             self.rejected += 1
-            self.send(source, [GONE, session_id, epoch, LINK_LOST if why is None else why])
+            self.send(source, [GONE, session_id, epoch, LINK_LOST if reason is None else reason])
             return
         session = RelayedSession(
             session_id,
@@ -188,10 +188,10 @@
             return OTHER_SERVICE
         if not self.accepts_sessions:
             return DRAINING
-        room = (
+        has_capacity = (
             self.in_flight_bytes + size <= self.max_bytes and len(self.relayed_sessions) < self.max_sessions
         )
-        return None if room else FULL
+        return None if has_capacity else FULL
 
     def from_source(self, source: Link, frame: list[Any]) -> None:
         """Relays any other frame of a source."""
@@ -227,7 +227,7 @@
             frame = [HAVE, session_id, epoch, frame[3], frame[4], session.body.granted, frame[6]]
         elif kind == PART:
             self.bytes_down += len(frame[4])
-        if kind != FENCED:  # The source knows, as it has sent the newer epoch.
+        if kind != FENCED:  # After FENCED the source knows, as it has sent the newer epoch.
             self.send(session.source, frame)
         if kind in (VERDICT, UNKNOWN, FENCED):
             self.remove(session)
@@ -260,7 +260,7 @@
         self._serve_waiting(session.session_id)
 
     def _window_share(self) -> int:
-        """Bytes of one window if all sessions share the capacity for windows evenly."""
+        """Returns the bytes of one window if all sessions share the capacity for windows evenly."""
         return max(CHUNK_BYTES, int(WINDOW_SHARE * self.max_bytes) // max(1, len(self.relayed_sessions)))
 
     def _extend_grant(self, session: RelayedSession, flow_window: FlowWindow) -> bool:
@@ -317,14 +317,14 @@
             self.in_flight_bytes -= session.body.in_flight + session.answer.in_flight
             self._serve_waiting(b"")
 
-    def fail(self, session: RelayedSession, why: int) -> None:
+    def fail(self, session: RelayedSession, reason: int) -> None:
         """Ends this path of a session and notifies both ends."""
         self.remove(session)
-        self.send(session.source, [GONE, session.session_id, session.epoch, why])
-        self.send(session.destination, [GONE, session.session_id, session.epoch, why])
+        self.send(session.source, [GONE, session.session_id, session.epoch, reason])
+        self.send(session.destination, [GONE, session.session_id, session.epoch, reason])
 
     def link_lost(self, link: Link) -> None:
-        """A link is lost: notifies the other end of each of its sessions."""
+        """Handles the loss of a link: notifies the other end of each of its sessions."""
         for session in list(self.relayed_sessions.values()):
             if session.source is link or session.destination is link:
                 self.remove(session)
