--- a/honeywharf/policy/retry.py
+++ b/honeywharf/policy/retry.py
@@ -14,8 +14,7 @@
 def retry_cost(outcome: api.Outcome, elapsed_ms: float, typical_ms: float) -> float:
     """Returns the cost of another attempt, in proportion to the load that the ended attempt was.
 
-    Guards against a budget used up by connections that are reset as soon as they are written to: such calls
-    are almost no load, and giving up wastes the work of the tiers above.
+    Guards against a retry budget used up by connections that are reset as soon as they are written to.
     """
     if outcome is api.Outcome.RESET:
         return max(REJECTED_COST, min(1.0, elapsed_ms / max(typical_ms, 1.0)))
@@ -44,10 +43,8 @@
 ) -> list[tuple[Attempt, Request]]:
     """Returns the hung calls: far past the typical time, at a server that has answered a later one.
 
-    Guards against calls that were lost in transit or dropped by the server: each would count against its
-    zone's limit until its time-out, and its request would fail. This covers connections that were lost
-    silently while others of the server work; a server that answers nothing, or late, is left to outlier
-    detection. Where work differs much within a class, long calls may run twice.
+    Guards against calls that were lost silently, which would count against their zone's limit until their
+    time-out. A server that answers nothing, or late, is left to outlier detection.
     """
     found: list[tuple[Attempt, Request]] = []
     for call in answered.server.calls:
