--- a/honeywharf/config/node.py
+++ b/honeywharf/config/node.py
@@ -110,7 +110,7 @@
 
 def _memory(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 16 <= value <= 1e6:
-        raise ValueError(f"limits.memory_mb: expected a number from 16 to 1e+06, got {value!r}")
+        raise ValueError(f"limits.memory_mb: expected a number from 16 to 1000000, got {value!r}")
     return float(value)
 
 
