--- a/honeywharf/admission/body_intake.py
+++ b/honeywharf/admission/body_flow_control.py
@@ -52,7 +52,7 @@
         return max(0, self.size - self.received)
 
 
-class Intake:
+class BodyFlowControl:
     """The bodies that are being sent to one machine."""
 
     def __init__(self, bytes_s: float = float("inf")) -> None:
--- a/honeywharf/sidecar/inbound.py
+++ b/honeywharf/sidecar/inbound.py
@@ -11,7 +11,7 @@
       \\________\\__________\\________ rejected (not run)   \\_______ failed (may have run)
 
 A body over `MAX_SHORT_BODY_BYTES` and up to `MAX_HELD_BODY_BYTES` is received before a slot is taken: over a
-slow link it takes longer than the work, and the slot would be idle meanwhile. `Intake` decides how
+slow link it takes longer than the work, and the slot would be idle meanwhile. `BodyFlowControl` decides how
 much of it is requested at a time. A longer body takes its slot first and is forwarded as it arrives.
 
 Each `InboundRequest` reports its end once. Only `_release` gives the slot and the connection back.
@@ -19,7 +19,7 @@
 
 from __future__ import annotations
 
-from honeywharf.admission.body_intake import STALL_S, Intake
+from honeywharf.admission.body_flow_control import STALL_S, BodyFlowControl
 from honeywharf.codecs.heads import UNKNOWN, ResponseHead
 from honeywharf.sidecar.backend import BackendConnectionPool
 from honeywharf.transport.stream import INITIAL_WINDOW, WINDOW_SIZE
@@ -45,7 +45,7 @@
     from typing import Protocol
 
     from honeywharf.admission.admission_queue import Waiter
-    from honeywharf.admission.body_intake import PendingBody
+    from honeywharf.admission.body_flow_control import PendingBody
     from honeywharf.drift.monitor import DriftMonitor
     from honeywharf.sidecar.backend import BackendConnection
     from honeywharf.sidecar.gate import Gate
@@ -132,7 +132,7 @@
         self.deadline = inbound.host.now() + forwarded.remaining_s
         self.waiter: Waiter | None = None
         self.slow_start_timer: Timer | None = None  # set while it waits for a cold backend
-        self.pending_body: PendingBody | None = None  # the entry of the body in the intake
+        self.pending_body: PendingBody | None = None  # the entry of the body in `body_flow_control`
         # Whether the body is received before a slot is taken, and whether the source may send it.
         self.receiving = self.is_admitted = False
         self.backend_connection: BackendConnection | None = None
@@ -200,9 +200,9 @@
             if not self.is_over:
                 self.responder.window(WINDOW_SIZE - INITIAL_WINDOW)
         else:
-            backlog, pending_body = inbound.intake.backlog_s(), None
+            backlog, pending_body = inbound.body_flow_control.backlog_s(), None
             if backlog <= MAX_BACKLOG_SHARE * forwarded.latency_target_s:
-                pending_body = inbound.intake.add(now, forwarded.length, self._request_bytes)
+                pending_body = inbound.body_flow_control.add(now, forwarded.length, self._request_bytes)
             if pending_body is None:
                 self.reject(LINK_SATURATED, max(0.02, backlog))
                 return
@@ -240,16 +240,16 @@
         elif self.pending_body is None:
             self.responder.window(size)
         else:
-            inbound.intake.record_received(now, self.pending_body, size)
+            inbound.body_flow_control.record_received(now, self.pending_body, size)
             inbound.request_body_bytes()
 
     def _stop_receiving(self, now: float) -> None:
-        """Removes the body from the intake: it is complete, or is not wanted any more."""
+        """Removes the body from the flow control: it is complete, or is not wanted any more."""
         if self.receiving:
             self.receiving = False
             self.inbound.receiving -= 1
         if self.pending_body is not None:
-            self.inbound.intake.discard(self.pending_body)
+            self.inbound.body_flow_control.discard(self.pending_body)
             self.pending_body = None
             self.inbound.request_body_bytes()
 
@@ -606,7 +606,7 @@
         self.end_at = float("inf")  # the end of this process; a request that may take longer is not begun
         self.waiting_for_slow_start = 0  # requests
         self.link_bytes_s = float("inf")  # rate of this machine's network link, in bytes a second
-        self.intake = Intake()
+        self.body_flow_control = BodyFlowControl()
         self.receiving = 0  # requests whose bodies are received before they have a slot
         self.stall_timer: Timer | None = None
         self.expiry_timer: Timer | None = None
@@ -638,7 +638,7 @@
     def set_link_speed(self, mbps: float) -> None:
         """Sets the rate of this machine's network link, in megabits a second."""
         self.link_bytes_s = mbps * 125_000.0
-        self.intake.set_link_rate(self.link_bytes_s)
+        self.body_flow_control.set_link_rate(self.link_bytes_s)
 
     def expected_s(self, request: InboundRequest) -> float:
         """Returns the expected wait for a slot in s, behind requests whose bodies are being received."""
@@ -651,7 +651,7 @@
 
     def request_body_bytes(self) -> None:
         """Requests bytes of bodies, and again after `STALL_S` where a stalled body may delay others."""
-        if self.intake.request_more(self.host.now()) and self.stall_timer is None:
+        if self.body_flow_control.request_more(self.host.now()) and self.stall_timer is None:
             self.stall_timer = self.host.after(STALL_S, self._stall_ended)
 
     def _stall_ended(self) -> None:
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -673,7 +673,7 @@
     inbound_request.end()
     setup.run()
     assert responder.events[1:] == [("answer", 200, 4, True)]
-    assert (setup.inbound.receiving, setup.inbound.intake.reserved_bytes) == (0, 0)
+    assert (setup.inbound.receiving, setup.inbound.body_flow_control.reserved_bytes) == (0, 0)
     idle(setup)
 
 
@@ -697,7 +697,7 @@
     assert lookup.events == [("answer", 200, 4, True)]
     begun[0][0].cancel()
     setup.run(0.1)
-    assert (setup.inbound.receiving, setup.inbound.intake.reserved_bytes) == (0, 0)
+    assert (setup.inbound.receiving, setup.inbound.body_flow_control.reserved_bytes) == (0, 0)
 
 
 def test_a_body_that_never_ends_is_given_up_as_not_run() -> None:
@@ -709,7 +709,7 @@
     setup.run(1.2)
     assert responder.events == [("go",), ("fail", NOT_RUN, TIMED_OUT, False)]
     assert not setup.backend.accepted
-    assert (setup.inbound.receiving, setup.inbound.intake.reserved_bytes) == (0, 0)
+    assert (setup.inbound.receiving, setup.inbound.body_flow_control.reserved_bytes) == (0, 0)
 
 
 def test_the_gate_is_asked_again_when_the_body_is_received() -> None:
