--- a/bench/compatibility/record_traffic.py
+++ b/bench/compatibility/record_traffic.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from honeywharf.simulation import drift_injection, machine, regions, run
+from honeywharf.simulation import machine, regions, run, slips
 
 HASH_DIGITS = 16
 DRIFT_COUNT = 3  # Deviations that are injected in a day of `drift`.
@@ -80,8 +80,8 @@
     if day == "regions":
         return len(regions.Day(seed, 2 + seed % 2).play().faults)
     if day == "drift":
-        kinds = list(drift_injection.KINDS)
-        return len(drift_injection.Trial(seed, kinds[seed % len(kinds)], DRIFT_COUNT).play().wrong)
+        kinds = list(slips.KINDS)
+        return len(slips.Trial(seed, kinds[seed % len(kinds)], DRIFT_COUNT).play().wrong)
     raise ValueError(f"day: expected mesh, regions or drift, got {day!r}")
 
 
--- a/bench/drift.py
+++ b/bench/drift.py
@@ -27,8 +27,8 @@
 from statistics import median
 from typing import Any
 
-from honeywharf.simulation.drift_injection import DETECTORS, FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, Trial
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
+from honeywharf.simulation.slips import DETECTORS, FIRST_DRIFT_S, KINDS, LONG_PERIODS_S, Trial
 
 INJECTIONS_PER_RUN = {False: 20, True: 10}  # The key says whether the kind takes long.
 FAULT_KINDS = (
--- a/honeywharf/standins/driftdemo.py
+++ b/honeywharf/standins/driftdemo.py
@@ -21,7 +21,7 @@
 
 from honeywharf.simulation import deployment
 from honeywharf.simulation.actors import Flow, Message
-from honeywharf.simulation.drift_injection import DriftKinds
+from honeywharf.simulation.slips import DriftKinds
 from honeywharf.standins.meshdemo import READINESS_WAIT_S, ROUTES, Mesh, MeshDemo, Program, find_free_subnet
 
 KINDS = ("kind", "weights", "lost", "evacuation", "timeout")
--- a/tests/compatibility/message_shapes.py
+++ b/tests/compatibility/message_shapes.py
@@ -14,7 +14,7 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from honeywharf.simulation import drift_injection, machine, regions, run
+from honeywharf.simulation import machine, regions, run, slips
 from honeywharf.transport.framing import FrameReader
 
 MESH_SEEDS = (1, 3, 9)
@@ -152,7 +152,7 @@
         """Ignores the answer."""
 
 
-def view_drift(trial: drift_injection.Trial) -> None:
+def view_drift(trial: slips.Trial) -> None:
     """Lets a control node request the drift view of every sidecar."""
     core: Any = trial.deployment.cores[0].program
     trial.deployment.cores[0].call(
@@ -168,7 +168,7 @@
     for seed in MESH_SEEDS:
         run.run(seed, any_kind=True, after=8.0)
     for drift in DRIFTS:
-        trial = drift_injection.Trial(DRIFT_SEED, drift, DRIFT_COUNT).play()
+        trial = slips.Trial(DRIFT_SEED, drift, DRIFT_COUNT).play()
         view_drift(trial)
     for seed in REGION_SEEDS:
         regions.Day(seed, 2 + seed % 2).play()
--- a/tests/drift/test_hard.py
+++ b/tests/drift/test_hard.py
@@ -10,9 +10,9 @@
 from honeywharf.drift import periodic_scan, states
 from honeywharf.simulation.actors import Caller
 from honeywharf.simulation.deployment import ZONES, SidecarNode
-from honeywharf.simulation.drift_injection import DriftKinds, Trial
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.invariants import Attempt
+from honeywharf.simulation.slips import DriftKinds, Trial
 from honeywharf.verdict import REJECTED_BY_BACKEND
 
 
--- a/tests/drift/test_history.py
+++ b/tests/drift/test_history.py
@@ -13,7 +13,7 @@
 from honeywharf.drift import history
 from honeywharf.drift.history import History
 from honeywharf.mesh_config.configuration import digest
-from honeywharf.simulation.drift_injection import Trial
+from honeywharf.simulation.slips import Trial
 from honeywharf.transport.host import Host
 from tests.mesh_config.examples import drawn, text
 
--- a/tests/drift/test_slips.py
+++ b/tests/drift/test_slips.py
@@ -7,9 +7,9 @@
 import pytest
 
 from honeywharf.simulation.actors import Caller
-from honeywharf.simulation.drift_injection import KINDS, Trial
 from honeywharf.simulation.fault_schedule import Fault, FaultSchedule
 from honeywharf.simulation.invariants import Attempt
+from honeywharf.simulation.slips import KINDS, Trial
 
 #: Kinds that may go undetected while no request is in flight: the node first confirms its state by itself.
 SELF_DETECTED = ("freeze",)
--- a/tests/drift/test_view.py
+++ b/tests/drift/test_view.py
@@ -9,7 +9,7 @@
 
 from honeywharf.cli import drift, exit_status
 from honeywharf.cli.exit_status import MeshCallError
-from honeywharf.simulation.drift_injection import Trial
+from honeywharf.simulation.slips import Trial
 
 
 class OperatorCall:
--- a/tests/lease/test_control_leases.py
+++ b/tests/lease/test_control_leases.py
@@ -7,7 +7,7 @@
 
 from honeywharf.drift import states
 from honeywharf.lease.grantor import MEMBER_REMOVAL, QUARANTINE, TERMS
-from honeywharf.simulation.drift_injection import Trial
+from honeywharf.simulation.slips import Trial
 from tests.control.cluster import ControlCluster
 
 
