--- a/honeywharf/cli/traces.py
+++ b/honeywharf/cli/traces.py
@@ -112,7 +112,7 @@
 
     rows = read_rows(files)
     bad_rows, ordinary_rows = select_rows(rows, bad, "--bad"), select_rows(rows, ORDINARY_TRACES, "--good")
-    causes_by_kind, failure_groups = rules.by_kind(bad_rows, ordinary_rows), rules.failure_groups(bad_rows)
+    causes_by_kind, groups = rules.by_kind(bad_rows, ordinary_rows), rules.failure_groups(bad_rows)
     if as_json:
         print_json(
             {
@@ -137,7 +137,7 @@
                         "number": failure_group.number,
                         "own_ms": failure_group.own_ms,
                     }
-                    for failure_group in failure_groups
+                    for failure_group in groups
                 ],
             }
         )
@@ -148,7 +148,7 @@
             click.echo(f"  {kind}: {cause.description()}")
     if not any(causes_by_kind.values()):
         click.echo("  nothing is more frequent among the bad than chance makes it")
-    for group in failure_groups:
+    for group in groups:
         spent = ", ".join(f"{hop} {ms:.0f} ms" for hop, ms in group.own_ms.items())
         click.echo(f"{group.number} first fail at {group.failing or 'no hop'}; own time, median: {spent}")
     sys.exit(0 if any(causes_by_kind.values()) else 1)
