--- a/honeywharf/policy/retry.py
+++ b/honeywharf/policy/retry.py
@@ -44,7 +44,8 @@
     """Returns the hung calls: far past the typical time, at a server that has answered a later one.
 
     Guards against calls that were lost silently, which would count against their zone's limit until their
-    time-out. A server that answers nothing, or late, is left to outlier detection.
+    time-out. A server that answers nothing, or late, is left to outlier detection. Where work differs much
+    within a class, long calls may run twice.
     """
     found: list[tuple[Attempt, Request]] = []
     for call in answered.server.calls:
